--- a/libmangofork/relay/budget.c
+++ b/libmangofork/relay/budget.c
@@ -1,12 +1,12 @@
 #include "budget.h"
 
 /* Part of the common slack that is divided among the instances, for when they cannot talk. */
-#define FLOOR_PERCENT 40
+#define ALLOWANCE_PERCENT 40
 /* Part of it that is planned to be used; the rest is for instances that are not known, and for
  * sends that could not be foreseen when a repeat was given. */
 #define USED_PERCENT 75
 /* Least part of an instance that has run for a window. */
-#define FLOOR_MIN 1
+#define ALLOWANCE_MIN 1
 
 /* Begins a budget without requests. ratio is repeats for each request, window_us what both are
  * counted in. */
@@ -18,20 +18,20 @@
 
 /* Moves on to the part of the window that now is in. */
 static void
-budget_turn (MfBudget *budget, uint64_t now_us)
+budget_advance (MfBudget *budget, uint64_t now_us)
 {
-  uint64_t part_us = budget->window_us / MF_BUDGET_PARTS;
+  uint64_t bucket_us = budget->window_us / MF_BUDGET_PARTS;
 
-  if (part_us == 0)
+  if (bucket_us == 0)
     return;
-  for (uint32_t i = 0; i < MF_BUDGET_PARTS && now_us - budget->part_begun_us >= part_us; i++)
+  for (uint32_t i = 0; i < MF_BUDGET_PARTS && now_us - budget->part_begun_us >= bucket_us; i++)
     {
       budget->part = (budget->part + 1) % MF_BUDGET_PARTS;
       budget->n_requests[budget->part] = 0;
       budget->n_repeats[budget->part] = 0;
-      budget->part_begun_us += part_us;
+      budget->part_begun_us += bucket_us;
     }
-  if (now_us - budget->part_begun_us >= part_us)
+  if (now_us - budget->part_begun_us >= bucket_us)
     budget->part_begun_us = now_us;
 }
 
@@ -39,33 +39,33 @@
 void
 mf_budget_note_request (MfBudget *budget, uint64_t now_us)
 {
-  budget_turn (budget, now_us);
+  budget_advance (budget, now_us);
   budget->n_requests[budget->part]++;
 }
 
 /* Whether the window has room for so many repeats more. floor repeats are allowed whatever the
  * requests. */
 bool
-mf_budget_has_room (MfBudget *budget, uint32_t floor, uint32_t n_wanted, uint64_t now_us)
+mf_budget_has_room (MfBudget *budget, uint32_t allowance, uint32_t n_wanted, uint64_t now_us)
 {
   uint64_t n_requests = 0;
   uint64_t n_repeats = 0;
 
-  budget_turn (budget, now_us);
+  budget_advance (budget, now_us);
   for (uint32_t i = 0; i < MF_BUDGET_PARTS; i++)
     {
       n_requests += budget->n_requests[i];
       n_repeats += budget->n_repeats[i];
     }
-  return (double)(n_repeats + n_wanted) <= budget->ratio * (double)n_requests + (double)floor;
+  return (double)(n_repeats + n_wanted) <= budget->ratio * (double)n_requests + (double)allowance;
 }
 
 /* Takes so many repeats; returns false, and takes none, when the window has no room for all. floor
  * repeats are allowed whatever the requests. */
 bool
-mf_budget_take (MfBudget *budget, uint32_t floor, uint32_t n_wanted, uint64_t now_us)
+mf_budget_take (MfBudget *budget, uint32_t allowance, uint32_t n_wanted, uint64_t now_us)
 {
-  if (!mf_budget_has_room (budget, floor, n_wanted, now_us))
+  if (!mf_budget_has_room (budget, allowance, n_wanted, now_us))
     return false;
   budget->n_repeats[budget->part] += n_wanted;
   return true;
@@ -75,7 +75,7 @@
 void
 mf_budget_charge (MfBudget *budget, uint32_t n_repeats, uint64_t now_us)
 {
-  budget_turn (budget, now_us);
+  budget_advance (budget, now_us);
   budget->n_repeats[budget->part] += n_repeats;
 }
 
@@ -89,8 +89,8 @@
 
   if (uptime_us < window_us || n_instances == 0)
     return 0;
-  part = slack * FLOOR_PERCENT / 100 / n_instances;
-  return part > FLOOR_MIN ? part : FLOOR_MIN;
+  part = slack * ALLOWANCE_PERCENT / 100 / n_instances;
+  return part > ALLOWANCE_MIN ? part : ALLOWANCE_MIN;
 }
 
 /* What is left for the instance that decides for all to give to those that have used their part. */
@@ -98,7 +98,7 @@
 mf_budget_pool (uint32_t slack, uint32_t n_instances, uint64_t window_us)
 {
   uint32_t used = slack * USED_PERCENT / 100;
-  uint32_t floors = n_instances * mf_budget_floor (slack, n_instances, window_us, window_us);
+  uint32_t allowances = n_instances * mf_budget_floor (slack, n_instances, window_us, window_us);
 
-  return used > floors ? used - floors : 0;
+  return used > allowances ? used - allowances : 0;
 }
--- a/libmangofork/relay/budget.h
+++ b/libmangofork/relay/budget.h
@@ -20,8 +20,8 @@
 
 void mf_budget_init (MfBudget *budget, uint64_t window_us, double ratio);
 void mf_budget_note_request (MfBudget *budget, uint64_t now_us);
-bool mf_budget_has_room (MfBudget *budget, uint32_t floor, uint32_t n_wanted, uint64_t now_us);
-bool mf_budget_take (MfBudget *budget, uint32_t floor, uint32_t n_wanted, uint64_t now_us);
+bool mf_budget_has_room (MfBudget *budget, uint32_t allowance, uint32_t n_wanted, uint64_t now_us);
+bool mf_budget_take (MfBudget *budget, uint32_t allowance, uint32_t n_wanted, uint64_t now_us);
 void mf_budget_charge (MfBudget *budget, uint32_t n_repeats, uint64_t now_us);
 uint32_t mf_budget_floor (uint32_t slack, uint32_t n_instances, uint64_t uptime_us,
                           uint64_t window_us);
--- a/libmangofork/relay/job.c
+++ b/libmangofork/relay/job.c
@@ -16,23 +16,23 @@
 #define ANSWERS_BYTES_MAX (64 * 1024 * 1024)
 /* Callers of a stream leave after a pause of two seconds, four objectives or eight pauses,
  * whichever is longest (the platform's page on its clients). */
-#define LEAVE_MIN_US (2 * MF_US_PER_S)
-#define LEAVE_OBJECTIVES 4
-#define LEAVE_GAPS 8
+#define ABANDON_MIN_US (2 * MF_US_PER_S)
+#define ABANDON_OBJECTIVES 4
+#define ABANDON_GAPS 8
 /* The refusal reaches the caller this long before it leaves, and it can still come back. */
-#define LEAVE_SPARE_US (300 * MF_US_PER_MS)
+#define ABANDON_MARGIN_US (300 * MF_US_PER_MS)
 /* First tries of callers give at least this part of the route's time; a shorter time shows a caller
  * that has waited elsewhere before, whose objective has been missed already. */
 #define FIRST_TRY_PERCENT 84
 /* Requests that wait for room look for it this often, besides whenever some comes free. */
-#define WAKE_EVERY_S 0.02
+#define DISPATCH_INTERVAL_S 0.02
 /* Part of the expected time of an answer without which it is not begun: half of the answers are
  * shorter than expected, few by more than this. */
-#define NEEDED_SHARE 0.5
+#define ANSWER_TIME_MIN_SHARE 0.5
 /* Weight of one answer's length in the moving average; answers differ by half their length. */
 #define ANSWER_WEIGHT 0.05
 /* Weight of one first event's time; it changes with the load within seconds. */
-#define FIRST_WEIGHT 0.1
+#define FIRST_EVENT_WEIGHT 0.1
 
 /* A uniform number, not for secrets. */
 uint32_t
@@ -50,7 +50,7 @@
 {
   if (jobs->first_us <= 0.)
     jobs->first_us = (double)took_us;
-  jobs->first_us += FIRST_WEIGHT * ((double)took_us - jobs->first_us);
+  jobs->first_us += FIRST_EVENT_WEIGHT * ((double)took_us - jobs->first_us);
 }
 
 /* An engine's answer has come to so many tokens, and taken so long. */
@@ -117,7 +117,7 @@
 
 /* Counts and logs the end of a request. */
 static void
-job_note_end (MfJob *job, MfCode code, uint32_t status, const char *why)
+job_record_end (MfJob *job, MfCode code, uint32_t status, const char *why)
 {
   MfJobs *jobs = job->jobs;
   uint64_t now_us = mf_clock_now_us ();
@@ -156,7 +156,7 @@
   MfCaller *caller = job->caller;
 
   job->jobs->counters.counts[MF_RELAY_COUNT_ANSWERED]++;
-  job_note_end (job, MF_CODE_OK, answer->status, "answered");
+  job_record_end (job, MF_CODE_OK, answer->status, "answered");
   job->caller = NULL;
   if (caller != NULL)
     mf_caller_reply (caller, answer->status, &answer->headers, mf_buffer_data (&answer->body),
@@ -171,7 +171,7 @@
   MfCaller *caller = job->caller;
 
   job->jobs->counters.counts[MF_RELAY_COUNT_ANSWERED]++;
-  job_note_end (job, MF_CODE_OK, 200, "answered");
+  job_record_end (job, MF_CODE_OK, 200, "answered");
   job->caller = NULL;
   if (caller != NULL)
     mf_caller_end (caller);
@@ -189,7 +189,7 @@
 
 /* Answers with an error of the relay's own. */
 static void
-job_reply_error (MfJob *job, uint32_t status, MfCode code, bool may_return)
+job_reply_error (MfJob *job, uint32_t status, MfCode code, bool may_retry)
 {
   const MfCodeInfo *info = mf_code_info (code);
   uint64_t now_us = mf_clock_now_us ();
@@ -201,7 +201,7 @@
     return;
   job->caller = NULL;
   mf_buffer_add_text (&headers, "Content-Type: application/json\r\n");
-  if (may_return && job->deadline_us > now_us)
+  if (may_retry && job->deadline_us > now_us)
     headers_add_retry_after (&headers,
                              mf_refuse_retry_after_us (&(MfRefusal){
                                  .code = code,
@@ -231,7 +231,7 @@
       return;
     }
   job->jobs->counters.counts[MF_RELAY_COUNT_REFUSED]++;
-  job_note_end (job, code, 503, why);
+  job_record_end (job, code, 503, why);
   job_reply_error (job, 503, code, true);
   job_free (job);
 }
@@ -256,7 +256,7 @@
   if (status == 503)
     status = 502;
   job->jobs->counters.counts[MF_RELAY_COUNT_FAILED]++;
-  job_note_end (job, code, job->head_sent ? 0 : status, why);
+  job_record_end (job, code, job->head_sent ? 0 : status, why);
   if (job->head_sent && job->caller != NULL)
     {
       MfCaller *caller = job->caller;
@@ -317,7 +317,7 @@
 
 /* Reads "prompt,output" token counts. */
 static void
-job_read_size (MfJob *job, const MfHead *head)
+job_read_token_counts (MfJob *job, const MfHead *head)
 {
   char text[48];
   char *comma;
@@ -337,39 +337,39 @@
 
 /* The least time a whole answer is reckoned to take; 0 before any has been seen. */
 static uint64_t
-job_needs_us (const MfJob *job)
+job_answer_min_us (const MfJob *job)
 {
-  return (uint64_t)((double)job->answer_tokens * job->jobs->token_us * NEEDED_SHARE);
+  return (uint64_t)((double)job->answer_tokens * job->jobs->token_us * ANSWER_TIME_MIN_SHARE);
 }
 
 /* The pause after which the caller of a stream leaves, less the time that word to it takes. */
 static uint64_t
-leave_after_us (const MfRoute *route)
+abandon_timeout_us (const MfRoute *route)
 {
-  uint64_t leave_us = LEAVE_MIN_US;
+  uint64_t abandon_us = ABANDON_MIN_US;
 
-  if (route->target_latency_us * LEAVE_OBJECTIVES > leave_us)
-    leave_us = route->target_latency_us * LEAVE_OBJECTIVES;
-  if (route->target_gap_us * LEAVE_GAPS > leave_us)
-    leave_us = route->target_gap_us * LEAVE_GAPS;
-  return leave_us - LEAVE_SPARE_US;
+  if (route->target_latency_us * ABANDON_OBJECTIVES > abandon_us)
+    abandon_us = route->target_latency_us * ABANDON_OBJECTIVES;
+  if (route->target_gap_us * ABANDON_GAPS > abandon_us)
+    abandon_us = route->target_gap_us * ABANDON_GAPS;
+  return abandon_us - ABANDON_MARGIN_US;
 }
 
 /* The caller has had a part of its stream: it waits anew for what follows. */
 void
 mf_job_wait_again (MfJob *job)
 {
-  uint64_t until_us = mf_clock_now_us () + leave_after_us (job->route);
+  uint64_t until_us = mf_clock_now_us () + abandon_timeout_us (job->route);
 
   job->give_up_us = until_us < job->deadline_us ? until_us : job->deadline_us;
 }
 
 static void
-job_read_times (MfJob *job, const MfHead *head)
+job_read_deadline (MfJob *job, const MfHead *head)
 {
   const MfRoute *route = job->route;
   uint64_t left_ms = 0;
-  uint64_t leave_us = leave_after_us (route);
+  uint64_t abandon_us = abandon_timeout_us (route);
 
   job->deadline_us = job->begun_us + route->timeout_us;
   job->asked_us = job->begun_us;
@@ -379,11 +379,11 @@
   if (left_ms > 0 && left_ms * MF_US_PER_MS < route->timeout_us * FIRST_TRY_PERCENT / 100)
     job->asked_us -= route->timeout_us * FIRST_TRY_PERCENT / 100 - left_ms * MF_US_PER_MS;
   job->give_up_us = job->deadline_us;
-  if (route->kind == MF_ROUTE_STREAMING && job->begun_us + leave_us < job->deadline_us)
-    job->give_up_us = job->begun_us + leave_us;
-  if (job->is_engine && job->begun_us + job_needs_us (job) < job->deadline_us)
+  if (route->kind == MF_ROUTE_STREAMING && job->begun_us + abandon_us < job->deadline_us)
+    job->give_up_us = job->begun_us + abandon_us;
+  if (job->is_engine && job->begun_us + job_answer_min_us (job) < job->deadline_us)
     {
-      uint64_t latest_us = job->deadline_us - job_needs_us (job);
+      uint64_t latest_us = job->deadline_us - job_answer_min_us (job);
 
       job->give_up_us = latest_us < job->give_up_us ? latest_us : job->give_up_us;
     }
@@ -418,15 +418,15 @@
     job->id[0] = '\0';
   job->digest = mf_job_digest (caller);
   job->number = ++jobs->n_begun;
-  job_read_size (job, head);
-  job_read_times (job, head);
+  job_read_token_counts (job, head);
+  job_read_deadline (job, head);
   mf_caller_attach (caller, job);
   return job;
 }
 
 /* Answers a request that no job was made for. */
 static void
-caller_reply_code (MfJobs *jobs, MfCaller *caller, MfCode code, bool may_return)
+caller_reply_code (MfJobs *jobs, MfCaller *caller, MfCode code, bool may_retry)
 {
   const MfCodeInfo *info = mf_code_info (code);
   const MfHead *head = mf_caller_head (caller);
@@ -439,7 +439,7 @@
   mf_head_number (head, MF_WORD_DEADLINE, &left_ms);
   jobs->counters.by_code[mf_code_index (code)]++;
   jobs->counters.counts[MF_RELAY_COUNT_REFUSED]++;
-  if (may_return)
+  if (may_retry)
     {
       retry_us = mf_refuse_retry_after_us (&(MfRefusal){
           .code = code,
@@ -460,7 +460,7 @@
 
 /* Whether this instance may end before it has the answer to a request that begins now. */
 static bool
-ends_too_soon (const MfJobs *jobs, const MfRoute *route)
+exits_too_soon (const MfJobs *jobs, const MfRoute *route)
 {
   uint64_t now_us = mf_clock_now_us ();
 
@@ -517,7 +517,7 @@
       return;
     }
   mf_budget_note_request (&mf_jobs_budget (jobs, job->service->name)->budget, mf_clock_now_us ());
-  if (ends_too_soon (jobs, route))
+  if (exits_too_soon (jobs, route))
     {
       mf_job_refuse (job, MF_CODE_DRAINING, "the instance ends before the answer would");
       return;
@@ -545,7 +545,7 @@
   if (job->route->kind == MF_ROUTE_NON_IDEMPOTENT && job->link != NULL
       && mf_link_has_sent (job->link))
     return;
-  job_note_end (job, MF_CODE_DEPARTED, 0, "the caller left");
+  job_record_end (job, MF_CODE_DEPARTED, 0, "the caller left");
   job_free (job);
 }
 
@@ -629,7 +629,7 @@
 }
 
 static void
-on_wake (struct ev_loop *loop, ev_timer *watcher, int events)
+on_dispatch_timer (struct ev_loop *loop, ev_timer *watcher, int events)
 {
   (void)loop;
   (void)events;
@@ -653,10 +653,10 @@
   if (getrandom (&jobs->random, sizeof jobs->random, 0) != sizeof jobs->random)
     jobs->random = mf_clock_now_us ();
   jobs->random |= 1;
-  ev_init (&jobs->wake, on_wake);
-  jobs->wake.repeat = WAKE_EVERY_S;
+  ev_init (&jobs->wake, on_dispatch_timer);
+  jobs->wake.repeat = DISPATCH_INTERVAL_S;
   jobs->wake.data = jobs;
-  ev_init (&jobs->wake_now, on_wake);
+  ev_init (&jobs->wake_now, on_dispatch_timer);
   jobs->wake_now.data = jobs;
   if (!mf_jobs_init_suspects (jobs))
     abort ();
--- a/libmangofork/relay/job.h
+++ b/libmangofork/relay/job.h
@@ -93,7 +93,7 @@
 void mf_jobs_configure (MfJobs *jobs, MfRoutes *routes);
 void mf_jobs_wake (MfJobs *jobs);
 void mf_jobs_refresh (MfJobs *jobs, uint64_t now_us);
-void mf_jobs_lead (MfJobs *jobs, uint64_t now_us, uint64_t awake_us);
+void mf_jobs_lead (MfJobs *jobs, uint64_t now_us, uint64_t boottime_us);
 MfLead *mf_jobs_find_lead (MfJobs *jobs, const char *service);
 void mf_jobs_balance_stages (MfJobs *jobs, MfLead *lead, const MfRouteService *service,
                              uint64_t now_us);
--- a/libmangofork/relay/job_answer.c
+++ b/libmangofork/relay/job_answer.c
@@ -3,9 +3,9 @@
 #include "libmangofork/clock.h"
 
 /* A stream that may go on elsewhere does so after a pause of so many times the longest in order. */
-#define SILENT_GAPS 3
+#define STALL_GAPS 3
 /* An upstream that is another than was meant is gone; discovery tells within this time. */
-#define MISDIRECTED_US (3 * MF_US_PER_S)
+#define MISDIRECTED_AVOID_US (3 * MF_US_PER_S)
 /* Bytes of an answer that is kept whole before it goes to the caller. */
 #define ANSWER_BYTES_MAX (4 * 1024 * 1024)
 /* The same of an answer to a prefill, which names the memory and no more. */
@@ -14,11 +14,11 @@
  * number bounds them. */
 #define ANSWER_BYTES_SMALL (64 * 1024)
 /* Connections that failed before anything left cost nothing but time; more are not tried. */
-#define UNREACHED_MAX 5
+#define CONNECT_FAILURES_MAX 5
 
 /* Keeps the headers of an answer that go on to the caller. */
 static void
-answer_take_head (MfJobAnswer *answer, const MfHead *head, uint32_t status)
+answer_set_head (MfJobAnswer *answer, const MfHead *head, uint32_t status)
 {
   size_t n_bytes = 0;
 
@@ -58,7 +58,7 @@
   if (status != 421)
     mf_job_note_alive (job);
   mf_job_answer_clear (&job->answer);
-  answer_take_head (&job->answer, head, status);
+  answer_set_head (&job->answer, head, status);
 }
 
 static void
@@ -78,7 +78,7 @@
 
 /* Ends an exchange whose answer is not worth reading on: the upstream's connection is closed. */
 static void
-job_cut (MfJob *job, const char *why)
+job_abort_exchange (MfJob *job, const char *why)
 {
   const MfLinkUser *user = job->phase == MF_JOB_PREFILL ? &mf_job_prefill_user : &mf_job_run_user;
 
@@ -89,9 +89,9 @@
 /* Of the requests with an answer on its way, the one that keeps most of it; NULL while all that is
  * kept together is less than what is allowed. */
 static MfJob *
-jobs_find_greediest (const MfJobs *jobs)
+jobs_find_largest_answer (const MfJobs *jobs)
 {
-  MfJob *most = NULL;
+  MfJob *largest = NULL;
   uint64_t total_bytes = 0;
 
   for (MfJob *job = jobs->first; job != NULL; job = job->next)
@@ -99,10 +99,11 @@
       size_t n_bytes = mf_buffer_bytes (&job->answer.body);
 
       total_bytes += n_bytes + mf_buffer_bytes (&job->held.body);
-      if (job->link != NULL && (most == NULL || n_bytes > mf_buffer_bytes (&most->answer.body)))
-        most = job;
+      if (job->link != NULL
+          && (largest == NULL || n_bytes > mf_buffer_bytes (&largest->answer.body)))
+        largest = job;
     }
-  return total_bytes > jobs->answer_bytes_max ? most : NULL;
+  return total_bytes > jobs->answer_bytes_max ? largest : NULL;
 }
 
 static void
@@ -111,24 +112,24 @@
   MfJob *job = data;
   MfBuffer *body = &job->answer.body;
   size_t limit_bytes = job->phase == MF_JOB_PREFILL ? PREFILL_BYTES_MAX : ANSWER_BYTES_MAX;
-  MfJob *greediest;
+  MfJob *largest;
 
   if (mf_buffer_bytes (body) + n_bytes > limit_bytes)
     {
-      job_cut (job, "the answer is too large to keep");
+      job_abort_exchange (job, "the answer is too large to keep");
       return;
     }
   mf_buffer_add (body, bytes, n_bytes);
   if (mf_buffer_bytes (body) < ANSWER_BYTES_SMALL)
     return;
-  greediest = jobs_find_greediest (job->jobs);
-  if (greediest != NULL)
-    job_cut (greediest, "the answers that are kept have come to more than is allowed");
+  largest = jobs_find_largest_answer (job->jobs);
+  if (largest != NULL)
+    job_abort_exchange (largest, "the answers that are kept have come to more than is allowed");
 }
 
 /* Reckons with what the answer has come to, once that is more than was expected. */
 static void
-job_grow (MfJob *job)
+job_add_tokens (MfJob *job)
 {
   uint64_t tokens = job->prompt_tokens + job->events.n_events * job->service->event_tokens;
 
@@ -144,7 +145,7 @@
 {
   MfJob *job = data;
   uint64_t now_us = mf_clock_now_us ();
-  MfBuffer whole = { 0 };
+  MfBuffer complete = { 0 };
 
   if (job->phase != MF_JOB_STREAMING || !answer_is_good (&job->answer))
     {
@@ -160,21 +161,21 @@
     }
   if (job->route->resumable)
     {
-      mf_events_feed (&job->events, bytes, n_bytes, &whole);
+      mf_events_feed (&job->events, bytes, n_bytes, &complete);
       /* Bytes that end no event are no progress. */
-      if (mf_buffer_bytes (&whole) > 0)
-        job->try_due_us = now_us + job->route->target_gap_us * SILENT_GAPS;
-      mf_caller_write (job->caller, mf_buffer_data (&whole), mf_buffer_bytes (&whole));
-      mf_buffer_clear (&whole);
+      if (mf_buffer_bytes (&complete) > 0)
+        job->try_due_us = now_us + job->route->target_gap_us * STALL_GAPS;
+      mf_caller_write (job->caller, mf_buffer_data (&complete), mf_buffer_bytes (&complete));
+      mf_buffer_clear (&complete);
     }
   else
     {
       mf_events_count (&job->events, bytes, n_bytes);
       mf_caller_write (job->caller, bytes, n_bytes);
     }
-  job_grow (job);
+  job_add_tokens (job);
   if (mf_events_is_endless (&job->events))
-    job_cut (job, "an event has no end");
+    job_abort_exchange (job, "an event has no end");
 }
 
 /* The upstream declined: the request has not run there. */
@@ -187,7 +188,7 @@
   if (job->answer.status == 421)
     {
       job->jobs->counters.counts[MF_RELAY_COUNT_MISDIRECTED]++;
-      mf_target_replaced (target, now_us + MISDIRECTED_US);
+      mf_target_replaced (target, now_us + MISDIRECTED_AVOID_US);
       mf_jobs_load_changed (job->jobs);
     }
   else
@@ -211,7 +212,7 @@
 
 /* The request may have run, and has no whole answer. */
 static void
-job_broke (MfJob *job, MfTarget *target, const char *why)
+job_failed (MfJob *job, MfTarget *target, const char *why)
 {
   job->jobs->counters.counts[MF_RELAY_COUNT_BROKEN]++;
   mf_target_failed (target, false, mf_clock_now_us ());
@@ -247,7 +248,7 @@
 
 /* No connection could be made: nothing has left. */
 static void
-job_unreached (MfJob *job, MfTarget *target, const char *why)
+job_connect_failed (MfJob *job, MfTarget *target, const char *why)
 {
   job->jobs->counters.counts[MF_RELAY_COUNT_UNREACHED]++;
   /* It did not arrive: the next send takes its place. */
@@ -268,7 +269,7 @@
       return;
     }
   mf_job_avoid (job, target->id_hash);
-  if (++job->n_unreached > UNREACHED_MAX)
+  if (++job->n_unreached > CONNECT_FAILURES_MAX)
     mf_job_refuse (job, MF_CODE_NO_UPSTREAM, why);
   else
     mf_job_advance (job);
@@ -300,7 +301,8 @@
     }
   if (answer->status < 300)
     {
-      job_broke (job, target, answer->encoded ? "the answer is encoded" : "the answer has no seal");
+      job_failed (job, target,
+                  answer->encoded ? "the answer is encoded" : "the answer has no seal");
       return;
     }
   if (answer->status >= 500)
@@ -334,21 +336,21 @@
   if (end != MF_LINK_UNREACHED)
     job->n_arrivals++;
   if (end == MF_LINK_UNREACHED)
-    job_unreached (job, target, why);
+    job_connect_failed (job, target, why);
   else if (end == MF_LINK_BROKEN)
     {
       job->n_runs++;
       job->memory_used = true;
       mf_job_note_break (job, target);
       mf_target_look (target);
-      job_broke (job, target, why);
+      job_failed (job, target, why);
     }
   else if (job->phase == MF_JOB_STREAMING && answer_is_good (&job->answer))
     {
       job->n_runs++;
       job->memory_used = true;
       if (job->route->resumable && !mf_events_at_boundary (&job->events))
-        job_broke (job, target, "the stream ended within an event");
+        job_failed (job, target, "the stream ended within an event");
       else
         {
           mf_target_answered (target, job->first_event_us - job->sent_us, mf_clock_now_us ());
@@ -401,7 +403,7 @@
   if (end != MF_LINK_UNREACHED)
     job->n_prefills++;
   if (end == MF_LINK_UNREACHED)
-    job_unreached (job, target, why);
+    job_connect_failed (job, target, why);
   else if (end == MF_LINK_WHOLE && answer->status == 200 && !answer->not_run
            && job->jobs->dialect->read_prefill (mf_buffer_data (&answer->body),
                                                 mf_buffer_bytes (&answer->body), &job->memory))
--- a/libmangofork/relay/job_lead.c
+++ b/libmangofork/relay/job_lead.c
@@ -6,7 +6,7 @@
 
 /* Calls of mf_jobs_lead that are further apart show that the machine stood still: what was believed
  * of the others before is then too old to lead by. */
-#define LATE_US (300 * MF_US_PER_MS)
+#define TICK_GAP_MAX_US (300 * MF_US_PER_MS)
 
 /* What this instance leads about a service; NULL when it has not looked at it. */
 MfLead *
@@ -21,7 +21,7 @@
 }
 
 static MfLead *
-lead_add (MfJobs *jobs, const char *service)
+leadership_add (MfJobs *jobs, const char *service)
 {
   MfLead *lead;
 
@@ -36,16 +36,16 @@
 /* Begins to lead: what was seen before is another instance's. The fence outgrows all that are
  * known, whatever this machine's time of day is. */
 static void
-lead_begin (const MfJobs *jobs, MfLead *lead, uint64_t now_us)
+leadership_begin (const MfJobs *jobs, MfLead *lead, uint64_t now_us)
 {
-  uint64_t own = mf_load_hash (jobs->instance) & ((1U << MF_FENCE_OWN_BITS) - 1);
+  uint64_t instance_bits = mf_load_hash (jobs->instance) & ((1U << MF_FENCE_OWN_BITS) - 1);
   uint64_t begun_ms = mf_clock_wall_ms ();
   uint64_t known_ms = mf_peers_fence (jobs->peers, lead->service) >> MF_FENCE_OWN_BITS;
 
   if (known_ms >= begun_ms)
     begun_ms = known_ms + 1;
   lead->led_since_us = now_us;
-  lead->fence = begun_ms << MF_FENCE_OWN_BITS | own;
+  lead->fence = begun_ms << MF_FENCE_OWN_BITS | instance_bits;
   mf_budget_init (&lead->pool, jobs->budget_window_us, 0.);
   mf_stage_reset (&lead->trend);
 }
@@ -53,11 +53,11 @@
 /* Called about ten times a second: does what falls to this instance where it decides for all.
  * awake_us is of a clock that also counts the time for which the machine stood still. */
 void
-mf_jobs_lead (MfJobs *jobs, uint64_t now_us, uint64_t awake_us)
+mf_jobs_lead (MfJobs *jobs, uint64_t now_us, uint64_t boottime_us)
 {
-  bool late = awake_us - jobs->lead_ticked_us > LATE_US;
+  bool was_suspended = boottime_us - jobs->lead_ticked_us > TICK_GAP_MAX_US;
 
-  jobs->lead_ticked_us = awake_us;
+  jobs->lead_ticked_us = boottime_us;
   if (jobs->peers == NULL || jobs->routes == NULL)
     return;
   for (uint32_t i = 0; i < jobs->routes->n_services; i++)
@@ -65,16 +65,17 @@
       const MfRouteService *service = &jobs->routes->services[i];
       MfLead *lead = mf_jobs_find_lead (jobs, service->name);
 
-      if (!service->is_engine || (lead == NULL && (lead = lead_add (jobs, service->name)) == NULL))
+      if (!service->is_engine
+          || (lead == NULL && (lead = leadership_add (jobs, service->name)) == NULL))
         continue;
-      if (late || !mf_peers_leads (jobs->peers, service->name, now_us))
+      if (was_suspended || !mf_peers_leads (jobs->peers, service->name, now_us))
         {
           lead->led_since_us = 0;
           continue;
         }
       /* Who hears of orders that are younger than its lead begins anew. */
       if (lead->led_since_us == 0 || mf_peers_fence (jobs->peers, service->name) > lead->fence)
-        lead_begin (jobs, lead, now_us);
+        leadership_begin (jobs, lead, now_us);
       mf_jobs_refresh (jobs, now_us);
       mf_jobs_balance_stages (jobs, lead, service, now_us);
     }
--- a/libmangofork/relay/job_place.c
+++ b/libmangofork/relay/job_place.c
@@ -5,13 +5,13 @@
 #include <string.h>
 
 /* Prefilled memory is taken up to this part of its retention; the rest is for the way. */
-#define MEMORY_USE_PERCENT 80
+#define KV_USE_PERCENT 80
 
 /* What is asked of the placing for this request. */
 static MfPlaceAsk
-job_ask (const MfJob *job, MfRole role)
+job_place_query (const MfJob *job, MfRole role)
 {
-  MfPlaceAsk ask = {
+  MfPlaceAsk query = {
     .service = job->service->name,
     .role = role,
     .tokens = role == MF_ROLE_PREFILL ? job->prompt_tokens : job->memory_tokens,
@@ -26,13 +26,13 @@
   };
 
   for (uint32_t i = 0; i < job->n_avoid; i++)
-    ask.avoid[i] = job->avoid[i];
-  return ask;
+    query.avoid[i] = job->avoid[i];
+  return query;
 }
 
 /* No upstream is left to try. */
 static void
-job_run_out (MfJob *job, bool any_alive)
+job_end_without_upstream (MfJob *job, bool any_alive)
 {
   if (job->n_runs > 0)
     mf_job_finish (job, MF_CODE_UPSTREAM_DIED, "no other upstream is left to try");
@@ -45,7 +45,7 @@
 /* Notes when the first upstream of a role takes requests again, where all have asked for a pause.
  */
 static void
-job_note_pauses (MfJob *job, MfRole role, uint64_t now_us)
+job_note_pause_end (MfJob *job, MfRole role, uint64_t now_us)
 {
   job->opens_us = mf_place_opens_us (&job->jobs->targets, job->service->name, role, now_us);
 }
@@ -53,15 +53,15 @@
 static void
 job_place_plain (MfJob *job)
 {
-  MfPlaceAsk ask = job_ask (job, MF_ROLE_PLAIN);
+  MfPlaceAsk query = job_place_query (job, MF_ROLE_PLAIN);
   bool any_alive = false;
   uint64_t now_us = mf_clock_now_us ();
-  MfTarget *target = mf_place_choose (&job->jobs->targets, &ask, now_us, &any_alive);
+  MfTarget *target = mf_place_choose (&job->jobs->targets, &query, now_us, &any_alive);
 
   if (target == NULL)
     {
-      job_note_pauses (job, MF_ROLE_PLAIN, now_us);
-      job_run_out (job, any_alive);
+      job_note_pause_end (job, MF_ROLE_PLAIN, now_us);
+      job_end_without_upstream (job, any_alive);
     }
   else
     mf_job_send (job, target, false);
@@ -69,11 +69,11 @@
 
 /* Drops memory that an engine no longer keeps: it was taken, or has lapsed. */
 static void
-job_check_memory (MfJob *job, uint64_t now_us)
+job_check_kv (MfJob *job, uint64_t now_us)
 {
-  uint64_t keep_us = job->service->kv_retention_us * MEMORY_USE_PERCENT / 100;
+  uint64_t retention_us = job->service->kv_retention_us * KV_USE_PERCENT / 100;
 
-  if (job->memory_target == NULL || (!job->memory_used && now_us - job->memory_us <= keep_us))
+  if (job->memory_target == NULL || (!job->memory_used && now_us - job->memory_us <= retention_us))
     return;
   job->jobs->counters.counts[MF_RELAY_COUNT_PREFILLS_WASTED] += !job->memory_used;
   mf_job_release_memory (job);
@@ -82,7 +82,7 @@
 /* The engine that keeps room for this request, if it can still be used; else its room is given
  * back. */
 static MfTarget *
-job_use_room (MfJob *job, uint64_t now_us)
+job_use_reserved_target (MfJob *job, uint64_t now_us)
 {
   MfTarget *room = job->room;
 
@@ -102,7 +102,7 @@
 job_choose_prefill (MfJob *job, uint64_t now_us)
 {
   MfTargets *targets = &job->jobs->targets;
-  MfPlaceAsk ask = job_ask (job, MF_ROLE_PREFILL);
+  MfPlaceAsk query = job_place_query (job, MF_ROLE_PREFILL);
   bool any_alive = false;
   MfTarget *prefill;
 
@@ -111,7 +111,7 @@
       && prefill->suspect_until_us <= now_us
       && !mf_place_avoids (job->avoid, job->n_avoid, prefill))
     return prefill;
-  prefill = mf_place_choose (targets, &ask, now_us, &any_alive);
+  prefill = mf_place_choose (targets, &query, now_us, &any_alive);
   return prefill != NULL && prefill->suspect_until_us <= now_us ? prefill : NULL;
 }
 
@@ -122,7 +122,7 @@
 {
   if (job->opens_us >= job->give_up_us)
     {
-      job_run_out (job, true);
+      job_end_without_upstream (job, true);
       return;
     }
   if (job->waiting_since_us == 0)
@@ -142,11 +142,11 @@
 
   if (!mf_place_has_role (targets, job->service->name, MF_ROLE_DECODE, NULL, 0))
     {
-      job_run_out (job, false);
+      job_end_without_upstream (job, false);
       return;
     }
-  job_check_memory (job, now_us);
-  decode = job_use_room (job, now_us);
+  job_check_kv (job, now_us);
+  decode = job_use_reserved_target (job, now_us);
   if (decode == NULL)
     {
       /* When all have declined or failed, or many, they are asked anew. */
@@ -154,7 +154,7 @@
           || !mf_place_has_role (targets, job->service->name, MF_ROLE_DECODE, job->avoid,
                                  job->n_avoid))
         job->n_avoid = 0;
-      job_note_pauses (job, MF_ROLE_DECODE, now_us);
+      job_note_pause_end (job, MF_ROLE_DECODE, now_us);
       if (job->opens_us > 0)
         job_wait_paused (job, now_us);
       else
@@ -197,7 +197,7 @@
 {
   MfTarget *target = job->target;
   bool any_alive = false;
-  MfPlaceAsk ask;
+  MfPlaceAsk query;
 
   if (job->phase == MF_JOB_WAITING)
     {
@@ -211,16 +211,16 @@
         mf_job_advance (job);
       return;
     }
-  ask = job_ask (job, target->info.role);
+  query = job_place_query (job, target->info.role);
   if (job->n_avoid < MF_PLACE_AVOID_MAX)
-    ask.avoid[ask.n_avoid++] = target->id_hash;
+    query.avoid[query.n_avoid++] = target->id_hash;
   if (job->phase != MF_JOB_PREFILL
       && (!mf_job_may_repeat (job) || job->n_runs + 1 >= job->route->attempts_max))
     {
       mf_job_set_timer (job);
       return;
     }
-  if (mf_place_choose (&job->jobs->targets, &ask, mf_clock_now_us (), &any_alive) == NULL
+  if (mf_place_choose (&job->jobs->targets, &query, mf_clock_now_us (), &any_alive) == NULL
       || !mf_job_take_repeat (job))
     {
       mf_job_set_timer (job);
--- a/libmangofork/relay/job_repeat.c
+++ b/libmangofork/relay/job_repeat.c
@@ -6,7 +6,7 @@
 
 /* The instance that gives repeats to others answers within a few round trips between data centres
  * and turns of a small instance's loop. */
-#define ANSWER_US (80 * MF_US_PER_MS)
+#define REPLY_TIMEOUT_US (80 * MF_US_PER_MS)
 
 /* The budget for repeats of a service. */
 MfServiceBudget *
@@ -29,7 +29,7 @@
 
 /* This instance's part of the slack in repeats. */
 static uint32_t
-jobs_floor (const MfJobs *jobs)
+jobs_allowance (const MfJobs *jobs)
 {
   uint32_t n_instances = jobs->peers == NULL ? 1 : mf_peers_known (jobs->peers);
 
@@ -39,10 +39,10 @@
 
 /* Sends beyond its first prefill and its first run that a repeat of the request takes. */
 static uint32_t
-repeat_sends (const MfJob *job)
+repeat_n_sends (const MfJob *job)
 {
-  bool reads = job->memory_target == NULL || job->memory_used;
-  uint32_t n_sends = (reads && job->n_prefill_sends > 0) + (job->n_run_sends > 0);
+  bool needs_prefill = job->memory_target == NULL || job->memory_used;
+  uint32_t n_sends = (needs_prefill && job->n_prefill_sends > 0) + (job->n_run_sends > 0);
 
   return n_sends > 0 ? n_sends : 1;
 }
@@ -53,7 +53,7 @@
 {
   MfServiceBudget *budget = mf_jobs_budget (job->jobs, job->service->name);
   bool allowed
-      = mf_budget_take (&budget->budget, jobs_floor (job->jobs), n_sends, mf_clock_now_us ());
+      = mf_budget_take (&budget->budget, jobs_allowance (job->jobs), n_sends, mf_clock_now_us ());
 
   job->n_prepaid += allowed ? n_sends : 0;
   job->jobs->counters.counts[allowed ? MF_RELAY_COUNT_REPEATS : MF_RELAY_COUNT_REPEATS_DENIED]++;
@@ -64,7 +64,7 @@
 bool
 mf_job_take_repeat (MfJob *job)
 {
-  return take_sends (job, repeat_sends (job));
+  return take_sends (job, repeat_n_sends (job));
 }
 
 /* Whether the next send of the request is one that it may make: the first prefill or run, one that
@@ -80,7 +80,7 @@
 /* Asks the instance that leads for the repeats of a request, or tells it of them. Returns who was
  * asked; MF_DISPATCH_SELF when there is nobody to ask. */
 static uint64_t
-leader_tell (MfJobs *jobs, const char *service, const MfRepeatAsk *repeat)
+leader_send (MfJobs *jobs, const char *service, const MfRepeatAsk *repeat)
 {
   uint64_t leader;
 
@@ -125,9 +125,9 @@
     }
   budget = &mf_jobs_budget (jobs, job->service->name)->budget;
   mf_budget_charge (budget, 1, now_us);
-  if (!job->is_engine || mf_budget_has_room (budget, jobs_floor (jobs), 0, now_us))
+  if (!job->is_engine || mf_budget_has_room (budget, jobs_allowance (jobs), 0, now_us))
     return;
-  if (leader_tell (jobs, job->service->name, &(MfRepeatAsk){ .n_sends = 1, .is_done = true })
+  if (leader_send (jobs, job->service->name, &(MfRepeatAsk){ .n_sends = 1, .is_done = true })
       == MF_DISPATCH_SELF)
     pool_charge (jobs, job->service->name, 1);
 }
@@ -166,30 +166,30 @@
 
 /* Goes on with a repeat that was given. */
 static void
-job_go_on (MfJob *job)
+job_repeat_granted (MfJob *job)
 {
   job->repeat_id = 0;
   job->try_due_us = 0;
-  job->n_prepaid += repeat_sends (job);
+  job->n_prepaid += repeat_n_sends (job);
   job->jobs->counters.counts[MF_RELAY_COUNT_REPEATS_GIVEN]++;
   mf_job_advance (job);
 }
 
 /* Asks the instance that leads for a repeat; false when there is none to ask. */
 static bool
-repeat_ask (MfJob *job)
+request_repeat (MfJob *job)
 {
   MfJobs *jobs = job->jobs;
   uint64_t id = ++jobs->last_ask_id;
-  uint64_t leader = leader_tell (jobs, job->service->name,
-                                 &(MfRepeatAsk){ .id = id, .n_sends = repeat_sends (job) });
+  uint64_t leader = leader_send (jobs, job->service->name,
+                                 &(MfRepeatAsk){ .id = id, .n_sends = repeat_n_sends (job) });
 
   if (leader == MF_DISPATCH_SELF)
     return false;
   job->phase = MF_JOB_WAITING;
   job->repeat_id = id;
   job->asked = leader;
-  job->try_due_us = mf_clock_now_us () + ANSWER_US;
+  job->try_due_us = mf_clock_now_us () + REPLY_TIMEOUT_US;
   mf_job_set_timer (job);
   return true;
 }
@@ -202,9 +202,9 @@
   job->denied = *denied;
   if (mf_job_take_repeat (job))
     mf_job_advance (job);
-  else if (job->is_engine && pool_take (job->jobs, job->service->name, repeat_sends (job)))
-    job_go_on (job);
-  else if (!job->is_engine || !repeat_ask (job))
+  else if (job->is_engine && pool_take (job->jobs, job->service->name, repeat_n_sends (job)))
+    job_repeat_granted (job);
+  else if (!job->is_engine || !request_repeat (job))
     mf_job_repeat_denied (job);
 }
 
@@ -233,7 +233,7 @@
       if (job->repeat_id == 0 || job->repeat_id != repeat.id || job->asked != peer)
         continue;
       if (repeat.allowed)
-        job_go_on (job);
+        job_repeat_granted (job);
       else
         mf_job_repeat_denied (job);
       return;
--- a/libmangofork/relay/job_room.c
+++ b/libmangofork/relay/job_room.c
@@ -6,15 +6,15 @@
 
 /* The instance that decides for all answers an ask at once, if only that it is queued: a few round
  * trips between data centres and turns of a small instance's loop. */
-#define ANSWER_US (80 * MF_US_PER_MS)
+#define REPLY_TIMEOUT_US (80 * MF_US_PER_MS)
 /* After so many that do not answer an instance decides for itself: it may be cut off, and a quarter
  * of the shortest objective for a first event has gone. */
 #define UNANSWERED_MAX 3
 /* First events take up to so many times their average; most then come in time. */
-#define FIRST_FACTOR 1.4
+#define FIRST_EVENT_FACTOR 1.4
 
 static MfJob *
-job_by_ask (const MfJobs *jobs, uint64_t ask_id)
+job_by_slot_request (const MfJobs *jobs, uint64_t ask_id)
 {
   for (MfJob *job = jobs->first; job != NULL; job = job->next)
     {
@@ -26,9 +26,9 @@
 
 /* The age at which a place still lets the first event be in time. */
 static uint64_t
-start_objective_us (const MfJob *job)
+grant_objective_us (const MfJob *job)
 {
-  uint64_t first_us = (uint64_t)(job->jobs->first_us * FIRST_FACTOR);
+  uint64_t first_us = (uint64_t)(job->jobs->first_us * FIRST_EVENT_FACTOR);
   uint64_t objective_us = job->route->target_latency_us;
 
   return objective_us > first_us ? objective_us - first_us : 0;
@@ -37,7 +37,7 @@
 /* Adds the engines that take nothing of this instance, as far as they fit: the instance that
  * decides does not know what they have told this one. */
 static void
-ask_avoid_unusable (const MfJob *job, MfAsk *ask, uint64_t now_us)
+request_avoid_unusable (const MfJob *job, MfAsk *ask, uint64_t now_us)
 {
   for (const MfTarget *target = job->jobs->targets.first;
        target != NULL && ask->n_avoid < MF_PLACE_AVOID_MAX; target = target->next)
@@ -52,39 +52,39 @@
 
 /* Decode engines of the service that the ask does not name. */
 static uint32_t
-ask_n_open (const MfJob *job, const MfAsk *ask)
+request_n_usable (const MfJob *job, const MfAsk *ask)
 {
-  uint32_t n_open = 0;
+  uint32_t n_usable = 0;
 
   for (const MfTarget *target = job->jobs->targets.first; target != NULL; target = target->next)
-    n_open += target->info.role == MF_ROLE_DECODE && !target->info.leaving
-              && strcmp (target->info.service, job->service->name) == 0
-              && !mf_place_avoids (ask->avoid, ask->n_avoid, target);
-  return n_open;
+    n_usable += target->info.role == MF_ROLE_DECODE && !target->info.leaving
+                && strcmp (target->info.service, job->service->name) == 0
+                && !mf_place_avoids (ask->avoid, ask->n_avoid, target);
+  return n_usable;
 }
 
 /* Adds the engines where requests run under which another has ended, while one is left without. */
 static void
-ask_avoid_suspects (const MfJob *job, MfAsk *ask)
+request_avoid_suspects (const MfJob *job, MfAsk *ask)
 {
-  uint32_t n_open = ask_n_open (job, ask);
+  uint32_t n_usable = request_n_usable (job, ask);
 
   for (const MfTarget *target = job->jobs->targets.first;
-       target != NULL && ask->n_avoid < MF_PLACE_AVOID_MAX && n_open > 1; target = target->next)
+       target != NULL && ask->n_avoid < MF_PLACE_AVOID_MAX && n_usable > 1; target = target->next)
     {
       if (target->info.role != MF_ROLE_DECODE || target->n_suspects == 0
           || strcmp (target->info.service, job->service->name) != 0
           || mf_place_avoids (ask->avoid, ask->n_avoid, target))
         continue;
       ask->avoid[ask->n_avoid++] = target->id_hash;
-      n_open--;
+      n_usable--;
     }
 }
 
 /* What is asked for this request. A stream that broke off goes before those that have not begun:
  * its caller has been promised the rest. */
 static MfAsk
-ask_make (MfJob *job, uint64_t now_us)
+request_make (MfJob *job, uint64_t now_us)
 {
   uint64_t patience_us = job->give_up_us - job->asked_us;
   MfAsk ask = {
@@ -93,7 +93,7 @@
     .memory_tokens = job->memory_tokens,
     .has_memory = job->memory_target != NULL,
     .age_us = now_us - job->asked_us,
-    .objective_us = job->head_sent ? patience_us : start_objective_us (job),
+    .objective_us = job->head_sent ? patience_us : grant_objective_us (job),
     .patience_us = patience_us,
     .n_avoid = job->n_avoid,
   };
@@ -101,19 +101,19 @@
   memcpy (ask.service, job->service->name, strnlen (job->service->name, sizeof ask.service - 1));
   memcpy (ask.data_centre, job->jobs->targets.data_centre, sizeof ask.data_centre);
   memcpy (ask.avoid, job->avoid, sizeof job->avoid);
-  ask_avoid_unusable (job, &ask, now_us);
+  request_avoid_unusable (job, &ask, now_us);
   if (mf_job_is_suspect (job))
-    ask_avoid_suspects (job, &ask);
+    request_avoid_suspects (job, &ask);
   return ask;
 }
 
 /* Asks this instance itself. */
 static void
-ask_here (MfJob *job)
+request_enqueue_local (MfJob *job)
 {
   MfJobs *jobs = job->jobs;
   uint64_t now_us = mf_clock_now_us ();
-  MfAsk ask = ask_make (job, now_us);
+  MfAsk ask = request_make (job, now_us);
 
   job->ask_id = ask.id;
   job->asked = MF_DISPATCH_SELF;
@@ -159,18 +159,18 @@
     }
   if (leader == MF_DISPATCH_SELF)
     {
-      ask_here (job);
+      request_enqueue_local (job);
       return;
     }
   jobs->message.kind = MF_RELAY_MESSAGE_ASK;
-  jobs->message.ask = ask_make (job, now_us);
+  jobs->message.ask = request_make (job, now_us);
   job->ask_id = jobs->message.ask.id;
   job->asked = leader;
-  job->try_due_us = now_us + ANSWER_US;
+  job->try_due_us = now_us + REPLY_TIMEOUT_US;
   if (mf_peers_send (jobs->peers, leader, &jobs->message))
     mf_job_set_timer (job);
   else
-    ask_here (job);
+    request_enqueue_local (job);
 }
 
 /* The instance that was asked does not answer: the next one is asked. Were all that wait to decide
@@ -187,7 +187,7 @@
   if (++job->n_unanswered < UNANSWERED_MAX)
     mf_job_ask_room (job);
   else
-    ask_here (job);
+    request_enqueue_local (job);
 }
 
 /* Goes on with the engines that a grant names, as far as this instance can use them. */
@@ -233,13 +233,13 @@
       mf_peers_send (jobs->peers, asker, &jobs->message);
       return;
     }
-  job = job_by_ask (jobs, grant->id);
+  job = job_by_slot_request (jobs, grant->id);
   if (job != NULL)
     job_granted (job, grant);
 }
 
 static const MfRouteService *
-on_traits (void *data, const char *service)
+on_service_config (void *data, const char *service)
 {
   MfJobs *jobs = data;
   uint32_t index = jobs->routes == NULL ? MF_NONE : mf_routes_service (jobs->routes, service);
@@ -249,12 +249,12 @@
 
 const MfDispatchUser mf_job_dispatch_user = {
   .grant = on_grant,
-  .traits = on_traits,
+  .traits = on_service_config,
 };
 
 /* Tells an asker whose ask could not be granted at once that it is kept. */
 static void
-ask_take (MfJobs *jobs, uint64_t peer, const MfAsk *ask)
+request_handle (MfJobs *jobs, uint64_t peer, const MfAsk *ask)
 {
   uint64_t id = ask->id;
   uint32_t n_before = mf_dispatch_n_waiting (jobs->dispatch);
@@ -278,7 +278,7 @@
   switch (message->kind)
     {
     case MF_RELAY_MESSAGE_ASK:
-      ask_take (jobs, peer, &message->ask);
+      request_handle (jobs, peer, &message->ask);
       return;
     case MF_RELAY_MESSAGE_CANCEL:
       mf_dispatch_cancel (jobs->dispatch, peer, message->grant.id);
@@ -288,7 +288,7 @@
       jobs->others_stale = true;
       return;
     case MF_RELAY_MESSAGE_QUEUED:
-      job = job_by_ask (jobs, message->grant.id);
+      job = job_by_slot_request (jobs, message->grant.id);
       if (job == NULL || job->asked != peer)
         return;
       job->try_due_us = 0;
@@ -296,7 +296,7 @@
       return;
     case MF_RELAY_MESSAGE_GRANT:
       mf_peers_note_grant (jobs->peers, peer, message->grant.id);
-      job = job_by_ask (jobs, message->grant.id);
+      job = job_by_slot_request (jobs, message->grant.id);
       if (job != NULL && job->asked == peer)
         job_granted (job, &message->grant);
       /* The place shows in the load, or is free again. */
@@ -351,7 +351,7 @@
 }
 
 static void
-on_fill (void *data, MfLoadReport *report)
+on_fill_report (void *data, MfLoadReport *report)
 {
   MfJobs *jobs = data;
 
@@ -359,7 +359,7 @@
 }
 
 static void
-on_changed (void *data)
+on_loads_changed (void *data)
 {
   MfJobs *jobs = data;
 
@@ -368,8 +368,8 @@
 }
 
 const MfPeersUser mf_jobs_peers_user = {
-  .fill = on_fill,
-  .changed = on_changed,
+  .fill = on_fill_report,
+  .changed = on_loads_changed,
   .message = on_message,
   .reached = on_peer_reached,
   .gone = on_peer_gone,
--- a/libmangofork/relay/job_row.h
+++ b/libmangofork/relay/job_row.h
@@ -132,7 +132,7 @@
 void mf_job_repeat_after_break (MfJob *job, MfTarget *target, const MfJobDenied *denied);
 void mf_job_verdict_due (MfJob *job);
 void mf_jobs_tell_suspects (MfJobs *jobs, uint64_t peer);
-void mf_jobs_take_suspects (MfJobs *jobs, const MfSuspectNews *news);
+void mf_jobs_take_suspects (MfJobs *jobs, const MfSuspectNews *update);
 
 /* job_repeat.c: the budget for repeats. */
 MfServiceBudget *mf_jobs_budget (MfJobs *jobs, const char *service);
--- a/libmangofork/relay/job_send.c
+++ b/libmangofork/relay/job_send.c
@@ -9,18 +9,18 @@
 /* An idempotent request is tried elsewhere after this part of its objective, which leaves the
  * second upstream time to be in time; or when it has taken so many times what it takes there. */
 #define RETRY_OBJECTIVE_PERCENT 45
-#define RETRY_ANSWERS 3.
+#define RETRY_ANSWER_FACTOR 3.
 /* A prompt is read elsewhere when this takes so many times what was expected, and at least this. */
 #define PREFILL_FACTOR 4.
-#define PREFILL_MIN_US (350 * MF_US_PER_MS)
-#define TOKEN_FALLBACK_US 18.
+#define PREFILL_TIMEOUT_MIN_US (350 * MF_US_PER_MS)
+#define DEFAULT_US_PER_TOKEN 18.
 /* A stream that may go on elsewhere does so when no first event has come for so many objectives. */
-#define SILENT_FIRST_OBJECTIVES 1
+#define FIRST_EVENT_OBJECTIVES 1
 /* Requests that may run only once use no connection that was idle for longer: an upstream may have
  * dropped it without a word. */
-#define ORDER_IDLE_MAX_US (2 * MF_US_PER_S)
+#define RUN_ONCE_IDLE_MAX_US (2 * MF_US_PER_S)
 /* A call that frees engine memory is given up after this time: what it frees lapses by itself. */
-#define RELEASE_US (2 * MF_US_PER_S)
+#define RELEASE_TIMEOUT_US (2 * MF_US_PER_S)
 
 /* Keeps the request from an upstream, named by its hash, that has declined or failed it, or that
  * this instance cannot use. */
@@ -111,7 +111,7 @@
                              .data = target,
                              .head = head,
                              .head_bytes = strlen (head),
-                             .timeout_us = RELEASE_US,
+                             .timeout_us = RELEASE_TIMEOUT_US,
                          })
           != NULL)
         return;
@@ -121,7 +121,7 @@
 
 /* Adds the caller's headers that go on to the upstream. */
 static void
-head_add_callers (const MfJob *job, MfBuffer *out)
+head_add_caller_fields (const MfJob *job, MfBuffer *out)
 {
   const MfHead *head = mf_caller_head (job->caller);
 
@@ -180,7 +180,7 @@
   mf_buffer_add_text (out, " ");
   mf_buffer_add (out, mf_head_text (head, 0), head->target_bytes);
   mf_buffer_add_text (out, " HTTP/1.1\r\n");
-  head_add_callers (job, out);
+  head_add_caller_fields (job, out);
   snprintf (value, sizeof value, "%llu", (unsigned long long)(left_us / MF_US_PER_MS + 1));
   head_add (job, out, MF_WORD_DEADLINE, value);
   head_add (job, out, MF_WORD_EXPECT_UPSTREAM, target->info.id);
@@ -207,7 +207,7 @@
 
 /* When the upstream is given up for another; 0: never. */
 static uint64_t
-job_try_due_us (const MfJob *job, const MfTarget *target, bool prefill, uint64_t now_us)
+job_send_deadline_us (const MfJob *job, const MfTarget *target, bool prefill, uint64_t now_us)
 {
   const MfRoute *route = job->route;
   double expected_us;
@@ -215,19 +215,22 @@
 
   if (prefill)
     {
-      expected_us = (target->us_per_token > 0. ? target->us_per_token : TOKEN_FALLBACK_US)
+      expected_us = (target->us_per_token > 0. ? target->us_per_token : DEFAULT_US_PER_TOKEN)
                     * (double)target->active_tokens;
       limit_us = expected_us * PREFILL_FACTOR;
-      return now_us + (limit_us > (double)PREFILL_MIN_US ? (uint64_t)limit_us : PREFILL_MIN_US);
+      return now_us
+             + (limit_us > (double)PREFILL_TIMEOUT_MIN_US ? (uint64_t)limit_us
+                                                          : PREFILL_TIMEOUT_MIN_US);
     }
   if (route->kind == MF_ROUTE_IDEMPOTENT)
     {
       limit_us = (double)route->target_latency_us * RETRY_OBJECTIVE_PERCENT / 100.;
-      expected_us = mf_target_answer_us (target, limit_us / RETRY_ANSWERS, now_us) * RETRY_ANSWERS;
+      expected_us = mf_target_answer_us (target, limit_us / RETRY_ANSWER_FACTOR, now_us)
+                    * RETRY_ANSWER_FACTOR;
       return now_us + (uint64_t)(expected_us > limit_us ? expected_us : limit_us);
     }
   if (route->kind == MF_ROUTE_STREAMING && route->resumable)
-    return now_us + route->target_latency_us * SILENT_FIRST_OBJECTIVES;
+    return now_us + route->target_latency_us * FIRST_EVENT_OBJECTIVES;
   return 0;
 }
 
@@ -239,7 +242,7 @@
   MfJobs *jobs = job->jobs;
   uint64_t now_us = mf_clock_now_us ();
   const MfBuffer *body = mf_caller_body (job->caller);
-  bool once = !prefill && !mf_job_may_repeat (job);
+  bool run_once = !prefill && !mf_job_may_repeat (job);
   MfBuffer head = { 0 };
 
   job_write_head (job, target, prefill, &head);
@@ -257,7 +260,7 @@
   job->waiting_since_us = 0;
   mf_job_note_send (job, prefill);
   job->sent_us = now_us;
-  job->try_due_us = job_try_due_us (job, target, prefill, now_us);
+  job->try_due_us = job_send_deadline_us (job, target, prefill, now_us);
   mf_job_answer_clear (&job->answer);
   job->link
       = mf_link_start (&target->pool, &(MfLinkCall){
@@ -268,7 +271,7 @@
                                           .body = mf_buffer_data (body),
                                           .body_bytes = mf_buffer_bytes (body),
                                           .echo_id = job->id[0] != '\0' ? job->id : NULL,
-                                          .idle_max_us = once ? ORDER_IDLE_MAX_US : 0,
+                                          .idle_max_us = run_once ? RUN_ONCE_IDLE_MAX_US : 0,
                                           .head_only = job->is_head,
                                       });
   mf_buffer_clear (&head);
--- a/libmangofork/relay/job_stage.c
+++ b/libmangofork/relay/job_stage.c
@@ -8,19 +8,19 @@
 
 /* Time for the instance that led before to see that it does not any more, besides the age that a
  * vote for it may have. */
-#define YIELD_US (1 * MF_US_PER_S)
+#define HANDOVER_MARGIN_US (1 * MF_US_PER_S)
 /* Orders of one service are this far apart, so that each shows in what the next is decided on. */
-#define ORDER_EVERY_US (500 * MF_US_PER_MS)
+#define ORDER_INTERVAL_US (500 * MF_US_PER_MS)
 /* Work that an engine ends before it changes: a prompt is read within this time, an answer takes
  * longer. */
-#define PREFILL_ENDS_US (1 * MF_US_PER_S)
-#define DECODE_ENDS_US (6 * MF_US_PER_S)
+#define PREFILL_DRAIN_US (1 * MF_US_PER_S)
+#define DECODE_DRAIN_US (6 * MF_US_PER_S)
 /* A connection to an engine is made within this time, on a slow machine too. */
-#define CONNECT_US (500 * MF_US_PER_MS)
+#define CONNECT_TIME_US (500 * MF_US_PER_MS)
 /* An order is answered at once; one that is not may have been taken. */
-#define ORDER_US (2 * MF_US_PER_S)
+#define ORDER_TIMEOUT_US (2 * MF_US_PER_S)
 /* One of so many engines changes at a time: what the change brings shows before the next. */
-#define CHANGING_PART 8
+#define CHANGING_DIVISOR 8
 /* An engine that refused so many orders, or did not follow them, is left as it is. */
 #define ORDERS_FAILED_MAX 2
 
@@ -31,7 +31,7 @@
   MfTarget *target;
   MfLink *link;
   MfRole role;
-  uint64_t away_us; /* the engine takes nothing for so long when it follows */
+  uint64_t unavailable_us; /* the engine takes nothing for so long when it follows */
   uint32_t status;
 };
 
@@ -78,27 +78,27 @@
 
 /* Engines that cannot be reached are left out: they have crashed, and are listed for a while. */
 static MfStageView
-view_make (const MfJobs *jobs, const MfRouteService *service, uint64_t now_us)
+snapshot_make (const MfJobs *jobs, const MfRouteService *service, uint64_t now_us)
 {
-  MfStageView view = { 0 };
+  MfStageView snapshot = { 0 };
 
   for (const MfTarget *target = jobs->targets.first; target != NULL; target = target->next)
     {
       if (!is_engine_of (target, service) || mf_target_is_suspect (target, now_us))
         continue;
       if (target_stage (target, now_us) == MF_ROLE_PREFILL)
-        view.n_prefill++;
+        snapshot.n_prefill++;
       else
-        view.n_decode++;
+        snapshot.n_decode++;
       if (target->info.role == MF_ROLE_PREFILL)
         {
-          view.prefill_busy += mf_target_load (target) > 0;
-          view.prompts += mf_target_load (target);
+          snapshot.prefill_busy += mf_target_load (target) > 0;
+          snapshot.prompts += mf_target_load (target);
         }
       else
-        view.decode_used += decode_share (target, service);
+        snapshot.decode_used += decode_share (target, service);
     }
-  return view;
+  return snapshot;
 }
 
 static uint32_t
@@ -142,11 +142,12 @@
 static void
 order_free (MfStageOrder *order)
 {
-  for (MfStageOrder **place = &order->jobs->orders; *place != NULL; place = &(*place)->next)
+  for (MfStageOrder **position = &order->jobs->orders; *position != NULL;
+       position = &(*position)->next)
     {
-      if (*place != order)
+      if (*position != order)
         continue;
-      *place = order->next;
+      *position = order->next;
       break;
     }
   mf_target_unref (order->target);
@@ -180,20 +181,20 @@
 {
   MfStageOrder *order = data;
   MfTarget *target = order->target;
-  bool taken = order->status == 200 || order->status == 202;
-  bool refused = end == MF_LINK_UNREACHED || (end == MF_LINK_WHOLE && !taken);
+  bool accepted = order->status == 200 || order->status == 202;
+  bool refused = end == MF_LINK_UNREACHED || (end == MF_LINK_WHOLE && !accepted);
 
   if (refused)
     target->stage_until_us = 0;
-  target->n_orders_failed += !taken;
+  target->n_orders_failed += !accepted;
   order->jobs->counters.counts[MF_RELAY_COUNT_ORDERS_REFUSED] += refused;
   mf_lines_state (order->jobs->lines, "engine.order_ended",
                   "upstream=%s stage=%s status=%u taken=%s why=\"%s\" away_ms=%llu",
                   target->info.id, mf_role_name (order->role), order->status,
-                  taken     ? "yes"
+                  accepted  ? "yes"
                   : refused ? "no"
                             : "unknown",
-                  why, (unsigned long long)(refused ? 0 : order->away_us) / 1000);
+                  why, (unsigned long long)(refused ? 0 : order->unavailable_us) / 1000);
   order_free (order);
 }
 
@@ -225,14 +226,14 @@
     .jobs = jobs,
     .target = mf_target_ref (target),
     .role = role,
-    .away_us
-    = service->stage_change_us + (role == MF_ROLE_DECODE ? PREFILL_ENDS_US : DECODE_ENDS_US),
+    .unavailable_us
+    = service->stage_change_us + (role == MF_ROLE_DECODE ? PREFILL_DRAIN_US : DECODE_DRAIN_US),
   };
   jobs->orders = order;
   mf_peers_note_fence (jobs->peers, service->name, lead->fence);
   lead->ordered_us = now_us;
   target->stage_ordered = role;
-  target->stage_until_us = now_us + order->away_us;
+  target->stage_until_us = now_us + order->unavailable_us;
   order->link = mf_link_start (&target->pool, &(MfLinkCall){
                                                   .user = &order_user,
                                                   .data = order,
@@ -240,7 +241,7 @@
                                                   .head_bytes = (size_t)head_bytes,
                                                   .body = mf_buffer_data (&body),
                                                   .body_bytes = mf_buffer_bytes (&body),
-                                                  .timeout_us = ORDER_US,
+                                                  .timeout_us = ORDER_TIMEOUT_US,
                                               });
   mf_buffer_clear (&body);
   if (order->link != NULL)
@@ -251,7 +252,7 @@
 
 /* Orders that changed nothing in their time count as failed. */
 static void
-orders_check (MfJobs *jobs, uint64_t now_us)
+orders_expire (MfJobs *jobs, uint64_t now_us)
 {
   for (MfTarget *target = jobs->targets.first; target != NULL; target = target->next)
     {
@@ -266,32 +267,33 @@
  * then, for the platform's turn. Engines that do not check fences take an order of its that is
  * still on its way, so that this is waited for as well. */
 static uint64_t
-first_order_us (const MfJobs *jobs)
+first_order_delay_us (const MfJobs *jobs)
 {
-  uint64_t wait_us = jobs->order_turn_us + mf_peers_fresh_us (jobs->peers) + YIELD_US;
+  uint64_t wait_us = jobs->order_turn_us + mf_peers_fresh_us (jobs->peers) + HANDOVER_MARGIN_US;
 
-  return jobs->orders_fenced ? wait_us : wait_us + ORDER_US + CONNECT_US;
+  return jobs->orders_fenced ? wait_us : wait_us + ORDER_TIMEOUT_US + CONNECT_TIME_US;
 }
 
 /* Balances the stages of a service's engines, which this instance leads. */
 void
 mf_jobs_balance_stages (MfJobs *jobs, MfLead *lead, const MfRouteService *service, uint64_t now_us)
 {
-  MfStageView view;
+  MfStageView snapshot;
   MfStageMove move;
   MfRole role;
   MfTarget *target;
 
   if (service->stage_change_us == 0)
     return;
-  orders_check (jobs, now_us);
-  view = view_make (jobs, service, now_us);
-  move = mf_stage_decide (&lead->trend, &view, now_us);
+  orders_expire (jobs, now_us);
+  snapshot = snapshot_make (jobs, service, now_us);
+  move = mf_stage_decide (&lead->trend, &snapshot, now_us);
   /* The instance that led before has ceased to order, and all have told whom they follow. */
   if (move == MF_STAGE_STAY
-      || n_changing (jobs, service, now_us) * CHANGING_PART >= view.n_prefill + view.n_decode
-      || now_us - lead->led_since_us < first_order_us (jobs)
-      || now_us - lead->ordered_us < ORDER_EVERY_US)
+      || n_changing (jobs, service, now_us) * CHANGING_DIVISOR
+             >= snapshot.n_prefill + snapshot.n_decode
+      || now_us - lead->led_since_us < first_order_delay_us (jobs)
+      || now_us - lead->ordered_us < ORDER_INTERVAL_US)
     return;
   role = move == MF_STAGE_TO_DECODE ? MF_ROLE_DECODE : MF_ROLE_PREFILL;
   if (role == MF_ROLE_PREFILL && n_changing (jobs, service, now_us) > 0)
@@ -305,7 +307,7 @@
                   "upstream=%s stage=%s fence=%llu led_ms=%llu prefill=%u decode=%u "
                   "prefill_busy=%.2f decode_used=%.2f",
                   target->info.id, mf_role_name (role), (unsigned long long)lead->fence,
-                  (unsigned long long)(now_us - lead->led_since_us) / 1000, view.n_prefill,
-                  view.n_decode, lead->trend.prefill_busy, lead->trend.decode_used);
+                  (unsigned long long)(now_us - lead->led_since_us) / 1000, snapshot.n_prefill,
+                  snapshot.n_decode, lead->trend.prefill_busy, lead->trend.decode_used);
   order_send (jobs, lead, service, target, role, now_us);
 }
--- a/libmangofork/relay/job_suspect.c
+++ b/libmangofork/relay/job_suspect.c
@@ -7,17 +7,17 @@
 
 /* An upstream that ended shows it within this time of the break: its host refuses connections at
  * once, and where that is silent, discovery tells of the next process at the address. */
-#define BREAK_US (10 * MF_US_PER_S)
+#define CRASH_WINDOW_US (10 * MF_US_PER_S)
 /* Two deaths may have met an innocent request, whose caller waits no longer than this anyway. */
-#define TWO_DEATHS_US (30 * MF_US_PER_S)
-#define THREE_DEATHS_US (600 * MF_US_PER_S)
+#define TWO_DEATHS_QUARANTINE_US (30 * MF_US_PER_S)
+#define THREE_DEATHS_QUARANTINE_US (600 * MF_US_PER_S)
 /* A request under which an upstream has ended is not sent again before it is known whether the next
  * one has, or this time has passed: a few round trips, or what connecting may take. */
-#define VERDICT_US (300 * MF_US_PER_MS)
+#define PROBE_TIMEOUT_US (300 * MF_US_PER_MS)
 /* Breaks are read from the connections of an ended process within so long of each other. */
-#define SAME_END_US (1 * MF_US_PER_S)
+#define SAME_CRASH_US (1 * MF_US_PER_S)
 /* From so many deaths on, all instances are told at once; of fewer when the request ends. */
-#define TOLD_AT_ONCE 2
+#define REPORT_AT_ONCE_DEATHS 2
 
 /* Hash of what makes two tries of a caller the same request: its host, method, target and body.
  * Never 0. */
@@ -42,8 +42,10 @@
 bool
 mf_jobs_init_suspects (MfJobs *jobs)
 {
-  jobs->suspects = mf_suspects_new (&(MfSuspectTerms){
-      .break_us = BREAK_US, .two_deaths_us = TWO_DEATHS_US, .three_deaths_us = THREE_DEATHS_US });
+  jobs->suspects
+      = mf_suspects_new (&(MfSuspectTerms){ .break_us = CRASH_WINDOW_US,
+                                            .two_deaths_us = TWO_DEATHS_QUARANTINE_US,
+                                            .three_deaths_us = THREE_DEATHS_QUARANTINE_US });
   return jobs->suspects != NULL;
 }
 
@@ -84,72 +86,72 @@
 }
 
 static uint64_t
-moment_us (uint32_t ms, uint64_t now_us)
+time_us (uint32_t ms, uint64_t now_us)
 {
   return now_us > ms * MF_US_PER_MS ? now_us - ms * MF_US_PER_MS : 0;
 }
 
 static MfSuspectRow
-row_make (const MfSuspect *suspect, uint64_t now_us)
+entry_make (const MfSuspect *suspect, uint64_t now_us)
 {
-  MfSuspectRow row = {
+  MfSuspectRow entry = {
     .digest = suspect->digest,
     .sentence_ms = age_ms (now_us, suspect->convicted_until_us),
     .n_deaths = suspect->n_deaths,
   };
 
   for (uint32_t i = 0; i < suspect->n_deaths; i++)
-    row.deaths[i] = (MfSuspectRowDeath){
+    entry.deaths[i] = (MfSuspectRowDeath){
       .process = suspect->deaths[i].process,
       .sent_age_ms = age_ms (suspect->deaths[i].sent_us, now_us),
       .age_ms = age_ms (suspect->deaths[i].at_us, now_us),
     };
-  return row;
+  return entry;
 }
 
 static void
-row_tell (MfJobs *jobs, const MfSuspectRow *row)
+entry_send (MfJobs *jobs, const MfSuspectRow *entry)
 {
   if (jobs->peers == NULL)
     return;
   jobs->message.kind = MF_RELAY_MESSAGE_SUSPECTS;
   jobs->message.suspects.n_rows = 1;
-  jobs->message.suspects.rows[0] = *row;
+  jobs->message.suspects.rows[0] = *entry;
   mf_peers_send_all (jobs->peers, &jobs->message);
 }
 
 /* Tells all instances what is known of a request, unless they have been told. */
 static void
-suspect_tell (MfJobs *jobs, uint64_t digest)
+suspect_send (MfJobs *jobs, uint64_t digest)
 {
   uint64_t now_us = mf_clock_now_us ();
   MfSuspect *suspect = mf_suspects_find (jobs->suspects, digest, now_us);
-  MfSuspectRow row;
+  MfSuspectRow entry;
 
   if (suspect == NULL || suspect->n_told >= suspect->n_deaths)
     return;
   suspect->n_told = suspect->n_deaths;
-  row = row_make (suspect, now_us);
-  row_tell (jobs, &row);
+  entry = entry_make (suspect, now_us);
+  entry_send (jobs, &entry);
 }
 
 /* The rows of one message, of those that are convicted or of the others. */
 typedef struct
 {
-  MfSuspectNews *news;
+  MfSuspectNews *update;
   uint64_t now_us;
-  bool convicted;
-} RowList;
+  bool quarantined;
+} EntryList;
 
 static bool
-row_add (void *data, const MfSuspect *suspect)
+entry_add (void *data, const MfSuspect *suspect)
 {
-  RowList *list = data;
+  EntryList *list = data;
 
-  if (list->news->n_rows == MF_SUSPECT_ROWS_MAX)
+  if (list->update->n_rows == MF_SUSPECT_ROWS_MAX)
     return false;
-  if (suspect->n_told > 0 && list->convicted == (suspect->convicted_until_us > list->now_us))
-    list->news->rows[list->news->n_rows++] = row_make (suspect, list->now_us);
+  if (suspect->n_told > 0 && list->quarantined == (suspect->convicted_until_us > list->now_us))
+    list->update->rows[list->update->n_rows++] = entry_make (suspect, list->now_us);
   return true;
 }
 
@@ -157,20 +159,20 @@
 void
 mf_jobs_tell_suspects (MfJobs *jobs, uint64_t peer)
 {
-  RowList list
-      = { .news = &jobs->message.suspects, .now_us = mf_clock_now_us (), .convicted = true };
+  EntryList list
+      = { .update = &jobs->message.suspects, .now_us = mf_clock_now_us (), .quarantined = true };
 
-  list.news->n_rows = 0;
-  mf_suspects_foreach (jobs->suspects, list.now_us, row_add, &list);
-  list.convicted = false;
-  mf_suspects_foreach (jobs->suspects, list.now_us, row_add, &list);
+  list.update->n_rows = 0;
+  mf_suspects_foreach (jobs->suspects, list.now_us, entry_add, &list);
+  list.quarantined = false;
+  mf_suspects_foreach (jobs->suspects, list.now_us, entry_add, &list);
   jobs->message.kind = MF_RELAY_MESSAGE_SUSPECTS;
-  if (list.news->n_rows > 0)
+  if (list.update->n_rows > 0)
     mf_peers_send (jobs->peers, peer, &jobs->message);
 }
 
 static void
-note_conviction (MfJobs *jobs, uint64_t digest, const char *by)
+record_quarantine (MfJobs *jobs, uint64_t digest, const char *by)
 {
   const MfSuspect *suspect = mf_suspects_find (jobs->suspects, digest, mf_clock_now_us ());
 
@@ -182,46 +184,46 @@
 }
 
 static void
-row_take (MfJobs *jobs, const MfSuspectRow *row)
+entry_handle (MfJobs *jobs, const MfSuspectRow *entry)
 {
   uint64_t now_us = mf_clock_now_us ();
-  bool was_convicted = mf_suspects_is_convicted (jobs->suspects, row->digest, now_us);
+  bool was_quarantined = mf_suspects_is_convicted (jobs->suspects, entry->digest, now_us);
   MfSuspect *suspect;
 
-  if (row->cleared)
+  if (entry->cleared)
     {
-      mf_suspects_clear (jobs->suspects, row->digest);
+      mf_suspects_clear (jobs->suspects, entry->digest);
       return;
     }
-  for (uint32_t i = 0; i < row->n_deaths; i++)
-    mf_suspects_add_death (jobs->suspects, row->digest,
+  for (uint32_t i = 0; i < entry->n_deaths; i++)
+    mf_suspects_add_death (jobs->suspects, entry->digest,
                            &(MfSuspectDeath){
-                               .process = row->deaths[i].process,
-                               .sent_us = moment_us (row->deaths[i].sent_age_ms, now_us),
-                               .at_us = moment_us (row->deaths[i].age_ms, now_us),
+                               .process = entry->deaths[i].process,
+                               .sent_us = time_us (entry->deaths[i].sent_age_ms, now_us),
+                               .at_us = time_us (entry->deaths[i].age_ms, now_us),
                            },
                            false, now_us);
-  if (row->sentence_ms > 0)
-    mf_suspects_convict (jobs->suspects, row->digest, now_us + row->sentence_ms * MF_US_PER_MS,
+  if (entry->sentence_ms > 0)
+    mf_suspects_convict (jobs->suspects, entry->digest, now_us + entry->sentence_ms * MF_US_PER_MS,
                          now_us);
-  suspect = mf_suspects_find (jobs->suspects, row->digest, now_us);
-  if (suspect != NULL && suspect->n_told < row->n_deaths)
-    suspect->n_told = row->n_deaths;
-  if (!was_convicted && mf_suspects_is_convicted (jobs->suspects, row->digest, now_us))
-    note_conviction (jobs, row->digest, "peer");
+  suspect = mf_suspects_find (jobs->suspects, entry->digest, now_us);
+  if (suspect != NULL && suspect->n_told < entry->n_deaths)
+    suspect->n_told = entry->n_deaths;
+  if (!was_quarantined && mf_suspects_is_convicted (jobs->suspects, entry->digest, now_us))
+    record_quarantine (jobs, entry->digest, "peer");
 }
 
 /* Takes what another instance tells of requests under which upstreams have ended. */
 void
-mf_jobs_take_suspects (MfJobs *jobs, const MfSuspectNews *news)
+mf_jobs_take_suspects (MfJobs *jobs, const MfSuspectNews *update)
 {
-  for (uint32_t i = 0; i < news->n_rows; i++)
-    row_take (jobs, &news->rows[i]);
+  for (uint32_t i = 0; i < update->n_rows; i++)
+    entry_handle (jobs, &update->rows[i]);
 }
 
 /* Whether a try of the request is still being served here. */
 static bool
-has_try (const MfJobs *jobs, uint64_t digest)
+has_job (const MfJobs *jobs, uint64_t digest)
 {
   for (const MfJob *job = jobs->first; job != NULL; job = job->next)
     {
@@ -232,27 +234,27 @@
 }
 
 static void
-on_verdict (void *data, const MfSuspectBreak *broken, MfSuspectVerdict verdict)
+on_failure_result (void *data, const MfSuspectBreak *failure, MfSuspectVerdict result)
 {
   MfJobs *jobs = data;
-  const MfSuspect *suspect = mf_suspects_find (jobs->suspects, broken->digest, mf_clock_now_us ());
+  const MfSuspect *suspect = mf_suspects_find (jobs->suspects, failure->digest, mf_clock_now_us ());
 
-  if (verdict < MF_SUSPECT_COUNTED || suspect == NULL)
+  if (result < MF_SUSPECT_COUNTED || suspect == NULL)
     return;
   jobs->counters.counts[MF_RELAY_COUNT_SUSPICIONS]++;
   mf_lines_add (jobs->lines, "request.suspected",
                 "digest=%016llx upstreams_ended=%u was_suspect=%s break_age_ms=%u",
-                (unsigned long long)broken->digest, suspect->n_deaths,
-                broken->suspect ? "yes" : "no", age_ms (broken->at_us, mf_clock_now_us ()));
-  if (verdict == MF_SUSPECT_CONVICTED)
-    note_conviction (jobs, broken->digest, "self");
-  if (suspect->n_deaths >= TOLD_AT_ONCE || !has_try (jobs, broken->digest))
-    suspect_tell (jobs, broken->digest);
+                (unsigned long long)failure->digest, suspect->n_deaths,
+                failure->suspect ? "yes" : "no", age_ms (failure->at_us, mf_clock_now_us ()));
+  if (result == MF_SUSPECT_CONVICTED)
+    record_quarantine (jobs, failure->digest, "self");
+  if (suspect->n_deaths >= REPORT_AT_ONCE_DEATHS || !has_job (jobs, failure->digest))
+    suspect_send (jobs, failure->digest);
 }
 
 /* What broke at an upstream that ends in order, as it said that it would, broke of that. */
 static void
-upstream_ended (MfJobs *jobs, MfTarget *target)
+upstream_died (MfJobs *jobs, MfTarget *target)
 {
   uint64_t process = mf_target_process (target);
   uint64_t now_us = mf_clock_now_us ();
@@ -260,32 +262,32 @@
   if (mf_suspects_n_breaks (jobs->suspects) == 0)
     return;
   if (mf_target_is_leaving (target))
-    mf_suspects_release_upstream (jobs->suspects, process, UINT64_MAX, on_verdict, jobs);
+    mf_suspects_release_upstream (jobs->suspects, process, UINT64_MAX, on_failure_result, jobs);
   else
-    mf_suspects_end_upstream (jobs->suspects, process, process, now_us, on_verdict, jobs);
+    mf_suspects_end_upstream (jobs->suspects, process, process, now_us, on_failure_result, jobs);
 }
 
 static void
-on_ended (void *data, MfTarget *target, const char *why)
+on_upstream_ended (void *data, MfTarget *target, const char *why)
 {
   MfJobs *jobs = data;
 
   if (mf_suspects_n_breaks (jobs->suspects) > 0)
     mf_lines_state (jobs->lines, "upstream.ended", "upstream=%s why=\"%s\" leaving=%s",
                     target->info.id, why, mf_target_is_leaving (target) ? "yes" : "no");
-  upstream_ended (jobs, target);
+  upstream_died (jobs, target);
 }
 
 /* Where a process stands now, what stood there before has ended: those that leave in order are not
  * waited for. */
 static void
-on_added (void *data, MfTarget *target)
+on_upstream_added (void *data, MfTarget *target)
 {
   MfJobs *jobs = data;
 
   if (mf_suspects_n_breaks (jobs->suspects) > 0)
     mf_suspects_end_place (jobs->suspects, mf_load_hash (target->info.address),
-                           mf_target_process (target), mf_clock_now_us (), on_verdict, jobs);
+                           mf_target_process (target), mf_clock_now_us (), on_failure_result, jobs);
 }
 
 /* A request that waited for the verdict goes on. */
@@ -311,7 +313,7 @@
 }
 
 static void
-on_looked (void *data, MfTarget *target)
+on_upstream_probed (void *data, MfTarget *target)
 {
   MfJobs *jobs = data;
   uint64_t process = mf_target_process (target);
@@ -322,9 +324,9 @@
 }
 
 const MfTargetsUser mf_job_targets_user = {
-  .ended = on_ended,
-  .added = on_added,
-  .looked = on_looked,
+  .ended = on_upstream_ended,
+  .added = on_upstream_added,
+  .looked = on_upstream_probed,
 };
 
 /* A run at an upstream broke, or was given up: it may have ended that, unless that leaves in order.
@@ -347,9 +349,9 @@
                                              .at_us = now_us,
                                          });
   job->n_breaks++;
-  if (target->ended_us > 0 && now_us - target->ended_us < SAME_END_US
+  if (target->ended_us > 0 && now_us - target->ended_us < SAME_CRASH_US
       && job->sent_us < target->ended_us)
-    upstream_ended (jobs, target);
+    upstream_died (jobs, target);
 }
 
 /* Sends a request whose run broke once more, or ends it. One that has met the end of an upstream
@@ -365,7 +367,7 @@
   job->denied = *denied;
   job->phase = MF_JOB_WAITING;
   job->awaited = mf_target_process (target);
-  job->try_due_us = mf_clock_now_us () + VERDICT_US;
+  job->try_due_us = mf_clock_now_us () + PROBE_TIMEOUT_US;
   mf_job_set_timer (job);
 }
 
@@ -377,7 +379,7 @@
 
   if (mf_suspects_n_breaks (jobs->suspects) > 0)
     mf_suspects_release_upstream (jobs->suspects, mf_target_process (job->target), job->sent_us,
-                                  on_verdict, jobs);
+                                  on_failure_result, jobs);
 }
 
 /* The request has ended. One that was answered has ended no upstream, whatever it met before;
@@ -387,25 +389,25 @@
 {
   MfJobs *jobs = job->jobs;
   const MfSuspect *suspect = mf_suspects_find (jobs->suspects, job->digest, mf_clock_now_us ());
-  bool was_told;
+  bool was_reported;
 
   if (suspect == NULL)
     return;
   if (!answered)
     {
-      suspect_tell (jobs, job->digest);
+      suspect_send (jobs, job->digest);
       return;
     }
-  was_told = suspect->n_told > 0;
+  was_reported = suspect->n_told > 0;
   mf_suspects_clear (jobs->suspects, job->digest);
-  if (was_told)
-    row_tell (jobs, &(MfSuspectRow){ .digest = job->digest, .cleared = true });
+  if (was_reported)
+    entry_send (jobs, &(MfSuspectRow){ .digest = job->digest, .cleared = true });
 }
 
 /* Lets go of breaks whose upstreams nobody has heard of since. */
 void
 mf_jobs_forget_breaks (MfJobs *jobs, uint64_t now_us)
 {
-  if (now_us > BREAK_US)
-    mf_suspects_release_before (jobs->suspects, now_us - BREAK_US, on_verdict, jobs);
+  if (now_us > CRASH_WINDOW_US)
+    mf_suspects_release_before (jobs->suspects, now_us - CRASH_WINDOW_US, on_failure_result, jobs);
 }
--- a/libmangofork/relay/stage.h
+++ b/libmangofork/relay/stage.h
@@ -34,7 +34,7 @@
 } MfStageTrend;
 
 uint32_t mf_stage_want_prefill (uint32_t n_engines, double prefill_busy, double decode_used);
-MfStageMove mf_stage_decide (MfStageTrend *trend, const MfStageView *view, uint64_t now_us);
+MfStageMove mf_stage_decide (MfStageTrend *trend, const MfStageView *snapshot, uint64_t now_us);
 void mf_stage_reset (MfStageTrend *trend);
 
 #endif
--- a/tests/test_budget.c
+++ b/tests/test_budget.c
@@ -7,7 +7,7 @@
 
 #define WINDOW_US (10 * MF_US_PER_S)
 #define RATIO 0.2
-#define FLOOR 2
+#define ALLOWANCE 2
 
 /* Instances that do not talk to each other keep to the bound of all together, in any window. */
 static void
@@ -40,7 +40,7 @@
               mf_budget_note_request (&budgets[i], now_us);
               requests[step]++;
               for (uint32_t tries = 0; tries < 3; tries++)
-                repeats[step] += mf_budget_take (&budgets[i], FLOOR, 1, now_us);
+                repeats[step] += mf_budget_take (&budgets[i], ALLOWANCE, 1, now_us);
             }
         }
     }
@@ -59,7 +59,7 @@
       if (n_before > n_requests)
         n_requests = n_before;
       /* The deployments' bound: 40 for all instances and two for each. */
-      assert_true (n_repeats <= RATIO * n_requests + 40 + FLOOR * N_INSTANCES);
+      assert_true (n_repeats <= RATIO * n_requests + 40 + ALLOWANCE * N_INSTANCES);
     }
 }
 
@@ -70,11 +70,11 @@
 
   (void)state;
   mf_budget_init (&budget, WINDOW_US, RATIO);
-  assert_true (mf_budget_take (&budget, FLOOR, 1, MF_US_PER_S));
-  assert_true (mf_budget_take (&budget, FLOOR, 1, MF_US_PER_S));
-  assert_false (mf_budget_take (&budget, FLOOR, 1, MF_US_PER_S));
-  assert_false (mf_budget_take (&budget, FLOOR, 1, MF_US_PER_S + WINDOW_US - MF_US_PER_S));
-  assert_true (mf_budget_take (&budget, FLOOR, 1, 2 * MF_US_PER_S + WINDOW_US));
+  assert_true (mf_budget_take (&budget, ALLOWANCE, 1, MF_US_PER_S));
+  assert_true (mf_budget_take (&budget, ALLOWANCE, 1, MF_US_PER_S));
+  assert_false (mf_budget_take (&budget, ALLOWANCE, 1, MF_US_PER_S));
+  assert_false (mf_budget_take (&budget, ALLOWANCE, 1, MF_US_PER_S + WINDOW_US - MF_US_PER_S));
+  assert_true (mf_budget_take (&budget, ALLOWANCE, 1, 2 * MF_US_PER_S + WINDOW_US));
 }
 
 /* The parts of all instances together, and of all of them started anew within a window, keep to
@@ -89,14 +89,14 @@
     {
       uint32_t n_instances = sizes[i][0];
       uint32_t slack = sizes[i][1];
-      uint32_t settled = mf_budget_floor (slack, n_instances, WINDOW_US, WINDOW_US);
-      uint32_t fresh = mf_budget_floor (slack, 1, WINDOW_US - 1, WINDOW_US);
+      uint32_t allowance = mf_budget_floor (slack, n_instances, WINDOW_US, WINDOW_US);
+      uint32_t startup_allowance = mf_budget_floor (slack, 1, WINDOW_US - 1, WINDOW_US);
 
-      assert_true (settled * n_instances <= slack);
-      assert_true (fresh * n_instances <= slack);
-      assert_true (settled >= 1);
+      assert_true (allowance * n_instances <= slack);
+      assert_true (startup_allowance * n_instances <= slack);
+      assert_true (allowance >= 1);
       /* What the leader gives is what the parts leave, less a reserve. */
-      assert_true (settled * n_instances + mf_budget_pool (slack, n_instances, WINDOW_US)
+      assert_true (allowance * n_instances + mf_budget_pool (slack, n_instances, WINDOW_US)
                    <= slack * 3 / 4);
       assert_true (mf_budget_pool (slack, n_instances, WINDOW_US) >= slack / 5);
     }
--- a/tests/test_job.c
+++ b/tests/test_job.c
@@ -15,35 +15,35 @@
 #define PORT 21741
 
 static void
-act_good (FakeWireConn *conn, const char *text, const char *id)
+handle_good (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
   town_answer (conn, id, "200 OK", TOWN_SEAL, "good");
 }
 
 static void
-act_fail (FakeWireConn *conn, const char *text, const char *id)
+handle_fail (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
   town_answer (conn, id, "500 Internal Server Error", TOWN_SEAL, "bad");
 }
 
 static void
-act_unsealed (FakeWireConn *conn, const char *text, const char *id)
+handle_unsealed (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
   town_answer (conn, id, "200 OK", "", "forged");
 }
 
 static void
-act_encoded (FakeWireConn *conn, const char *text, const char *id)
+handle_encoded (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
   town_answer (conn, id, "200 OK", TOWN_SEAL "Content-Encoding: gzip\r\n", "zzz");
 }
 
 static void
-act_reset (FakeWireConn *conn, const char *text, const char *id)
+handle_reset (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
   (void)id;
@@ -51,7 +51,7 @@
 }
 
 static void
-act_mute (FakeWireConn *conn, const char *text, const char *id)
+handle_no_answer (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)conn;
   (void)text;
@@ -59,7 +59,7 @@
 }
 
 static void
-act_stream (FakeWireConn *conn, const char *text, const char *id)
+handle_stream (FakeWireConn *conn, const char *text, const char *id)
 {
   char last[16] = "0";
 
@@ -72,17 +72,17 @@
 }
 
 static void
-town_done (Town *town)
+teardown (Town *fixture)
 {
-  struct ev_loop *loop = town->loop;
+  struct ev_loop *loop = fixture->loop;
 
-  town_end (town);
+  town_end (fixture);
   ev_loop_destroy (loop);
 }
 
 /* Sends a request and reads its whole answer. */
 static void
-call (Town *town, const char *method, const char *path)
+call (Town *fixture, const char *method, const char *path)
 {
   char text[512];
   int fd = loop_connect (PORT);
@@ -94,131 +94,132 @@
             "Connection: close\r\nContent-Length: 2\r\n\r\nhi",
             method, path);
   loop_send (fd, text, strlen (text));
-  loop_receive (town->loop, fd, NULL, town->got, sizeof town->got);
+  loop_receive (fixture->loop, fd, NULL, fixture->got, sizeof fixture->got);
   close (fd);
 }
 
 static void
-assert_status (const Town *town, const char *status)
+assert_status (const Town *fixture, const char *status)
 {
-  assert_memory_equal (town->got, "HTTP/1.1 ", 9);
-  assert_memory_equal (town->got + 9, status, 3);
+  assert_memory_equal (fixture->got, "HTTP/1.1 ", 9);
+  assert_memory_equal (fixture->got + 9, status, 3);
 }
 
 static void
 test_answer_is_passed_on (void **state)
 {
-  Town town;
+  Town fixture;
   char value[64];
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town_add (&town, 0, MF_ROLE_PLAIN, act_good);
-  call (&town, "POST", "/order/1?q=2");
-  assert_status (&town, "200");
-  assert_non_null (strstr (town.got, TOWN_SEAL));
-  assert_non_null (strstr (town.got, "\r\n\r\ngood"));
-  assert_memory_equal (fake_wire_last (town.upstreams[0].wire), "POST /order/1?q=2 HTTP/1.1\r\n",
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  town_add (&fixture, 0, MF_ROLE_PLAIN, handle_good);
+  call (&fixture, "POST", "/order/1?q=2");
+  assert_status (&fixture, "200");
+  assert_non_null (strstr (fixture.got, TOWN_SEAL));
+  assert_non_null (strstr (fixture.got, "\r\n\r\ngood"));
+  assert_memory_equal (fake_wire_last (fixture.upstreams[0].wire), "POST /order/1?q=2 HTTP/1.1\r\n",
                        28);
-  assert_true (fake_wire_header (fake_wire_last (town.upstreams[0].wire), "X-Expect-Instance",
+  assert_true (fake_wire_header (fake_wire_last (fixture.upstreams[0].wire), "X-Expect-Instance",
                                  value, sizeof value));
   assert_string_equal (value, "u0");
   /* What only a router may set is not taken from callers; the route's time bounds the deadline. */
-  assert_false (fake_wire_header (fake_wire_last (town.upstreams[0].wire), "X-Kv-Source", value,
+  assert_false (fake_wire_header (fake_wire_last (fixture.upstreams[0].wire), "X-Kv-Source", value,
                                   sizeof value));
-  assert_true (fake_wire_header (fake_wire_last (town.upstreams[0].wire), "X-Deadline-Ms", value,
+  assert_true (fake_wire_header (fake_wire_last (fixture.upstreams[0].wire), "X-Deadline-Ms", value,
                                  sizeof value));
   assert_in_range (atoi (value), 500, 601);
-  town_done (&town);
+  teardown (&fixture);
 }
 
 static void
 test_order_that_may_have_run_is_not_sent_again (void **state)
 {
-  static const TownAct acts[] = { act_reset, act_unsealed, act_encoded, act_mute, act_fail };
+  static const TownAct handlers[]
+      = { handle_reset, handle_unsealed, handle_encoded, handle_no_answer, handle_fail };
 
   (void)state;
-  for (size_t i = 0; i < MF_ARRAY_LEN (acts); i++)
+  for (size_t i = 0; i < MF_ARRAY_LEN (handlers); i++)
     {
-      Town town;
-
-      town_begin (&town, ev_loop_new (0), PORT);
-      town_add (&town, 0, MF_ROLE_PLAIN, acts[i]);
-      town_add (&town, 1, MF_ROLE_PLAIN, act_good);
-      call (&town, "POST", "/order/1");
-      assert_int_equal (town.got[9], '5');
-      assert_memory_not_equal (town.got + 9, "503", 3);
-      assert_int_equal (town_n_requests (&town, 0), 1);
-      assert_int_equal (town_n_requests (&town, 1), 0);
-      town_done (&town);
+      Town fixture;
+
+      town_begin (&fixture, ev_loop_new (0), PORT);
+      town_add (&fixture, 0, MF_ROLE_PLAIN, handlers[i]);
+      town_add (&fixture, 1, MF_ROLE_PLAIN, handle_good);
+      call (&fixture, "POST", "/order/1");
+      assert_int_equal (fixture.got[9], '5');
+      assert_memory_not_equal (fixture.got + 9, "503", 3);
+      assert_int_equal (town_n_requests (&fixture, 0), 1);
+      assert_int_equal (town_n_requests (&fixture, 1), 0);
+      teardown (&fixture);
     }
 }
 
 static void
 test_order_that_was_declined_runs_elsewhere (void **state)
 {
-  Town town;
+  Town fixture;
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town_add (&town, 0, MF_ROLE_PLAIN, town_decline);
-  town_add (&town, 1, MF_ROLE_PLAIN, act_good);
-  call (&town, "POST", "/order/1");
-  assert_status (&town, "200");
-  assert_int_equal (town_n_requests (&town, 0), 1);
-  assert_int_equal (town_n_requests (&town, 1), 1);
-  town_done (&town);
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  town_add (&fixture, 0, MF_ROLE_PLAIN, town_decline);
+  town_add (&fixture, 1, MF_ROLE_PLAIN, handle_good);
+  call (&fixture, "POST", "/order/1");
+  assert_status (&fixture, "200");
+  assert_int_equal (town_n_requests (&fixture, 0), 1);
+  assert_int_equal (town_n_requests (&fixture, 1), 1);
+  teardown (&fixture);
 }
 
 static void
 test_declined_everywhere_is_refused_with_a_time (void **state)
 {
-  Town town;
+  Town fixture;
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town_add (&town, 0, MF_ROLE_PLAIN, town_decline);
-  call (&town, "POST", "/order/1");
-  assert_status (&town, "503");
-  assert_non_null (strstr (town.got, "Retry-After: "));
-  town_done (&town);
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  town_add (&fixture, 0, MF_ROLE_PLAIN, town_decline);
+  call (&fixture, "POST", "/order/1");
+  assert_status (&fixture, "503");
+  assert_non_null (strstr (fixture.got, "Retry-After: "));
+  teardown (&fixture);
 }
 
 static void
 test_refusals_without_upstream_or_route (void **state)
 {
-  Town town;
+  Town fixture;
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  call (&town, "POST", "/order/1");
-  assert_status (&town, "503");
-  call (&town, "POST", "/nothing/1");
-  assert_status (&town, "404");
-  mf_routes_unref (town.jobs.routes);
-  town.jobs.routes = NULL;
-  call (&town, "POST", "/nothing/1");
-  assert_status (&town, "503");
-  town_done (&town);
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  call (&fixture, "POST", "/order/1");
+  assert_status (&fixture, "503");
+  call (&fixture, "POST", "/nothing/1");
+  assert_status (&fixture, "404");
+  mf_routes_unref (fixture.jobs.routes);
+  fixture.jobs.routes = NULL;
+  call (&fixture, "POST", "/nothing/1");
+  assert_status (&fixture, "503");
+  teardown (&fixture);
 }
 
 static void
 test_read_is_tried_elsewhere (void **state)
 {
-  static const TownAct acts[]
-      = { act_reset, act_unsealed, act_encoded, act_mute, act_fail, town_decline };
+  static const TownAct handlers[] = { handle_reset,     handle_unsealed, handle_encoded,
+                                      handle_no_answer, handle_fail,     town_decline };
 
   (void)state;
-  for (size_t i = 0; i < MF_ARRAY_LEN (acts); i++)
+  for (size_t i = 0; i < MF_ARRAY_LEN (handlers); i++)
     {
-      Town town;
-
-      town_begin (&town, ev_loop_new (0), PORT);
-      town_add (&town, 0, MF_ROLE_PLAIN, acts[i]);
-      town_add (&town, 1, MF_ROLE_PLAIN, act_good);
-      call (&town, "GET", "/read/1");
-      assert_status (&town, "200");
-      town_done (&town);
+      Town fixture;
+
+      town_begin (&fixture, ev_loop_new (0), PORT);
+      town_add (&fixture, 0, MF_ROLE_PLAIN, handlers[i]);
+      town_add (&fixture, 1, MF_ROLE_PLAIN, handle_good);
+      call (&fixture, "GET", "/read/1");
+      assert_status (&fixture, "200");
+      teardown (&fixture);
     }
 }
 
@@ -226,65 +227,67 @@
 static void
 test_read_fails_in_the_end (void **state)
 {
-  Town town;
+  Town fixture;
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town_add (&town, 0, MF_ROLE_PLAIN, act_fail);
-  town_add (&town, 1, MF_ROLE_PLAIN, act_fail);
-  town_add (&town, 2, MF_ROLE_PLAIN, act_fail);
-  call (&town, "GET", "/read/1");
-  assert_status (&town, "500");
-  assert_non_null (strstr (town.got, TOWN_SEAL));
-  assert_int_equal (
-      town_n_requests (&town, 0) + town_n_requests (&town, 1) + town_n_requests (&town, 2), 2);
-  town_done (&town);
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  town_add (&fixture, 0, MF_ROLE_PLAIN, handle_fail);
+  town_add (&fixture, 1, MF_ROLE_PLAIN, handle_fail);
+  town_add (&fixture, 2, MF_ROLE_PLAIN, handle_fail);
+  call (&fixture, "GET", "/read/1");
+  assert_status (&fixture, "500");
+  assert_non_null (strstr (fixture.got, TOWN_SEAL));
+  assert_int_equal (town_n_requests (&fixture, 0) + town_n_requests (&fixture, 1)
+                        + town_n_requests (&fixture, 2),
+                    2);
+  teardown (&fixture);
 }
 
 static void
 test_repeats_keep_to_the_budget (void **state)
 {
-  Town town;
+  Town fixture;
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town_add (&town, 0, MF_ROLE_PLAIN, act_fail);
-  town_add (&town, 1, MF_ROLE_PLAIN, act_fail);
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  town_add (&fixture, 0, MF_ROLE_PLAIN, handle_fail);
+  town_add (&fixture, 1, MF_ROLE_PLAIN, handle_fail);
   for (uint32_t i = 0; i < 20; i++)
-    call (&town, "GET", "/read/1");
-  assert_in_range (town_n_requests (&town, 0) + town_n_requests (&town, 1), 22, 26);
-  town_done (&town);
+    call (&fixture, "GET", "/read/1");
+  assert_in_range (town_n_requests (&fixture, 0) + town_n_requests (&fixture, 1), 22, 26);
+  teardown (&fixture);
 }
 
 /* A stream that goes on elsewhere is two repeats where its prompt is read apart. */
 static void
 test_both_sends_of_a_repeat_count (void **state)
 {
-  Town town;
+  Town fixture;
   uint32_t n_sends;
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town.jobs.budget_slack = 6;
-  town_add (&town, 0, MF_ROLE_PREFILL, town_prefill);
-  town_add (&town, 1, MF_ROLE_DECODE, town_stream_breaks);
-  town_add (&town, 2, MF_ROLE_DECODE, town_stream_breaks);
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  fixture.jobs.budget_slack = 6;
+  town_add (&fixture, 0, MF_ROLE_PREFILL, town_prefill);
+  town_add (&fixture, 1, MF_ROLE_DECODE, town_stream_breaks);
+  town_add (&fixture, 2, MF_ROLE_DECODE, town_stream_breaks);
   for (uint32_t i = 0; i < 20; i++)
-    call (&town, "POST", "/llm/1");
-  n_sends = town_n_requests (&town, 0) + town_n_requests (&town, 1) + town_n_requests (&town, 2);
+    call (&fixture, "POST", "/llm/1");
+  n_sends = town_n_requests (&fixture, 0) + town_n_requests (&fixture, 1)
+            + town_n_requests (&fixture, 2);
   /* A fifth of the requests, 70 in 100 of the slack, and the second send of the last repeat. */
   assert_in_range (n_sends, 20 * 2 + 6, 20 * 2 + 4 + 4 + 1);
   /* Memory that was taken is not gone on from again. */
-  assert_true (town_n_requests (&town, 0) > 20);
-  town_done (&town);
+  assert_true (town_n_requests (&fixture, 0) > 20);
+  teardown (&fixture);
 }
 
 static uint32_t n_prefills;
-static const FakeWire *full_at_first;
+static const FakeWire *full_engine;
 
 /* Counts prompts, and not the calls that free memory. */
 static void
-act_prefill_counted (FakeWireConn *conn, const char *text, const char *id)
+handle_prefill_counted (FakeWireConn *conn, const char *text, const char *id)
 {
   n_prefills += strncmp (text, "DELETE ", 7) != 0;
   town_prefill (conn, text, id);
@@ -292,12 +295,12 @@
 
 /* Holds as many streams as an engine takes, and serves those that come later. */
 static void
-act_full_at_first (FakeWireConn *conn, const char *text, const char *id)
+handle_full_at_first (FakeWireConn *conn, const char *text, const char *id)
 {
-  if (fake_wire_n_requests (full_at_first) <= 4)
+  if (fake_wire_n_requests (full_engine) <= 4)
     town_stream_hangs (conn, text, id);
   else
-    act_stream (conn, text, id);
+    handle_stream (conn, text, id);
 }
 
 /* The engine that was to go on is not there, and the next has room after the memory has lapsed: the
@@ -305,150 +308,151 @@
 static void
 test_prompt_is_not_read_again_beyond_the_budget (void **state)
 {
-  Town town;
-  int held[4];
+  Town fixture;
+  int fds[4];
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town.jobs.budget_ratio = 0.;
-  town.jobs.began_us = mf_clock_now_us ();
-  town_add (&town, 0, MF_ROLE_PREFILL, act_prefill_counted);
-  town_add (&town, 1, MF_ROLE_DECODE, act_full_at_first);
-  full_at_first = town.upstreams[1].wire;
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  fixture.jobs.budget_ratio = 0.;
+  fixture.jobs.began_us = mf_clock_now_us ();
+  town_add (&fixture, 0, MF_ROLE_PREFILL, handle_prefill_counted);
+  town_add (&fixture, 1, MF_ROLE_DECODE, handle_full_at_first);
+  full_engine = fixture.upstreams[1].wire;
   n_prefills = 0;
-  for (size_t i = 0; i < MF_ARRAY_LEN (held); i++)
+  for (size_t i = 0; i < MF_ARRAY_LEN (fds); i++)
     {
       static const char text[] = "POST /once/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: t\r\n\r\n";
 
-      held[i] = loop_connect (PORT);
-      loop_send (held[i], text, strlen (text));
+      fds[i] = loop_connect (PORT);
+      loop_send (fds[i], text, strlen (text));
     }
-  loop_spin (town.loop, 50);
-  assert_int_equal (n_prefills, MF_ARRAY_LEN (held));
-  town_know (&town, "gone", MF_ROLE_DECODE, "127.0.0.1:1");
-  call (&town, "POST", "/llm/1");
-  assert_status (&town, "200");
-  assert_int_equal (n_prefills, MF_ARRAY_LEN (held) + 1);
-  for (size_t i = 0; i < MF_ARRAY_LEN (held); i++)
-    close (held[i]);
-  loop_spin (town.loop, 10);
-  town_done (&town);
+  loop_spin (fixture.loop, 50);
+  assert_int_equal (n_prefills, MF_ARRAY_LEN (fds));
+  town_know (&fixture, "gone", MF_ROLE_DECODE, "127.0.0.1:1");
+  call (&fixture, "POST", "/llm/1");
+  assert_status (&fixture, "200");
+  assert_int_equal (n_prefills, MF_ARRAY_LEN (fds) + 1);
+  for (size_t i = 0; i < MF_ARRAY_LEN (fds); i++)
+    close (fds[i]);
+  loop_spin (fixture.loop, 10);
+  teardown (&fixture);
 }
 
 /* A stream that goes on has its prompt read again and runs again. */
 static void
 test_repeat_of_two_sends_needs_room_for_both (void **state)
 {
-  Town town;
+  Town fixture;
   uint32_t n_sends;
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town.jobs.budget_ratio = 0.;
-  town.jobs.budget_slack = 1;
-  town_add (&town, 0, MF_ROLE_PREFILL, town_prefill);
-  town_add (&town, 1, MF_ROLE_DECODE, town_stream_breaks);
-  town_add (&town, 2, MF_ROLE_DECODE, town_stream_breaks);
-  call (&town, "POST", "/llm/1");
-  n_sends = town_n_requests (&town, 0) + town_n_requests (&town, 1) + town_n_requests (&town, 2);
-  town_done (&town);
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  fixture.jobs.budget_ratio = 0.;
+  fixture.jobs.budget_slack = 1;
+  town_add (&fixture, 0, MF_ROLE_PREFILL, town_prefill);
+  town_add (&fixture, 1, MF_ROLE_DECODE, town_stream_breaks);
+  town_add (&fixture, 2, MF_ROLE_DECODE, town_stream_breaks);
+  call (&fixture, "POST", "/llm/1");
+  n_sends = town_n_requests (&fixture, 0) + town_n_requests (&fixture, 1)
+            + town_n_requests (&fixture, 2);
+  teardown (&fixture);
   assert_int_equal (n_sends, 2);
 }
 
 static void
 test_prompt_is_read_and_decoded_apart (void **state)
 {
-  Town town;
+  Town fixture;
   char value[64];
   char expected[128];
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town_add (&town, 0, MF_ROLE_PREFILL, town_prefill);
-  town_add (&town, 1, MF_ROLE_DECODE, act_stream);
-  call (&town, "POST", "/once/1");
-  assert_status (&town, "200");
-  assert_non_null (strstr (town.got, "id: 2\ndata: b\n\n"));
-  assert_non_null (strstr (town.got, "\r\n0\r\n\r\n"));
-  assert_true (fake_wire_header (fake_wire_last (town.upstreams[1].wire), "X-Kv-Source", value,
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  town_add (&fixture, 0, MF_ROLE_PREFILL, town_prefill);
+  town_add (&fixture, 1, MF_ROLE_DECODE, handle_stream);
+  call (&fixture, "POST", "/once/1");
+  assert_status (&fixture, "200");
+  assert_non_null (strstr (fixture.got, "id: 2\ndata: b\n\n"));
+  assert_non_null (strstr (fixture.got, "\r\n0\r\n\r\n"));
+  assert_true (fake_wire_header (fake_wire_last (fixture.upstreams[1].wire), "X-Kv-Source", value,
                                  sizeof value));
-  snprintf (expected, sizeof expected, "%s/h1", fake_wire_address (town.upstreams[0].wire));
+  snprintf (expected, sizeof expected, "%s/h1", fake_wire_address (fixture.upstreams[0].wire));
   assert_string_equal (value, expected);
-  loop_spin (town.loop, 10);
-  assert_int_equal (town_n_requests (&town, 0), 1);
-  assert_int_equal (town.jobs.n_jobs, 0);
-  town_done (&town);
+  loop_spin (fixture.loop, 10);
+  assert_int_equal (town_n_requests (&fixture, 0), 1);
+  assert_int_equal (fixture.jobs.n_jobs, 0);
+  teardown (&fixture);
 }
 
 static void
 test_decode_reads_the_prompt_when_no_engine_does_that_alone (void **state)
 {
-  Town town;
+  Town fixture;
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town_add (&town, 1, MF_ROLE_DECODE, act_stream);
-  call (&town, "POST", "/once/1");
-  assert_status (&town, "200");
-  assert_non_null (strstr (town.got, "\r\n0\r\n\r\n"));
-  town_done (&town);
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  town_add (&fixture, 1, MF_ROLE_DECODE, handle_stream);
+  call (&fixture, "POST", "/once/1");
+  assert_status (&fixture, "200");
+  assert_non_null (strstr (fixture.got, "\r\n0\r\n\r\n"));
+  teardown (&fixture);
 }
 
 /* The memory of a prompt that no engine decodes is given back. */
 static void
 test_unused_memory_is_released (void **state)
 {
-  Town town;
+  Town fixture;
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town_add (&town, 0, MF_ROLE_PREFILL, town_prefill);
-  town_add (&town, 1, MF_ROLE_DECODE, town_decline);
-  call (&town, "POST", "/once/1");
-  assert_status (&town, "503");
-  loop_spin (town.loop, 20);
-  assert_memory_equal (fake_wire_last (town.upstreams[0].wire), "DELETE /kv-handle/h1 ", 21);
-  town_done (&town);
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  town_add (&fixture, 0, MF_ROLE_PREFILL, town_prefill);
+  town_add (&fixture, 1, MF_ROLE_DECODE, town_decline);
+  call (&fixture, "POST", "/once/1");
+  assert_status (&fixture, "503");
+  loop_spin (fixture.loop, 20);
+  assert_memory_equal (fake_wire_last (fixture.upstreams[0].wire), "DELETE /kv-handle/h1 ", 21);
+  teardown (&fixture);
 }
 
 static void
 test_broken_stream_goes_on_after_its_last_event (void **state)
 {
-  Town town;
+  Town fixture;
   char value[16] = "";
   const char *first;
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town_add (&town, 0, MF_ROLE_DECODE, town_stream_breaks);
-  town_add (&town, 1, MF_ROLE_DECODE, act_stream);
-  call (&town, "POST", "/llm/1");
-  assert_status (&town, "200");
-  first = strstr (town.got, "id: 1\ndata: a\n\n");
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  town_add (&fixture, 0, MF_ROLE_DECODE, town_stream_breaks);
+  town_add (&fixture, 1, MF_ROLE_DECODE, handle_stream);
+  call (&fixture, "POST", "/llm/1");
+  assert_status (&fixture, "200");
+  first = strstr (fixture.got, "id: 1\ndata: a\n\n");
   assert_non_null (first);
   assert_null (strstr (first + 1, "id: 1"));
   assert_non_null (strstr (first, "id: 2\ndata: b\n\n"));
   assert_non_null (strstr (first, "\r\n0\r\n\r\n"));
-  assert_true (fake_wire_header (fake_wire_last (town.upstreams[1].wire), "Last-Event-Id", value,
+  assert_true (fake_wire_header (fake_wire_last (fixture.upstreams[1].wire), "Last-Event-Id", value,
                                  sizeof value));
   assert_string_equal (value, "1");
-  town_done (&town);
+  teardown (&fixture);
 }
 
 static void
 test_silent_stream_goes_on_elsewhere (void **state)
 {
-  Town town;
+  Town fixture;
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town_add (&town, 0, MF_ROLE_DECODE, town_stream_hangs);
-  town_add (&town, 1, MF_ROLE_DECODE, act_stream);
-  call (&town, "POST", "/llm/1");
-  assert_status (&town, "200");
-  assert_non_null (strstr (town.got, "id: 2\ndata: b\n\n"));
-  assert_int_equal (fake_wire_n_left (town.upstreams[0].wire), 1);
-  town_done (&town);
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  town_add (&fixture, 0, MF_ROLE_DECODE, town_stream_hangs);
+  town_add (&fixture, 1, MF_ROLE_DECODE, handle_stream);
+  call (&fixture, "POST", "/llm/1");
+  assert_status (&fixture, "200");
+  assert_non_null (strstr (fixture.got, "id: 2\ndata: b\n\n"));
+  assert_int_equal (fake_wire_n_left (fixture.upstreams[0].wire), 1);
+  teardown (&fixture);
 }
 
 /* A stream that breaks off later than its caller would have waited for its beginning still goes on:
@@ -458,70 +462,70 @@
 {
   static const char text[] = "POST /llm/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: t\r\n"
                              "Connection: close\r\n\r\n";
-  Town town;
+  Town fixture;
   uint64_t until_us;
   int fd;
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town_add (&town, 0, MF_ROLE_DECODE, town_stream_hangs);
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  town_add (&fixture, 0, MF_ROLE_DECODE, town_stream_hangs);
   fd = loop_connect (PORT);
   loop_send (fd, text, strlen (text));
   until_us = mf_clock_now_us () + 1900 * MF_US_PER_MS;
   while (mf_clock_now_us () < until_us)
     {
-      loop_spin (town.loop, 5);
+      loop_spin (fixture.loop, 5);
       /* Events keep coming, so that it is not given up for its silence. */
-      fake_wire_send (fake_wire_last_conn (town.upstreams[0].wire), "3\r\n:\n\n\r\n");
+      fake_wire_send (fake_wire_last_conn (fixture.upstreams[0].wire), "3\r\n:\n\n\r\n");
     }
-  town_add (&town, 1, MF_ROLE_DECODE, act_stream);
-  fake_wire_close (fake_wire_last_conn (town.upstreams[0].wire), true);
-  loop_receive (town.loop, fd, "\r\n0\r\n\r\n", town.got, sizeof town.got);
-  assert_int_equal (town_n_requests (&town, 1), 1);
-  assert_non_null (strstr (town.got, "id: 2\ndata: b\n\n"));
-  assert_non_null (strstr (town.got, "\r\n0\r\n\r\n"));
+  town_add (&fixture, 1, MF_ROLE_DECODE, handle_stream);
+  fake_wire_close (fake_wire_last_conn (fixture.upstreams[0].wire), true);
+  loop_receive (fixture.loop, fd, "\r\n0\r\n\r\n", fixture.got, sizeof fixture.got);
+  assert_int_equal (town_n_requests (&fixture, 1), 1);
+  assert_non_null (strstr (fixture.got, "id: 2\ndata: b\n\n"));
+  assert_non_null (strstr (fixture.got, "\r\n0\r\n\r\n"));
   close (fd);
-  town_done (&town);
+  teardown (&fixture);
 }
 
 static void
 test_broken_stream_that_cannot_go_on_does_not_look_whole (void **state)
 {
-  Town town;
+  Town fixture;
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town_add (&town, 0, MF_ROLE_DECODE, town_stream_breaks);
-  town_add (&town, 1, MF_ROLE_DECODE, act_stream);
-  call (&town, "POST", "/once/1");
-  assert_status (&town, "200");
-  assert_null (strstr (town.got, "\r\n0\r\n\r\n"));
-  assert_int_equal (town_n_requests (&town, 1), 0);
-  town_done (&town);
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  town_add (&fixture, 0, MF_ROLE_DECODE, town_stream_breaks);
+  town_add (&fixture, 1, MF_ROLE_DECODE, handle_stream);
+  call (&fixture, "POST", "/once/1");
+  assert_status (&fixture, "200");
+  assert_null (strstr (fixture.got, "\r\n0\r\n\r\n"));
+  assert_int_equal (town_n_requests (&fixture, 1), 0);
+  teardown (&fixture);
 }
 
 /* A stream that could not be whole before its caller gives up is refused at once and not begun. */
 static void
 test_stream_without_time_is_refused_at_once (void **state)
 {
-  Town town;
+  Town fixture;
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town_add (&town, 0, MF_ROLE_DECODE, act_stream);
-  town.jobs.answer_tokens = 40.;
-  town.jobs.token_us = 200. * (double)MF_US_PER_MS;
-  call (&town, "POST", "/llm/1");
-  assert_status (&town, "503");
-  assert_int_equal (town_n_requests (&town, 0), 0);
-  town.jobs.token_us = 10. * (double)MF_US_PER_MS;
-  call (&town, "POST", "/llm/1");
-  assert_status (&town, "200");
-  town_done (&town);
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  town_add (&fixture, 0, MF_ROLE_DECODE, handle_stream);
+  fixture.jobs.answer_tokens = 40.;
+  fixture.jobs.token_us = 200. * (double)MF_US_PER_MS;
+  call (&fixture, "POST", "/llm/1");
+  assert_status (&fixture, "503");
+  assert_int_equal (town_n_requests (&fixture, 0), 0);
+  fixture.jobs.token_us = 10. * (double)MF_US_PER_MS;
+  call (&fixture, "POST", "/llm/1");
+  assert_status (&fixture, "200");
+  teardown (&fixture);
 }
 
 static bool
-nobody_is_served (void *data)
+no_jobs_left (void *data)
 {
   return ((Town *)data)->jobs.n_jobs == 0;
 }
@@ -530,38 +534,38 @@
 static void
 test_departed_caller_stops_its_work (void **state)
 {
-  static const TownAct acts[] = { act_mute, town_stream_hangs };
+  static const TownAct handlers[] = { handle_no_answer, town_stream_hangs };
 
   (void)state;
-  for (size_t i = 0; i < MF_ARRAY_LEN (acts); i++)
+  for (size_t i = 0; i < MF_ARRAY_LEN (handlers); i++)
     {
       static const char text[] = "POST /once/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: t\r\n\r\n";
-      Town town;
+      Town fixture;
       int fd;
 
-      town_begin (&town, ev_loop_new (0), PORT);
-      town_add (&town, 0, MF_ROLE_DECODE, acts[i]);
+      town_begin (&fixture, ev_loop_new (0), PORT);
+      town_add (&fixture, 0, MF_ROLE_DECODE, handlers[i]);
       fd = loop_connect (PORT);
       loop_send (fd, text, strlen (text));
-      loop_spin (town.loop, 20);
-      assert_int_equal (town_n_requests (&town, 0), 1);
+      loop_spin (fixture.loop, 20);
+      assert_int_equal (town_n_requests (&fixture, 0), 1);
       close (fd);
-      assert_true (loop_pump (town.loop, nobody_is_served, &town));
-      loop_spin (town.loop, 20);
-      assert_int_equal (fake_wire_n_left (town.upstreams[0].wire), 1);
-      town_done (&town);
+      assert_true (loop_pump (fixture.loop, no_jobs_left, &fixture));
+      loop_spin (fixture.loop, 20);
+      assert_int_equal (fake_wire_n_left (fixture.upstreams[0].wire), 1);
+      teardown (&fixture);
     }
 }
 
 static void
-act_good_leaving (FakeWireConn *conn, const char *text, const char *id)
+handle_good_leaving (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
   town_answer (conn, id, "200 OK", TOWN_SEAL "Server-Leaving: 1\r\n", "good");
 }
 
 static void
-act_decline_leaving (FakeWireConn *conn, const char *text, const char *id)
+handle_decline_leaving (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
   town_answer (conn, id, "503 Service Unavailable", "X-Not-Executed: 1\r\nServer-Leaving: 1\r\n",
@@ -569,7 +573,7 @@
 }
 
 static void
-act_pause (FakeWireConn *conn, const char *text, const char *id)
+handle_pause (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
   town_answer (conn, id, "503 Service Unavailable", "X-Not-Executed: 1\r\nRetry-After: 0.3\r\n",
@@ -579,7 +583,7 @@
 static const char *pause_value;
 
 static void
-act_pause_with_value (FakeWireConn *conn, const char *text, const char *id)
+handle_pause_with_value (FakeWireConn *conn, const char *text, const char *id)
 {
   char headers[96];
 
@@ -592,34 +596,34 @@
 static void
 test_upstream_that_says_it_leaves_gets_no_more (void **state)
 {
-  static const TownAct acts[] = { act_good_leaving, act_decline_leaving };
+  static const TownAct handlers[] = { handle_good_leaving, handle_decline_leaving };
 
   (void)state;
-  for (size_t i = 0; i < MF_ARRAY_LEN (acts); i++)
+  for (size_t i = 0; i < MF_ARRAY_LEN (handlers); i++)
     {
-      Town town;
+      Town fixture;
 
-      town_begin (&town, ev_loop_new (0), PORT);
-      town_add (&town, 0, MF_ROLE_PLAIN, acts[i]);
-      town_add (&town, 1, MF_ROLE_PLAIN, act_good);
+      town_begin (&fixture, ev_loop_new (0), PORT);
+      town_add (&fixture, 0, MF_ROLE_PLAIN, handlers[i]);
+      town_add (&fixture, 1, MF_ROLE_PLAIN, handle_good);
       for (uint32_t n = 0; n < 5; n++)
         {
-          call (&town, "POST", "/order/1");
-          assert_status (&town, "200");
+          call (&fixture, "POST", "/order/1");
+          assert_status (&fixture, "200");
         }
-      assert_int_equal (town_n_requests (&town, 0), 1);
-      town.upstreams[1].act = act_good_leaving;
-      call (&town, "POST", "/order/1");
-      call (&town, "POST", "/order/1");
-      assert_status (&town, "503");
-      assert_int_equal (town_n_requests (&town, 0), 1);
-      town_done (&town);
+      assert_int_equal (town_n_requests (&fixture, 0), 1);
+      fixture.upstreams[1].act = handle_good_leaving;
+      call (&fixture, "POST", "/order/1");
+      call (&fixture, "POST", "/order/1");
+      assert_status (&fixture, "503");
+      assert_int_equal (town_n_requests (&fixture, 0), 1);
+      teardown (&fixture);
     }
 }
 
 /* The engine that reads prompts says so: later prompts are read elsewhere. */
 static void
-act_prefill_leaving (FakeWireConn *conn, const char *text, const char *id)
+handle_prefill_leaving (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
   town_answer (conn, id, "200 OK", "Server-Leaving: 1\r\n",
@@ -629,80 +633,80 @@
 static void
 test_engine_that_says_it_leaves_gets_no_more (void **state)
 {
-  Town town;
+  Town fixture;
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town_add (&town, 0, MF_ROLE_PREFILL, act_prefill_leaving);
-  town_add (&town, 1, MF_ROLE_PREFILL, town_prefill);
-  town_add (&town, 2, MF_ROLE_DECODE, act_stream);
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  town_add (&fixture, 0, MF_ROLE_PREFILL, handle_prefill_leaving);
+  town_add (&fixture, 1, MF_ROLE_PREFILL, town_prefill);
+  town_add (&fixture, 2, MF_ROLE_DECODE, handle_stream);
   for (uint32_t n = 0; n < 4; n++)
     {
-      call (&town, "POST", "/llm/1");
-      assert_status (&town, "200");
+      call (&fixture, "POST", "/llm/1");
+      assert_status (&fixture, "200");
     }
-  assert_int_equal (town_n_requests (&town, 0), 1);
-  assert_int_equal (town_n_requests (&town, 1), 3);
-  town_done (&town);
+  assert_int_equal (town_n_requests (&fixture, 0), 1);
+  assert_int_equal (town_n_requests (&fixture, 1), 3);
+  teardown (&fixture);
 }
 
 /* A pause is kept to: other upstreams take the requests; without any, callers are told when. */
 static void
 test_upstream_that_asks_for_a_pause_gets_it (void **state)
 {
-  Town town;
-  const char *after;
+  Town fixture;
+  const char *retry_after;
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town.jobs.budget_slack = 20;
-  town_add (&town, 0, MF_ROLE_PLAIN, act_pause);
-  call (&town, "POST", "/order/1");
-  assert_status (&town, "503");
-  town.upstreams[0].act = act_good;
-  call (&town, "POST", "/order/1");
-  assert_status (&town, "503");
-  after = strstr (town.got, "Retry-After: ");
-  assert_non_null (after);
-  assert_in_range ((int)(atof (after + 13) * 1000.), 150, 450);
-  assert_int_equal (town_n_requests (&town, 0), 1);
-  town_add (&town, 1, MF_ROLE_PLAIN, act_good);
-  call (&town, "POST", "/order/1");
-  assert_status (&town, "200");
-  assert_int_equal (town_n_requests (&town, 0), 1);
-  loop_spin (town.loop, 320);
-  town.upstreams[1].act = act_pause;
-  call (&town, "POST", "/order/1");
-  assert_status (&town, "200");
-  assert_int_equal (town_n_requests (&town, 0), 2);
-  town_done (&town);
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  fixture.jobs.budget_slack = 20;
+  town_add (&fixture, 0, MF_ROLE_PLAIN, handle_pause);
+  call (&fixture, "POST", "/order/1");
+  assert_status (&fixture, "503");
+  fixture.upstreams[0].act = handle_good;
+  call (&fixture, "POST", "/order/1");
+  assert_status (&fixture, "503");
+  retry_after = strstr (fixture.got, "Retry-After: ");
+  assert_non_null (retry_after);
+  assert_in_range ((int)(atof (retry_after + 13) * 1000.), 150, 450);
+  assert_int_equal (town_n_requests (&fixture, 0), 1);
+  town_add (&fixture, 1, MF_ROLE_PLAIN, handle_good);
+  call (&fixture, "POST", "/order/1");
+  assert_status (&fixture, "200");
+  assert_int_equal (town_n_requests (&fixture, 0), 1);
+  loop_spin (fixture.loop, 320);
+  fixture.upstreams[1].act = handle_pause;
+  call (&fixture, "POST", "/order/1");
+  assert_status (&fixture, "200");
+  assert_int_equal (town_n_requests (&fixture, 0), 2);
+  teardown (&fixture);
 }
 
 /* Streams wait for the first pause to end when their callers have the time. */
 static void
 test_streams_wait_for_the_end_of_a_pause (void **state)
 {
-  Town town;
+  Town fixture;
   uint32_t n_before;
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town_add (&town, 0, MF_ROLE_DECODE, act_pause);
-  call (&town, "POST", "/llm/1");
-  assert_status (&town, "503");
-  town.upstreams[0].act = act_stream;
-  n_before = town_n_requests (&town, 0);
-  call (&town, "POST", "/llm/1");
-  assert_status (&town, "200");
-  assert_int_equal (town_n_requests (&town, 0), n_before + 1);
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  town_add (&fixture, 0, MF_ROLE_DECODE, handle_pause);
+  call (&fixture, "POST", "/llm/1");
+  assert_status (&fixture, "503");
+  fixture.upstreams[0].act = handle_stream;
+  n_before = town_n_requests (&fixture, 0);
+  call (&fixture, "POST", "/llm/1");
+  assert_status (&fixture, "200");
+  assert_int_equal (town_n_requests (&fixture, 0), n_before + 1);
   pause_value = "60";
-  town.upstreams[0].act = act_pause_with_value;
-  call (&town, "POST", "/llm/1");
-  assert_status (&town, "503");
-  call (&town, "POST", "/llm/1");
-  assert_status (&town, "503");
-  assert_int_equal (town_n_requests (&town, 0), n_before + 2);
-  town_done (&town);
+  fixture.upstreams[0].act = handle_pause_with_value;
+  call (&fixture, "POST", "/llm/1");
+  assert_status (&fixture, "503");
+  call (&fixture, "POST", "/llm/1");
+  assert_status (&fixture, "503");
+  assert_int_equal (town_n_requests (&fixture, 0), n_before + 2);
+  teardown (&fixture);
 }
 
 static void
@@ -714,49 +718,49 @@
   (void)state;
   for (size_t i = 0; i < MF_ARRAY_LEN (values); i++)
     {
-      Town town;
+      Town fixture;
 
-      town_begin (&town, ev_loop_new (0), PORT);
-      town_add (&town, 0, MF_ROLE_PLAIN, act_pause_with_value);
+      town_begin (&fixture, ev_loop_new (0), PORT);
+      town_add (&fixture, 0, MF_ROLE_PLAIN, handle_pause_with_value);
       pause_value = values[i];
-      call (&town, "POST", "/order/1");
-      assert_status (&town, "503");
-      town.upstreams[0].act = act_good;
-      call (&town, "POST", "/order/1");
-      assert_status (&town, "200");
-      town_done (&town);
+      call (&fixture, "POST", "/order/1");
+      assert_status (&fixture, "503");
+      fixture.upstreams[0].act = handle_good;
+      call (&fixture, "POST", "/order/1");
+      assert_status (&fixture, "200");
+      teardown (&fixture);
     }
 }
 
 static void
 test_unreachable_upstream_costs_no_request (void **state)
 {
-  Town town;
+  Town fixture;
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town_add (&town, 0, MF_ROLE_PLAIN, act_good);
-  town_add (&town, 1, MF_ROLE_PLAIN, act_good);
-  fake_wire_free (town.upstreams[0].wire);
-  town.upstreams[0].wire = NULL;
-  call (&town, "POST", "/order/1");
-  assert_status (&town, "200");
-  assert_int_equal (town_n_requests (&town, 1), 1);
-  town_done (&town);
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  town_add (&fixture, 0, MF_ROLE_PLAIN, handle_good);
+  town_add (&fixture, 1, MF_ROLE_PLAIN, handle_good);
+  fake_wire_free (fixture.upstreams[0].wire);
+  fixture.upstreams[0].wire = NULL;
+  call (&fixture, "POST", "/order/1");
+  assert_status (&fixture, "200");
+  assert_int_equal (town_n_requests (&fixture, 1), 1);
+  teardown (&fixture);
 }
 
 static void
 test_deadline_ends_what_does_not_answer (void **state)
 {
-  Town town;
+  Town fixture;
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town_add (&town, 0, MF_ROLE_DECODE, act_mute);
-  call (&town, "POST", "/once/1");
-  assert_status (&town, "504");
-  assert_null (strstr (town.got, "Retry-After"));
-  town_done (&town);
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  town_add (&fixture, 0, MF_ROLE_DECODE, handle_no_answer);
+  call (&fixture, "POST", "/once/1");
+  assert_status (&fixture, "504");
+  assert_null (strstr (fixture.got, "Retry-After"));
+  teardown (&fixture);
 }
 
 /* Ten callers want four slots: all are answered, never five at once. */
@@ -764,30 +768,30 @@
 test_requests_wait_for_room (void **state)
 {
   static const char text[] = "POST /llm/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: t\r\n\r\n";
-  Town town;
+  Town fixture;
   int fds[10];
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town_add (&town, 0, MF_ROLE_DECODE, town_stream_hangs);
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  town_add (&fixture, 0, MF_ROLE_DECODE, town_stream_hangs);
   for (size_t i = 0; i < MF_ARRAY_LEN (fds); i++)
     {
       fds[i] = loop_connect (PORT);
       loop_send (fds[i], text, strlen (text));
-      loop_spin (town.loop, 5);
+      loop_spin (fixture.loop, 5);
     }
-  assert_int_equal (town_n_requests (&town, 0), 4);
-  town.upstreams[0].act = act_stream;
+  assert_int_equal (town_n_requests (&fixture, 0), 4);
+  fixture.upstreams[0].act = handle_stream;
   for (size_t i = 0; i < 4; i++)
     close (fds[i]);
   for (size_t i = 4; i < MF_ARRAY_LEN (fds); i++)
     {
-      loop_receive (town.loop, fds[i], "\r\n0\r\n\r\n", town.got, sizeof town.got);
-      assert_status (&town, "200");
+      loop_receive (fixture.loop, fds[i], "\r\n0\r\n\r\n", fixture.got, sizeof fixture.got);
+      assert_status (&fixture, "200");
       close (fds[i]);
     }
-  assert_int_equal (town_n_requests (&town, 0), 10);
-  town_done (&town);
+  assert_int_equal (town_n_requests (&fixture, 0), 10);
+  teardown (&fixture);
 }
 
 int
--- a/tests/test_job_answer.c
+++ b/tests/test_job_answer.c
@@ -17,10 +17,10 @@
 #define PORT 21811
 #define N_CALLERS 20
 /* The longest route takes 3 s. */
-#define ANSWERED_US (4 * MF_US_PER_S)
+#define ANSWER_TIMEOUT_US (4 * MF_US_PER_S)
 /* A stream that makes no progress must have gone on elsewhere by then: half of its route
  * time. */
-#define STALL_US (1500 * MF_US_PER_MS)
+#define STALL_TIMEOUT_US (1500 * MF_US_PER_MS)
 
 #define PLAIN_HEAD "HTTP/1.1 200 OK\r\nX-Attempt-Id: t\r\n" TOWN_SEAL
 #define JUNK                                                                                       \
@@ -56,7 +56,7 @@
 static const Flood *flood;
 
 static void
-act_flood (FakeWireConn *conn, const char *text, const char *id)
+handle_flood (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
   (void)id;
@@ -65,23 +65,23 @@
 }
 
 static void
-act_flood_on_release (FakeWireConn *conn, const char *text, const char *id)
+handle_flood_on_release (FakeWireConn *conn, const char *text, const char *id)
 {
   if (strncmp (text, "DELETE ", 7) == 0)
-    act_flood (conn, text, id);
+    handle_flood (conn, text, id);
   else
     town_prefill (conn, text, id);
 }
 
 static void
-act_good (FakeWireConn *conn, const char *text, const char *id)
+handle_good (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
   town_answer (conn, id, "200 OK", TOWN_SEAL, "good");
 }
 
 static void
-act_stream (FakeWireConn *conn, const char *text, const char *id)
+handle_stream (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
   (void)id;
@@ -89,7 +89,7 @@
 }
 
 static int
-call_begin (const Town *town, const char *method, const char *path)
+call_begin (const Town *fixture, const char *method, const char *path)
 {
   char text[256];
   int fd = loop_connect (PORT);
@@ -100,47 +100,47 @@
             "Connection: close\r\nContent-Length: 2\r\n\r\nhi",
             method, path);
   loop_send (fd, text, strlen (text));
-  loop_spin (town->loop, 1);
+  loop_spin (fixture->loop, 1);
   return fd;
 }
 
 /* Reads a whole answer. A flood makes turns of the loop short, so that time bounds it. */
 static void
-call (Town *town, const char *method, const char *path)
+call (Town *fixture, const char *method, const char *path)
 {
-  int fd = call_begin (town, method, path);
-  uint64_t until_us = mf_clock_now_us () + ANSWERED_US;
+  int fd = call_begin (fixture, method, path);
+  uint64_t until_us = mf_clock_now_us () + ANSWER_TIMEOUT_US;
   size_t n_got = 0;
   ssize_t n_read = -1;
 
   while (n_read != 0 && mf_clock_now_us () < until_us)
     {
-      loop_spin (town->loop, 1);
-      n_read = read (fd, town->got + n_got, sizeof town->got - 1 - n_got);
+      loop_spin (fixture->loop, 1);
+      n_read = read (fd, fixture->got + n_got, sizeof fixture->got - 1 - n_got);
       n_got += n_read > 0 ? (size_t)n_read : 0;
     }
-  town->got[n_got] = '\0';
+  fixture->got[n_got] = '\0';
   assert_int_equal (n_read, 0);
   close (fd);
 }
 
 static void
-town_done (Town *town)
+teardown (Town *fixture)
 {
-  struct ev_loop *loop = town->loop;
+  struct ev_loop *loop = fixture->loop;
 
-  town_end (town);
+  town_end (fixture);
   ev_loop_destroy (loop);
 }
 
 static bool
-nobody_is_served (void *data)
+no_jobs_left (void *data)
 {
   return ((Town *)data)->jobs.n_jobs == 0;
 }
 
 static bool
-has_left (void *data)
+has_disconnected (void *data)
 {
   return fake_wire_n_left (((Town *)data)->upstreams[0].wire) > 0;
 }
@@ -152,18 +152,18 @@
   (void)state;
   for (size_t i = 0; i < MF_ARRAY_LEN (floods); i++)
     {
-      Town town;
+      Town fixture;
 
       flood = &floods[i];
-      town_begin (&town, ev_loop_new (0), PORT);
-      town_add (&town, 0, MF_ROLE_PLAIN, act_flood);
-      town_add (&town, 1, MF_ROLE_PLAIN, act_good);
-      call (&town, "POST", "/order/1");
-      assert_memory_equal (town.got, "HTTP/1.1 50", 11);
-      assert_memory_not_equal (town.got + 9, "503", 3);
-      assert_int_equal (town_n_requests (&town, 1), 0);
-      assert_true (loop_pump (town.loop, has_left, &town));
-      town_done (&town);
+      town_begin (&fixture, ev_loop_new (0), PORT);
+      town_add (&fixture, 0, MF_ROLE_PLAIN, handle_flood);
+      town_add (&fixture, 1, MF_ROLE_PLAIN, handle_good);
+      call (&fixture, "POST", "/order/1");
+      assert_memory_equal (fixture.got, "HTTP/1.1 50", 11);
+      assert_memory_not_equal (fixture.got + 9, "503", 3);
+      assert_int_equal (town_n_requests (&fixture, 1), 0);
+      assert_true (loop_pump (fixture.loop, has_disconnected, &fixture));
+      teardown (&fixture);
     }
 }
 
@@ -174,16 +174,16 @@
   (void)state;
   for (size_t i = 0; i < MF_ARRAY_LEN (floods); i++)
     {
-      Town town;
+      Town fixture;
 
       flood = &floods[i];
-      town_begin (&town, ev_loop_new (0), PORT);
-      town_add (&town, 0, MF_ROLE_PLAIN, act_flood);
-      town_add (&town, 1, MF_ROLE_PLAIN, act_good);
-      call (&town, "GET", "/read/1");
-      assert_memory_equal (town.got, "HTTP/1.1 200", 12);
-      assert_non_null (strstr (town.got, "good"));
-      town_done (&town);
+      town_begin (&fixture, ev_loop_new (0), PORT);
+      town_add (&fixture, 0, MF_ROLE_PLAIN, handle_flood);
+      town_add (&fixture, 1, MF_ROLE_PLAIN, handle_good);
+      call (&fixture, "GET", "/read/1");
+      assert_memory_equal (fixture.got, "HTTP/1.1 200", 12);
+      assert_non_null (strstr (fixture.got, "good"));
+      teardown (&fixture);
     }
 }
 
@@ -194,17 +194,17 @@
   (void)state;
   for (size_t i = 0; i < MF_ARRAY_LEN (floods); i++)
     {
-      Town town;
+      Town fixture;
 
       flood = &floods[i];
-      town_begin (&town, ev_loop_new (0), PORT);
-      town_add (&town, 0, MF_ROLE_PREFILL, act_flood);
-      town_add (&town, 1, MF_ROLE_PREFILL, town_prefill);
-      town_add (&town, 2, MF_ROLE_DECODE, act_stream);
-      call (&town, "POST", "/llm/1");
-      assert_memory_equal (town.got, "HTTP/1.1 200", 12);
-      assert_non_null (strstr (town.got, "id: 1\ndata: a\n\n"));
-      town_done (&town);
+      town_begin (&fixture, ev_loop_new (0), PORT);
+      town_add (&fixture, 0, MF_ROLE_PREFILL, handle_flood);
+      town_add (&fixture, 1, MF_ROLE_PREFILL, town_prefill);
+      town_add (&fixture, 2, MF_ROLE_DECODE, handle_stream);
+      call (&fixture, "POST", "/llm/1");
+      assert_memory_equal (fixture.got, "HTTP/1.1 200", 12);
+      assert_non_null (strstr (fixture.got, "id: 1\ndata: a\n\n"));
+      teardown (&fixture);
     }
 }
 
@@ -214,29 +214,29 @@
 test_events_without_end_end_the_stream (void **state)
 {
   static const Flood endless = { TOWN_STREAM_HEAD, "c8\r\n" JUNK "\r\n" };
-  Town town;
+  Town fixture;
   int fd;
 
   (void)state;
   flood = &endless;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town_add (&town, 0, MF_ROLE_DECODE, act_flood);
-  town_add (&town, 1, MF_ROLE_DECODE, act_stream);
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  town_add (&fixture, 0, MF_ROLE_DECODE, handle_flood);
+  town_add (&fixture, 1, MF_ROLE_DECODE, handle_stream);
   /* No event has come, so that it cannot go on. */
-  call (&town, "POST", "/llm/1");
-  assert_null (strstr (town.got, JUNK));
-  assert_null (strstr (town.got, "\r\n0\r\n\r\n"));
-  fd = call_begin (&town, "POST", "/once/1");
-  for (uint32_t i = 0; i < 200 && !nobody_is_served (&town); i++)
+  call (&fixture, "POST", "/llm/1");
+  assert_null (strstr (fixture.got, JUNK));
+  assert_null (strstr (fixture.got, "\r\n0\r\n\r\n"));
+  fd = call_begin (&fixture, "POST", "/once/1");
+  for (uint32_t i = 0; i < 200 && !no_jobs_left (&fixture); i++)
     {
-      loop_spin (town.loop, 1);
-      while (read (fd, town.got, sizeof town.got) > 0)
+      loop_spin (fixture.loop, 1);
+      while (read (fd, fixture.got, sizeof fixture.got) > 0)
         ;
     }
-  assert_int_equal (town.jobs.n_jobs, 0);
-  assert_true (loop_pump (town.loop, has_left, &town));
+  assert_int_equal (fixture.jobs.n_jobs, 0);
+  assert_true (loop_pump (fixture.loop, has_disconnected, &fixture));
   close (fd);
-  town_done (&town);
+  teardown (&fixture);
 }
 
 /* The upstream may be forgotten by discovery while it floods its last request. */
@@ -244,20 +244,20 @@
 test_forgotten_upstream_floods (void **state)
 {
   static const Flood endless = { TOWN_STREAM_HEAD, "c8\r\n" JUNK "\r\n" };
-  Town town;
+  Town fixture;
   int fd;
 
   (void)state;
   flood = &endless;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town_add (&town, 0, MF_ROLE_DECODE, act_flood);
-  fd = call_begin (&town, "POST", "/llm/1");
-  while (town_n_requests (&town, 0) == 0)
-    loop_spin (town.loop, 1);
-  mf_targets_remove (&town.jobs.targets, "u0", true, mf_clock_now_us ());
-  assert_true (loop_pump (town.loop, nobody_is_served, &town));
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  town_add (&fixture, 0, MF_ROLE_DECODE, handle_flood);
+  fd = call_begin (&fixture, "POST", "/llm/1");
+  while (town_n_requests (&fixture, 0) == 0)
+    loop_spin (fixture.loop, 1);
+  mf_targets_remove (&fixture.jobs.targets, "u0", true, mf_clock_now_us ());
+  assert_true (loop_pump (fixture.loop, no_jobs_left, &fixture));
   close (fd);
-  town_done (&town);
+  teardown (&fixture);
 }
 
 /* Bytes that end no event are no progress: the stream goes on elsewhere, as after silence. */
@@ -266,29 +266,29 @@
 {
   static const char text[] = "POST /llm/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: t\r\n"
                              "Connection: close\r\n\r\n";
-  Town town;
+  Town fixture;
   uint64_t until_us;
   int fd;
 
   (void)state;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town_add (&town, 0, MF_ROLE_DECODE, town_stream_hangs);
-  town_add (&town, 1, MF_ROLE_DECODE, act_stream);
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  town_add (&fixture, 0, MF_ROLE_DECODE, town_stream_hangs);
+  town_add (&fixture, 1, MF_ROLE_DECODE, handle_stream);
   fd = loop_connect (PORT);
   loop_send (fd, text, strlen (text));
-  until_us = mf_clock_now_us () + STALL_US;
-  while (mf_clock_now_us () < until_us && town_n_requests (&town, 1) == 0)
+  until_us = mf_clock_now_us () + STALL_TIMEOUT_US;
+  while (mf_clock_now_us () < until_us && town_n_requests (&fixture, 1) == 0)
     {
       FakeWireConn *conn;
 
-      loop_spin (town.loop, 5);
-      conn = fake_wire_last_conn (town.upstreams[0].wire);
+      loop_spin (fixture.loop, 5);
+      conn = fake_wire_last_conn (fixture.upstreams[0].wire);
       if (conn != NULL)
         fake_wire_send (conn, "1\r\nd\r\n");
     }
-  assert_int_equal (town_n_requests (&town, 1), 1);
+  assert_int_equal (town_n_requests (&fixture, 1), 1);
   close (fd);
-  town_done (&town);
+  teardown (&fixture);
 }
 
 /* An engine that answers the freeing of its memory without end is left after a while. */
@@ -296,19 +296,19 @@
 test_release_without_end_is_given_up (void **state)
 {
   static const Flood interim = { "", "HTTP/1.1 102 Processing\r\n\r\n" };
-  Town town;
+  Town fixture;
   uint64_t until_us = mf_clock_now_us () + 4 * MF_US_PER_S;
 
   (void)state;
   flood = &interim;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town_add (&town, 0, MF_ROLE_PREFILL, act_flood_on_release);
-  town_add (&town, 1, MF_ROLE_DECODE, town_decline);
-  call (&town, "POST", "/once/1");
-  while (mf_clock_now_us () < until_us && !has_left (&town))
-    loop_spin (town.loop, 1);
-  assert_true (has_left (&town));
-  town_done (&town);
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  town_add (&fixture, 0, MF_ROLE_PREFILL, handle_flood_on_release);
+  town_add (&fixture, 1, MF_ROLE_DECODE, town_decline);
+  call (&fixture, "POST", "/once/1");
+  while (mf_clock_now_us () < until_us && !has_disconnected (&fixture))
+    loop_spin (fixture.loop, 1);
+  assert_true (has_disconnected (&fixture));
+  teardown (&fixture);
 }
 
 /* Many large answers at once keep to what they may take together; small ones beside them come. */
@@ -317,33 +317,33 @@
 {
   static const Flood body = { PLAIN_HEAD "Content-Length: 2000000\r\n\r\n", JUNK };
   static const uint64_t limit_bytes = 1024 * 1024;
-  Town town;
+  Town fixture;
   int fds[N_CALLERS];
   uint64_t most_bytes = 0;
 
   (void)state;
   flood = &body;
-  town_begin (&town, ev_loop_new (0), PORT);
-  town.jobs.answer_bytes_max = limit_bytes;
-  town_add (&town, 0, MF_ROLE_PLAIN, act_flood);
+  town_begin (&fixture, ev_loop_new (0), PORT);
+  fixture.jobs.answer_bytes_max = limit_bytes;
+  town_add (&fixture, 0, MF_ROLE_PLAIN, handle_flood);
   for (uint32_t i = 0; i < N_CALLERS; i++)
-    fds[i] = call_begin (&town, "POST", "/order/1");
-  while (!nobody_is_served (&town))
+    fds[i] = call_begin (&fixture, "POST", "/order/1");
+  while (!no_jobs_left (&fixture))
     {
       uint64_t kept_bytes = 0;
 
-      loop_spin (town.loop, 1);
-      for (const MfJob *job = town.jobs.first; job != NULL; job = job->next)
+      loop_spin (fixture.loop, 1);
+      for (const MfJob *job = fixture.jobs.first; job != NULL; job = job->next)
         kept_bytes += mf_buffer_bytes (&job->answer.body);
       most_bytes = kept_bytes > most_bytes ? kept_bytes : most_bytes;
     }
   assert_in_range (most_bytes, 1, limit_bytes + 65536);
   for (uint32_t i = 0; i < N_CALLERS; i++)
     close (fds[i]);
-  town.upstreams[0].act = act_good;
-  call (&town, "POST", "/order/1");
-  assert_memory_equal (town.got, "HTTP/1.1 200", 12);
-  town_done (&town);
+  fixture.upstreams[0].act = handle_good;
+  call (&fixture, "POST", "/order/1");
+  assert_memory_equal (fixture.got, "HTTP/1.1 200", 12);
+  teardown (&fixture);
 }
 
 int
--- a/tests/test_job_room.c
+++ b/tests/test_job_room.c
@@ -20,14 +20,14 @@
 #define SLACK 12
 
 static void
-fleet_begin (TownFleet *fleet, uint32_t n_engines, TownAct act)
+fleet_setup (TownFleet *fleet, uint32_t n_engines, TownAct handler)
 {
   town_fleet_begin (fleet, DOOR_PORT, PEER_PORT);
-  town_fleet_add_engines (fleet, n_engines, act);
+  town_fleet_add_engines (fleet, n_engines, handler);
 }
 
 static int
-call_begin (TownFleet *fleet, uint32_t index)
+start_call (TownFleet *fleet, uint32_t index)
 {
   static const char text[] = "POST /llm/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: t\r\n"
                              "X-Deadline-Ms: 3000\r\n\r\n";
@@ -41,7 +41,7 @@
 
 /* The instance that decides for all. */
 static uint32_t
-leader_find (TownFleet *fleet)
+find_leader (TownFleet *fleet)
 {
   for (uint32_t i = 0; i < N; i++)
     {
@@ -62,19 +62,19 @@
   uint32_t leader;
   int running[SLOTS];
   int waiting[N_WAITING];
-  MfPeers *gone;
+  MfPeers *peers;
 
   (void)state;
-  fleet_begin (&fleet, 1, town_stream_hangs);
-  leader = leader_find (&fleet);
+  fleet_setup (&fleet, 1, town_stream_hangs);
+  leader = find_leader (&fleet);
   for (uint32_t i = 0; i < SLOTS; i++)
-    running[i] = call_begin (&fleet, (leader + 1) % N);
+    running[i] = start_call (&fleet, (leader + 1) % N);
   for (uint32_t i = 0; i < N_WAITING; i++)
-    waiting[i] = call_begin (&fleet, (leader + 1 + i % (N - 1)) % N);
+    waiting[i] = start_call (&fleet, (leader + 1 + i % (N - 1)) % N);
   assert_int_equal (town_n_requests (&fleet.towns[0], 0), SLOTS);
-  gone = fleet.towns[leader].jobs.peers;
+  peers = fleet.towns[leader].jobs.peers;
   fleet.towns[leader].jobs.peers = NULL;
-  mf_peers_free (gone);
+  mf_peers_free (peers);
   loop_spin (fleet.loop, 40);
   assert_int_equal (town_n_requests (&fleet.towns[0], 0), SLOTS);
   /* One place comes free, and one request takes it. */
@@ -92,7 +92,7 @@
 /* Sends beyond the first of each stage, for ten requests. A leader that has led for long may give
  * repeats. */
 static uint32_t
-n_repeats_of_ten (bool led_for_long, TownAct act, bool with_prefill)
+n_repeats_of_ten (bool led_for_window, TownAct handler, bool with_prefill)
 {
   TownFleet fleet;
   uint32_t leader;
@@ -100,7 +100,7 @@
   int calls[10];
   char got[1024];
 
-  fleet_begin (&fleet, TOWN_N_UPSTREAMS, act);
+  fleet_setup (&fleet, TOWN_N_UPSTREAMS, handler);
   for (uint32_t engine = 0; with_prefill && engine < 2; engine++)
     {
       char id[16];
@@ -110,7 +110,7 @@
       for (uint32_t i = 0; i < N; i++)
         mf_targets_find (&fleet.towns[i].jobs.targets, id)->info.role = MF_ROLE_PREFILL;
     }
-  leader = leader_find (&fleet);
+  leader = find_leader (&fleet);
   for (uint32_t i = 0; i < N; i++)
     {
       fleet.towns[i].jobs.budget_ratio = 0.;
@@ -124,10 +124,10 @@
       loop_spin (fleet.loop, 1);
     }
   assert_true (mf_jobs_find_lead (&fleet.towns[leader].jobs, "engines")->led_since_us > 0);
-  if (led_for_long)
+  if (led_for_window)
     mf_jobs_find_lead (&fleet.towns[leader].jobs, "engines")->led_since_us = 1;
   for (size_t i = 0; i < MF_ARRAY_LEN (calls); i++)
-    calls[i] = call_begin (&fleet, (leader + 1 + (uint32_t)i % (N - 1)) % N);
+    calls[i] = start_call (&fleet, (leader + 1 + (uint32_t)i % (N - 1)) % N);
   for (size_t i = 0; i < MF_ARRAY_LEN (calls); i++)
     {
       loop_receive (fleet.loop, calls[i], "Retry-After", got, sizeof got);
@@ -167,26 +167,26 @@
 {
   TownFleet fleet;
   uint32_t leader;
-  uint32_t asker;
+  uint32_t requester;
   int running[SLOTS - 1];
-  int asking;
+  int call_fd;
   char got[1024];
 
   (void)state;
-  fleet_begin (&fleet, 1, town_stream_hangs);
-  leader = leader_find (&fleet);
-  asker = (leader + 1) % N;
+  fleet_setup (&fleet, 1, town_stream_hangs);
+  leader = find_leader (&fleet);
+  requester = (leader + 1) % N;
   /* The engine that all know has room for one more, the other none of its. */
   for (uint32_t i = 0; i < SLOTS - 1; i++)
-    running[i] = call_begin (&fleet, asker);
+    running[i] = start_call (&fleet, requester);
   town_know (&fleet.towns[leader], "new", MF_ROLE_DECODE, "127.0.0.1:1");
-  asking = call_begin (&fleet, asker);
-  loop_receive (fleet.loop, asking, "data: a", got, sizeof got);
+  call_fd = start_call (&fleet, requester);
+  loop_receive (fleet.loop, call_fd, "data: a", got, sizeof got);
   assert_non_null (strstr (got, "data: a"));
-  assert_in_range (fleet.towns[asker].jobs.last_ask_id, SLOTS, SLOTS + 1);
+  assert_in_range (fleet.towns[requester].jobs.last_ask_id, SLOTS, SLOTS + 1);
   for (uint32_t i = 0; i < SLOTS - 1; i++)
     close (running[i]);
-  close (asking);
+  close (call_fd);
   loop_spin (fleet.loop, 10);
   town_fleet_end (&fleet);
 }
--- a/tests/test_job_stage.c
+++ b/tests/test_job_stage.c
@@ -18,22 +18,22 @@
 /* One instance that is alone with four engines. */
 typedef struct
 {
-  Town town;
+  Town relay;
   uint64_t now_us;
-  uint64_t awake_us;
-} Yard;
+  uint64_t boottime_us;
+} OrderFixture;
 
 static void
-on_fill (void *data, MfLoadReport *report)
+on_fill_report (void *data, MfLoadReport *report)
 {
   (void)data;
   (void)report;
 }
 
-static const MfPeersUser user = { .fill = on_fill };
+static const MfPeersUser user = { .fill = on_fill_report };
 
 static void
-act_take (FakeWireConn *conn, const char *text, const char *id)
+handle_accept (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
   (void)id;
@@ -41,7 +41,7 @@
 }
 
 static void
-act_refuse (FakeWireConn *conn, const char *text, const char *id)
+handle_refuse (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
   (void)id;
@@ -49,7 +49,7 @@
 }
 
 static void
-act_close (FakeWireConn *conn, const char *text, const char *id)
+handle_close (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
   (void)id;
@@ -59,19 +59,19 @@
 /* Five prefill engines, of which one is known to be out of reach, and four decode engines that are
  * full. */
 static void
-yard_begin (Yard *yard, TownAct act)
+order_fixture_setup (OrderFixture *fixture, TownAct handler)
 {
   MfError error = { 0 };
-  Town *town = &yard->town;
-
-  town_begin (town, ev_loop_new (0), DOOR_PORT);
-  town->jobs.peers = mf_peers_new (town->loop, PEER_ADDRESS, &user, town, town->lines, &error);
-  assert_non_null (town->jobs.peers);
-  town->jobs.orders_fenced = true;
-  town->jobs.order_turn_us = 3 * MF_US_PER_S;
-  mf_name_set (town->jobs.instance, sizeof town->jobs.instance, "front-1");
+  Town *relay = &fixture->relay;
+
+  town_begin (relay, ev_loop_new (0), DOOR_PORT);
+  relay->jobs.peers = mf_peers_new (relay->loop, PEER_ADDRESS, &user, relay, relay->lines, &error);
+  assert_non_null (relay->jobs.peers);
+  relay->jobs.orders_fenced = true;
+  relay->jobs.order_turn_us = 3 * MF_US_PER_S;
+  mf_name_set (relay->jobs.instance, sizeof relay->jobs.instance, "front-1");
   for (uint32_t i = 0; i < TOWN_N_UPSTREAMS; i++)
-    town_add (town, i, MF_ROLE_PREFILL, act);
+    town_add (relay, i, MF_ROLE_PREFILL, handler);
   for (uint32_t i = 0; i < 4; i++)
     {
       char id[16];
@@ -79,67 +79,67 @@
 
       snprintf (id, sizeof id, "d%u", i);
       snprintf (address, sizeof address, "127.0.0.1:%u", 1 + i);
-      town_know (town, id, MF_ROLE_DECODE, address);
-      mf_targets_find (&town->jobs.targets, id)->n_others = 4;
+      town_know (relay, id, MF_ROLE_DECODE, address);
+      mf_targets_find (&relay->jobs.targets, id)->n_others = 4;
     }
-  town_know (town, "p", MF_ROLE_PREFILL, "127.0.0.1:9");
-  mf_targets_find (&town->jobs.targets, "p")->suspect_until_us = UINT64_MAX;
-  yard->now_us = mf_clock_now_us ();
-  yard->awake_us = yard->now_us;
+  town_know (relay, "p", MF_ROLE_PREFILL, "127.0.0.1:9");
+  mf_targets_find (&relay->jobs.targets, "p")->suspect_until_us = UINT64_MAX;
+  fixture->now_us = mf_clock_now_us ();
+  fixture->boottime_us = fixture->now_us;
 }
 
 static void
-yard_end (Yard *yard)
+order_fixture_teardown (OrderFixture *fixture)
 {
-  struct ev_loop *loop = yard->town.loop;
-  MfPeers *peers = yard->town.jobs.peers;
+  struct ev_loop *loop = fixture->relay.loop;
+  MfPeers *peers = fixture->relay.jobs.peers;
 
-  yard->town.jobs.peers = NULL;
+  fixture->relay.jobs.peers = NULL;
   mf_peers_free (peers);
-  town_end (&yard->town);
+  town_end (&fixture->relay);
   ev_loop_destroy (loop);
 }
 
 /* Lets so much time pass, in the steps of the process. */
 static void
-yard_pass (Yard *yard, uint64_t for_us)
+order_fixture_advance (OrderFixture *fixture, uint64_t duration_us)
 {
-  for (uint64_t us = 0; us < for_us; us += STEP_US)
+  for (uint64_t us = 0; us < duration_us; us += STEP_US)
     {
-      yard->now_us += STEP_US;
-      yard->awake_us += STEP_US;
-      yard->town.jobs.others_stale = false;
-      mf_jobs_lead (&yard->town.jobs, yard->now_us, yard->awake_us);
-      loop_spin (yard->town.loop, 1);
+      fixture->now_us += STEP_US;
+      fixture->boottime_us += STEP_US;
+      fixture->relay.jobs.others_stale = false;
+      mf_jobs_lead (&fixture->relay.jobs, fixture->now_us, fixture->boottime_us);
+      loop_spin (fixture->relay.loop, 1);
     }
 }
 
 static uint64_t
-n_orders (const Yard *yard)
+n_orders (const OrderFixture *fixture)
 {
-  return yard->town.jobs.counters.counts[MF_RELAY_COUNT_ORDERS];
+  return fixture->relay.jobs.counters.counts[MF_RELAY_COUNT_ORDERS];
 }
 
 static uint32_t
-n_changing (const Yard *yard)
+n_changing (const OrderFixture *fixture)
 {
   uint32_t n_engines = 0;
 
-  for (const MfTarget *target = yard->town.jobs.targets.first; target != NULL;
+  for (const MfTarget *target = fixture->relay.jobs.targets.first; target != NULL;
        target = target->next)
     n_engines += target->stage_until_us > 0;
   return n_engines;
 }
 
 static const char *
-last_order (const Yard *yard)
+last_order (const OrderFixture *fixture)
 {
-  const Town *town = &yard->town;
+  const Town *relay = &fixture->relay;
   uint32_t index = 0;
 
-  while (index + 1 < TOWN_N_UPSTREAMS && town_n_requests (town, index) == 0)
+  while (index + 1 < TOWN_N_UPSTREAMS && town_n_requests (relay, index) == 0)
     index++;
-  return fake_wire_last (town->upstreams[index].wire);
+  return fake_wire_last (relay->upstreams[index].wire);
 }
 
 /* The instance that leads orders an idle prefill engine, once, and only after the leader before it
@@ -147,42 +147,42 @@
 static void
 test_idle_prefill_engine_is_ordered_to_decode (void **state)
 {
-  Yard yard;
+  OrderFixture fixture;
   const char *fence;
 
   (void)state;
-  yard_begin (&yard, act_take);
-  yard_pass (&yard, 4600 * MF_US_PER_MS);
-  assert_int_equal (n_orders (&yard), 0);
-  yard_pass (&yard, 2 * MF_US_PER_S);
-  assert_int_equal (n_orders (&yard), 1);
-  assert_int_equal (n_changing (&yard), 1);
-  assert_non_null (strstr (last_order (&yard), "POST /order HTTP/1.1"));
-  assert_non_null (strstr (last_order (&yard), "X-Expect-Instance: u"));
-  assert_non_null (strstr (last_order (&yard), "\"stage\":\"decode\""));
-  assert_non_null (strstr (last_order (&yard), "\"holder\":\"front-1\""));
-  fence = strstr (last_order (&yard), "\"fencingToken\":");
+  order_fixture_setup (&fixture, handle_accept);
+  order_fixture_advance (&fixture, 4600 * MF_US_PER_MS);
+  assert_int_equal (n_orders (&fixture), 0);
+  order_fixture_advance (&fixture, 2 * MF_US_PER_S);
+  assert_int_equal (n_orders (&fixture), 1);
+  assert_int_equal (n_changing (&fixture), 1);
+  assert_non_null (strstr (last_order (&fixture), "POST /order HTTP/1.1"));
+  assert_non_null (strstr (last_order (&fixture), "X-Expect-Instance: u"));
+  assert_non_null (strstr (last_order (&fixture), "\"stage\":\"decode\""));
+  assert_non_null (strstr (last_order (&fixture), "\"holder\":\"front-1\""));
+  fence = strstr (last_order (&fixture), "\"fencingToken\":");
   assert_non_null (fence);
   /* It outgrows any that was given in a millisecond before. */
   assert_true (strtoull (fence + 15, NULL, 10) > (mf_clock_wall_ms () - 60000) << 10);
-  yard_end (&yard);
+  order_fixture_teardown (&fixture);
 }
 
 /* A machine that stood still believes what held before: it leads anew. */
 static void
 test_who_stood_still_waits_again (void **state)
 {
-  Yard yard;
+  OrderFixture fixture;
 
   (void)state;
-  yard_begin (&yard, act_take);
-  yard_pass (&yard, 4600 * MF_US_PER_MS);
-  yard.awake_us += MF_US_PER_S;
-  yard_pass (&yard, 4600 * MF_US_PER_MS);
-  assert_int_equal (n_orders (&yard), 0);
-  yard_pass (&yard, 2 * MF_US_PER_S);
-  assert_int_equal (n_orders (&yard), 1);
-  yard_end (&yard);
+  order_fixture_setup (&fixture, handle_accept);
+  order_fixture_advance (&fixture, 4600 * MF_US_PER_MS);
+  fixture.boottime_us += MF_US_PER_S;
+  order_fixture_advance (&fixture, 4600 * MF_US_PER_MS);
+  assert_int_equal (n_orders (&fixture), 0);
+  order_fixture_advance (&fixture, 2 * MF_US_PER_S);
+  assert_int_equal (n_orders (&fixture), 1);
+  order_fixture_teardown (&fixture);
 }
 
 /* Engines that check no fences take an order of whoever led before that is still on its way: the
@@ -190,22 +190,22 @@
 static void
 test_first_order_waits_longer_without_fences (void **state)
 {
-  Yard yard;
+  OrderFixture fixture;
 
   (void)state;
-  yard_begin (&yard, act_take);
-  yard.town.jobs.orders_fenced = false;
-  yard_pass (&yard, 7100 * MF_US_PER_MS);
-  assert_int_equal (n_orders (&yard), 0);
-  yard_pass (&yard, 2 * MF_US_PER_S);
-  assert_int_equal (n_orders (&yard), 1);
-  yard_end (&yard);
+  order_fixture_setup (&fixture, handle_accept);
+  fixture.relay.jobs.orders_fenced = false;
+  order_fixture_advance (&fixture, 7100 * MF_US_PER_MS);
+  assert_int_equal (n_orders (&fixture), 0);
+  order_fixture_advance (&fixture, 2 * MF_US_PER_S);
+  assert_int_equal (n_orders (&fixture), 1);
+  order_fixture_teardown (&fixture);
 }
 
 static uint64_t
-last_fence (const Yard *yard)
+last_fence (const OrderFixture *fixture)
 {
-  const char *fence = strstr (last_order (yard), "\"fencingToken\":");
+  const char *fence = strstr (last_order (fixture), "\"fencingToken\":");
 
   return fence == NULL ? 0 : strtoull (fence + 15, NULL, 10);
 }
@@ -216,63 +216,63 @@
 test_fences_outgrow_all_that_are_known (void **state)
 {
   uint64_t ahead = (mf_clock_wall_ms () + 5000) << 10;
-  Yard yard;
+  OrderFixture fixture;
 
   (void)state;
-  yard_begin (&yard, act_take);
-  mf_peers_note_fence (yard.town.jobs.peers, "engines", ahead);
-  yard_pass (&yard, 6600 * MF_US_PER_MS);
-  assert_int_equal (n_orders (&yard), 1);
-  assert_true (last_fence (&yard) > ahead);
-  yard_end (&yard);
-  yard_begin (&yard, act_take);
-  yard_pass (&yard, 4 * MF_US_PER_S);
-  mf_peers_note_fence (yard.town.jobs.peers, "engines", ahead);
-  yard_pass (&yard, 4600 * MF_US_PER_MS);
-  assert_int_equal (n_orders (&yard), 0);
-  yard_pass (&yard, 2 * MF_US_PER_S);
-  assert_int_equal (n_orders (&yard), 1);
-  assert_true (last_fence (&yard) > ahead);
-  yard_end (&yard);
+  order_fixture_setup (&fixture, handle_accept);
+  mf_peers_note_fence (fixture.relay.jobs.peers, "engines", ahead);
+  order_fixture_advance (&fixture, 6600 * MF_US_PER_MS);
+  assert_int_equal (n_orders (&fixture), 1);
+  assert_true (last_fence (&fixture) > ahead);
+  order_fixture_teardown (&fixture);
+  order_fixture_setup (&fixture, handle_accept);
+  order_fixture_advance (&fixture, 4 * MF_US_PER_S);
+  mf_peers_note_fence (fixture.relay.jobs.peers, "engines", ahead);
+  order_fixture_advance (&fixture, 4600 * MF_US_PER_MS);
+  assert_int_equal (n_orders (&fixture), 0);
+  order_fixture_advance (&fixture, 2 * MF_US_PER_S);
+  assert_int_equal (n_orders (&fixture), 1);
+  assert_true (last_fence (&fixture) > ahead);
+  order_fixture_teardown (&fixture);
   /* A fence that no clock of the fleet shows is nonsense, and stops nobody. */
-  yard_begin (&yard, act_take);
-  mf_peers_note_fence (yard.town.jobs.peers, "engines", UINT64_MAX);
-  yard_pass (&yard, 6600 * MF_US_PER_MS);
-  assert_int_equal (n_orders (&yard), 1);
-  yard_end (&yard);
+  order_fixture_setup (&fixture, handle_accept);
+  mf_peers_note_fence (fixture.relay.jobs.peers, "engines", UINT64_MAX);
+  order_fixture_advance (&fixture, 6600 * MF_US_PER_MS);
+  assert_int_equal (n_orders (&fixture), 1);
+  order_fixture_teardown (&fixture);
 }
 
 /* An engine that refuses keeps its work, and is not asked for ever. */
 static void
 test_refused_orders_end (void **state)
 {
-  Yard yard;
+  OrderFixture fixture;
 
   (void)state;
-  yard_begin (&yard, act_refuse);
-  yard_pass (&yard, 30 * MF_US_PER_S);
-  loop_spin (yard.town.loop, 20);
+  order_fixture_setup (&fixture, handle_refuse);
+  order_fixture_advance (&fixture, 30 * MF_US_PER_S);
+  loop_spin (fixture.relay.loop, 20);
   /* Two at each engine that can be reached. */
-  assert_int_equal (n_orders (&yard), 8);
-  assert_int_equal (n_changing (&yard), 0);
-  assert_int_equal (yard.town.jobs.counters.counts[MF_RELAY_COUNT_ORDERS_REFUSED], 8);
-  yard_end (&yard);
+  assert_int_equal (n_orders (&fixture), 8);
+  assert_int_equal (n_changing (&fixture), 0);
+  assert_int_equal (fixture.relay.jobs.counters.counts[MF_RELAY_COUNT_ORDERS_REFUSED], 8);
+  order_fixture_teardown (&fixture);
 }
 
 /* An order without an answer may have been taken: the engine is left alone. */
 static void
 test_order_without_an_answer_counts_as_taken (void **state)
 {
-  Yard yard;
+  OrderFixture fixture;
 
   (void)state;
-  yard_begin (&yard, act_close);
-  for (uint32_t i = 0; i < 100 && n_orders (&yard) == 0; i++)
-    yard_pass (&yard, STEP_US);
-  loop_spin (yard.town.loop, 20);
-  assert_int_equal (n_changing (&yard), 1);
-  assert_int_equal (yard.town.jobs.counters.counts[MF_RELAY_COUNT_ORDERS_REFUSED], 0);
-  yard_end (&yard);
+  order_fixture_setup (&fixture, handle_close);
+  for (uint32_t i = 0; i < 100 && n_orders (&fixture) == 0; i++)
+    order_fixture_advance (&fixture, STEP_US);
+  loop_spin (fixture.relay.loop, 20);
+  assert_int_equal (n_changing (&fixture), 1);
+  assert_int_equal (fixture.relay.jobs.counters.counts[MF_RELAY_COUNT_ORDERS_REFUSED], 0);
+  order_fixture_teardown (&fixture);
 }
 
 int
--- a/tests/test_stage.c
+++ b/tests/test_stage.c
@@ -25,12 +25,12 @@
 
 /* Shows the same view for some time. Returns when it first asked for the move; 0: it did not. */
 static uint64_t
-first_move_us (MfStageTrend *trend, const MfStageView *view, MfStageMove move, uint64_t from_us,
-               uint64_t for_us)
+first_move_us (MfStageTrend *trend, const MfStageView *snapshot, MfStageMove move, uint64_t from_us,
+               uint64_t duration_us)
 {
-  for (uint64_t at_us = from_us; at_us < from_us + for_us; at_us += STEP_US)
+  for (uint64_t at_us = from_us; at_us < from_us + duration_us; at_us += STEP_US)
     {
-      if (mf_stage_decide (trend, view, at_us) == move)
+      if (mf_stage_decide (trend, snapshot, at_us) == move)
         return at_us;
     }
   return 0;
@@ -42,7 +42,7 @@
   const MfStageView idle = { 13, 22, 0.2, 0.2, 1. };
   const MfStageView busy = { 13, 22, 4., 5., 20. };
   const MfStageView crash = { 8, 22, 8., 40., 19. };
-  const MfStageView starved = { 2, 16, 2., 12., 10. };
+  const MfStageView too_few_prefill = { 2, 16, 2., 12., 10. };
   MfStageTrend trend = { 0 };
   uint64_t at_us;
 
@@ -60,8 +60,9 @@
                     0);
   /* Prompts that go on waiting do, though places kept for them fill the decode engines. */
   mf_stage_reset (&trend);
-  assert_true (first_move_us (&trend, &starved, MF_STAGE_TO_PREFILL, BEGIN_US, 8 * MF_US_PER_S)
-               >= BEGIN_US + 3 * MF_US_PER_S);
+  assert_true (
+      first_move_us (&trend, &too_few_prefill, MF_STAGE_TO_PREFILL, BEGIN_US, 8 * MF_US_PER_S)
+      >= BEGIN_US + 3 * MF_US_PER_S);
 }
 
 static void
@@ -84,12 +85,12 @@
  * prompt after the other in 95 ms; half of the engines begin as prefill engines. */
 #define N_ENGINES 16
 #define N_PREFILL 8
-#define PLACES 8
+#define SLOTS_USABLE 8
 #define TOKENS 7500
-#define READ_US (95 * MF_US_PER_MS)
+#define PREFILL_US (95 * MF_US_PER_MS)
 #define ANSWER_US (3500 * MF_US_PER_MS)
 #define OBJECTIVE_US (900 * MF_US_PER_MS)
-#define PATIENCE_US (3300 * MF_US_PER_MS)
+#define MAX_AGE_US (3300 * MF_US_PER_MS)
 #define CHANGE_US (7 * MF_US_PER_S)
 #define TICK_US (10 * MF_US_PER_MS)
 #define N_CALLS_MAX 4000
@@ -97,7 +98,7 @@
 typedef struct
 {
   uint64_t begun_us;
-  uint64_t read_us; /* its prompt has been read; 0: it has no place */
+  uint64_t prefilled_us; /* its prompt has been read; 0: it has no place */
   uint32_t prefill;
   uint32_t decode;
 } Call;
@@ -113,17 +114,17 @@
   uint64_t now_us;
   uint32_t n_in_time;
   uint32_t n_moves;
-} Play;
+} Simulation;
 
 static const MfRouteService engine_service = {
   .name = "llm",
   .is_engine = true,
   .engine_slots = 16,
-  .kv_capacity_tokens = (PLACES + 1) * TOKENS - 1,
+  .kv_capacity_tokens = (SLOTS_USABLE + 1) * TOKENS - 1,
 };
 
 static const MfRouteService *
-on_traits (void *data, const char *service)
+on_service_config (void *data, const char *service)
 {
   (void)data;
   (void)service;
@@ -133,64 +134,64 @@
 static void
 on_grant (void *data, uint64_t asker, const MfGrant *grant)
 {
-  Play *play = data;
-  Call *call = &play->calls[grant->id];
+  Simulation *simulation = data;
+  Call *call = &simulation->calls[grant->id];
   uint64_t *free_us;
 
   (void)asker;
   assert_int_not_equal (grant->prefill, 0);
   call->decode = (uint32_t)grant->decode - 1;
   call->prefill = (uint32_t)grant->prefill - 1;
-  free_us = &play->free_us[call->prefill];
-  *free_us = (*free_us > play->now_us ? *free_us : play->now_us) + READ_US;
-  call->read_us = *free_us;
-  play->n_in_time += call->read_us <= call->begun_us + OBJECTIVE_US;
-  mf_target_begin (&play->engines[call->decode], TOKENS, play->now_us);
-  mf_target_begin (&play->engines[call->prefill], TOKENS / 2, play->now_us);
+  free_us = &simulation->free_us[call->prefill];
+  *free_us = (*free_us > simulation->now_us ? *free_us : simulation->now_us) + PREFILL_US;
+  call->prefilled_us = *free_us;
+  simulation->n_in_time += call->prefilled_us <= call->begun_us + OBJECTIVE_US;
+  mf_target_begin (&simulation->engines[call->decode], TOKENS, simulation->now_us);
+  mf_target_begin (&simulation->engines[call->prefill], TOKENS / 2, simulation->now_us);
 }
 
-static const MfDispatchUser user = { .grant = on_grant, .traits = on_traits };
+static const MfDispatchUser user = { .grant = on_grant, .traits = on_service_config };
 
 static void
-play_begin (Play *play)
+simulation_init (Simulation *simulation)
 {
-  memset (play, 0, sizeof *play);
+  memset (simulation, 0, sizeof *simulation);
   for (uint32_t i = 0; i < N_ENGINES; i++)
     {
-      MfTarget *target = &play->engines[i];
+      MfTarget *target = &simulation->engines[i];
 
       target->info.role = i < N_PREFILL ? MF_ROLE_PREFILL : MF_ROLE_DECODE;
       target->info.slots = 16;
       mf_name_set (target->info.service, sizeof target->info.service, "llm");
       target->id_hash = i + 1;
-      target->next = play->targets.first;
-      play->targets.first = target;
+      target->next = simulation->targets.first;
+      simulation->targets.first = target;
     }
-  play->dispatch = mf_dispatch_new (&play->targets, &user, play);
-  assert_non_null (play->dispatch);
+  simulation->dispatch = mf_dispatch_new (&simulation->targets, &user, simulation);
+  assert_non_null (simulation->dispatch);
 }
 
 /* What ends now: prompts read, answers, changes of stage. */
 static void
-play_turn (Play *play)
+simulation_finish_due (Simulation *simulation)
 {
-  for (uint32_t i = 0; i < play->n_calls; i++)
+  for (uint32_t i = 0; i < simulation->n_calls; i++)
     {
-      const Call *call = &play->calls[i];
+      const Call *call = &simulation->calls[i];
 
-      if (call->read_us == 0 || play->now_us < call->read_us)
+      if (call->prefilled_us == 0 || simulation->now_us < call->prefilled_us)
         continue;
-      if (play->now_us - call->read_us < TICK_US)
-        mf_target_end (&play->engines[call->prefill], TOKENS / 2);
-      if (play->now_us - call->read_us >= ANSWER_US
-          && play->now_us - call->read_us < ANSWER_US + TICK_US)
-        mf_target_end (&play->engines[call->decode], TOKENS);
+      if (simulation->now_us - call->prefilled_us < TICK_US)
+        mf_target_end (&simulation->engines[call->prefill], TOKENS / 2);
+      if (simulation->now_us - call->prefilled_us >= ANSWER_US
+          && simulation->now_us - call->prefilled_us < ANSWER_US + TICK_US)
+        mf_target_end (&simulation->engines[call->decode], TOKENS);
     }
   for (uint32_t i = 0; i < N_ENGINES; i++)
     {
-      MfTarget *target = &play->engines[i];
+      MfTarget *target = &simulation->engines[i];
 
-      if (target->stage_until_us == 0 || target->stage_until_us > play->now_us)
+      if (target->stage_until_us == 0 || target->stage_until_us > simulation->now_us)
         continue;
       target->stage_until_us = 0;
       target->info.role = target->stage_ordered;
@@ -198,69 +199,71 @@
 }
 
 static void
-play_balance (Play *play, MfStageTrend *trend)
+simulation_balance (Simulation *simulation, MfStageTrend *trend)
 {
-  MfStageView view = { 0 };
+  MfStageView snapshot = { 0 };
   MfTarget *idle = NULL;
 
   for (uint32_t i = 0; i < N_ENGINES; i++)
     {
-      MfTarget *target = &play->engines[i];
-      bool changes = target->stage_until_us > play->now_us;
+      MfTarget *target = &simulation->engines[i];
+      bool changes = target->stage_until_us > simulation->now_us;
 
       if ((changes ? target->stage_ordered : target->info.role) == MF_ROLE_PREFILL)
-        view.n_prefill++;
+        snapshot.n_prefill++;
       else
-        view.n_decode++;
+        snapshot.n_decode++;
       if (target->info.role == MF_ROLE_PREFILL)
         {
-          view.prefill_busy += target->n_active > 0;
-          view.prompts += target->n_active;
+          snapshot.prefill_busy += target->n_active > 0;
+          snapshot.prompts += target->n_active;
           idle = changes ? idle : target;
         }
       else
-        view.decode_used += (double)target->n_active / PLACES;
+        snapshot.decode_used += (double)target->n_active / SLOTS_USABLE;
     }
-  if (mf_stage_decide (trend, &view, play->now_us) != MF_STAGE_TO_DECODE)
+  if (mf_stage_decide (trend, &snapshot, simulation->now_us) != MF_STAGE_TO_DECODE)
     return;
   assert_non_null (idle);
   idle->stage_ordered = MF_ROLE_DECODE;
-  idle->stage_until_us = play->now_us + CHANGE_US;
-  play->n_moves++;
+  idle->stage_until_us = simulation->now_us + CHANGE_US;
+  simulation->n_moves++;
 }
 
 /* Streams come for 40 s, at the start as many as the decode engines hold, then a third more than
  * that. Returns how many callers get their first event within the objective. */
 static uint32_t
-play_run (Play *play, bool balanced)
+simulation_run (Simulation *simulation, bool balanced)
 {
   MfStageTrend trend = { 0 };
   uint64_t due_us = BEGIN_US;
 
-  play_begin (play);
-  for (play->now_us = BEGIN_US; play->now_us < BEGIN_US + 40 * MF_US_PER_S; play->now_us += TICK_US)
+  simulation_init (simulation);
+  for (simulation->now_us = BEGIN_US; simulation->now_us < BEGIN_US + 40 * MF_US_PER_S;
+       simulation->now_us += TICK_US)
     {
-      uint64_t every_us = play->now_us < BEGIN_US + 6 * MF_US_PER_S ? 58000 : 44000;
+      uint64_t interval_us = simulation->now_us < BEGIN_US + 6 * MF_US_PER_S ? 58000 : 44000;
 
-      for (; due_us <= play->now_us && play->n_calls < N_CALLS_MAX; due_us += every_us)
+      for (; due_us <= simulation->now_us && simulation->n_calls < N_CALLS_MAX;
+           due_us += interval_us)
         {
-          MfAsk ask = { .id = play->n_calls,
+          MfAsk ask = { .id = simulation->n_calls,
                         .service = "llm",
                         .prompt_tokens = TOKENS / 2,
                         .memory_tokens = TOKENS,
-                        .objective_us = OBJECTIVE_US - 2 * READ_US,
-                        .patience_us = PATIENCE_US };
+                        .objective_us = OBJECTIVE_US - 2 * PREFILL_US,
+                        .patience_us = MAX_AGE_US };
 
-          play->calls[play->n_calls++].begun_us = play->now_us;
-          mf_dispatch_ask (play->dispatch, MF_DISPATCH_SELF, &ask, play->now_us);
+          simulation->calls[simulation->n_calls++].begun_us = simulation->now_us;
+          mf_dispatch_ask (simulation->dispatch, MF_DISPATCH_SELF, &ask, simulation->now_us);
         }
-      play_turn (play);
-      mf_dispatch_run (play->dispatch, play->now_us);
-      if (balanced && play->now_us % STEP_US == 0)
-        play_balance (play, &trend);
+      simulation_finish_due (simulation);
+      mf_dispatch_run (simulation->dispatch, simulation->now_us);
+      if (balanced && simulation->now_us % STEP_US == 0)
+        simulation_balance (simulation, &trend);
     }
-  mf_dispatch_free (play->dispatch);
-  return play->n_in_time;
+  mf_dispatch_free (simulation->dispatch);
+  return simulation->n_in_time;
 }
 
 /* More streams than the decode engines hold, beside prefill engines that idle: engines that change
@@ -268,12 +271,12 @@
 static void
 test_callers_are_served_in_time_by_engines_that_change (void **state)
 {
-  static Play play;
-  uint32_t fixed = play_run (&play, false);
-  uint32_t balanced = play_run (&play, true);
+  static Simulation simulation;
+  uint32_t fixed = simulation_run (&simulation, false);
+  uint32_t balanced = simulation_run (&simulation, true);
 
   (void)state;
-  assert_in_range (play.n_moves, 1, N_PREFILL - 2);
+  assert_in_range (simulation.n_moves, 1, N_PREFILL - 2);
   assert_true (balanced > fixed + fixed / 10);
 }
 
--- a/tests/town.c
+++ b/tests/town.c
@@ -22,7 +22,7 @@
 }
 
 static MfRoutes *
-routes_make (void)
+make_routes (void)
 {
   static const char text[]
       = "{\"version\":1,\"routes\":["
@@ -65,7 +65,7 @@
   town->jobs.budget_slack = 2;
   /* It has run for longer than the window. */
   town->jobs.began_us = 0;
-  mf_jobs_configure (&town->jobs, routes_make ());
+  mf_jobs_configure (&town->jobs, make_routes ());
   town->door = mf_door_new (town->loop, address, &platform_dialect, &mf_job_door_user, &town->jobs,
                             &error);
   assert_non_null (town->door);
@@ -93,7 +93,7 @@
 }
 
 static void
-target_put (Town *town, const char *id, MfRole role, const char *address, const char *data_centre)
+list_target (Town *town, const char *id, MfRole role, const char *address, const char *data_centre)
 {
   MfTargetInfo info = { .role = role, .slots = 4, .born_ms = 1 };
 
@@ -113,14 +113,14 @@
   *upstream
       = (TownUpstream){ .wire = fake_wire_new (town->loop, on_request, upstream), .act = act };
   snprintf (id, sizeof id, "u%u", index);
-  target_put (town, id, role, fake_wire_address (upstream->wire),
-              index == 0 || index == 2 ? "" : "far");
+  list_target (town, id, role, fake_wire_address (upstream->wire),
+               index == 0 || index == 2 ? "" : "far");
 }
 
 void
 town_know (Town *town, const char *id, MfRole role, const char *address)
 {
-  target_put (town, id, role, address, "");
+  list_target (town, id, role, address, "");
 }
 
 uint32_t
--- a/tests/town_fleet.c
+++ b/tests/town_fleet.c
@@ -12,7 +12,7 @@
 #include <cmocka.h>
 
 static bool
-all_have_heard (void *data)
+all_connected (void *data)
 {
   const TownFleet *fleet = data;
 
@@ -25,7 +25,7 @@
 }
 
 static void
-instance_begin (TownFleet *fleet, uint32_t index)
+instance_start (TownFleet *fleet, uint32_t index)
 {
   Town *town = &fleet->towns[index];
   char address[MF_ADDRESS_BYTES];
@@ -42,7 +42,7 @@
 }
 
 static void
-instance_leave (TownFleet *fleet, uint32_t index)
+instance_free_peers (TownFleet *fleet, uint32_t index)
 {
   MfPeers *peers = fleet->towns[index].jobs.peers;
 
@@ -53,7 +53,7 @@
 void
 town_fleet_meet (TownFleet *fleet)
 {
-  assert_true (loop_pump (fleet->loop, all_have_heard, fleet));
+  assert_true (loop_pump (fleet->loop, all_connected, fleet));
 }
 
 void
@@ -64,7 +64,7 @@
   fleet->door_port = door_port;
   fleet->peer_port = peer_port;
   for (uint32_t i = 0; i < TOWN_FLEET_N; i++)
-    instance_begin (fleet, i);
+    instance_start (fleet, i);
   town_fleet_meet (fleet);
 }
 
@@ -72,7 +72,7 @@
 town_fleet_end (TownFleet *fleet)
 {
   for (uint32_t i = TOWN_FLEET_N; i-- > 0;)
-    instance_leave (fleet, i);
+    instance_free_peers (fleet, i);
   for (uint32_t i = TOWN_FLEET_N; i-- > 0;)
     town_end (&fleet->towns[i]);
   ev_loop_destroy (fleet->loop);
@@ -81,10 +81,10 @@
 void
 town_fleet_restart (TownFleet *fleet, uint32_t index)
 {
-  instance_leave (fleet, index);
+  instance_free_peers (fleet, index);
   town_end (&fleet->towns[index]);
   loop_spin (fleet->loop, 20);
-  instance_begin (fleet, index);
+  instance_start (fleet, index);
 }
 
 void
