--- a/libmangofork/relay/budget.h
+++ b/libmangofork/relay/budget.h
@@ -4,7 +4,7 @@
 #include "libmangofork/types.h"
 
 /* Parts a window is counted in. */
-#define MF_BUDGET_PARTS 20
+#define MF_BUDGET_BUCKETS 20
 
 /* Repeats that this instance may send to one service. Each keeps to the ratio for the requests it
  * has itself, so that the sum keeps to it as well, whether or not they can talk. */
@@ -12,19 +12,19 @@
 {
   uint64_t window_us;
   double ratio;
-  uint64_t part_begun_us;
-  uint32_t part;
-  uint32_t n_requests[MF_BUDGET_PARTS];
-  uint32_t n_repeats[MF_BUDGET_PARTS];
+  uint64_t bucket_begun_us;
+  uint32_t bucket;
+  uint32_t n_requests[MF_BUDGET_BUCKETS];
+  uint32_t n_retries[MF_BUDGET_BUCKETS];
 } MfBudget;
 
 void mf_budget_init (MfBudget *budget, uint64_t window_us, double ratio);
 void mf_budget_note_request (MfBudget *budget, uint64_t now_us);
-bool mf_budget_has_room (MfBudget *budget, uint32_t allowance, uint32_t n_wanted, uint64_t now_us);
-bool mf_budget_take (MfBudget *budget, uint32_t allowance, uint32_t n_wanted, uint64_t now_us);
-void mf_budget_charge (MfBudget *budget, uint32_t n_repeats, uint64_t now_us);
-uint32_t mf_budget_floor (uint32_t slack, uint32_t n_instances, uint64_t uptime_us,
-                          uint64_t window_us);
+bool mf_budget_allows (MfBudget *budget, uint32_t allowance, uint32_t n_wanted, uint64_t now_us);
+bool mf_budget_acquire (MfBudget *budget, uint32_t allowance, uint32_t n_wanted, uint64_t now_us);
+void mf_budget_charge (MfBudget *budget, uint32_t n_retries, uint64_t now_us);
+uint32_t mf_budget_allowance (uint32_t slack, uint32_t n_instances, uint64_t uptime_us,
+                              uint64_t window_us);
 uint32_t mf_budget_pool (uint32_t slack, uint32_t n_instances, uint64_t window_us);
 
 #endif
--- a/libmangofork/relay/job.c
+++ b/libmangofork/relay/job.c
@@ -38,19 +38,19 @@
 uint32_t
 mf_jobs_random (MfJobs *jobs)
 {
-  jobs->random ^= jobs->random << 13;
-  jobs->random ^= jobs->random >> 7;
-  jobs->random ^= jobs->random << 17;
-  return (uint32_t)(jobs->random >> 32);
+  jobs->random_state ^= jobs->random_state << 13;
+  jobs->random_state ^= jobs->random_state >> 7;
+  jobs->random_state ^= jobs->random_state << 17;
+  return (uint32_t)(jobs->random_state >> 32);
 }
 
 /* The first event of a stream has come so long after its place was granted. */
 void
-mf_jobs_note_first (MfJobs *jobs, uint64_t took_us)
+mf_jobs_note_first_event (MfJobs *jobs, uint64_t took_us)
 {
-  if (jobs->first_us <= 0.)
-    jobs->first_us = (double)took_us;
-  jobs->first_us += FIRST_EVENT_WEIGHT * ((double)took_us - jobs->first_us);
+  if (jobs->mean_first_event_us <= 0.)
+    jobs->mean_first_event_us = (double)took_us;
+  jobs->mean_first_event_us += FIRST_EVENT_WEIGHT * ((double)took_us - jobs->mean_first_event_us);
 }
 
 /* An engine's answer has come to so many tokens, and taken so long. */
@@ -62,13 +62,13 @@
   if (tokens == 0)
     return;
   token_us = (double)took_us / (double)tokens;
-  if (jobs->answer_tokens <= 0.)
+  if (jobs->mean_answer_tokens <= 0.)
     {
-      jobs->answer_tokens = (double)tokens;
-      jobs->token_us = token_us;
+      jobs->mean_answer_tokens = (double)tokens;
+      jobs->mean_token_us = token_us;
     }
-  jobs->answer_tokens += ANSWER_WEIGHT * ((double)tokens - jobs->answer_tokens);
-  jobs->token_us += ANSWER_WEIGHT * (token_us - jobs->token_us);
+  jobs->mean_answer_tokens += ANSWER_WEIGHT * ((double)tokens - jobs->mean_answer_tokens);
+  jobs->mean_token_us += ANSWER_WEIGHT * (token_us - jobs->mean_token_us);
 }
 
 /* Frees an answer that was kept. */
@@ -82,7 +82,7 @@
 
 /* Whether the request may run a second time. */
 bool
-mf_job_may_repeat (const MfJob *job)
+mf_job_may_retry (const MfJob *job)
 {
   return job->route->kind == MF_ROUTE_IDEMPOTENT
          || (job->route->kind == MF_ROUTE_STREAMING && job->route->resumable);
@@ -94,12 +94,12 @@
   MfJobs *jobs = job->jobs;
 
   ev_timer_stop (jobs->loop, &job->timer);
-  mf_job_unask (job);
+  mf_job_cancel_slot_request (job);
   if (job->link != NULL && mf_link_has_sent (job->link))
-    mf_job_note_break (job, job->target);
+    mf_job_note_failure (job, job->target);
   mf_job_cancel (job);
   mf_job_reserve (job, NULL);
-  mf_job_release_memory (job);
+  mf_job_release_kv (job);
   if (job->prev != NULL)
     job->prev->next = job->next;
   else
@@ -109,7 +109,7 @@
   jobs->n_jobs--;
   jobs->n_ended++;
   mf_job_answer_clear (&job->answer);
-  mf_job_answer_clear (&job->held);
+  mf_job_answer_clear (&job->fallback_answer);
   mf_events_clear (&job->events);
   mf_routes_unref (job->routes);
   free (job);
@@ -135,7 +135,7 @@
   else if (code == MF_CODE_OK)
     mf_relay_observe (&jobs->counters.answer, took_us);
   mf_lines_add (
-      jobs->lines, "request.end",
+      jobs->log, "request.end",
       "id=%s digest=%016llx route=%s service=%s code=%d status=%u why=\"%s\" "
       "took_ms=%.1f first_event_ms=%.1f waited_ms=%.1f sends=%u runs=%u prefills=%u events=%llu "
       "last_upstream=%s left_ms=%lld config=%llu",
@@ -202,14 +202,14 @@
   job->caller = NULL;
   mf_buffer_add_text (&headers, "Content-Type: application/json\r\n");
   if (may_retry && job->deadline_us > now_us)
-    headers_add_retry_after (&headers,
-                             mf_refuse_retry_after_us (&(MfRefusal){
-                                 .code = code,
-                                 .left_us = job->deadline_us - now_us,
-                                 .objective_us = job->route->target_latency_us,
-                                 .room_us = job->opens_us > now_us ? job->opens_us - now_us : 0,
-                                 .point = mf_jobs_random (job->jobs),
-                             }));
+    headers_add_retry_after (
+        &headers, mf_refuse_retry_after_us (&(MfRefusal){
+                      .code = code,
+                      .left_us = job->deadline_us - now_us,
+                      .objective_us = job->route->target_latency_us,
+                      .available_us = job->pause_end_us > now_us ? job->pause_end_us - now_us : 0,
+                      .jitter = mf_jobs_random (job->jobs),
+                  }));
   snprintf (body, sizeof body, "{\"code\": %d, \"name\": \"%s\", \"message\": \"%s\"}\n", (int)code,
             info->name, info->summary);
   mf_caller_reply (caller, status, &headers, body, strlen (body));
@@ -220,14 +220,14 @@
 void
 mf_job_refuse (MfJob *job, MfCode code, const char *why)
 {
-  if (job->head_sent || (job->n_runs > 0 && !mf_job_may_repeat (job)))
+  if (job->head_sent || (job->n_runs > 0 && !mf_job_may_retry (job)))
     {
       mf_job_finish (job, code, why);
       return;
     }
-  if (job->held.status != 0)
+  if (job->fallback_answer.status != 0)
     {
-      mf_job_reply (job, &job->held);
+      mf_job_reply (job, &job->fallback_answer);
       return;
     }
   job->jobs->counters.counts[MF_RELAY_COUNT_REFUSED]++;
@@ -247,9 +247,9 @@
       job_end_stream (job);
       return;
     }
-  if (!job->head_sent && job->held.status != 0)
+  if (!job->head_sent && job->fallback_answer.status != 0)
     {
-      mf_job_reply (job, &job->held);
+      mf_job_reply (job, &job->fallback_answer);
       return;
     }
   /* 503 promises that it has not run. */
@@ -276,8 +276,8 @@
   uint64_t now_us = mf_clock_now_us ();
   uint64_t due_us = job->deadline_us;
 
-  if (job->try_due_us > 0 && job->try_due_us < due_us)
-    due_us = job->try_due_us;
+  if (job->step_deadline_us > 0 && job->step_deadline_us < due_us)
+    due_us = job->step_deadline_us;
   if (job->phase == MF_JOB_WAITING && job->give_up_us < due_us)
     due_us = job->give_up_us;
   ev_timer_stop (job->jobs->loop, &job->timer);
@@ -306,10 +306,10 @@
       mf_job_refuse (job, MF_CODE_QUEUE_FULL, "no room came free in time");
       return;
     }
-  if (job->try_due_us > 0 && now_us >= job->try_due_us)
+  if (job->step_deadline_us > 0 && now_us >= job->step_deadline_us)
     {
-      job->try_due_us = 0;
-      mf_job_try_expired (job);
+      job->step_deadline_us = 0;
+      mf_job_step_expired (job);
       return;
     }
   mf_job_set_timer (job);
@@ -329,17 +329,18 @@
   if (*comma == ',')
     job->output_tokens = strtoull (comma + 1, NULL, 10);
   mf_head_number (head, MF_WORD_ANSWER_HINT, &hint_tokens);
-  job->answer_tokens
-      = mf_load_answer_tokens (hint_tokens, (uint64_t)job->jobs->answer_tokens, job->output_tokens);
-  job->memory_tokens = mf_load_memory_tokens (
-      job->prompt_tokens, hint_tokens, (uint64_t)job->jobs->answer_tokens, job->output_tokens);
+  job->expected_tokens = mf_load_answer_tokens (
+      hint_tokens, (uint64_t)job->jobs->mean_answer_tokens, job->output_tokens);
+  job->kv_tokens = mf_load_memory_tokens (
+      job->prompt_tokens, hint_tokens, (uint64_t)job->jobs->mean_answer_tokens, job->output_tokens);
 }
 
 /* The least time a whole answer is reckoned to take; 0 before any has been seen. */
 static uint64_t
 job_answer_min_us (const MfJob *job)
 {
-  return (uint64_t)((double)job->answer_tokens * job->jobs->token_us * ANSWER_TIME_MIN_SHARE);
+  return (uint64_t)((double)job->expected_tokens * job->jobs->mean_token_us
+                    * ANSWER_TIME_MIN_SHARE);
 }
 
 /* The pause after which the caller of a stream leaves, less the time that word to it takes. */
@@ -357,7 +358,7 @@
 
 /* The caller has had a part of its stream: it waits anew for what follows. */
 void
-mf_job_wait_again (MfJob *job)
+mf_job_reset_give_up (MfJob *job)
 {
   uint64_t until_us = mf_clock_now_us () + abandon_timeout_us (job->route);
 
@@ -372,12 +373,12 @@
   uint64_t abandon_us = abandon_timeout_us (route);
 
   job->deadline_us = job->begun_us + route->timeout_us;
-  job->asked_us = job->begun_us;
+  job->first_try_us = job->begun_us;
   if (mf_head_number (head, MF_WORD_DEADLINE, &left_ms)
       && left_ms * MF_US_PER_MS < route->timeout_us)
     job->deadline_us = job->begun_us + left_ms * MF_US_PER_MS;
   if (left_ms > 0 && left_ms * MF_US_PER_MS < route->timeout_us * FIRST_TRY_PERCENT / 100)
-    job->asked_us -= route->timeout_us * FIRST_TRY_PERCENT / 100 - left_ms * MF_US_PER_MS;
+    job->first_try_us -= route->timeout_us * FIRST_TRY_PERCENT / 100 - left_ms * MF_US_PER_MS;
   job->give_up_us = job->deadline_us;
   if (route->kind == MF_ROUTE_STREAMING && job->begun_us + abandon_us < job->deadline_us)
     job->give_up_us = job->begun_us + abandon_us;
@@ -405,7 +406,7 @@
   job->route = route;
   job->service = &jobs->routes->services[service];
   job->is_engine = job->service->is_engine;
-  job->is_head = strcmp (mf_caller_method (caller), "HEAD") == 0;
+  job->is_head_request = strcmp (mf_caller_method (caller), "HEAD") == 0;
   job->begun_us = mf_caller_begun_us (caller);
   job->next = jobs->first;
   if (jobs->first != NULL)
@@ -417,7 +418,7 @@
   if (!mf_head_copy (head, MF_WORD_REQUEST_ID, job->id, sizeof job->id))
     job->id[0] = '\0';
   job->digest = mf_job_digest (caller);
-  job->number = ++jobs->n_begun;
+  job->try_id = ++jobs->n_started;
   job_read_token_counts (job, head);
   job_read_deadline (job, head);
   mf_caller_attach (caller, job);
@@ -444,12 +445,12 @@
       retry_us = mf_refuse_retry_after_us (&(MfRefusal){
           .code = code,
           .left_us = left_ms * MF_US_PER_MS,
-          .uptime_us = mf_clock_now_us () - jobs->began_us,
-          .point = mf_jobs_random (jobs),
+          .uptime_us = mf_clock_now_us () - jobs->started_us,
+          .jitter = mf_jobs_random (jobs),
       });
       headers_add_retry_after (&headers, retry_us);
     }
-  mf_lines_add (jobs->lines, "request.refused",
+  mf_lines_add (jobs->log, "request.refused",
                 "id=%s code=%d status=%u why=\"%s\" config=%llu requests=%u retry_after_ms=%llu",
                 id, (int)code, info->http_status, info->summary,
                 (unsigned long long)(jobs->routes != NULL ? jobs->routes->version : 0),
@@ -464,11 +465,11 @@
 {
   uint64_t now_us = mf_clock_now_us ();
 
-  if (jobs->ends_us == 0)
+  if (jobs->exit_by_us == 0)
     return false;
   if (route->kind == MF_ROUTE_STREAMING)
     return now_us >= jobs->no_streams_after_us;
-  return now_us + route->timeout_us > jobs->ends_us;
+  return now_us + route->timeout_us > jobs->exit_by_us;
 }
 
 static void
@@ -559,7 +560,7 @@
     return;
   mf_link_hold (job->link, !can_write);
   /* The upstream's silence is then the caller's doing. */
-  job->try_due_us = 0;
+  job->step_deadline_us = 0;
 }
 
 static void
@@ -569,11 +570,11 @@
 
   jobs->counters.counts[MF_RELAY_COUNT_UNREADABLE]++;
   jobs->counters.by_code[mf_code_index (code)]++;
-  mf_lines_add (jobs->lines, "request.unreadable", "code=%d why=\"%s\"", (int)code,
+  mf_lines_add (jobs->log, "request.unreadable", "code=%d why=\"%s\"", (int)code,
                 mf_code_info (code)->summary);
 }
 
-const MfDoorUser mf_job_door_user = {
+const MfDoorUser mf_job_listener_callbacks = {
   .request = on_request,
   .departed = on_departed,
   .writable = on_writable,
@@ -590,42 +591,42 @@
 
 /* Looks at what the other instances have at the engines, if that has changed. */
 void
-mf_jobs_refresh (MfJobs *jobs, uint64_t now_us)
+mf_jobs_refresh_remote_load (MfJobs *jobs, uint64_t now_us)
 {
-  if (!jobs->others_stale)
+  if (!jobs->remote_load_stale)
     return;
   mf_load_reset (&jobs->targets);
   if (jobs->peers != NULL)
     mf_peers_foreach (jobs->peers, now_us, mf_load_add, &jobs->targets);
   mf_dispatch_add_pending (jobs->dispatch, now_us);
-  jobs->others_stale = false;
+  jobs->remote_load_stale = false;
 }
 
 /* Gives the places that are free to the requests that wait, of all instances that asked this one.
  */
 void
-mf_jobs_wake (MfJobs *jobs)
+mf_jobs_run_dispatch (MfJobs *jobs)
 {
   uint64_t now_us = mf_clock_now_us ();
   uint32_t n_waiting;
 
   if (mf_dispatch_n_waiting (jobs->dispatch) == 0)
     return;
-  mf_jobs_refresh (jobs, now_us);
+  mf_jobs_refresh_remote_load (jobs, now_us);
   n_waiting = mf_dispatch_run (jobs->dispatch, now_us);
-  if (n_waiting > 0 && !ev_is_active (&jobs->wake))
-    ev_timer_again (jobs->loop, &jobs->wake);
+  if (n_waiting > 0 && !ev_is_active (&jobs->dispatch_timer))
+    ev_timer_again (jobs->loop, &jobs->dispatch_timer);
   else if (n_waiting == 0)
-    ev_timer_stop (jobs->loop, &jobs->wake);
+    ev_timer_stop (jobs->loop, &jobs->dispatch_timer);
 }
 
 /* The same as mf_jobs_wake, from the loop. */
 void
-mf_jobs_wake_later (MfJobs *jobs)
+mf_jobs_schedule_dispatch (MfJobs *jobs)
 {
-  ev_timer_stop (jobs->loop, &jobs->wake_now);
-  ev_timer_set (&jobs->wake_now, 0., 0.);
-  ev_timer_start (jobs->loop, &jobs->wake_now);
+  ev_timer_stop (jobs->loop, &jobs->dispatch_now_timer);
+  ev_timer_set (&jobs->dispatch_now_timer, 0., 0.);
+  ev_timer_start (jobs->loop, &jobs->dispatch_now_timer);
 }
 
 static void
@@ -633,45 +634,45 @@
 {
   (void)loop;
   (void)events;
-  mf_jobs_wake (watcher->data);
+  mf_jobs_run_dispatch (watcher->data);
 }
 
 /* Begins without a configuration, upstreams and peers. */
 void
-mf_jobs_init (MfJobs *jobs, struct ev_loop *loop, const MfDialect *dialect, MfLines *lines)
+mf_jobs_init (MfJobs *jobs, struct ev_loop *loop, const MfDialect *dialect, MfLines *log)
 {
   jobs->loop = loop;
-  jobs->began_us = mf_clock_now_us ();
+  jobs->started_us = mf_clock_now_us ();
   jobs->dialect = dialect;
-  jobs->lines = lines;
+  jobs->log = log;
   jobs->jobs_max = JOBS_MAX;
   jobs->answer_bytes_max = ANSWERS_BYTES_MAX;
   jobs->targets.loop = loop;
-  jobs->targets.user = &mf_job_targets_user;
+  jobs->targets.user = &mf_job_targets_callbacks;
   jobs->targets.user_data = jobs;
   jobs->targets.dialect = dialect;
-  if (getrandom (&jobs->random, sizeof jobs->random, 0) != sizeof jobs->random)
-    jobs->random = mf_clock_now_us ();
-  jobs->random |= 1;
-  ev_init (&jobs->wake, on_dispatch_timer);
-  jobs->wake.repeat = DISPATCH_INTERVAL_S;
-  jobs->wake.data = jobs;
-  ev_init (&jobs->wake_now, on_dispatch_timer);
-  jobs->wake_now.data = jobs;
+  if (getrandom (&jobs->random_state, sizeof jobs->random_state, 0) != sizeof jobs->random_state)
+    jobs->random_state = mf_clock_now_us ();
+  jobs->random_state |= 1;
+  ev_init (&jobs->dispatch_timer, on_dispatch_timer);
+  jobs->dispatch_timer.repeat = DISPATCH_INTERVAL_S;
+  jobs->dispatch_timer.data = jobs;
+  ev_init (&jobs->dispatch_now_timer, on_dispatch_timer);
+  jobs->dispatch_now_timer.data = jobs;
   if (!mf_jobs_init_suspects (jobs))
     abort ();
-  jobs->dispatch = mf_dispatch_new (&jobs->targets, &mf_job_dispatch_user, jobs);
+  jobs->dispatch = mf_dispatch_new (&jobs->targets, &mf_job_dispatch_callbacks, jobs);
 }
 
 /* Ends all requests without an answer and forgets everything. */
 void
 mf_jobs_clear (MfJobs *jobs)
 {
-  ev_timer_stop (jobs->loop, &jobs->wake);
-  ev_timer_stop (jobs->loop, &jobs->wake_now);
+  ev_timer_stop (jobs->loop, &jobs->dispatch_timer);
+  ev_timer_stop (jobs->loop, &jobs->dispatch_now_timer);
   while (jobs->first != NULL)
     job_free (jobs->first);
-  mf_jobs_drop_orders (jobs);
+  mf_jobs_cancel_orders (jobs);
   mf_dispatch_free (jobs->dispatch);
   mf_targets_clear (&jobs->targets);
   mf_suspects_free (jobs->suspects);
--- a/libmangofork/relay/job_answer.c
+++ b/libmangofork/relay/job_answer.c
@@ -56,7 +56,7 @@
 
   mf_target_alive (job->target, mf_clock_now_us ());
   if (status != 421)
-    mf_job_note_alive (job);
+    mf_job_note_upstream_alive (job);
   mf_job_answer_clear (&job->answer);
   answer_set_head (&job->answer, head, status);
 }
@@ -80,10 +80,11 @@
 static void
 job_abort_exchange (MfJob *job, const char *why)
 {
-  const MfLinkUser *user = job->phase == MF_JOB_PREFILL ? &mf_job_prefill_user : &mf_job_run_user;
+  const MfLinkUser *callbacks
+      = job->phase == MF_JOB_PREFILL ? &mf_job_prefill_callbacks : &mf_job_run_callbacks;
 
   mf_link_cancel (job->link);
-  user->end (job, MF_LINK_BROKEN, why);
+  callbacks->end (job, MF_LINK_BROKEN, why);
 }
 
 /* Of the requests with an answer on its way, the one that keeps most of it; NULL while all that is
@@ -98,7 +99,7 @@
     {
       size_t n_bytes = mf_buffer_bytes (&job->answer.body);
 
-      total_bytes += n_bytes + mf_buffer_bytes (&job->held.body);
+      total_bytes += n_bytes + mf_buffer_bytes (&job->fallback_answer.body);
       if (job->link != NULL
           && (largest == NULL || n_bytes > mf_buffer_bytes (&largest->answer.body)))
         largest = job;
@@ -157,14 +158,14 @@
     {
       job->first_event_us = now_us;
       if (job->granted_us > 0)
-        mf_jobs_note_first (job->jobs, now_us - job->granted_us);
+        mf_jobs_note_first_event (job->jobs, now_us - job->granted_us);
     }
   if (job->route->resumable)
     {
       mf_events_feed (&job->events, bytes, n_bytes, &complete);
       /* Bytes that end no event are no progress. */
       if (mf_buffer_bytes (&complete) > 0)
-        job->try_due_us = now_us + job->route->target_gap_us * STALL_GAPS;
+        job->step_deadline_us = now_us + job->route->target_gap_us * STALL_GAPS;
       mf_caller_write (job->caller, mf_buffer_data (&complete), mf_buffer_bytes (&complete));
       mf_buffer_clear (&complete);
     }
@@ -193,21 +194,21 @@
     }
   else
     mf_target_declined (target, now_us);
-  mf_lines_add (job->jobs->lines, "request.declined",
+  mf_lines_add (job->jobs->log, "request.declined",
                 "id=%s upstream=%s status=%u in_flight=%u tokens=%llu memory_age_ms=%.1f", job->id,
                 target->info.id, job->answer.status, target->n_active,
                 (unsigned long long)target->active_tokens,
-                job->memory_target != NULL ? (double)(now_us - job->memory_us) / 1e3 : 0.);
+                job->kv_target != NULL ? (double)(now_us - job->prefilled_us) / 1e3 : 0.);
   if (job->caller == NULL)
     {
       mf_job_finish (job, MF_CODE_DEPARTED, "declined, and the caller has left");
       return;
     }
   mf_job_avoid (job, target->id_hash);
-  mf_job_repeat_or_end (job, &(MfJobDenied){
-                                 .code = MF_CODE_RETRY_BUDGET,
-                                 .why = "declined, and the retry budget is spent",
-                             });
+  mf_job_retry_or_end (job, &(MfJobDenial){
+                                .code = MF_CODE_RETRY_BUDGET,
+                                .why = "declined, and the retry budget is spent",
+                            });
 }
 
 /* The request may have run, and has no whole answer. */
@@ -216,7 +217,7 @@
 {
   job->jobs->counters.counts[MF_RELAY_COUNT_BROKEN]++;
   mf_target_failed (target, false, mf_clock_now_us ());
-  mf_lines_add (job->jobs->lines, "request.broken",
+  mf_lines_add (job->jobs->log, "request.broken",
                 "id=%s digest=%016llx upstream=%s why=\"%s\" events=%llu", job->id,
                 (unsigned long long)job->digest, target->info.id, why,
                 (unsigned long long)job->events.n_events);
@@ -227,7 +228,7 @@
     }
   mf_job_avoid (job, target->id_hash);
   mf_events_cut (&job->events);
-  if (!mf_job_may_repeat (job) || (job->head_sent && !job->events.has_last)
+  if (!mf_job_may_retry (job) || (job->head_sent && !job->events.has_last)
       || job->n_runs >= job->route->attempts_max)
     {
       mf_job_finish (job, MF_CODE_UPSTREAM_DIED, why);
@@ -236,14 +237,14 @@
   if (job->head_sent)
     {
       job->jobs->counters.counts[MF_RELAY_COUNT_RESUMED]++;
-      mf_job_wait_again (job);
+      mf_job_reset_give_up (job);
     }
-  mf_job_repeat_after_break (job, target,
-                             &(MfJobDenied){
-                                 .code = MF_CODE_UPSTREAM_DIED,
-                                 .why = why,
-                                 .may_have_run = true,
-                             });
+  mf_job_retry_after_failure (job, target,
+                              &(MfJobDenial){
+                                  .code = MF_CODE_UPSTREAM_DIED,
+                                  .why = why,
+                                  .may_have_run = true,
+                              });
 }
 
 /* No connection could be made: nothing has left. */
@@ -252,14 +253,14 @@
 {
   job->jobs->counters.counts[MF_RELAY_COUNT_UNREACHED]++;
   /* It did not arrive: the next send takes its place. */
-  if (job->is_repeat)
-    job->n_prepaid++;
+  if (job->is_retry)
+    job->n_reserved_sends++;
   else if (target->info.role == MF_ROLE_PREFILL)
     job->n_prefill_sends--;
   else
     job->n_run_sends--;
   mf_target_failed (target, true, mf_clock_now_us ());
-  mf_lines_state (job->jobs->lines, "upstream.unreached",
+  mf_lines_state (job->jobs->log, "upstream.unreached",
                   "upstream=%s address=%s id=%s why=\"%s\" failures=%u suspect_ms=%llu",
                   target->info.id, target->info.address, job->id, why, target->n_failures,
                   (unsigned long long)(target->suspect_until_us - mf_clock_now_us ()) / 1000);
@@ -269,7 +270,7 @@
       return;
     }
   mf_job_avoid (job, target->id_hash);
-  if (++job->n_unreached > CONNECT_FAILURES_MAX)
+  if (++job->n_connect_failures > CONNECT_FAILURES_MAX)
     mf_job_refuse (job, MF_CODE_NO_UPSTREAM, why);
   else
     mf_job_advance (job);
@@ -307,11 +308,11 @@
     }
   if (answer->status >= 500)
     mf_target_failed (target, false, now_us);
-  if (answer->status >= 500 && job->caller != NULL && !job->head_sent && mf_job_may_repeat (job)
-      && job->n_runs < job->route->attempts_max && mf_job_take_repeat (job))
+  if (answer->status >= 500 && job->caller != NULL && !job->head_sent && mf_job_may_retry (job)
+      && job->n_runs < job->route->attempts_max && mf_job_acquire_retry (job))
     {
-      mf_job_answer_clear (&job->held);
-      job->held = *answer;
+      mf_job_answer_clear (&job->fallback_answer);
+      job->fallback_answer = *answer;
       *answer = (MfJobAnswer){ 0 };
       mf_job_avoid (job, target->id_hash);
       mf_job_advance (job);
@@ -331,8 +332,8 @@
   MfJobs *jobs = job->jobs;
 
   job->link = NULL;
-  job->try_due_us = 0;
-  mf_job_leave_target (job);
+  job->step_deadline_us = 0;
+  mf_job_release_target (job);
   if (end != MF_LINK_UNREACHED)
     job->n_arrivals++;
   if (end == MF_LINK_UNREACHED)
@@ -340,15 +341,15 @@
   else if (end == MF_LINK_BROKEN)
     {
       job->n_runs++;
-      job->memory_used = true;
-      mf_job_note_break (job, target);
+      job->kv_used = true;
+      mf_job_note_failure (job, target);
       mf_target_look (target);
       job_failed (job, target, why);
     }
   else if (job->phase == MF_JOB_STREAMING && answer_is_good (&job->answer))
     {
       job->n_runs++;
-      job->memory_used = true;
+      job->kv_used = true;
       if (job->route->resumable && !mf_events_at_boundary (&job->events))
         job_failed (job, target, "the stream ended within an event");
       else
@@ -361,14 +362,14 @@
     }
   else
     {
-      job->memory_used = !job->answer.not_run;
+      job->kv_used = !job->answer.not_run;
       job_answered (job, target);
     }
   mf_target_unref (target);
-  mf_jobs_wake (jobs);
+  mf_jobs_run_dispatch (jobs);
 }
 
-const MfLinkUser mf_job_run_user = {
+const MfLinkUser mf_job_run_callbacks = {
   .head = on_run_head,
   .body = on_run_body,
   .end = on_run_end,
@@ -381,9 +382,9 @@
   uint64_t now_us = mf_clock_now_us ();
 
   mf_target_read (target, job->prompt_tokens, now_us - job->sent_us, now_us);
-  job->memory_target = mf_target_ref (target);
-  job->memory_us = now_us;
-  job->memory_used = false;
+  job->kv_target = mf_target_ref (target);
+  job->prefilled_us = now_us;
+  job->kv_used = false;
   job->jobs->counters.counts[MF_RELAY_COUNT_PREFILLS]++;
   mf_job_advance (job);
 }
@@ -396,8 +397,8 @@
   MfJobAnswer *answer = &job->answer;
 
   job->link = NULL;
-  job->try_due_us = 0;
-  mf_job_leave_target (job);
+  job->step_deadline_us = 0;
+  mf_job_release_target (job);
   job->phase = MF_JOB_WAITING;
   job->waiting_since_us = 0;
   if (end != MF_LINK_UNREACHED)
@@ -406,32 +407,32 @@
     job_connect_failed (job, target, why);
   else if (end == MF_LINK_WHOLE && answer->status == 200 && !answer->not_run
            && job->jobs->dialect->read_prefill (mf_buffer_data (&answer->body),
-                                                mf_buffer_bytes (&answer->body), &job->memory))
+                                                mf_buffer_bytes (&answer->body), &job->kv))
     job_prefilled (job, target);
   else if (end == MF_LINK_WHOLE && answer->not_run)
     job_declined (job, target);
   else
     {
       mf_target_failed (target, false, mf_clock_now_us ());
-      mf_lines_add (job->jobs->lines, "request.broken",
+      mf_lines_add (job->jobs->log, "request.broken",
                     "id=%s digest=%016llx upstream=%s stage=prefill status=%u why=\"%s\"", job->id,
                     (unsigned long long)job->digest, target->info.id, answer->status, why);
       mf_job_avoid (job, target->id_hash);
       if (end == MF_LINK_BROKEN)
         {
-          mf_job_note_break (job, target);
+          mf_job_note_failure (job, target);
           mf_target_look (target);
         }
-      mf_job_repeat_after_break (job, target,
-                                 &(MfJobDenied){
-                                     .code = MF_CODE_RETRY_BUDGET,
-                                     .why = "the prompt was not read",
-                                 });
+      mf_job_retry_after_failure (job, target,
+                                  &(MfJobDenial){
+                                      .code = MF_CODE_RETRY_BUDGET,
+                                      .why = "the prompt was not read",
+                                  });
     }
   mf_target_unref (target);
 }
 
-const MfLinkUser mf_job_prefill_user = {
+const MfLinkUser mf_job_prefill_callbacks = {
   .head = on_answer_head,
   .body = on_answer_body,
   .end = on_prefill_end,
--- a/libmangofork/relay/job_lead.c
+++ b/libmangofork/relay/job_lead.c
@@ -9,26 +9,26 @@
 #define TICK_GAP_MAX_US (300 * MF_US_PER_MS)
 
 /* What this instance leads about a service; NULL when it has not looked at it. */
-MfLead *
-mf_jobs_find_lead (MfJobs *jobs, const char *service)
+MfLeadership *
+mf_jobs_find_leadership (MfJobs *jobs, const char *service)
 {
-  for (uint32_t i = 0; i < jobs->n_leads; i++)
+  for (uint32_t i = 0; i < jobs->n_leaderships; i++)
     {
-      if (strcmp (jobs->leads[i].service, service) == 0)
-        return &jobs->leads[i];
+      if (strcmp (jobs->leaderships[i].service, service) == 0)
+        return &jobs->leaderships[i];
     }
   return NULL;
 }
 
-static MfLead *
+static MfLeadership *
 leadership_add (MfJobs *jobs, const char *service)
 {
-  MfLead *lead;
+  MfLeadership *lead;
 
-  if (jobs->n_leads == MF_JOBS_LEADS_MAX)
+  if (jobs->n_leaderships == MF_JOBS_LEADERSHIPS_MAX)
     return NULL;
-  lead = &jobs->leads[jobs->n_leads++];
-  *lead = (MfLead){ 0 };
+  lead = &jobs->leaderships[jobs->n_leaderships++];
+  *lead = (MfLeadership){ 0 };
   mf_name_set (lead->service, MF_NAME_BYTES, service);
   return lead;
 }
@@ -36,7 +36,7 @@
 /* Begins to lead: what was seen before is another instance's. The fence outgrows all that are
  * known, whatever this machine's time of day is. */
 static void
-leadership_begin (const MfJobs *jobs, MfLead *lead, uint64_t now_us)
+leadership_begin (const MfJobs *jobs, MfLeadership *lead, uint64_t now_us)
 {
   uint64_t instance_bits = mf_load_hash (jobs->instance) & ((1U << MF_FENCE_OWN_BITS) - 1);
   uint64_t begun_ms = mf_clock_wall_ms ();
@@ -46,24 +46,24 @@
     begun_ms = known_ms + 1;
   lead->led_since_us = now_us;
   lead->fence = begun_ms << MF_FENCE_OWN_BITS | instance_bits;
-  mf_budget_init (&lead->pool, jobs->budget_window_us, 0.);
+  mf_budget_init (&lead->retry_pool, jobs->budget_window_us, 0.);
   mf_stage_reset (&lead->trend);
 }
 
 /* Called about ten times a second: does what falls to this instance where it decides for all.
  * awake_us is of a clock that also counts the time for which the machine stood still. */
 void
-mf_jobs_lead (MfJobs *jobs, uint64_t now_us, uint64_t boottime_us)
+mf_jobs_tick_leadership (MfJobs *jobs, uint64_t now_us, uint64_t boottime_us)
 {
-  bool was_suspended = boottime_us - jobs->lead_ticked_us > TICK_GAP_MAX_US;
+  bool was_suspended = boottime_us - jobs->leadership_ticked_us > TICK_GAP_MAX_US;
 
-  jobs->lead_ticked_us = boottime_us;
+  jobs->leadership_ticked_us = boottime_us;
   if (jobs->peers == NULL || jobs->routes == NULL)
     return;
   for (uint32_t i = 0; i < jobs->routes->n_services; i++)
     {
       const MfRouteService *service = &jobs->routes->services[i];
-      MfLead *lead = mf_jobs_find_lead (jobs, service->name);
+      MfLeadership *lead = mf_jobs_find_leadership (jobs, service->name);
 
       if (!service->is_engine
           || (lead == NULL && (lead = leadership_add (jobs, service->name)) == NULL))
@@ -76,7 +76,7 @@
       /* Who hears of orders that are younger than its lead begins anew. */
       if (lead->led_since_us == 0 || mf_peers_fence (jobs->peers, service->name) > lead->fence)
         leadership_begin (jobs, lead, now_us);
-      mf_jobs_refresh (jobs, now_us);
+      mf_jobs_refresh_remote_load (jobs, now_us);
       mf_jobs_balance_stages (jobs, lead, service, now_us);
     }
 }
--- a/libmangofork/relay/job_place.c
+++ b/libmangofork/relay/job_place.c
@@ -14,13 +14,12 @@
   MfPlaceAsk query = {
     .service = job->service->name,
     .role = role,
-    .tokens = role == MF_ROLE_PREFILL ? job->prompt_tokens : job->memory_tokens,
+    .tokens = role == MF_ROLE_PREFILL ? job->prompt_tokens : job->kv_tokens,
     .traits = job->service,
     .n_avoid = job->n_avoid,
     .apart = mf_job_is_suspect (job),
-    .memory_data_centre = role == MF_ROLE_DECODE && job->memory_target != NULL
-                              ? job->memory_target->info.data_centre
-                              : NULL,
+    .memory_data_centre
+    = role == MF_ROLE_DECODE && job->kv_target != NULL ? job->kv_target->info.data_centre : NULL,
     .data_centre = job->jobs->targets.data_centre,
     .point = mf_jobs_random (job->jobs),
   };
@@ -47,7 +46,7 @@
 static void
 job_note_pause_end (MfJob *job, MfRole role, uint64_t now_us)
 {
-  job->opens_us = mf_place_opens_us (&job->jobs->targets, job->service->name, role, now_us);
+  job->pause_end_us = mf_place_opens_us (&job->jobs->targets, job->service->name, role, now_us);
 }
 
 static void
@@ -73,10 +72,10 @@
 {
   uint64_t retention_us = job->service->kv_retention_us * KV_USE_PERCENT / 100;
 
-  if (job->memory_target == NULL || (!job->memory_used && now_us - job->memory_us <= retention_us))
+  if (job->kv_target == NULL || (!job->kv_used && now_us - job->prefilled_us <= retention_us))
     return;
-  job->jobs->counters.counts[MF_RELAY_COUNT_PREFILLS_WASTED] += !job->memory_used;
-  mf_job_release_memory (job);
+  job->jobs->counters.counts[MF_RELAY_COUNT_PREFILLS_WASTED] += !job->kv_used;
+  mf_job_release_kv (job);
 }
 
 /* The engine that keeps room for this request, if it can still be used; else its room is given
@@ -84,14 +83,14 @@
 static MfTarget *
 job_use_reserved_target (MfJob *job, uint64_t now_us)
 {
-  MfTarget *room = job->room;
+  MfTarget *reserved = job->reserved_target;
 
-  if (room != NULL && room->listed && mf_target_takes (room, now_us)
-      && !mf_place_avoids (job->avoid, job->n_avoid, room))
-    return room;
+  if (reserved != NULL && reserved->listed && mf_target_takes (reserved, now_us)
+      && !mf_place_avoids (job->avoid, job->n_avoid, reserved))
+    return reserved;
   /* The instance that decides may not know yet; the same engine is not asked for again. */
-  if (room != NULL)
-    mf_job_avoid (job, room->id_hash);
+  if (reserved != NULL)
+    mf_job_avoid (job, reserved->id_hash);
   mf_job_reserve (job, NULL);
   return NULL;
 }
@@ -120,7 +119,7 @@
 static void
 job_wait_paused (MfJob *job, uint64_t now_us)
 {
-  if (job->opens_us >= job->give_up_us)
+  if (job->pause_end_us >= job->give_up_us)
     {
       job_end_without_upstream (job, true);
       return;
@@ -128,7 +127,7 @@
   if (job->waiting_since_us == 0)
     job->waiting_since_us = now_us;
   job->phase = MF_JOB_WAITING;
-  job->try_due_us = job->opens_us;
+  job->step_deadline_us = job->pause_end_us;
   mf_job_set_timer (job);
 }
 
@@ -155,35 +154,35 @@
                                  job->n_avoid))
         job->n_avoid = 0;
       job_note_pause_end (job, MF_ROLE_DECODE, now_us);
-      if (job->opens_us > 0)
+      if (job->pause_end_us > 0)
         job_wait_paused (job, now_us);
       else
-        mf_job_ask_room (job);
+        mf_job_request_slot (job);
       return;
     }
-  if (job->memory_target != NULL)
+  if (job->kv_target != NULL)
     {
       mf_job_send (job, decode, false);
       return;
     }
   prefill = job_choose_prefill (job, now_us);
-  if (prefill != NULL && mf_job_has_send (job, true))
+  if (prefill != NULL && mf_job_acquire_send (job, true))
     mf_job_send (job, prefill, true);
   else if (prefill == NULL || job->n_run_sends == 0)
     mf_job_send (job, decode, false);
   else
-    mf_job_repeat_or_end (job, &(MfJobDenied){
-                                   .code = MF_CODE_RETRY_BUDGET,
-                                   .why = "its prompt is lost, and the retry budget is spent",
-                                   .may_have_run = job->n_runs > 0,
-                               });
+    mf_job_retry_or_end (job, &(MfJobDenial){
+                                  .code = MF_CODE_RETRY_BUDGET,
+                                  .why = "its prompt is lost, and the retry budget is spent",
+                                  .may_have_run = job->n_runs > 0,
+                              });
 }
 
 /* Decides what a request does next, and begins it. */
 void
 mf_job_advance (MfJob *job)
 {
-  if (mf_job_end_convicted (job))
+  if (mf_job_end_quarantined (job))
     return;
   if (job->is_engine)
     job_place_engine (job);
@@ -193,7 +192,7 @@
 
 /* The upstream given up for another did not answer in time. */
 void
-mf_job_try_expired (MfJob *job)
+mf_job_step_expired (MfJob *job)
 {
   MfTarget *target = job->target;
   bool any_alive = false;
@@ -201,12 +200,12 @@
 
   if (job->phase == MF_JOB_WAITING)
     {
-      if (job->awaited != 0)
-        mf_job_verdict_due (job);
-      else if (job->repeat_id != 0)
-        mf_job_repeat_denied (job);
-      else if (job->ask_id != 0)
-        mf_job_ask_expired (job);
+      if (job->awaited_process_id != 0)
+        mf_job_probe_done (job);
+      else if (job->retry_request_id != 0)
+        mf_job_retry_denied (job);
+      else if (job->slot_request_id != 0)
+        mf_job_slot_request_expired (job);
       else
         mf_job_advance (job);
       return;
@@ -215,23 +214,23 @@
   if (job->n_avoid < MF_PLACE_AVOID_MAX)
     query.avoid[query.n_avoid++] = target->id_hash;
   if (job->phase != MF_JOB_PREFILL
-      && (!mf_job_may_repeat (job) || job->n_runs + 1 >= job->route->attempts_max))
+      && (!mf_job_may_retry (job) || job->n_runs + 1 >= job->route->attempts_max))
     {
       mf_job_set_timer (job);
       return;
     }
   if (mf_place_choose (&job->jobs->targets, &query, mf_clock_now_us (), &any_alive) == NULL
-      || !mf_job_take_repeat (job))
+      || !mf_job_acquire_retry (job))
     {
       mf_job_set_timer (job);
       return;
     }
-  mf_lines_add (job->jobs->lines, "request.moved",
+  mf_lines_add (job->jobs->log, "request.moved",
                 "id=%s from=%s why=\"no answer in time\" waited_ms=%.1f in_flight=%u", job->id,
                 target->info.id, (double)(mf_clock_now_us () - job->sent_us) / 1e3,
                 target->n_active);
   mf_target_failed (target, false, mf_clock_now_us ());
-  mf_job_note_break (job, target);
+  mf_job_note_failure (job, target);
   mf_job_avoid (job, target->id_hash);
   /* What was sent and is given up may have run. */
   if (job->phase != MF_JOB_PREFILL && mf_link_has_sent (job->link))
@@ -241,6 +240,6 @@
     }
   mf_job_cancel (job);
   if (job->head_sent)
-    mf_job_wait_again (job);
+    mf_job_reset_give_up (job);
   mf_job_advance (job);
 }
--- a/libmangofork/relay/job_repeat.c
+++ b/libmangofork/relay/job_repeat.c
@@ -33,15 +33,15 @@
 {
   uint32_t n_instances = jobs->peers == NULL ? 1 : mf_peers_known (jobs->peers);
 
-  return mf_budget_floor (jobs->budget_slack, n_instances, mf_clock_now_us () - jobs->began_us,
-                          jobs->budget_window_us);
+  return mf_budget_allowance (jobs->budget_slack, n_instances,
+                              mf_clock_now_us () - jobs->started_us, jobs->budget_window_us);
 }
 
 /* Sends beyond its first prefill and its first run that a repeat of the request takes. */
 static uint32_t
-repeat_n_sends (const MfJob *job)
+retry_n_sends (const MfJob *job)
 {
-  bool needs_prefill = job->memory_target == NULL || job->memory_used;
+  bool needs_prefill = job->kv_target == NULL || job->kv_used;
   uint32_t n_sends = (needs_prefill && job->n_prefill_sends > 0) + (job->n_run_sends > 0);
 
   return n_sends > 0 ? n_sends : 1;
@@ -49,38 +49,38 @@
 
 /* Takes sends of this instance's own part: all of them, or none. */
 static bool
-take_sends (MfJob *job, uint32_t n_sends)
+acquire_sends (MfJob *job, uint32_t n_sends)
 {
   MfServiceBudget *budget = mf_jobs_budget (job->jobs, job->service->name);
-  bool allowed
-      = mf_budget_take (&budget->budget, jobs_allowance (job->jobs), n_sends, mf_clock_now_us ());
+  bool allowed = mf_budget_acquire (&budget->budget, jobs_allowance (job->jobs), n_sends,
+                                    mf_clock_now_us ());
 
-  job->n_prepaid += allowed ? n_sends : 0;
+  job->n_reserved_sends += allowed ? n_sends : 0;
   job->jobs->counters.counts[allowed ? MF_RELAY_COUNT_REPEATS : MF_RELAY_COUNT_REPEATS_DENIED]++;
   return allowed;
 }
 
 /* Takes a repeat of this instance's own part. */
 bool
-mf_job_take_repeat (MfJob *job)
+mf_job_acquire_retry (MfJob *job)
 {
-  return take_sends (job, repeat_n_sends (job));
+  return acquire_sends (job, retry_n_sends (job));
 }
 
 /* Whether the next send of the request is one that it may make: the first prefill or run, one that
  * was given before, or one that this instance's own part still has. */
 bool
-mf_job_has_send (MfJob *job, bool prefill)
+mf_job_acquire_send (MfJob *job, bool prefill)
 {
   uint32_t n_before = prefill ? job->n_prefill_sends : job->n_run_sends;
 
-  return n_before == 0 || job->n_prepaid > 0 || take_sends (job, 1);
+  return n_before == 0 || job->n_reserved_sends > 0 || acquire_sends (job, 1);
 }
 
 /* Asks the instance that leads for the repeats of a request, or tells it of them. Returns who was
  * asked; MF_DISPATCH_SELF when there is nobody to ask. */
 static uint64_t
-leader_send (MfJobs *jobs, const char *service, const MfRepeatAsk *repeat)
+leader_send (MfJobs *jobs, const char *service, const MfRepeatAsk *retry)
 {
   uint64_t leader;
 
@@ -90,7 +90,7 @@
   if (leader == MF_DISPATCH_SELF)
     return MF_DISPATCH_SELF;
   jobs->message.kind = MF_RELAY_MESSAGE_REPEAT;
-  jobs->message.repeat = *repeat;
+  jobs->message.repeat = *retry;
   mf_name_set (jobs->message.repeat.service, MF_NAME_BYTES, service);
   return mf_peers_send (jobs->peers, leader, &jobs->message) ? leader : MF_DISPATCH_SELF;
 }
@@ -99,10 +99,10 @@
 static void
 pool_charge (MfJobs *jobs, const char *service, uint32_t n_sends)
 {
-  MfLead *lead = mf_jobs_find_lead (jobs, service);
+  MfLeadership *lead = mf_jobs_find_leadership (jobs, service);
 
   if (lead != NULL && lead->led_since_us > 0)
-    mf_budget_charge (&lead->pool, n_sends, mf_clock_now_us ());
+    mf_budget_charge (&lead->retry_pool, n_sends, mf_clock_now_us ());
 }
 
 /* Counts a send: all but the first prefill and the first run of a request are repeats. One that was
@@ -115,17 +115,17 @@
   MfBudget *budget;
   uint64_t now_us = mf_clock_now_us ();
 
-  job->is_repeat = n_before > 0;
-  if (!job->is_repeat)
+  job->is_retry = n_before > 0;
+  if (!job->is_retry)
     return;
-  if (job->n_prepaid > 0)
+  if (job->n_reserved_sends > 0)
     {
-      job->n_prepaid--;
+      job->n_reserved_sends--;
       return;
     }
   budget = &mf_jobs_budget (jobs, job->service->name)->budget;
   mf_budget_charge (budget, 1, now_us);
-  if (!job->is_engine || mf_budget_has_room (budget, jobs_allowance (jobs), 0, now_us))
+  if (!job->is_engine || mf_budget_allows (budget, jobs_allowance (jobs), 0, now_us))
     return;
   if (leader_send (jobs, job->service->name, &(MfRepeatAsk){ .n_sends = 1, .is_done = true })
       == MF_DISPATCH_SELF)
@@ -135,9 +135,9 @@
 /* Takes sends from what this instance gives to all, where it leads. One that has not led for a
  * whole window does not know what the one before it gave. */
 static bool
-pool_take (MfJobs *jobs, const char *service, uint32_t n_sends)
+pool_acquire (MfJobs *jobs, const char *service, uint32_t n_sends)
 {
-  MfLead *lead = mf_jobs_find_lead (jobs, service);
+  MfLeadership *lead = mf_jobs_find_leadership (jobs, service);
   uint64_t now_us = mf_clock_now_us ();
   uint32_t pool;
 
@@ -145,7 +145,7 @@
       || now_us - lead->led_since_us < jobs->budget_window_us)
     return false;
   pool = mf_budget_pool (jobs->budget_slack, mf_peers_known (jobs->peers), jobs->budget_window_us);
-  if (!mf_budget_has_room (&lead->pool, pool, n_sends, now_us))
+  if (!mf_budget_allows (&lead->retry_pool, pool, n_sends, now_us))
     return false;
   pool_charge (jobs, service, n_sends);
   return true;
@@ -153,43 +153,43 @@
 
 /* Ends a request that may not be repeated. */
 void
-mf_job_repeat_denied (MfJob *job)
+mf_job_retry_denied (MfJob *job)
 {
-  MfJobDenied denied = job->denied;
+  MfJobDenial denial = job->denial;
 
-  job->repeat_id = 0;
-  if (denied.may_have_run)
-    mf_job_finish (job, denied.code, denied.why);
+  job->retry_request_id = 0;
+  if (denial.may_have_run)
+    mf_job_finish (job, denial.code, denial.why);
   else
-    mf_job_refuse (job, denied.code, denied.why);
+    mf_job_refuse (job, denial.code, denial.why);
 }
 
 /* Goes on with a repeat that was given. */
 static void
-job_repeat_granted (MfJob *job)
+job_retry_granted (MfJob *job)
 {
-  job->repeat_id = 0;
-  job->try_due_us = 0;
-  job->n_prepaid += repeat_n_sends (job);
+  job->retry_request_id = 0;
+  job->step_deadline_us = 0;
+  job->n_reserved_sends += retry_n_sends (job);
   job->jobs->counters.counts[MF_RELAY_COUNT_REPEATS_GIVEN]++;
   mf_job_advance (job);
 }
 
 /* Asks the instance that leads for a repeat; false when there is none to ask. */
 static bool
-request_repeat (MfJob *job)
+request_retry (MfJob *job)
 {
   MfJobs *jobs = job->jobs;
-  uint64_t id = ++jobs->last_ask_id;
+  uint64_t id = ++jobs->last_peer_request_id;
   uint64_t leader = leader_send (jobs, job->service->name,
-                                 &(MfRepeatAsk){ .id = id, .n_sends = repeat_n_sends (job) });
+                                 &(MfRepeatAsk){ .id = id, .n_sends = retry_n_sends (job) });
 
   if (leader == MF_DISPATCH_SELF)
     return false;
   job->phase = MF_JOB_WAITING;
-  job->repeat_id = id;
-  job->asked = leader;
-  job->try_due_us = mf_clock_now_us () + REPLY_TIMEOUT_US;
+  job->retry_request_id = id;
+  job->asked_instance = leader;
+  job->step_deadline_us = mf_clock_now_us () + REPLY_TIMEOUT_US;
   mf_job_set_timer (job);
   return true;
 }
@@ -197,45 +197,46 @@
 /* Sends the request once more if a repeat is to be had, of this instance's part or of what the
  * leader gives; else ends it. */
 void
-mf_job_repeat_or_end (MfJob *job, const MfJobDenied *denied)
+mf_job_retry_or_end (MfJob *job, const MfJobDenial *denial)
 {
-  job->denied = *denied;
-  if (mf_job_take_repeat (job))
+  job->denial = *denial;
+  if (mf_job_acquire_retry (job))
     mf_job_advance (job);
-  else if (job->is_engine && pool_take (job->jobs, job->service->name, repeat_n_sends (job)))
-    job_repeat_granted (job);
-  else if (!job->is_engine || !request_repeat (job))
-    mf_job_repeat_denied (job);
+  else if (job->is_engine && pool_acquire (job->jobs, job->service->name, retry_n_sends (job)))
+    job_retry_granted (job);
+  else if (!job->is_engine || !request_retry (job))
+    mf_job_retry_denied (job);
 }
 
 /* Takes a question for a repeat, or the answer to one of this instance, from a peer. */
 void
-mf_jobs_take_repeat_message (MfJobs *jobs, uint64_t peer, const MfRelayMessage *message)
+mf_jobs_handle_retry_message (MfJobs *jobs, uint64_t peer, const MfRelayMessage *message)
 {
-  MfRepeatAsk repeat = message->repeat;
+  MfRepeatAsk retry = message->repeat;
 
-  if (message->kind == MF_RELAY_MESSAGE_REPEAT && repeat.is_done)
+  if (message->kind == MF_RELAY_MESSAGE_REPEAT && retry.is_done)
     {
-      pool_charge (jobs, repeat.service, repeat.n_sends);
+      pool_charge (jobs, retry.service, retry.n_sends);
       return;
     }
   if (message->kind == MF_RELAY_MESSAGE_REPEAT)
     {
       jobs->message.kind = MF_RELAY_MESSAGE_ALLOW;
       jobs->message.repeat
-          = (MfRepeatAsk){ .id = repeat.id,
-                           .allowed = pool_take (jobs, repeat.service, repeat.n_sends) };
+          = (MfRepeatAsk){ .id = retry.id,
+                           .allowed = pool_acquire (jobs, retry.service, retry.n_sends) };
       mf_peers_send (jobs->peers, peer, &jobs->message);
       return;
     }
   for (MfJob *job = jobs->first; job != NULL; job = job->next)
     {
-      if (job->repeat_id == 0 || job->repeat_id != repeat.id || job->asked != peer)
+      if (job->retry_request_id == 0 || job->retry_request_id != retry.id
+          || job->asked_instance != peer)
         continue;
-      if (repeat.allowed)
-        job_repeat_granted (job);
+      if (retry.allowed)
+        job_retry_granted (job);
       else
-        mf_job_repeat_denied (job);
+        mf_job_retry_denied (job);
       return;
     }
 }
--- a/libmangofork/relay/job_room.c
+++ b/libmangofork/relay/job_room.c
@@ -14,11 +14,11 @@
 #define FIRST_EVENT_FACTOR 1.4
 
 static MfJob *
-job_by_slot_request (const MfJobs *jobs, uint64_t ask_id)
+job_by_slot_request (const MfJobs *jobs, uint64_t slot_request_id)
 {
   for (MfJob *job = jobs->first; job != NULL; job = job->next)
     {
-      if (job->ask_id == ask_id && job->phase == MF_JOB_WAITING)
+      if (job->slot_request_id == slot_request_id && job->phase == MF_JOB_WAITING)
         return job;
     }
   return NULL;
@@ -28,55 +28,56 @@
 static uint64_t
 grant_objective_us (const MfJob *job)
 {
-  uint64_t first_us = (uint64_t)(job->jobs->first_us * FIRST_EVENT_FACTOR);
+  uint64_t first_event_us = (uint64_t)(job->jobs->mean_first_event_us * FIRST_EVENT_FACTOR);
   uint64_t objective_us = job->route->target_latency_us;
 
-  return objective_us > first_us ? objective_us - first_us : 0;
+  return objective_us > first_event_us ? objective_us - first_event_us : 0;
 }
 
 /* Adds the engines that take nothing of this instance, as far as they fit: the instance that
  * decides does not know what they have told this one. */
 static void
-request_avoid_unusable (const MfJob *job, MfAsk *ask, uint64_t now_us)
+request_avoid_unusable (const MfJob *job, MfAsk *request, uint64_t now_us)
 {
   for (const MfTarget *target = job->jobs->targets.first;
-       target != NULL && ask->n_avoid < MF_PLACE_AVOID_MAX; target = target->next)
+       target != NULL && request->n_avoid < MF_PLACE_AVOID_MAX; target = target->next)
     {
       if (target->info.role == MF_ROLE_DECODE && !target->info.leaving
           && !mf_target_takes (target, now_us)
           && strcmp (target->info.service, job->service->name) == 0
-          && !mf_place_avoids (ask->avoid, ask->n_avoid, target))
-        ask->avoid[ask->n_avoid++] = target->id_hash;
+          && !mf_place_avoids (request->avoid, request->n_avoid, target))
+        request->avoid[request->n_avoid++] = target->id_hash;
     }
 }
 
 /* Decode engines of the service that the ask does not name. */
 static uint32_t
-request_n_usable (const MfJob *job, const MfAsk *ask)
+request_n_usable (const MfJob *job, const MfAsk *request)
 {
   uint32_t n_usable = 0;
 
   for (const MfTarget *target = job->jobs->targets.first; target != NULL; target = target->next)
     n_usable += target->info.role == MF_ROLE_DECODE && !target->info.leaving
                 && strcmp (target->info.service, job->service->name) == 0
-                && !mf_place_avoids (ask->avoid, ask->n_avoid, target);
+                && !mf_place_avoids (request->avoid, request->n_avoid, target);
   return n_usable;
 }
 
 /* Adds the engines where requests run under which another has ended, while one is left without. */
 static void
-request_avoid_suspects (const MfJob *job, MfAsk *ask)
+request_avoid_suspects (const MfJob *job, MfAsk *request)
 {
-  uint32_t n_usable = request_n_usable (job, ask);
+  uint32_t n_usable = request_n_usable (job, request);
 
   for (const MfTarget *target = job->jobs->targets.first;
-       target != NULL && ask->n_avoid < MF_PLACE_AVOID_MAX && n_usable > 1; target = target->next)
+       target != NULL && request->n_avoid < MF_PLACE_AVOID_MAX && n_usable > 1;
+       target = target->next)
     {
       if (target->info.role != MF_ROLE_DECODE || target->n_suspects == 0
           || strcmp (target->info.service, job->service->name) != 0
-          || mf_place_avoids (ask->avoid, ask->n_avoid, target))
+          || mf_place_avoids (request->avoid, request->n_avoid, target))
         continue;
-      ask->avoid[ask->n_avoid++] = target->id_hash;
+      request->avoid[request->n_avoid++] = target->id_hash;
       n_usable--;
     }
 }
@@ -86,25 +87,26 @@
 static MfAsk
 request_make (MfJob *job, uint64_t now_us)
 {
-  uint64_t patience_us = job->give_up_us - job->asked_us;
-  MfAsk ask = {
-    .id = ++job->jobs->last_ask_id,
+  uint64_t max_age_us = job->give_up_us - job->first_try_us;
+  MfAsk request = {
+    .id = ++job->jobs->last_peer_request_id,
     .prompt_tokens = job->prompt_tokens,
-    .memory_tokens = job->memory_tokens,
-    .has_memory = job->memory_target != NULL,
-    .age_us = now_us - job->asked_us,
-    .objective_us = job->head_sent ? patience_us : grant_objective_us (job),
-    .patience_us = patience_us,
+    .memory_tokens = job->kv_tokens,
+    .has_memory = job->kv_target != NULL,
+    .age_us = now_us - job->first_try_us,
+    .objective_us = job->head_sent ? max_age_us : grant_objective_us (job),
+    .patience_us = max_age_us,
     .n_avoid = job->n_avoid,
   };
 
-  memcpy (ask.service, job->service->name, strnlen (job->service->name, sizeof ask.service - 1));
-  memcpy (ask.data_centre, job->jobs->targets.data_centre, sizeof ask.data_centre);
-  memcpy (ask.avoid, job->avoid, sizeof job->avoid);
-  request_avoid_unusable (job, &ask, now_us);
+  memcpy (request.service, job->service->name,
+          strnlen (job->service->name, sizeof request.service - 1));
+  memcpy (request.data_centre, job->jobs->targets.data_centre, sizeof request.data_centre);
+  memcpy (request.avoid, job->avoid, sizeof job->avoid);
+  request_avoid_unusable (job, &request, now_us);
   if (mf_job_is_suspect (job))
-    request_avoid_suspects (job, &ask);
-  return ask;
+    request_avoid_suspects (job, &request);
+  return request;
 }
 
 /* Asks this instance itself. */
@@ -113,45 +115,45 @@
 {
   MfJobs *jobs = job->jobs;
   uint64_t now_us = mf_clock_now_us ();
-  MfAsk ask = request_make (job, now_us);
+  MfAsk request = request_make (job, now_us);
 
-  job->ask_id = ask.id;
-  job->asked = MF_DISPATCH_SELF;
-  job->try_due_us = 0;
-  mf_dispatch_ask (jobs->dispatch, MF_DISPATCH_SELF, &ask, now_us);
+  job->slot_request_id = request.id;
+  job->asked_instance = MF_DISPATCH_SELF;
+  job->step_deadline_us = 0;
+  mf_dispatch_ask (jobs->dispatch, MF_DISPATCH_SELF, &request, now_us);
   mf_job_set_timer (job);
-  mf_jobs_wake_later (jobs);
+  mf_jobs_schedule_dispatch (jobs);
 }
 
 /* Takes back an ask that was not answered. */
 void
-mf_job_unask (MfJob *job)
+mf_job_cancel_slot_request (MfJob *job)
 {
   MfJobs *jobs = job->jobs;
 
-  if (job->ask_id == 0)
+  if (job->slot_request_id == 0)
     return;
-  if (job->asked == MF_DISPATCH_SELF)
-    mf_dispatch_cancel (jobs->dispatch, MF_DISPATCH_SELF, job->ask_id);
+  if (job->asked_instance == MF_DISPATCH_SELF)
+    mf_dispatch_cancel (jobs->dispatch, MF_DISPATCH_SELF, job->slot_request_id);
   else
     {
       jobs->message.kind = MF_RELAY_MESSAGE_CANCEL;
-      jobs->message.grant.id = job->ask_id;
-      mf_peers_send (jobs->peers, job->asked, &jobs->message);
+      jobs->message.grant.id = job->slot_request_id;
+      mf_peers_send (jobs->peers, job->asked_instance, &jobs->message);
     }
-  job->ask_id = 0;
+  job->slot_request_id = 0;
 }
 
 /* Asks for room at an engine, here or at the instance that decides for all. */
 void
-mf_job_ask_room (MfJob *job)
+mf_job_request_slot (MfJob *job)
 {
   MfJobs *jobs = job->jobs;
   uint64_t now_us = mf_clock_now_us ();
   uint64_t leader = jobs->peers == NULL ? MF_DISPATCH_SELF
                                         : mf_peers_leader (jobs->peers, job->service->name, now_us);
 
-  mf_job_unask (job);
+  mf_job_cancel_slot_request (job);
   if (job->phase != MF_JOB_WAITING || job->waiting_since_us == 0)
     {
       job->phase = MF_JOB_WAITING;
@@ -164,9 +166,9 @@
     }
   jobs->message.kind = MF_RELAY_MESSAGE_ASK;
   jobs->message.ask = request_make (job, now_us);
-  job->ask_id = jobs->message.ask.id;
-  job->asked = leader;
-  job->try_due_us = now_us + REPLY_TIMEOUT_US;
+  job->slot_request_id = jobs->message.ask.id;
+  job->asked_instance = leader;
+  job->step_deadline_us = now_us + REPLY_TIMEOUT_US;
   if (mf_peers_send (jobs->peers, leader, &jobs->message))
     mf_job_set_timer (job);
   else
@@ -176,16 +178,16 @@
 /* The instance that was asked does not answer: the next one is asked. Were all that wait to decide
  * for themselves, they would take the same places. */
 void
-mf_job_ask_expired (MfJob *job)
+mf_job_slot_request_expired (MfJob *job)
 {
   MfJobs *jobs = job->jobs;
 
-  mf_lines_state (jobs->lines, "dispatch.unanswered", "id=%s waited_ms=%.1f", job->id,
+  mf_lines_state (jobs->log, "dispatch.unanswered", "id=%s waited_ms=%.1f", job->id,
                   (double)(mf_clock_now_us () - job->waiting_since_us) / 1e3);
-  mf_peers_distrust (jobs->peers, job->asked);
-  mf_job_unask (job);
-  if (++job->n_unanswered < UNANSWERED_MAX)
-    mf_job_ask_room (job);
+  mf_peers_distrust (jobs->peers, job->asked_instance);
+  mf_job_cancel_slot_request (job);
+  if (++job->n_unanswered_requests < UNANSWERED_MAX)
+    mf_job_request_slot (job);
   else
     request_enqueue_local (job);
 }
@@ -198,17 +200,17 @@
   MfTarget *decode = mf_targets_by_hash (targets, grant->decode);
   uint64_t now_us = mf_clock_now_us ();
 
-  mf_lines_add (job->jobs->lines, "request.granted",
+  mf_lines_add (job->jobs->log, "request.granted",
                 "id=%s decode=%s by=%s waited_ms=%.1f load=%u load_tokens=%llu tokens=%llu",
                 job->id, decode != NULL ? decode->info.id : "unknown",
-                job->asked == MF_DISPATCH_SELF ? "self" : "peer",
+                job->asked_instance == MF_DISPATCH_SELF ? "self" : "peer",
                 (double)(now_us - job->waiting_since_us) / 1e3,
                 decode != NULL ? mf_target_load (decode) : 0,
                 (unsigned long long)(decode != NULL ? mf_target_load_tokens (decode) : 0),
-                (unsigned long long)job->memory_tokens);
-  job->ask_id = 0;
-  job->n_unanswered = 0;
-  job->try_due_us = 0;
+                (unsigned long long)job->kv_tokens);
+  job->slot_request_id = 0;
+  job->n_unanswered_requests = 0;
+  job->step_deadline_us = 0;
   job->waited_us += now_us - job->waiting_since_us;
   job->waiting_since_us = now_us;
   job->granted_prefill = grant->prefill;
@@ -247,20 +249,20 @@
   return index == MF_NONE ? NULL : &jobs->routes->services[index];
 }
 
-const MfDispatchUser mf_job_dispatch_user = {
+const MfDispatchUser mf_job_dispatch_callbacks = {
   .grant = on_grant,
   .traits = on_service_config,
 };
 
 /* Tells an asker whose ask could not be granted at once that it is kept. */
 static void
-request_handle (MfJobs *jobs, uint64_t peer, const MfAsk *ask)
+request_handle (MfJobs *jobs, uint64_t peer, const MfAsk *request)
 {
-  uint64_t id = ask->id;
+  uint64_t id = request->id;
   uint32_t n_before = mf_dispatch_n_waiting (jobs->dispatch);
 
-  mf_dispatch_ask (jobs->dispatch, peer, ask, mf_clock_now_us ());
-  mf_jobs_wake (jobs);
+  mf_dispatch_ask (jobs->dispatch, peer, request, mf_clock_now_us ());
+  mf_jobs_run_dispatch (jobs);
   if (mf_dispatch_n_waiting (jobs->dispatch) <= n_before)
     return;
   jobs->message.kind = MF_RELAY_MESSAGE_QUEUED;
@@ -285,33 +287,33 @@
       return;
     case MF_RELAY_MESSAGE_SEEN:
       mf_dispatch_seen (jobs->dispatch, peer, message->grant.id);
-      jobs->others_stale = true;
+      jobs->remote_load_stale = true;
       return;
     case MF_RELAY_MESSAGE_QUEUED:
       job = job_by_slot_request (jobs, message->grant.id);
-      if (job == NULL || job->asked != peer)
+      if (job == NULL || job->asked_instance != peer)
         return;
-      job->try_due_us = 0;
+      job->step_deadline_us = 0;
       mf_job_set_timer (job);
       return;
     case MF_RELAY_MESSAGE_GRANT:
       mf_peers_note_grant (jobs->peers, peer, message->grant.id);
       job = job_by_slot_request (jobs, message->grant.id);
-      if (job != NULL && job->asked == peer)
+      if (job != NULL && job->asked_instance == peer)
         job_granted (job, &message->grant);
       /* The place shows in the load, or is free again. */
       mf_jobs_load_changed (jobs);
       return;
     case MF_RELAY_MESSAGE_FEED:
-      if (jobs->take_feed != NULL)
-        jobs->take_feed (jobs->take_feed_data, peer, &message->feed);
+      if (jobs->on_feed != NULL)
+        jobs->on_feed (jobs->on_feed_data, peer, &message->feed);
       return;
     case MF_RELAY_MESSAGE_SUSPECTS:
-      mf_jobs_take_suspects (jobs, &message->suspects);
+      mf_jobs_handle_suspects (jobs, &message->suspects);
       return;
     case MF_RELAY_MESSAGE_REPEAT:
     case MF_RELAY_MESSAGE_ALLOW:
-      mf_jobs_take_repeat_message (jobs, peer, message);
+      mf_jobs_handle_retry_message (jobs, peer, message);
       return;
     default:
       return;
@@ -322,7 +324,7 @@
 static void
 on_peer_reached (void *data, uint64_t peer)
 {
-  mf_jobs_tell_suspects (data, peer);
+  mf_jobs_send_suspects (data, peer);
 }
 
 /* Another instance is gone. */
@@ -333,7 +335,7 @@
   uint64_t now_us = mf_clock_now_us ();
 
   mf_dispatch_drop (jobs->dispatch, peer);
-  jobs->others_stale = true;
+  jobs->remote_load_stale = true;
   /* Whoever decides now is to know what this instance has before the asks reach it. */
   for (uint32_t i = 0; jobs->peers != NULL && jobs->routes != NULL && i < jobs->routes->n_services;
        i++)
@@ -343,10 +345,10 @@
     }
   for (MfJob *job = jobs->first; job != NULL; job = job->next)
     {
-      if (job->phase != MF_JOB_WAITING || job->ask_id == 0 || job->asked != peer)
+      if (job->phase != MF_JOB_WAITING || job->slot_request_id == 0 || job->asked_instance != peer)
         continue;
-      job->ask_id = 0;
-      mf_job_ask_room (job);
+      job->slot_request_id = 0;
+      mf_job_request_slot (job);
     }
 }
 
@@ -363,11 +365,11 @@
 {
   MfJobs *jobs = data;
 
-  jobs->others_stale = true;
-  mf_jobs_wake (jobs);
+  jobs->remote_load_stale = true;
+  mf_jobs_run_dispatch (jobs);
 }
 
-const MfPeersUser mf_jobs_peers_user = {
+const MfPeersUser mf_jobs_peers_callbacks = {
   .fill = on_fill_report,
   .changed = on_loads_changed,
   .message = on_message,
--- a/libmangofork/relay/job_send.c
+++ b/libmangofork/relay/job_send.c
@@ -35,22 +35,22 @@
 void
 mf_job_reserve (MfJob *job, MfTarget *target)
 {
-  if (job->room == target)
+  if (job->reserved_target == target)
     return;
-  if (job->room != NULL)
+  if (job->reserved_target != NULL)
     {
-      mf_target_unreserve (job->room, job->memory_tokens);
-      mf_target_unref (job->room);
+      mf_target_unreserve (job->reserved_target, job->kv_tokens);
+      mf_target_unref (job->reserved_target);
     }
-  job->room = target;
+  job->reserved_target = target;
   if (target != NULL)
-    mf_target_reserve (mf_target_ref (target), job->memory_tokens);
+    mf_target_reserve (mf_target_ref (target), job->kv_tokens);
   mf_jobs_load_changed (job->jobs);
 }
 
 /* Lets go of the upstream. */
 void
-mf_job_leave_target (MfJob *job)
+mf_job_release_target (MfJob *job)
 {
   if (job->target == NULL)
     return;
@@ -69,7 +69,7 @@
   if (job->link != NULL)
     mf_link_cancel (job->link);
   job->link = NULL;
-  mf_job_leave_target (job);
+  mf_job_release_target (job);
 }
 
 static void
@@ -80,34 +80,34 @@
   mf_target_unref (data);
 }
 
-static const MfLinkUser release_user = {
+static const MfLinkUser release_callbacks = {
   .end = on_released,
 };
 
 /* Tells the engine that holds the prompt that nobody will come for it. */
 void
-mf_job_release_memory (MfJob *job)
+mf_job_release_kv (MfJob *job)
 {
-  MfTarget *target = job->memory_target;
+  MfTarget *target = job->kv_target;
   char path[160];
   char head[320];
 
   if (target == NULL)
     return;
-  job->memory_target = NULL;
-  if (!job->memory_used && target->paused_until_us > mf_clock_now_us ())
-    mf_lines_add (job->jobs->lines, "memory.left",
+  job->kv_target = NULL;
+  if (!job->kv_used && target->paused_until_us > mf_clock_now_us ())
+    mf_lines_add (job->jobs->log, "memory.left",
                   "id=%s upstream=%s handle=%s why=\"the engine asked for a pause\"", job->id,
-                  target->info.id, job->memory.handle);
-  else if (!job->memory_used && target->listed)
+                  target->info.id, job->kv.handle);
+  else if (!job->kv_used && target->listed)
     {
-      snprintf (path, sizeof path, "%s%s", job->jobs->dialect->release_path, job->memory.handle);
+      snprintf (path, sizeof path, "%s%s", job->jobs->dialect->release_path, job->kv.handle);
       snprintf (head, sizeof head, "DELETE %s HTTP/1.1\r\nHost: %s\r\nContent-Length: 0\r\n\r\n",
                 path, target->info.address);
       /* The exchange keeps the reference until it ends. */
       if (mf_link_start (&target->pool,
                          &(MfLinkCall){
-                             .user = &release_user,
+                             .user = &release_callbacks,
                              .data = target,
                              .head = head,
                              .head_bytes = strlen (head),
@@ -186,9 +186,9 @@
   head_add (job, out, MF_WORD_EXPECT_UPSTREAM, target->info.id);
   if (prefill)
     head_add (job, out, MF_WORD_STAGE, job->jobs->dialect->stage_prefill);
-  else if (job->memory_target != NULL)
+  else if (job->kv_target != NULL)
     {
-      snprintf (value, sizeof value, "%s/%s", job->memory_target->info.address, job->memory.handle);
+      snprintf (value, sizeof value, "%s/%s", job->kv_target->info.address, job->kv.handle);
       head_add (job, out, MF_WORD_KV_SOURCE, value);
     }
   if (!prefill && job->events.has_last)
@@ -242,7 +242,7 @@
   MfJobs *jobs = job->jobs;
   uint64_t now_us = mf_clock_now_us ();
   const MfBuffer *body = mf_caller_body (job->caller);
-  bool run_once = !prefill && !mf_job_may_repeat (job);
+  bool run_once = !prefill && !mf_job_may_retry (job);
   MfBuffer head = { 0 };
 
   job_write_head (job, target, prefill, &head);
@@ -250,7 +250,7 @@
   job->was_suspect = mf_job_is_suspect (job);
   target->n_suspects += job->was_suspect;
   mf_name_set (job->last_upstream, sizeof job->last_upstream, target->info.id);
-  job->target_tokens = prefill ? job->prompt_tokens : job->memory_tokens;
+  job->target_tokens = prefill ? job->prompt_tokens : job->kv_tokens;
   if (!prefill)
     mf_job_reserve (job, NULL);
   mf_target_begin (target, job->target_tokens, now_us);
@@ -260,34 +260,34 @@
   job->waiting_since_us = 0;
   mf_job_note_send (job, prefill);
   job->sent_us = now_us;
-  job->try_due_us = job_send_deadline_us (job, target, prefill, now_us);
+  job->step_deadline_us = job_send_deadline_us (job, target, prefill, now_us);
   mf_job_answer_clear (&job->answer);
-  job->link
-      = mf_link_start (&target->pool, &(MfLinkCall){
-                                          .user = prefill ? &mf_job_prefill_user : &mf_job_run_user,
-                                          .data = job,
-                                          .head = mf_buffer_data (&head),
-                                          .head_bytes = mf_buffer_bytes (&head),
-                                          .body = mf_buffer_data (body),
-                                          .body_bytes = mf_buffer_bytes (body),
-                                          .echo_id = job->id[0] != '\0' ? job->id : NULL,
-                                          .idle_max_us = run_once ? RUN_ONCE_IDLE_MAX_US : 0,
-                                          .head_only = job->is_head,
-                                      });
+  job->link = mf_link_start (
+      &target->pool, &(MfLinkCall){
+                         .user = prefill ? &mf_job_prefill_callbacks : &mf_job_run_callbacks,
+                         .data = job,
+                         .head = mf_buffer_data (&head),
+                         .head_bytes = mf_buffer_bytes (&head),
+                         .body = mf_buffer_data (body),
+                         .body_bytes = mf_buffer_bytes (body),
+                         .echo_id = job->id[0] != '\0' ? job->id : NULL,
+                         .idle_max_us = run_once ? RUN_ONCE_IDLE_MAX_US : 0,
+                         .head_only = job->is_head_request,
+                     });
   mf_buffer_clear (&head);
   jobs->counters.counts[MF_RELAY_COUNT_SENDS]++;
-  mf_lines_add (jobs->lines, "request.send",
+  mf_lines_add (jobs->log, "request.send",
                 "id=%s upstream=%s stage=%s try=%u memory=%s in_flight=%u tokens=%llu "
                 "answer_ms=%.1f failure_share=%.2f seen_ms=%.0f left_ms=%lld",
                 job->id, target->info.id, prefill ? "prefill" : mf_role_name (target->info.role),
-                job->n_arrivals + 1, job->memory_target != NULL ? job->memory.handle : "none",
+                job->n_arrivals + 1, job->kv_target != NULL ? job->kv.handle : "none",
                 target->n_active, (unsigned long long)target->active_tokens,
                 target->answer_us / 1e3, mf_target_failure_share (target, now_us),
                 target->answered_us > 0 ? (double)(now_us - target->answered_us) / 1e3 : -1.,
                 ((long long)job->deadline_us - (long long)now_us) / 1000);
   if (job->link == NULL)
     {
-      mf_job_leave_target (job);
+      mf_job_release_target (job);
       mf_job_refuse (job, MF_CODE_NO_MEMORY, "no memory to send it");
       return false;
     }
--- a/libmangofork/relay/job_stage.c
+++ b/libmangofork/relay/job_stage.c
@@ -52,9 +52,10 @@
     share = (double)mf_target_load (target) / target->info.slots;
   if (service->kv_capacity_tokens > 0)
     {
-      double memory = (double)mf_target_load_tokens (target) / (double)service->kv_capacity_tokens;
+      double kv_share
+          = (double)mf_target_load_tokens (target) / (double)service->kv_capacity_tokens;
 
-      share = memory > share ? memory : share;
+      share = kv_share > share ? kv_share : share;
     }
   return share < 1. ? share : 1.;
 }
@@ -77,10 +78,10 @@
 }
 
 /* Engines that cannot be reached are left out: they have crashed, and are listed for a while. */
-static MfStageView
+static MfStageSnapshot
 snapshot_make (const MfJobs *jobs, const MfRouteService *service, uint64_t now_us)
 {
-  MfStageView snapshot = { 0 };
+  MfStageSnapshot snapshot = { 0 };
 
   for (const MfTarget *target = jobs->targets.first; target != NULL; target = target->next)
     {
@@ -93,7 +94,7 @@
       if (target->info.role == MF_ROLE_PREFILL)
         {
           snapshot.prefill_busy += mf_target_load (target) > 0;
-          snapshot.prompts += mf_target_load (target);
+          snapshot.queued_prompts += mf_target_load (target);
         }
       else
         snapshot.decode_used += decode_share (target, service);
@@ -156,7 +157,7 @@
 
 /* Forgets the orders on their way. */
 void
-mf_jobs_drop_orders (MfJobs *jobs)
+mf_jobs_cancel_orders (MfJobs *jobs)
 {
   while (jobs->orders != NULL)
     {
@@ -188,7 +189,7 @@
     target->stage_until_us = 0;
   target->n_orders_failed += !accepted;
   order->jobs->counters.counts[MF_RELAY_COUNT_ORDERS_REFUSED] += refused;
-  mf_lines_state (order->jobs->lines, "engine.order_ended",
+  mf_lines_state (order->jobs->log, "engine.order_ended",
                   "upstream=%s stage=%s status=%u taken=%s why=\"%s\" away_ms=%llu",
                   target->info.id, mf_role_name (order->role), order->status,
                   accepted  ? "yes"
@@ -198,13 +199,13 @@
   order_free (order);
 }
 
-static const MfLinkUser order_user = {
+static const MfLinkUser order_callbacks = {
   .head = on_order_head,
   .end = on_order_end,
 };
 
 static void
-order_send (MfJobs *jobs, MfLead *lead, const MfRouteService *service, MfTarget *target,
+order_send (MfJobs *jobs, MfLeadership *lead, const MfRouteService *service, MfTarget *target,
             MfRole role, uint64_t now_us)
 {
   MfStageOrder *order = calloc (1, sizeof *order);
@@ -235,7 +236,7 @@
   target->stage_ordered = role;
   target->stage_until_us = now_us + order->unavailable_us;
   order->link = mf_link_start (&target->pool, &(MfLinkCall){
-                                                  .user = &order_user,
+                                                  .user = &order_callbacks,
                                                   .data = order,
                                                   .head = head,
                                                   .head_bytes = (size_t)head_bytes,
@@ -276,9 +277,10 @@
 
 /* Balances the stages of a service's engines, which this instance leads. */
 void
-mf_jobs_balance_stages (MfJobs *jobs, MfLead *lead, const MfRouteService *service, uint64_t now_us)
+mf_jobs_balance_stages (MfJobs *jobs, MfLeadership *lead, const MfRouteService *service,
+                        uint64_t now_us)
 {
-  MfStageView snapshot;
+  MfStageSnapshot snapshot;
   MfStageMove move;
   MfRole role;
   MfTarget *target;
@@ -303,7 +305,7 @@
   if (target == NULL)
     return;
   jobs->counters.counts[MF_RELAY_COUNT_ORDERS]++;
-  mf_lines_state (jobs->lines, "engine.ordered",
+  mf_lines_state (jobs->log, "engine.ordered",
                   "upstream=%s stage=%s fence=%llu led_ms=%llu prefill=%u decode=%u "
                   "prefill_busy=%.2f decode_used=%.2f",
                   target->info.id, mf_role_name (role), (unsigned long long)lead->fence,
--- a/libmangofork/relay/job_suspect.c
+++ b/libmangofork/relay/job_suspect.c
@@ -56,12 +56,12 @@
   const MfSuspect *suspect
       = mf_suspects_find (job->jobs->suspects, job->digest, mf_clock_now_us ());
 
-  return job->n_breaks > 0 || (suspect != NULL && suspect->n_deaths > 0);
+  return job->n_failures > 0 || (suspect != NULL && suspect->n_deaths > 0);
 }
 
 /* Ends a request that is not to run any more. Returns whether it was one. */
 bool
-mf_job_end_convicted (MfJob *job)
+mf_job_end_quarantined (MfJob *job)
 {
   MfJobs *jobs = job->jobs;
   uint64_t now_us = mf_clock_now_us ();
@@ -69,7 +69,7 @@
   if (!mf_suspects_is_convicted (jobs->suspects, job->digest, now_us))
     return false;
   jobs->counters.counts[MF_RELAY_COUNT_SUSPECTS_REFUSED]++;
-  job->opens_us = mf_suspects_find (jobs->suspects, job->digest, now_us)->convicted_until_us;
+  job->pause_end_us = mf_suspects_find (jobs->suspects, job->digest, now_us)->convicted_until_us;
   if (job->n_runs > 0)
     mf_job_finish (job, MF_CODE_UPSTREAM_DIED, "upstreams have ended under this request");
   else
@@ -157,7 +157,7 @@
 
 /* Tells an instance that may have started anew what all were told, convictions first. */
 void
-mf_jobs_tell_suspects (MfJobs *jobs, uint64_t peer)
+mf_jobs_send_suspects (MfJobs *jobs, uint64_t peer)
 {
   EntryList list
       = { .update = &jobs->message.suspects, .now_us = mf_clock_now_us (), .quarantined = true };
@@ -177,7 +177,7 @@
   const MfSuspect *suspect = mf_suspects_find (jobs->suspects, digest, mf_clock_now_us ());
 
   jobs->counters.counts[MF_RELAY_COUNT_CONVICTIONS]++;
-  mf_lines_state (jobs->lines, "request.convicted",
+  mf_lines_state (jobs->log, "request.convicted",
                   "digest=%016llx upstreams_ended=%u by=%s sentence_ms=%u",
                   (unsigned long long)digest, suspect->n_deaths, by,
                   age_ms (mf_clock_now_us (), suspect->convicted_until_us));
@@ -215,7 +215,7 @@
 
 /* Takes what another instance tells of requests under which upstreams have ended. */
 void
-mf_jobs_take_suspects (MfJobs *jobs, const MfSuspectNews *update)
+mf_jobs_handle_suspects (MfJobs *jobs, const MfSuspectNews *update)
 {
   for (uint32_t i = 0; i < update->n_rows; i++)
     entry_handle (jobs, &update->rows[i]);
@@ -242,7 +242,7 @@
   if (result < MF_SUSPECT_COUNTED || suspect == NULL)
     return;
   jobs->counters.counts[MF_RELAY_COUNT_SUSPICIONS]++;
-  mf_lines_add (jobs->lines, "request.suspected",
+  mf_lines_add (jobs->log, "request.suspected",
                 "digest=%016llx upstreams_ended=%u was_suspect=%s break_age_ms=%u",
                 (unsigned long long)failure->digest, suspect->n_deaths,
                 failure->suspect ? "yes" : "no", age_ms (failure->at_us, mf_clock_now_us ()));
@@ -273,7 +273,7 @@
   MfJobs *jobs = data;
 
   if (mf_suspects_n_breaks (jobs->suspects) > 0)
-    mf_lines_state (jobs->lines, "upstream.ended", "upstream=%s why=\"%s\" leaving=%s",
+    mf_lines_state (jobs->log, "upstream.ended", "upstream=%s why=\"%s\" leaving=%s",
                     target->info.id, why, mf_target_is_leaving (target) ? "yes" : "no");
   upstream_died (jobs, target);
 }
@@ -292,13 +292,13 @@
 
 /* A request that waited for the verdict goes on. */
 void
-mf_job_verdict_due (MfJob *job)
+mf_job_probe_done (MfJob *job)
 {
-  MfJobDenied denied = job->denied;
+  MfJobDenial denial = job->denial;
 
-  job->awaited = 0;
-  job->try_due_us = 0;
-  mf_job_repeat_or_end (job, &denied);
+  job->awaited_process_id = 0;
+  job->step_deadline_us = 0;
+  mf_job_retry_or_end (job, &denial);
 }
 
 static MfJob *
@@ -306,7 +306,7 @@
 {
   for (MfJob *job = jobs->first; job != NULL; job = job->next)
     {
-      if (job->awaited == process)
+      if (job->awaited_process_id == process)
         return job;
     }
   return NULL;
@@ -320,10 +320,10 @@
   MfJob *job;
 
   while ((job = find_awaiting (jobs, process)) != NULL)
-    mf_job_verdict_due (job);
+    mf_job_probe_done (job);
 }
 
-const MfTargetsUser mf_job_targets_user = {
+const MfTargetsUser mf_job_targets_callbacks = {
   .ended = on_upstream_ended,
   .added = on_upstream_added,
   .looked = on_upstream_probed,
@@ -332,7 +332,7 @@
 /* A run at an upstream broke, or was given up: it may have ended that, unless that leaves in order.
  */
 void
-mf_job_note_break (MfJob *job, MfTarget *target)
+mf_job_note_failure (MfJob *job, MfTarget *target)
 {
   MfJobs *jobs = job->jobs;
   uint64_t now_us = mf_clock_now_us ();
@@ -341,14 +341,14 @@
     return;
   mf_suspects_add_break (jobs->suspects, &(MfSuspectBreak){
                                              .digest = job->digest,
-                                             .request = job->number,
+                                             .request = job->try_id,
                                              .upstream = mf_target_process (target),
                                              .place = mf_load_hash (target->info.address),
                                              .suspect = job->was_suspect,
                                              .sent_us = job->sent_us,
                                              .at_us = now_us,
                                          });
-  job->n_breaks++;
+  job->n_failures++;
   if (target->ended_us > 0 && now_us - target->ended_us < SAME_CRASH_US
       && job->sent_us < target->ended_us)
     upstream_died (jobs, target);
@@ -357,23 +357,23 @@
 /* Sends a request whose run broke once more, or ends it. One that has met the end of an upstream
  * before waits until it is known whether this one has ended as well. */
 void
-mf_job_repeat_after_break (MfJob *job, MfTarget *target, const MfJobDenied *denied)
+mf_job_retry_after_failure (MfJob *job, MfTarget *target, const MfJobDenial *denial)
 {
   if (!job->was_suspect || target->look == NULL)
     {
-      mf_job_repeat_or_end (job, denied);
+      mf_job_retry_or_end (job, denial);
       return;
     }
-  job->denied = *denied;
+  job->denial = *denial;
   job->phase = MF_JOB_WAITING;
-  job->awaited = mf_target_process (target);
-  job->try_due_us = mf_clock_now_us () + PROBE_TIMEOUT_US;
+  job->awaited_process_id = mf_target_process (target);
+  job->step_deadline_us = mf_clock_now_us () + PROBE_TIMEOUT_US;
   mf_job_set_timer (job);
 }
 
 /* An upstream answers a request that was sent there after something broke: it lives. */
 void
-mf_job_note_alive (const MfJob *job)
+mf_job_note_upstream_alive (const MfJob *job)
 {
   MfJobs *jobs = job->jobs;
 
@@ -406,7 +406,7 @@
 
 /* Lets go of breaks whose upstreams nobody has heard of since. */
 void
-mf_jobs_forget_breaks (MfJobs *jobs, uint64_t now_us)
+mf_jobs_expire_failures (MfJobs *jobs, uint64_t now_us)
 {
   if (now_us > CRASH_WINDOW_US)
     mf_suspects_release_before (jobs->suspects, now_us - CRASH_WINDOW_US, on_failure_result, jobs);
--- a/libmangofork/relay/refuse.c
+++ b/libmangofork/relay/refuse.c
@@ -25,7 +25,8 @@
     case MF_CODE_NO_UPSTREAM:
       return NO_UPSTREAM_RETRY_US;
     default:
-      return refusal->room_us > 0 ? refusal->room_us : refusal->objective_us / OBJECTIVE_DIVISOR;
+      return refusal->available_us > 0 ? refusal->available_us
+                                       : refusal->objective_us / OBJECTIVE_DIVISOR;
     }
 }
 
@@ -37,6 +38,6 @@
   uint64_t max_us = refusal->left_us / LEFT_DIVISOR;
 
   /* Callers that are refused together come back spread over half the time again. */
-  delay_us += (delay_us / 2) * (uint64_t)refusal->point >> 32;
+  delay_us += (delay_us / 2) * (uint64_t)refusal->jitter >> 32;
   return delay_us < max_us ? delay_us : max_us;
 }
--- a/libmangofork/relay/refuse.h
+++ b/libmangofork/relay/refuse.h
@@ -10,8 +10,8 @@
   uint64_t left_us;      /* until the caller gives up */
   uint64_t objective_us; /* the route's target latency */
   uint64_t uptime_us;    /* of this process */
-  uint64_t room_us;      /* when room is expected; 0: not known */
-  uint32_t point;        /* uniform; spreads the returns */
+  uint64_t available_us; /* when room is expected; 0: not known */
+  uint32_t jitter;       /* uniform; spreads the returns */
 } MfRefusal;
 
 uint64_t mf_refuse_retry_after_us (const MfRefusal *refusal);
--- a/libmangofork/relay/relay.c
+++ b/libmangofork/relay/relay.c
@@ -208,7 +208,7 @@
       "upstream=%s service=%s address=%s stage=%s data_centre=%s leaving=%s born_ms=%llu", info->id,
       info->service, info->address, mf_role_name (info->role), info->data_centre,
       info->leaving ? "yes" : "no", (unsigned long long)info->born_ms);
-  mf_jobs_wake (&relay->jobs);
+  mf_jobs_run_dispatch (&relay->jobs);
 }
 
 /* An upstream is listed no longer. While the source has just come back, it is kept for a while. */
@@ -477,14 +477,14 @@
       if (n_dropped > 0)
         mf_lines_state (relay->lines, "upstream.expired", "upstreams=%u", n_dropped);
     }
-  mf_jobs_forget_breaks (&relay->jobs, now_us);
+  mf_jobs_expire_failures (&relay->jobs, now_us);
   settings_watch (relay, now_us);
   /* What a silent peer told ceases to hold with time. */
-  relay->jobs.others_stale = true;
+  relay->jobs.remote_load_stale = true;
   if (relay->drain_begun_us > 0)
     drain_step (relay);
   else
-    mf_jobs_lead (&relay->jobs, now_us, mf_clock_awake_us ());
+    mf_jobs_tick_leadership (&relay->jobs, now_us, mf_clock_awake_us ());
 }
 
 static void
@@ -499,7 +499,7 @@
   relay->drain_begun_us = mf_clock_now_us ();
   relay->jobs.no_streams_after_us
       = relay->drain_begun_us + relay->settings.grace_us * DRAIN_STREAMS_PERCENT / 100;
-  relay->jobs.ends_us = relay->drain_begun_us + relay->settings.grace_us - DRAIN_SPARE_US;
+  relay->jobs.exit_by_us = relay->drain_begun_us + relay->settings.grace_us - DRAIN_SPARE_US;
   mf_lines_state (relay->lines, "stop", "signal=%d requests=%u callers=%u", watcher->signum,
                   relay->jobs.n_jobs, mf_door_n_callers (relay->door));
   mf_door_retire (relay->door);
@@ -550,21 +550,21 @@
   if (relay->ready_door == NULL)
     return false;
   mf_door_limit (relay->ready_door, &default_limits);
-  relay->door = mf_door_new (relay->loop, settings->listen, dialect, &mf_job_door_user,
+  relay->door = mf_door_new (relay->loop, settings->listen, dialect, &mf_job_listener_callbacks,
                              &relay->jobs, error);
   if (relay->door == NULL)
     return false;
   limits_apply (relay);
   if (settings->peers[0] != '\0')
     {
-      relay->jobs.peers = mf_peers_new (relay->loop, settings->peers, &mf_jobs_peers_user,
+      relay->jobs.peers = mf_peers_new (relay->loop, settings->peers, &mf_jobs_peers_callbacks,
                                         &relay->jobs, relay->lines, error);
       if (relay->jobs.peers == NULL)
         return false;
       mf_peers_set_data_centre (relay->jobs.peers, settings->data_centre);
       mf_peers_seed (relay->jobs.peers, settings->seeds);
-      relay->jobs.take_feed = on_feed;
-      relay->jobs.take_feed_data = relay;
+      relay->jobs.on_feed = on_feed;
+      relay->jobs.on_feed_data = relay;
     }
   if (settings->metrics[0] == '\0')
     return true;
--- a/libmangofork/relay/stage.c
+++ b/libmangofork/relay/stage.c
@@ -35,7 +35,7 @@
 /* Prefill engines that a service of so many engines is best served with, where reading a prompt
  * takes prefill_busy engines while its answers take decode_used. */
 uint32_t
-mf_stage_want_prefill (uint32_t n_engines, double prefill_busy, double decode_used)
+mf_stage_optimal_prefill (uint32_t n_engines, double prefill_busy, double decode_used)
 {
   if (n_engines < PREFILL_MIN + DECODE_MIN || decode_used <= 0.)
     return n_engines / 2;
@@ -59,47 +59,48 @@
 }
 
 static void
-trend_add (MfStageTrend *trend, const MfStageView *snapshot, uint64_t now_us)
+trend_add (MfStageTrend *trend, const MfStageSnapshot *snapshot, uint64_t now_us)
 {
   double weight;
 
-  if (trend->first_us == 0)
+  if (trend->first_observed_us == 0)
     {
-      trend->first_us = now_us;
+      trend->first_observed_us = now_us;
       trend->prefill_busy = snapshot->prefill_busy;
-      trend->prompts = snapshot->prompts;
+      trend->queued_prompts = snapshot->queued_prompts;
       trend->decode_used = snapshot->decode_used;
     }
-  weight = 1. - exp2 (-(double)(now_us - trend->last_us) / HALF_LIFE_US);
-  trend->last_us = now_us;
+  weight = 1. - exp2 (-(double)(now_us - trend->last_observed_us) / HALF_LIFE_US);
+  trend->last_observed_us = now_us;
   trend->prefill_busy += weight * (snapshot->prefill_busy - trend->prefill_busy);
-  trend->prompts += weight * (snapshot->prompts - trend->prompts);
+  trend->queued_prompts += weight * (snapshot->queued_prompts - trend->queued_prompts);
   trend->decode_used += weight * (snapshot->decode_used - trend->decode_used);
 }
 
 /* What the averages ask for. */
 static MfStageMove
-trend_wants (const MfStageTrend *trend, const MfStageView *snapshot)
+trend_wants (const MfStageTrend *trend, const MfStageSnapshot *snapshot)
 {
   uint32_t n_engines = snapshot->n_prefill + snapshot->n_decode;
   uint32_t optimal;
 
   if (n_engines < PREFILL_MIN + DECODE_MIN || snapshot->n_prefill == 0 || snapshot->n_decode == 0)
     return MF_STAGE_STAY;
-  optimal = mf_stage_want_prefill (n_engines, trend->prefill_busy, trend->decode_used);
+  optimal = mf_stage_optimal_prefill (n_engines, trend->prefill_busy, trend->decode_used);
   if (snapshot->n_prefill > optimal + n_engines / ENGINES_PER_SPARE
-      && trend->prompts < QUEUE_PROMPTS * snapshot->n_prefill
+      && trend->queued_prompts < QUEUE_PROMPTS * snapshot->n_prefill
       && trend->decode_used > DECODE_PRESSURE_SHARE * snapshot->n_decode)
     return MF_STAGE_TO_DECODE;
   /* A change takes seconds in which the engine does neither: one that is missing alone is borne. */
-  if (snapshot->n_prefill + 1 < optimal && trend->prompts > QUEUE_PROMPTS * snapshot->n_prefill)
+  if (snapshot->n_prefill + 1 < optimal
+      && trend->queued_prompts > QUEUE_PROMPTS * snapshot->n_prefill)
     return MF_STAGE_TO_PREFILL;
   return MF_STAGE_STAY;
 }
 
 /* Takes an observation and decides. A move is named each time until it shows in the view. */
 MfStageMove
-mf_stage_decide (MfStageTrend *trend, const MfStageView *snapshot, uint64_t now_us)
+mf_stage_decide (MfStageTrend *trend, const MfStageSnapshot *snapshot, uint64_t now_us)
 {
   MfStageMove wanted;
   uint64_t wanted_min_us;
@@ -112,7 +113,8 @@
       trend->wanted_since_us = now_us;
     }
   wanted_min_us = wanted == MF_STAGE_TO_PREFILL ? WANTED_PREFILL_MIN_US : WANTED_MIN_US;
-  if (now_us - trend->first_us < OBSERVED_MIN_US || now_us - trend->wanted_since_us < wanted_min_us)
+  if (now_us - trend->first_observed_us < OBSERVED_MIN_US
+      || now_us - trend->wanted_since_us < wanted_min_us)
     return MF_STAGE_STAY;
   return wanted;
 }
--- a/tests/test_budget.c
+++ b/tests/test_budget.c
@@ -18,7 +18,7 @@
     N_INSTANCES = 6,
     N_STEPS = 600,
   };
-  static uint32_t repeats[N_STEPS];
+  static uint32_t retries[N_STEPS];
   static uint32_t requests[N_STEPS];
   MfBudget budgets[N_INSTANCES];
   uint32_t window = (uint32_t)(WINDOW_US / (100 * MF_US_PER_MS));
@@ -40,26 +40,26 @@
               mf_budget_note_request (&budgets[i], now_us);
               requests[step]++;
               for (uint32_t tries = 0; tries < 3; tries++)
-                repeats[step] += mf_budget_take (&budgets[i], ALLOWANCE, 1, now_us);
+                retries[step] += mf_budget_acquire (&budgets[i], ALLOWANCE, 1, now_us);
             }
         }
     }
   for (uint32_t from = 0; from + window <= N_STEPS; from++)
     {
-      uint32_t n_repeats = 0;
+      uint32_t n_retries = 0;
       uint32_t n_requests = 0;
       uint32_t n_before = 0;
 
       for (uint32_t step = from; step < from + window; step++)
         {
-          n_repeats += repeats[step];
+          n_retries += retries[step];
           n_requests += requests[step];
           n_before += step >= window ? requests[step - window] : 0;
         }
       if (n_before > n_requests)
         n_requests = n_before;
       /* The deployments' bound: 40 for all instances and two for each. */
-      assert_true (n_repeats <= RATIO * n_requests + 40 + ALLOWANCE * N_INSTANCES);
+      assert_true (n_retries <= RATIO * n_requests + 40 + ALLOWANCE * N_INSTANCES);
     }
 }
 
@@ -70,11 +70,11 @@
 
   (void)state;
   mf_budget_init (&budget, WINDOW_US, RATIO);
-  assert_true (mf_budget_take (&budget, ALLOWANCE, 1, MF_US_PER_S));
-  assert_true (mf_budget_take (&budget, ALLOWANCE, 1, MF_US_PER_S));
-  assert_false (mf_budget_take (&budget, ALLOWANCE, 1, MF_US_PER_S));
-  assert_false (mf_budget_take (&budget, ALLOWANCE, 1, MF_US_PER_S + WINDOW_US - MF_US_PER_S));
-  assert_true (mf_budget_take (&budget, ALLOWANCE, 1, 2 * MF_US_PER_S + WINDOW_US));
+  assert_true (mf_budget_acquire (&budget, ALLOWANCE, 1, MF_US_PER_S));
+  assert_true (mf_budget_acquire (&budget, ALLOWANCE, 1, MF_US_PER_S));
+  assert_false (mf_budget_acquire (&budget, ALLOWANCE, 1, MF_US_PER_S));
+  assert_false (mf_budget_acquire (&budget, ALLOWANCE, 1, MF_US_PER_S + WINDOW_US - MF_US_PER_S));
+  assert_true (mf_budget_acquire (&budget, ALLOWANCE, 1, 2 * MF_US_PER_S + WINDOW_US));
 }
 
 /* The parts of all instances together, and of all of them started anew within a window, keep to
@@ -89,8 +89,8 @@
     {
       uint32_t n_instances = sizes[i][0];
       uint32_t slack = sizes[i][1];
-      uint32_t allowance = mf_budget_floor (slack, n_instances, WINDOW_US, WINDOW_US);
-      uint32_t startup_allowance = mf_budget_floor (slack, 1, WINDOW_US - 1, WINDOW_US);
+      uint32_t allowance = mf_budget_allowance (slack, n_instances, WINDOW_US, WINDOW_US);
+      uint32_t startup_allowance = mf_budget_allowance (slack, 1, WINDOW_US - 1, WINDOW_US);
 
       assert_true (allowance * n_instances <= slack);
       assert_true (startup_allowance * n_instances <= slack);
@@ -101,8 +101,8 @@
       assert_true (mf_budget_pool (slack, n_instances, WINDOW_US) >= slack / 5);
     }
   /* Where the slack leaves room, a fleet that is started anew has room as well. */
-  assert_true (mf_budget_floor (52, 6, WINDOW_US, WINDOW_US) * 6
-                   + mf_budget_floor (52, 6, 0, WINDOW_US) * 6
+  assert_true (mf_budget_allowance (52, 6, WINDOW_US, WINDOW_US) * 6
+                   + mf_budget_allowance (52, 6, 0, WINDOW_US) * 6
                <= 52);
 }
 
--- a/tests/test_job.c
+++ b/tests/test_job.c
@@ -18,28 +18,28 @@
 handle_good (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
-  town_answer (conn, id, "200 OK", TOWN_SEAL, "good");
+  relay_fixture_answer (conn, id, "200 OK", RELAY_FIXTURE_SEAL, "good");
 }
 
 static void
 handle_fail (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
-  town_answer (conn, id, "500 Internal Server Error", TOWN_SEAL, "bad");
+  relay_fixture_answer (conn, id, "500 Internal Server Error", RELAY_FIXTURE_SEAL, "bad");
 }
 
 static void
 handle_unsealed (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
-  town_answer (conn, id, "200 OK", "", "forged");
+  relay_fixture_answer (conn, id, "200 OK", "", "forged");
 }
 
 static void
 handle_encoded (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
-  town_answer (conn, id, "200 OK", TOWN_SEAL "Content-Encoding: gzip\r\n", "zzz");
+  relay_fixture_answer (conn, id, "200 OK", RELAY_FIXTURE_SEAL "Content-Encoding: gzip\r\n", "zzz");
 }
 
 static void
@@ -65,24 +65,24 @@
 
   (void)id;
   fake_wire_header (text, "Last-Event-Id", last, sizeof last);
-  fake_wire_send (conn, TOWN_STREAM_HEAD);
+  fake_wire_send (conn, RELAY_FIXTURE_STREAM_HEAD);
   if (strcmp (last, "0") == 0)
     fake_wire_send (conn, "f\r\nid: 1\ndata: a\n\n\r\n");
   fake_wire_send (conn, "f\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n");
 }
 
 static void
-teardown (Town *fixture)
+teardown (RelayFixture *fixture)
 {
   struct ev_loop *loop = fixture->loop;
 
-  town_end (fixture);
+  relay_fixture_teardown (fixture);
   ev_loop_destroy (loop);
 }
 
 /* Sends a request and reads its whole answer. */
 static void
-call (Town *fixture, const char *method, const char *path)
+call (RelayFixture *fixture, const char *method, const char *path)
 {
   char text[512];
   int fd = loop_connect (PORT);
@@ -94,30 +94,30 @@
             "Connection: close\r\nContent-Length: 2\r\n\r\nhi",
             method, path);
   loop_send (fd, text, strlen (text));
-  loop_receive (fixture->loop, fd, NULL, fixture->got, sizeof fixture->got);
+  loop_receive (fixture->loop, fd, NULL, fixture->received, sizeof fixture->received);
   close (fd);
 }
 
 static void
-assert_status (const Town *fixture, const char *status)
+assert_status (const RelayFixture *fixture, const char *status)
 {
-  assert_memory_equal (fixture->got, "HTTP/1.1 ", 9);
-  assert_memory_equal (fixture->got + 9, status, 3);
+  assert_memory_equal (fixture->received, "HTTP/1.1 ", 9);
+  assert_memory_equal (fixture->received + 9, status, 3);
 }
 
 static void
 test_answer_is_passed_on (void **state)
 {
-  Town fixture;
+  RelayFixture fixture;
   char value[64];
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
-  town_add (&fixture, 0, MF_ROLE_PLAIN, handle_good);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PLAIN, handle_good);
   call (&fixture, "POST", "/order/1?q=2");
   assert_status (&fixture, "200");
-  assert_non_null (strstr (fixture.got, TOWN_SEAL));
-  assert_non_null (strstr (fixture.got, "\r\n\r\ngood"));
+  assert_non_null (strstr (fixture.received, RELAY_FIXTURE_SEAL));
+  assert_non_null (strstr (fixture.received, "\r\n\r\ngood"));
   assert_memory_equal (fake_wire_last (fixture.upstreams[0].wire), "POST /order/1?q=2 HTTP/1.1\r\n",
                        28);
   assert_true (fake_wire_header (fake_wire_last (fixture.upstreams[0].wire), "X-Expect-Instance",
@@ -135,22 +135,22 @@
 static void
 test_order_that_may_have_run_is_not_sent_again (void **state)
 {
-  static const TownAct handlers[]
+  static const RelayFixtureHandler handlers[]
       = { handle_reset, handle_unsealed, handle_encoded, handle_no_answer, handle_fail };
 
   (void)state;
   for (size_t i = 0; i < MF_ARRAY_LEN (handlers); i++)
     {
-      Town fixture;
+      RelayFixture fixture;
 
-      town_begin (&fixture, ev_loop_new (0), PORT);
-      town_add (&fixture, 0, MF_ROLE_PLAIN, handlers[i]);
-      town_add (&fixture, 1, MF_ROLE_PLAIN, handle_good);
+      relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+      relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PLAIN, handlers[i]);
+      relay_fixture_add_upstream (&fixture, 1, MF_ROLE_PLAIN, handle_good);
       call (&fixture, "POST", "/order/1");
-      assert_int_equal (fixture.got[9], '5');
-      assert_memory_not_equal (fixture.got + 9, "503", 3);
-      assert_int_equal (town_n_requests (&fixture, 0), 1);
-      assert_int_equal (town_n_requests (&fixture, 1), 0);
+      assert_int_equal (fixture.received[9], '5');
+      assert_memory_not_equal (fixture.received + 9, "503", 3);
+      assert_int_equal (relay_fixture_n_requests (&fixture, 0), 1);
+      assert_int_equal (relay_fixture_n_requests (&fixture, 1), 0);
       teardown (&fixture);
     }
 }
@@ -158,40 +158,40 @@
 static void
 test_order_that_was_declined_runs_elsewhere (void **state)
 {
-  Town fixture;
+  RelayFixture fixture;
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
-  town_add (&fixture, 0, MF_ROLE_PLAIN, town_decline);
-  town_add (&fixture, 1, MF_ROLE_PLAIN, handle_good);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PLAIN, relay_fixture_decline);
+  relay_fixture_add_upstream (&fixture, 1, MF_ROLE_PLAIN, handle_good);
   call (&fixture, "POST", "/order/1");
   assert_status (&fixture, "200");
-  assert_int_equal (town_n_requests (&fixture, 0), 1);
-  assert_int_equal (town_n_requests (&fixture, 1), 1);
+  assert_int_equal (relay_fixture_n_requests (&fixture, 0), 1);
+  assert_int_equal (relay_fixture_n_requests (&fixture, 1), 1);
   teardown (&fixture);
 }
 
 static void
 test_declined_everywhere_is_refused_with_a_time (void **state)
 {
-  Town fixture;
+  RelayFixture fixture;
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
-  town_add (&fixture, 0, MF_ROLE_PLAIN, town_decline);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PLAIN, relay_fixture_decline);
   call (&fixture, "POST", "/order/1");
   assert_status (&fixture, "503");
-  assert_non_null (strstr (fixture.got, "Retry-After: "));
+  assert_non_null (strstr (fixture.received, "Retry-After: "));
   teardown (&fixture);
 }
 
 static void
 test_refusals_without_upstream_or_route (void **state)
 {
-  Town fixture;
+  RelayFixture fixture;
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
   call (&fixture, "POST", "/order/1");
   assert_status (&fixture, "503");
   call (&fixture, "POST", "/nothing/1");
@@ -206,17 +206,18 @@
 static void
 test_read_is_tried_elsewhere (void **state)
 {
-  static const TownAct handlers[] = { handle_reset,     handle_unsealed, handle_encoded,
-                                      handle_no_answer, handle_fail,     town_decline };
+  static const RelayFixtureHandler handlers[]
+      = { handle_reset,     handle_unsealed, handle_encoded,
+          handle_no_answer, handle_fail,     relay_fixture_decline };
 
   (void)state;
   for (size_t i = 0; i < MF_ARRAY_LEN (handlers); i++)
     {
-      Town fixture;
+      RelayFixture fixture;
 
-      town_begin (&fixture, ev_loop_new (0), PORT);
-      town_add (&fixture, 0, MF_ROLE_PLAIN, handlers[i]);
-      town_add (&fixture, 1, MF_ROLE_PLAIN, handle_good);
+      relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+      relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PLAIN, handlers[i]);
+      relay_fixture_add_upstream (&fixture, 1, MF_ROLE_PLAIN, handle_good);
       call (&fixture, "GET", "/read/1");
       assert_status (&fixture, "200");
       teardown (&fixture);
@@ -227,18 +228,18 @@
 static void
 test_read_fails_in_the_end (void **state)
 {
-  Town fixture;
+  RelayFixture fixture;
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
-  town_add (&fixture, 0, MF_ROLE_PLAIN, handle_fail);
-  town_add (&fixture, 1, MF_ROLE_PLAIN, handle_fail);
-  town_add (&fixture, 2, MF_ROLE_PLAIN, handle_fail);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PLAIN, handle_fail);
+  relay_fixture_add_upstream (&fixture, 1, MF_ROLE_PLAIN, handle_fail);
+  relay_fixture_add_upstream (&fixture, 2, MF_ROLE_PLAIN, handle_fail);
   call (&fixture, "GET", "/read/1");
   assert_status (&fixture, "500");
-  assert_non_null (strstr (fixture.got, TOWN_SEAL));
-  assert_int_equal (town_n_requests (&fixture, 0) + town_n_requests (&fixture, 1)
-                        + town_n_requests (&fixture, 2),
+  assert_non_null (strstr (fixture.received, RELAY_FIXTURE_SEAL));
+  assert_int_equal (relay_fixture_n_requests (&fixture, 0) + relay_fixture_n_requests (&fixture, 1)
+                        + relay_fixture_n_requests (&fixture, 2),
                     2);
   teardown (&fixture);
 }
@@ -246,15 +247,16 @@
 static void
 test_repeats_keep_to_the_budget (void **state)
 {
-  Town fixture;
+  RelayFixture fixture;
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
-  town_add (&fixture, 0, MF_ROLE_PLAIN, handle_fail);
-  town_add (&fixture, 1, MF_ROLE_PLAIN, handle_fail);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PLAIN, handle_fail);
+  relay_fixture_add_upstream (&fixture, 1, MF_ROLE_PLAIN, handle_fail);
   for (uint32_t i = 0; i < 20; i++)
     call (&fixture, "GET", "/read/1");
-  assert_in_range (town_n_requests (&fixture, 0) + town_n_requests (&fixture, 1), 22, 26);
+  assert_in_range (relay_fixture_n_requests (&fixture, 0) + relay_fixture_n_requests (&fixture, 1),
+                   22, 26);
   teardown (&fixture);
 }
 
@@ -262,23 +264,23 @@
 static void
 test_both_sends_of_a_repeat_count (void **state)
 {
-  Town fixture;
+  RelayFixture fixture;
   uint32_t n_sends;
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
   fixture.jobs.budget_slack = 6;
-  town_add (&fixture, 0, MF_ROLE_PREFILL, town_prefill);
-  town_add (&fixture, 1, MF_ROLE_DECODE, town_stream_breaks);
-  town_add (&fixture, 2, MF_ROLE_DECODE, town_stream_breaks);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PREFILL, relay_fixture_prefill);
+  relay_fixture_add_upstream (&fixture, 1, MF_ROLE_DECODE, relay_fixture_stream_breaks);
+  relay_fixture_add_upstream (&fixture, 2, MF_ROLE_DECODE, relay_fixture_stream_breaks);
   for (uint32_t i = 0; i < 20; i++)
     call (&fixture, "POST", "/llm/1");
-  n_sends = town_n_requests (&fixture, 0) + town_n_requests (&fixture, 1)
-            + town_n_requests (&fixture, 2);
+  n_sends = relay_fixture_n_requests (&fixture, 0) + relay_fixture_n_requests (&fixture, 1)
+            + relay_fixture_n_requests (&fixture, 2);
   /* A fifth of the requests, 70 in 100 of the slack, and the second send of the last repeat. */
   assert_in_range (n_sends, 20 * 2 + 6, 20 * 2 + 4 + 4 + 1);
   /* Memory that was taken is not gone on from again. */
-  assert_true (town_n_requests (&fixture, 0) > 20);
+  assert_true (relay_fixture_n_requests (&fixture, 0) > 20);
   teardown (&fixture);
 }
 
@@ -290,7 +292,7 @@
 handle_prefill_counted (FakeWireConn *conn, const char *text, const char *id)
 {
   n_prefills += strncmp (text, "DELETE ", 7) != 0;
-  town_prefill (conn, text, id);
+  relay_fixture_prefill (conn, text, id);
 }
 
 /* Holds as many streams as an engine takes, and serves those that come later. */
@@ -298,7 +300,7 @@
 handle_full_at_first (FakeWireConn *conn, const char *text, const char *id)
 {
   if (fake_wire_n_requests (full_engine) <= 4)
-    town_stream_hangs (conn, text, id);
+    relay_fixture_stream_hangs (conn, text, id);
   else
     handle_stream (conn, text, id);
 }
@@ -308,15 +310,15 @@
 static void
 test_prompt_is_not_read_again_beyond_the_budget (void **state)
 {
-  Town fixture;
+  RelayFixture fixture;
   int fds[4];
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
   fixture.jobs.budget_ratio = 0.;
-  fixture.jobs.began_us = mf_clock_now_us ();
-  town_add (&fixture, 0, MF_ROLE_PREFILL, handle_prefill_counted);
-  town_add (&fixture, 1, MF_ROLE_DECODE, handle_full_at_first);
+  fixture.jobs.started_us = mf_clock_now_us ();
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PREFILL, handle_prefill_counted);
+  relay_fixture_add_upstream (&fixture, 1, MF_ROLE_DECODE, handle_full_at_first);
   full_engine = fixture.upstreams[1].wire;
   n_prefills = 0;
   for (size_t i = 0; i < MF_ARRAY_LEN (fds); i++)
@@ -328,7 +330,7 @@
     }
   loop_spin (fixture.loop, 50);
   assert_int_equal (n_prefills, MF_ARRAY_LEN (fds));
-  town_know (&fixture, "gone", MF_ROLE_DECODE, "127.0.0.1:1");
+  relay_fixture_list_upstream (&fixture, "gone", MF_ROLE_DECODE, "127.0.0.1:1");
   call (&fixture, "POST", "/llm/1");
   assert_status (&fixture, "200");
   assert_int_equal (n_prefills, MF_ARRAY_LEN (fds) + 1);
@@ -342,19 +344,19 @@
 static void
 test_repeat_of_two_sends_needs_room_for_both (void **state)
 {
-  Town fixture;
+  RelayFixture fixture;
   uint32_t n_sends;
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
   fixture.jobs.budget_ratio = 0.;
   fixture.jobs.budget_slack = 1;
-  town_add (&fixture, 0, MF_ROLE_PREFILL, town_prefill);
-  town_add (&fixture, 1, MF_ROLE_DECODE, town_stream_breaks);
-  town_add (&fixture, 2, MF_ROLE_DECODE, town_stream_breaks);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PREFILL, relay_fixture_prefill);
+  relay_fixture_add_upstream (&fixture, 1, MF_ROLE_DECODE, relay_fixture_stream_breaks);
+  relay_fixture_add_upstream (&fixture, 2, MF_ROLE_DECODE, relay_fixture_stream_breaks);
   call (&fixture, "POST", "/llm/1");
-  n_sends = town_n_requests (&fixture, 0) + town_n_requests (&fixture, 1)
-            + town_n_requests (&fixture, 2);
+  n_sends = relay_fixture_n_requests (&fixture, 0) + relay_fixture_n_requests (&fixture, 1)
+            + relay_fixture_n_requests (&fixture, 2);
   teardown (&fixture);
   assert_int_equal (n_sends, 2);
 }
@@ -362,24 +364,24 @@
 static void
 test_prompt_is_read_and_decoded_apart (void **state)
 {
-  Town fixture;
+  RelayFixture fixture;
   char value[64];
   char expected[128];
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
-  town_add (&fixture, 0, MF_ROLE_PREFILL, town_prefill);
-  town_add (&fixture, 1, MF_ROLE_DECODE, handle_stream);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PREFILL, relay_fixture_prefill);
+  relay_fixture_add_upstream (&fixture, 1, MF_ROLE_DECODE, handle_stream);
   call (&fixture, "POST", "/once/1");
   assert_status (&fixture, "200");
-  assert_non_null (strstr (fixture.got, "id: 2\ndata: b\n\n"));
-  assert_non_null (strstr (fixture.got, "\r\n0\r\n\r\n"));
+  assert_non_null (strstr (fixture.received, "id: 2\ndata: b\n\n"));
+  assert_non_null (strstr (fixture.received, "\r\n0\r\n\r\n"));
   assert_true (fake_wire_header (fake_wire_last (fixture.upstreams[1].wire), "X-Kv-Source", value,
                                  sizeof value));
   snprintf (expected, sizeof expected, "%s/h1", fake_wire_address (fixture.upstreams[0].wire));
   assert_string_equal (value, expected);
   loop_spin (fixture.loop, 10);
-  assert_int_equal (town_n_requests (&fixture, 0), 1);
+  assert_int_equal (relay_fixture_n_requests (&fixture, 0), 1);
   assert_int_equal (fixture.jobs.n_jobs, 0);
   teardown (&fixture);
 }
@@ -387,14 +389,14 @@
 static void
 test_decode_reads_the_prompt_when_no_engine_does_that_alone (void **state)
 {
-  Town fixture;
+  RelayFixture fixture;
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
-  town_add (&fixture, 1, MF_ROLE_DECODE, handle_stream);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_add_upstream (&fixture, 1, MF_ROLE_DECODE, handle_stream);
   call (&fixture, "POST", "/once/1");
   assert_status (&fixture, "200");
-  assert_non_null (strstr (fixture.got, "\r\n0\r\n\r\n"));
+  assert_non_null (strstr (fixture.received, "\r\n0\r\n\r\n"));
   teardown (&fixture);
 }
 
@@ -402,12 +404,12 @@
 static void
 test_unused_memory_is_released (void **state)
 {
-  Town fixture;
+  RelayFixture fixture;
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
-  town_add (&fixture, 0, MF_ROLE_PREFILL, town_prefill);
-  town_add (&fixture, 1, MF_ROLE_DECODE, town_decline);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PREFILL, relay_fixture_prefill);
+  relay_fixture_add_upstream (&fixture, 1, MF_ROLE_DECODE, relay_fixture_decline);
   call (&fixture, "POST", "/once/1");
   assert_status (&fixture, "503");
   loop_spin (fixture.loop, 20);
@@ -418,17 +420,17 @@
 static void
 test_broken_stream_goes_on_after_its_last_event (void **state)
 {
-  Town fixture;
+  RelayFixture fixture;
   char value[16] = "";
   const char *first;
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
-  town_add (&fixture, 0, MF_ROLE_DECODE, town_stream_breaks);
-  town_add (&fixture, 1, MF_ROLE_DECODE, handle_stream);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_DECODE, relay_fixture_stream_breaks);
+  relay_fixture_add_upstream (&fixture, 1, MF_ROLE_DECODE, handle_stream);
   call (&fixture, "POST", "/llm/1");
   assert_status (&fixture, "200");
-  first = strstr (fixture.got, "id: 1\ndata: a\n\n");
+  first = strstr (fixture.received, "id: 1\ndata: a\n\n");
   assert_non_null (first);
   assert_null (strstr (first + 1, "id: 1"));
   assert_non_null (strstr (first, "id: 2\ndata: b\n\n"));
@@ -442,15 +444,15 @@
 static void
 test_silent_stream_goes_on_elsewhere (void **state)
 {
-  Town fixture;
+  RelayFixture fixture;
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
-  town_add (&fixture, 0, MF_ROLE_DECODE, town_stream_hangs);
-  town_add (&fixture, 1, MF_ROLE_DECODE, handle_stream);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_DECODE, relay_fixture_stream_hangs);
+  relay_fixture_add_upstream (&fixture, 1, MF_ROLE_DECODE, handle_stream);
   call (&fixture, "POST", "/llm/1");
   assert_status (&fixture, "200");
-  assert_non_null (strstr (fixture.got, "id: 2\ndata: b\n\n"));
+  assert_non_null (strstr (fixture.received, "id: 2\ndata: b\n\n"));
   assert_int_equal (fake_wire_n_left (fixture.upstreams[0].wire), 1);
   teardown (&fixture);
 }
@@ -462,13 +464,13 @@
 {
   static const char text[] = "POST /llm/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: t\r\n"
                              "Connection: close\r\n\r\n";
-  Town fixture;
+  RelayFixture fixture;
   uint64_t until_us;
   int fd;
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
-  town_add (&fixture, 0, MF_ROLE_DECODE, town_stream_hangs);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_DECODE, relay_fixture_stream_hangs);
   fd = loop_connect (PORT);
   loop_send (fd, text, strlen (text));
   until_us = mf_clock_now_us () + 1900 * MF_US_PER_MS;
@@ -478,12 +480,12 @@
       /* Events keep coming, so that it is not given up for its silence. */
       fake_wire_send (fake_wire_last_conn (fixture.upstreams[0].wire), "3\r\n:\n\n\r\n");
     }
-  town_add (&fixture, 1, MF_ROLE_DECODE, handle_stream);
+  relay_fixture_add_upstream (&fixture, 1, MF_ROLE_DECODE, handle_stream);
   fake_wire_close (fake_wire_last_conn (fixture.upstreams[0].wire), true);
-  loop_receive (fixture.loop, fd, "\r\n0\r\n\r\n", fixture.got, sizeof fixture.got);
-  assert_int_equal (town_n_requests (&fixture, 1), 1);
-  assert_non_null (strstr (fixture.got, "id: 2\ndata: b\n\n"));
-  assert_non_null (strstr (fixture.got, "\r\n0\r\n\r\n"));
+  loop_receive (fixture.loop, fd, "\r\n0\r\n\r\n", fixture.received, sizeof fixture.received);
+  assert_int_equal (relay_fixture_n_requests (&fixture, 1), 1);
+  assert_non_null (strstr (fixture.received, "id: 2\ndata: b\n\n"));
+  assert_non_null (strstr (fixture.received, "\r\n0\r\n\r\n"));
   close (fd);
   teardown (&fixture);
 }
@@ -491,16 +493,16 @@
 static void
 test_broken_stream_that_cannot_go_on_does_not_look_whole (void **state)
 {
-  Town fixture;
+  RelayFixture fixture;
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
-  town_add (&fixture, 0, MF_ROLE_DECODE, town_stream_breaks);
-  town_add (&fixture, 1, MF_ROLE_DECODE, handle_stream);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_DECODE, relay_fixture_stream_breaks);
+  relay_fixture_add_upstream (&fixture, 1, MF_ROLE_DECODE, handle_stream);
   call (&fixture, "POST", "/once/1");
   assert_status (&fixture, "200");
-  assert_null (strstr (fixture.got, "\r\n0\r\n\r\n"));
-  assert_int_equal (town_n_requests (&fixture, 1), 0);
+  assert_null (strstr (fixture.received, "\r\n0\r\n\r\n"));
+  assert_int_equal (relay_fixture_n_requests (&fixture, 1), 0);
   teardown (&fixture);
 }
 
@@ -508,17 +510,17 @@
 static void
 test_stream_without_time_is_refused_at_once (void **state)
 {
-  Town fixture;
+  RelayFixture fixture;
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
-  town_add (&fixture, 0, MF_ROLE_DECODE, handle_stream);
-  fixture.jobs.answer_tokens = 40.;
-  fixture.jobs.token_us = 200. * (double)MF_US_PER_MS;
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_DECODE, handle_stream);
+  fixture.jobs.mean_answer_tokens = 40.;
+  fixture.jobs.mean_token_us = 200. * (double)MF_US_PER_MS;
   call (&fixture, "POST", "/llm/1");
   assert_status (&fixture, "503");
-  assert_int_equal (town_n_requests (&fixture, 0), 0);
-  fixture.jobs.token_us = 10. * (double)MF_US_PER_MS;
+  assert_int_equal (relay_fixture_n_requests (&fixture, 0), 0);
+  fixture.jobs.mean_token_us = 10. * (double)MF_US_PER_MS;
   call (&fixture, "POST", "/llm/1");
   assert_status (&fixture, "200");
   teardown (&fixture);
@@ -527,28 +529,28 @@
 static bool
 no_jobs_left (void *data)
 {
-  return ((Town *)data)->jobs.n_jobs == 0;
+  return ((RelayFixture *)data)->jobs.n_jobs == 0;
 }
 
 /* Stops the work of callers who leave in each phase, while nothing and while events arrive. */
 static void
 test_departed_caller_stops_its_work (void **state)
 {
-  static const TownAct handlers[] = { handle_no_answer, town_stream_hangs };
+  static const RelayFixtureHandler handlers[] = { handle_no_answer, relay_fixture_stream_hangs };
 
   (void)state;
   for (size_t i = 0; i < MF_ARRAY_LEN (handlers); i++)
     {
       static const char text[] = "POST /once/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: t\r\n\r\n";
-      Town fixture;
+      RelayFixture fixture;
       int fd;
 
-      town_begin (&fixture, ev_loop_new (0), PORT);
-      town_add (&fixture, 0, MF_ROLE_DECODE, handlers[i]);
+      relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+      relay_fixture_add_upstream (&fixture, 0, MF_ROLE_DECODE, handlers[i]);
       fd = loop_connect (PORT);
       loop_send (fd, text, strlen (text));
       loop_spin (fixture.loop, 20);
-      assert_int_equal (town_n_requests (&fixture, 0), 1);
+      assert_int_equal (relay_fixture_n_requests (&fixture, 0), 1);
       close (fd);
       assert_true (loop_pump (fixture.loop, no_jobs_left, &fixture));
       loop_spin (fixture.loop, 20);
@@ -561,23 +563,23 @@
 handle_good_leaving (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
-  town_answer (conn, id, "200 OK", TOWN_SEAL "Server-Leaving: 1\r\n", "good");
+  relay_fixture_answer (conn, id, "200 OK", RELAY_FIXTURE_SEAL "Server-Leaving: 1\r\n", "good");
 }
 
 static void
 handle_decline_leaving (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
-  town_answer (conn, id, "503 Service Unavailable", "X-Not-Executed: 1\r\nServer-Leaving: 1\r\n",
-               "");
+  relay_fixture_answer (conn, id, "503 Service Unavailable",
+                        "X-Not-Executed: 1\r\nServer-Leaving: 1\r\n", "");
 }
 
 static void
 handle_pause (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
-  town_answer (conn, id, "503 Service Unavailable", "X-Not-Executed: 1\r\nRetry-After: 0.3\r\n",
-               "");
+  relay_fixture_answer (conn, id, "503 Service Unavailable",
+                        "X-Not-Executed: 1\r\nRetry-After: 0.3\r\n", "");
 }
 
 static const char *pause_value;
@@ -589,34 +591,34 @@
 
   (void)text;
   snprintf (headers, sizeof headers, "X-Not-Executed: 1\r\nRetry-After: %s\r\n", pause_value);
-  town_answer (conn, id, "503 Service Unavailable", headers, "");
+  relay_fixture_answer (conn, id, "503 Service Unavailable", headers, "");
 }
 
 /* One answer tells, good or not, at once and for all that is not sent yet. */
 static void
 test_upstream_that_says_it_leaves_gets_no_more (void **state)
 {
-  static const TownAct handlers[] = { handle_good_leaving, handle_decline_leaving };
+  static const RelayFixtureHandler handlers[] = { handle_good_leaving, handle_decline_leaving };
 
   (void)state;
   for (size_t i = 0; i < MF_ARRAY_LEN (handlers); i++)
     {
-      Town fixture;
+      RelayFixture fixture;
 
-      town_begin (&fixture, ev_loop_new (0), PORT);
-      town_add (&fixture, 0, MF_ROLE_PLAIN, handlers[i]);
-      town_add (&fixture, 1, MF_ROLE_PLAIN, handle_good);
+      relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+      relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PLAIN, handlers[i]);
+      relay_fixture_add_upstream (&fixture, 1, MF_ROLE_PLAIN, handle_good);
       for (uint32_t n = 0; n < 5; n++)
         {
           call (&fixture, "POST", "/order/1");
           assert_status (&fixture, "200");
         }
-      assert_int_equal (town_n_requests (&fixture, 0), 1);
-      fixture.upstreams[1].act = handle_good_leaving;
+      assert_int_equal (relay_fixture_n_requests (&fixture, 0), 1);
+      fixture.upstreams[1].handler = handle_good_leaving;
       call (&fixture, "POST", "/order/1");
       call (&fixture, "POST", "/order/1");
       assert_status (&fixture, "503");
-      assert_int_equal (town_n_requests (&fixture, 0), 1);
+      assert_int_equal (relay_fixture_n_requests (&fixture, 0), 1);
       teardown (&fixture);
     }
 }
@@ -626,27 +628,27 @@
 handle_prefill_leaving (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
-  town_answer (conn, id, "200 OK", "Server-Leaving: 1\r\n",
-               "{\"kvHandle\":\"h1\",\"tokens\":10,\"version\":1}");
+  relay_fixture_answer (conn, id, "200 OK", "Server-Leaving: 1\r\n",
+                        "{\"kvHandle\":\"h1\",\"tokens\":10,\"version\":1}");
 }
 
 static void
 test_engine_that_says_it_leaves_gets_no_more (void **state)
 {
-  Town fixture;
+  RelayFixture fixture;
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
-  town_add (&fixture, 0, MF_ROLE_PREFILL, handle_prefill_leaving);
-  town_add (&fixture, 1, MF_ROLE_PREFILL, town_prefill);
-  town_add (&fixture, 2, MF_ROLE_DECODE, handle_stream);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PREFILL, handle_prefill_leaving);
+  relay_fixture_add_upstream (&fixture, 1, MF_ROLE_PREFILL, relay_fixture_prefill);
+  relay_fixture_add_upstream (&fixture, 2, MF_ROLE_DECODE, handle_stream);
   for (uint32_t n = 0; n < 4; n++)
     {
       call (&fixture, "POST", "/llm/1");
       assert_status (&fixture, "200");
     }
-  assert_int_equal (town_n_requests (&fixture, 0), 1);
-  assert_int_equal (town_n_requests (&fixture, 1), 3);
+  assert_int_equal (relay_fixture_n_requests (&fixture, 0), 1);
+  assert_int_equal (relay_fixture_n_requests (&fixture, 1), 3);
   teardown (&fixture);
 }
 
@@ -654,31 +656,31 @@
 static void
 test_upstream_that_asks_for_a_pause_gets_it (void **state)
 {
-  Town fixture;
+  RelayFixture fixture;
   const char *retry_after;
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
   fixture.jobs.budget_slack = 20;
-  town_add (&fixture, 0, MF_ROLE_PLAIN, handle_pause);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PLAIN, handle_pause);
   call (&fixture, "POST", "/order/1");
   assert_status (&fixture, "503");
-  fixture.upstreams[0].act = handle_good;
+  fixture.upstreams[0].handler = handle_good;
   call (&fixture, "POST", "/order/1");
   assert_status (&fixture, "503");
-  retry_after = strstr (fixture.got, "Retry-After: ");
+  retry_after = strstr (fixture.received, "Retry-After: ");
   assert_non_null (retry_after);
   assert_in_range ((int)(atof (retry_after + 13) * 1000.), 150, 450);
-  assert_int_equal (town_n_requests (&fixture, 0), 1);
-  town_add (&fixture, 1, MF_ROLE_PLAIN, handle_good);
+  assert_int_equal (relay_fixture_n_requests (&fixture, 0), 1);
+  relay_fixture_add_upstream (&fixture, 1, MF_ROLE_PLAIN, handle_good);
   call (&fixture, "POST", "/order/1");
   assert_status (&fixture, "200");
-  assert_int_equal (town_n_requests (&fixture, 0), 1);
+  assert_int_equal (relay_fixture_n_requests (&fixture, 0), 1);
   loop_spin (fixture.loop, 320);
-  fixture.upstreams[1].act = handle_pause;
+  fixture.upstreams[1].handler = handle_pause;
   call (&fixture, "POST", "/order/1");
   assert_status (&fixture, "200");
-  assert_int_equal (town_n_requests (&fixture, 0), 2);
+  assert_int_equal (relay_fixture_n_requests (&fixture, 0), 2);
   teardown (&fixture);
 }
 
@@ -686,26 +688,26 @@
 static void
 test_streams_wait_for_the_end_of_a_pause (void **state)
 {
-  Town fixture;
+  RelayFixture fixture;
   uint32_t n_before;
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
-  town_add (&fixture, 0, MF_ROLE_DECODE, handle_pause);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_DECODE, handle_pause);
   call (&fixture, "POST", "/llm/1");
   assert_status (&fixture, "503");
-  fixture.upstreams[0].act = handle_stream;
-  n_before = town_n_requests (&fixture, 0);
+  fixture.upstreams[0].handler = handle_stream;
+  n_before = relay_fixture_n_requests (&fixture, 0);
   call (&fixture, "POST", "/llm/1");
   assert_status (&fixture, "200");
-  assert_int_equal (town_n_requests (&fixture, 0), n_before + 1);
+  assert_int_equal (relay_fixture_n_requests (&fixture, 0), n_before + 1);
   pause_value = "60";
-  fixture.upstreams[0].act = handle_pause_with_value;
+  fixture.upstreams[0].handler = handle_pause_with_value;
   call (&fixture, "POST", "/llm/1");
   assert_status (&fixture, "503");
   call (&fixture, "POST", "/llm/1");
   assert_status (&fixture, "503");
-  assert_int_equal (town_n_requests (&fixture, 0), n_before + 2);
+  assert_int_equal (relay_fixture_n_requests (&fixture, 0), n_before + 2);
   teardown (&fixture);
 }
 
@@ -718,14 +720,14 @@
   (void)state;
   for (size_t i = 0; i < MF_ARRAY_LEN (values); i++)
     {
-      Town fixture;
+      RelayFixture fixture;
 
-      town_begin (&fixture, ev_loop_new (0), PORT);
-      town_add (&fixture, 0, MF_ROLE_PLAIN, handle_pause_with_value);
+      relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+      relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PLAIN, handle_pause_with_value);
       pause_value = values[i];
       call (&fixture, "POST", "/order/1");
       assert_status (&fixture, "503");
-      fixture.upstreams[0].act = handle_good;
+      fixture.upstreams[0].handler = handle_good;
       call (&fixture, "POST", "/order/1");
       assert_status (&fixture, "200");
       teardown (&fixture);
@@ -735,31 +737,31 @@
 static void
 test_unreachable_upstream_costs_no_request (void **state)
 {
-  Town fixture;
+  RelayFixture fixture;
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
-  town_add (&fixture, 0, MF_ROLE_PLAIN, handle_good);
-  town_add (&fixture, 1, MF_ROLE_PLAIN, handle_good);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PLAIN, handle_good);
+  relay_fixture_add_upstream (&fixture, 1, MF_ROLE_PLAIN, handle_good);
   fake_wire_free (fixture.upstreams[0].wire);
   fixture.upstreams[0].wire = NULL;
   call (&fixture, "POST", "/order/1");
   assert_status (&fixture, "200");
-  assert_int_equal (town_n_requests (&fixture, 1), 1);
+  assert_int_equal (relay_fixture_n_requests (&fixture, 1), 1);
   teardown (&fixture);
 }
 
 static void
 test_deadline_ends_what_does_not_answer (void **state)
 {
-  Town fixture;
+  RelayFixture fixture;
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
-  town_add (&fixture, 0, MF_ROLE_DECODE, handle_no_answer);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_DECODE, handle_no_answer);
   call (&fixture, "POST", "/once/1");
   assert_status (&fixture, "504");
-  assert_null (strstr (fixture.got, "Retry-After"));
+  assert_null (strstr (fixture.received, "Retry-After"));
   teardown (&fixture);
 }
 
@@ -768,29 +770,30 @@
 test_requests_wait_for_room (void **state)
 {
   static const char text[] = "POST /llm/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: t\r\n\r\n";
-  Town fixture;
+  RelayFixture fixture;
   int fds[10];
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
-  town_add (&fixture, 0, MF_ROLE_DECODE, town_stream_hangs);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_DECODE, relay_fixture_stream_hangs);
   for (size_t i = 0; i < MF_ARRAY_LEN (fds); i++)
     {
       fds[i] = loop_connect (PORT);
       loop_send (fds[i], text, strlen (text));
       loop_spin (fixture.loop, 5);
     }
-  assert_int_equal (town_n_requests (&fixture, 0), 4);
-  fixture.upstreams[0].act = handle_stream;
+  assert_int_equal (relay_fixture_n_requests (&fixture, 0), 4);
+  fixture.upstreams[0].handler = handle_stream;
   for (size_t i = 0; i < 4; i++)
     close (fds[i]);
   for (size_t i = 4; i < MF_ARRAY_LEN (fds); i++)
     {
-      loop_receive (fixture.loop, fds[i], "\r\n0\r\n\r\n", fixture.got, sizeof fixture.got);
+      loop_receive (fixture.loop, fds[i], "\r\n0\r\n\r\n", fixture.received,
+                    sizeof fixture.received);
       assert_status (&fixture, "200");
       close (fds[i]);
     }
-  assert_int_equal (town_n_requests (&fixture, 0), 10);
+  assert_int_equal (relay_fixture_n_requests (&fixture, 0), 10);
   teardown (&fixture);
 }
 
--- a/tests/test_job_answer.c
+++ b/tests/test_job_answer.c
@@ -22,7 +22,7 @@
  * time. */
 #define STALL_TIMEOUT_US (1500 * MF_US_PER_MS)
 
-#define PLAIN_HEAD "HTTP/1.1 200 OK\r\nX-Attempt-Id: t\r\n" TOWN_SEAL
+#define PLAIN_HEAD "HTTP/1.1 200 OK\r\nX-Attempt-Id: t\r\n" RELAY_FIXTURE_SEAL
 #define JUNK                                                                                       \
   "zzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzz" \
   "zz"                                                                                             \
@@ -70,14 +70,14 @@
   if (strncmp (text, "DELETE ", 7) == 0)
     handle_flood (conn, text, id);
   else
-    town_prefill (conn, text, id);
+    relay_fixture_prefill (conn, text, id);
 }
 
 static void
 handle_good (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
-  town_answer (conn, id, "200 OK", TOWN_SEAL, "good");
+  relay_fixture_answer (conn, id, "200 OK", RELAY_FIXTURE_SEAL, "good");
 }
 
 static void
@@ -85,11 +85,11 @@
 {
   (void)text;
   (void)id;
-  fake_wire_send (conn, TOWN_STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\n0\r\n\r\n");
+  fake_wire_send (conn, RELAY_FIXTURE_STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\n0\r\n\r\n");
 }
 
 static int
-call_begin (const Town *fixture, const char *method, const char *path)
+call_begin (const RelayFixture *fixture, const char *method, const char *path)
 {
   char text[256];
   int fd = loop_connect (PORT);
@@ -106,43 +106,43 @@
 
 /* Reads a whole answer. A flood makes turns of the loop short, so that time bounds it. */
 static void
-call (Town *fixture, const char *method, const char *path)
+call (RelayFixture *fixture, const char *method, const char *path)
 {
   int fd = call_begin (fixture, method, path);
   uint64_t until_us = mf_clock_now_us () + ANSWER_TIMEOUT_US;
-  size_t n_got = 0;
+  size_t n_received = 0;
   ssize_t n_read = -1;
 
   while (n_read != 0 && mf_clock_now_us () < until_us)
     {
       loop_spin (fixture->loop, 1);
-      n_read = read (fd, fixture->got + n_got, sizeof fixture->got - 1 - n_got);
-      n_got += n_read > 0 ? (size_t)n_read : 0;
+      n_read = read (fd, fixture->received + n_received, sizeof fixture->received - 1 - n_received);
+      n_received += n_read > 0 ? (size_t)n_read : 0;
     }
-  fixture->got[n_got] = '\0';
+  fixture->received[n_received] = '\0';
   assert_int_equal (n_read, 0);
   close (fd);
 }
 
 static void
-teardown (Town *fixture)
+teardown (RelayFixture *fixture)
 {
   struct ev_loop *loop = fixture->loop;
 
-  town_end (fixture);
+  relay_fixture_teardown (fixture);
   ev_loop_destroy (loop);
 }
 
 static bool
 no_jobs_left (void *data)
 {
-  return ((Town *)data)->jobs.n_jobs == 0;
+  return ((RelayFixture *)data)->jobs.n_jobs == 0;
 }
 
 static bool
 has_disconnected (void *data)
 {
-  return fake_wire_n_left (((Town *)data)->upstreams[0].wire) > 0;
+  return fake_wire_n_left (((RelayFixture *)data)->upstreams[0].wire) > 0;
 }
 
 /* An order ends without a promise, by its deadline at the latest; the connection is closed. */
@@ -152,16 +152,16 @@
   (void)state;
   for (size_t i = 0; i < MF_ARRAY_LEN (floods); i++)
     {
-      Town fixture;
+      RelayFixture fixture;
 
       flood = &floods[i];
-      town_begin (&fixture, ev_loop_new (0), PORT);
-      town_add (&fixture, 0, MF_ROLE_PLAIN, handle_flood);
-      town_add (&fixture, 1, MF_ROLE_PLAIN, handle_good);
+      relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+      relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PLAIN, handle_flood);
+      relay_fixture_add_upstream (&fixture, 1, MF_ROLE_PLAIN, handle_good);
       call (&fixture, "POST", "/order/1");
-      assert_memory_equal (fixture.got, "HTTP/1.1 50", 11);
-      assert_memory_not_equal (fixture.got + 9, "503", 3);
-      assert_int_equal (town_n_requests (&fixture, 1), 0);
+      assert_memory_equal (fixture.received, "HTTP/1.1 50", 11);
+      assert_memory_not_equal (fixture.received + 9, "503", 3);
+      assert_int_equal (relay_fixture_n_requests (&fixture, 1), 0);
       assert_true (loop_pump (fixture.loop, has_disconnected, &fixture));
       teardown (&fixture);
     }
@@ -174,15 +174,15 @@
   (void)state;
   for (size_t i = 0; i < MF_ARRAY_LEN (floods); i++)
     {
-      Town fixture;
+      RelayFixture fixture;
 
       flood = &floods[i];
-      town_begin (&fixture, ev_loop_new (0), PORT);
-      town_add (&fixture, 0, MF_ROLE_PLAIN, handle_flood);
-      town_add (&fixture, 1, MF_ROLE_PLAIN, handle_good);
+      relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+      relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PLAIN, handle_flood);
+      relay_fixture_add_upstream (&fixture, 1, MF_ROLE_PLAIN, handle_good);
       call (&fixture, "GET", "/read/1");
-      assert_memory_equal (fixture.got, "HTTP/1.1 200", 12);
-      assert_non_null (strstr (fixture.got, "good"));
+      assert_memory_equal (fixture.received, "HTTP/1.1 200", 12);
+      assert_non_null (strstr (fixture.received, "good"));
       teardown (&fixture);
     }
 }
@@ -194,16 +194,16 @@
   (void)state;
   for (size_t i = 0; i < MF_ARRAY_LEN (floods); i++)
     {
-      Town fixture;
+      RelayFixture fixture;
 
       flood = &floods[i];
-      town_begin (&fixture, ev_loop_new (0), PORT);
-      town_add (&fixture, 0, MF_ROLE_PREFILL, handle_flood);
-      town_add (&fixture, 1, MF_ROLE_PREFILL, town_prefill);
-      town_add (&fixture, 2, MF_ROLE_DECODE, handle_stream);
+      relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+      relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PREFILL, handle_flood);
+      relay_fixture_add_upstream (&fixture, 1, MF_ROLE_PREFILL, relay_fixture_prefill);
+      relay_fixture_add_upstream (&fixture, 2, MF_ROLE_DECODE, handle_stream);
       call (&fixture, "POST", "/llm/1");
-      assert_memory_equal (fixture.got, "HTTP/1.1 200", 12);
-      assert_non_null (strstr (fixture.got, "id: 1\ndata: a\n\n"));
+      assert_memory_equal (fixture.received, "HTTP/1.1 200", 12);
+      assert_non_null (strstr (fixture.received, "id: 1\ndata: a\n\n"));
       teardown (&fixture);
     }
 }
@@ -213,24 +213,24 @@
 static void
 test_events_without_end_end_the_stream (void **state)
 {
-  static const Flood endless = { TOWN_STREAM_HEAD, "c8\r\n" JUNK "\r\n" };
-  Town fixture;
+  static const Flood endless = { RELAY_FIXTURE_STREAM_HEAD, "c8\r\n" JUNK "\r\n" };
+  RelayFixture fixture;
   int fd;
 
   (void)state;
   flood = &endless;
-  town_begin (&fixture, ev_loop_new (0), PORT);
-  town_add (&fixture, 0, MF_ROLE_DECODE, handle_flood);
-  town_add (&fixture, 1, MF_ROLE_DECODE, handle_stream);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_DECODE, handle_flood);
+  relay_fixture_add_upstream (&fixture, 1, MF_ROLE_DECODE, handle_stream);
   /* No event has come, so that it cannot go on. */
   call (&fixture, "POST", "/llm/1");
-  assert_null (strstr (fixture.got, JUNK));
-  assert_null (strstr (fixture.got, "\r\n0\r\n\r\n"));
+  assert_null (strstr (fixture.received, JUNK));
+  assert_null (strstr (fixture.received, "\r\n0\r\n\r\n"));
   fd = call_begin (&fixture, "POST", "/once/1");
   for (uint32_t i = 0; i < 200 && !no_jobs_left (&fixture); i++)
     {
       loop_spin (fixture.loop, 1);
-      while (read (fd, fixture.got, sizeof fixture.got) > 0)
+      while (read (fd, fixture.received, sizeof fixture.received) > 0)
         ;
     }
   assert_int_equal (fixture.jobs.n_jobs, 0);
@@ -243,16 +243,16 @@
 static void
 test_forgotten_upstream_floods (void **state)
 {
-  static const Flood endless = { TOWN_STREAM_HEAD, "c8\r\n" JUNK "\r\n" };
-  Town fixture;
+  static const Flood endless = { RELAY_FIXTURE_STREAM_HEAD, "c8\r\n" JUNK "\r\n" };
+  RelayFixture fixture;
   int fd;
 
   (void)state;
   flood = &endless;
-  town_begin (&fixture, ev_loop_new (0), PORT);
-  town_add (&fixture, 0, MF_ROLE_DECODE, handle_flood);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_DECODE, handle_flood);
   fd = call_begin (&fixture, "POST", "/llm/1");
-  while (town_n_requests (&fixture, 0) == 0)
+  while (relay_fixture_n_requests (&fixture, 0) == 0)
     loop_spin (fixture.loop, 1);
   mf_targets_remove (&fixture.jobs.targets, "u0", true, mf_clock_now_us ());
   assert_true (loop_pump (fixture.loop, no_jobs_left, &fixture));
@@ -266,18 +266,18 @@
 {
   static const char text[] = "POST /llm/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: t\r\n"
                              "Connection: close\r\n\r\n";
-  Town fixture;
+  RelayFixture fixture;
   uint64_t until_us;
   int fd;
 
   (void)state;
-  town_begin (&fixture, ev_loop_new (0), PORT);
-  town_add (&fixture, 0, MF_ROLE_DECODE, town_stream_hangs);
-  town_add (&fixture, 1, MF_ROLE_DECODE, handle_stream);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_DECODE, relay_fixture_stream_hangs);
+  relay_fixture_add_upstream (&fixture, 1, MF_ROLE_DECODE, handle_stream);
   fd = loop_connect (PORT);
   loop_send (fd, text, strlen (text));
   until_us = mf_clock_now_us () + STALL_TIMEOUT_US;
-  while (mf_clock_now_us () < until_us && town_n_requests (&fixture, 1) == 0)
+  while (mf_clock_now_us () < until_us && relay_fixture_n_requests (&fixture, 1) == 0)
     {
       FakeWireConn *conn;
 
@@ -286,7 +286,7 @@
       if (conn != NULL)
         fake_wire_send (conn, "1\r\nd\r\n");
     }
-  assert_int_equal (town_n_requests (&fixture, 1), 1);
+  assert_int_equal (relay_fixture_n_requests (&fixture, 1), 1);
   close (fd);
   teardown (&fixture);
 }
@@ -296,14 +296,14 @@
 test_release_without_end_is_given_up (void **state)
 {
   static const Flood interim = { "", "HTTP/1.1 102 Processing\r\n\r\n" };
-  Town fixture;
+  RelayFixture fixture;
   uint64_t until_us = mf_clock_now_us () + 4 * MF_US_PER_S;
 
   (void)state;
   flood = &interim;
-  town_begin (&fixture, ev_loop_new (0), PORT);
-  town_add (&fixture, 0, MF_ROLE_PREFILL, handle_flood_on_release);
-  town_add (&fixture, 1, MF_ROLE_DECODE, town_decline);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PREFILL, handle_flood_on_release);
+  relay_fixture_add_upstream (&fixture, 1, MF_ROLE_DECODE, relay_fixture_decline);
   call (&fixture, "POST", "/once/1");
   while (mf_clock_now_us () < until_us && !has_disconnected (&fixture))
     loop_spin (fixture.loop, 1);
@@ -317,15 +317,15 @@
 {
   static const Flood body = { PLAIN_HEAD "Content-Length: 2000000\r\n\r\n", JUNK };
   static const uint64_t limit_bytes = 1024 * 1024;
-  Town fixture;
+  RelayFixture fixture;
   int fds[N_CALLERS];
   uint64_t most_bytes = 0;
 
   (void)state;
   flood = &body;
-  town_begin (&fixture, ev_loop_new (0), PORT);
+  relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
   fixture.jobs.answer_bytes_max = limit_bytes;
-  town_add (&fixture, 0, MF_ROLE_PLAIN, handle_flood);
+  relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PLAIN, handle_flood);
   for (uint32_t i = 0; i < N_CALLERS; i++)
     fds[i] = call_begin (&fixture, "POST", "/order/1");
   while (!no_jobs_left (&fixture))
@@ -340,9 +340,9 @@
   assert_in_range (most_bytes, 1, limit_bytes + 65536);
   for (uint32_t i = 0; i < N_CALLERS; i++)
     close (fds[i]);
-  fixture.upstreams[0].act = handle_good;
+  fixture.upstreams[0].handler = handle_good;
   call (&fixture, "POST", "/order/1");
-  assert_memory_equal (fixture.got, "HTTP/1.1 200", 12);
+  assert_memory_equal (fixture.received, "HTTP/1.1 200", 12);
   teardown (&fixture);
 }
 
--- a/tests/test_job_stage.c
+++ b/tests/test_job_stage.c
@@ -11,14 +11,14 @@
 
 #include <cmocka.h>
 
-#define DOOR_PORT 21801
+#define LISTEN_PORT 21801
 #define PEER_ADDRESS "127.0.0.1:21802"
 #define STEP_US (100 * MF_US_PER_MS)
 
 /* One instance that is alone with four engines. */
 typedef struct
 {
-  Town relay;
+  RelayFixture relay;
   uint64_t now_us;
   uint64_t boottime_us;
 } OrderFixture;
@@ -30,7 +30,7 @@
   (void)report;
 }
 
-static const MfPeersUser user = { .fill = on_fill_report };
+static const MfPeersUser callbacks = { .fill = on_fill_report };
 
 static void
 handle_accept (FakeWireConn *conn, const char *text, const char *id)
@@ -59,19 +59,20 @@
 /* Five prefill engines, of which one is known to be out of reach, and four decode engines that are
  * full. */
 static void
-order_fixture_setup (OrderFixture *fixture, TownAct handler)
+order_fixture_setup (OrderFixture *fixture, RelayFixtureHandler handler)
 {
   MfError error = { 0 };
-  Town *relay = &fixture->relay;
+  RelayFixture *relay = &fixture->relay;
 
-  town_begin (relay, ev_loop_new (0), DOOR_PORT);
-  relay->jobs.peers = mf_peers_new (relay->loop, PEER_ADDRESS, &user, relay, relay->lines, &error);
+  relay_fixture_setup (relay, ev_loop_new (0), LISTEN_PORT);
+  relay->jobs.peers
+      = mf_peers_new (relay->loop, PEER_ADDRESS, &callbacks, relay, relay->log, &error);
   assert_non_null (relay->jobs.peers);
   relay->jobs.orders_fenced = true;
   relay->jobs.order_turn_us = 3 * MF_US_PER_S;
   mf_name_set (relay->jobs.instance, sizeof relay->jobs.instance, "front-1");
-  for (uint32_t i = 0; i < TOWN_N_UPSTREAMS; i++)
-    town_add (relay, i, MF_ROLE_PREFILL, handler);
+  for (uint32_t i = 0; i < RELAY_FIXTURE_N_UPSTREAMS; i++)
+    relay_fixture_add_upstream (relay, i, MF_ROLE_PREFILL, handler);
   for (uint32_t i = 0; i < 4; i++)
     {
       char id[16];
@@ -79,10 +80,10 @@
 
       snprintf (id, sizeof id, "d%u", i);
       snprintf (address, sizeof address, "127.0.0.1:%u", 1 + i);
-      town_know (relay, id, MF_ROLE_DECODE, address);
+      relay_fixture_list_upstream (relay, id, MF_ROLE_DECODE, address);
       mf_targets_find (&relay->jobs.targets, id)->n_others = 4;
     }
-  town_know (relay, "p", MF_ROLE_PREFILL, "127.0.0.1:9");
+  relay_fixture_list_upstream (relay, "p", MF_ROLE_PREFILL, "127.0.0.1:9");
   mf_targets_find (&relay->jobs.targets, "p")->suspect_until_us = UINT64_MAX;
   fixture->now_us = mf_clock_now_us ();
   fixture->boottime_us = fixture->now_us;
@@ -96,7 +97,7 @@
 
   fixture->relay.jobs.peers = NULL;
   mf_peers_free (peers);
-  town_end (&fixture->relay);
+  relay_fixture_teardown (&fixture->relay);
   ev_loop_destroy (loop);
 }
 
@@ -108,8 +109,8 @@
     {
       fixture->now_us += STEP_US;
       fixture->boottime_us += STEP_US;
-      fixture->relay.jobs.others_stale = false;
-      mf_jobs_lead (&fixture->relay.jobs, fixture->now_us, fixture->boottime_us);
+      fixture->relay.jobs.remote_load_stale = false;
+      mf_jobs_tick_leadership (&fixture->relay.jobs, fixture->now_us, fixture->boottime_us);
       loop_spin (fixture->relay.loop, 1);
     }
 }
@@ -134,10 +135,10 @@
 static const char *
 last_order (const OrderFixture *fixture)
 {
-  const Town *relay = &fixture->relay;
+  const RelayFixture *relay = &fixture->relay;
   uint32_t index = 0;
 
-  while (index + 1 < TOWN_N_UPSTREAMS && town_n_requests (relay, index) == 0)
+  while (index + 1 < RELAY_FIXTURE_N_UPSTREAMS && relay_fixture_n_requests (relay, index) == 0)
     index++;
   return fake_wire_last (relay->upstreams[index].wire);
 }
--- a/tests/test_job_suspect.c
+++ b/tests/test_job_suspect.c
@@ -12,7 +12,7 @@
 
 #include <cmocka.h>
 
-#define DOOR_PORT 21701
+#define LISTEN_PORT 21701
 #define PEER_PORT 21711
 #define N_UPSTREAMS 9
 #define DOWN_S 0.1
@@ -26,12 +26,12 @@
 /* A fleet before upstreams that crash under some requests, and come back under new ids. */
 typedef struct
 {
-  TownFleet fleet;
+  RelayFleet fleet;
   SoakLedger *ledger;
   SoakUpstream *upstreams[N_UPSTREAMS];
   uint32_t n_restarts[N_UPSTREAMS];
   uint32_t n_calls;
-  char got[2048];
+  char received[2048];
 } CrashFixture;
 
 static const MfRole roles[N_UPSTREAMS]
@@ -50,8 +50,8 @@
   char id[MF_TARGET_ID_BYTES];
 
   id_write (fixture, index, id, sizeof id);
-  town_know (&fixture->fleet.towns[instance], id, roles[index],
-             soak_upstream_address (fixture->upstreams[index]));
+  relay_fixture_list_upstream (&fixture->fleet.instances[instance], id, roles[index],
+                               soak_upstream_address (fixture->upstreams[index]));
 }
 
 /* An upstream that is back has a new id, and all instances are told. */
@@ -67,12 +67,12 @@
   while (fixture->upstreams[index] != upstream)
     index++;
   id_write (fixture, index, id, sizeof id);
-  for (uint32_t i = 0; i < TOWN_FLEET_N; i++)
-    mf_targets_remove (&fixture->fleet.towns[i].jobs.targets, id, true, mf_clock_now_us ());
+  for (uint32_t i = 0; i < RELAY_FLEET_N_INSTANCES; i++)
+    mf_targets_remove (&fixture->fleet.instances[i].jobs.targets, id, true, mf_clock_now_us ());
   fixture->n_restarts[index]++;
   id_write (fixture, index, id, sizeof id);
   soak_upstream_restart (upstream, id);
-  for (uint32_t i = 0; i < TOWN_FLEET_N; i++)
+  for (uint32_t i = 0; i < RELAY_FLEET_N_INSTANCES; i++)
     instance_list_upstream (fixture, i, index);
 }
 
@@ -80,7 +80,7 @@
 crash_fixture_setup (CrashFixture *fixture)
 {
   memset (fixture, 0, sizeof *fixture);
-  town_fleet_begin (&fixture->fleet, DOOR_PORT, PEER_PORT);
+  relay_fleet_setup (&fixture->fleet, LISTEN_PORT, PEER_PORT);
   fixture->ledger = soak_ledger_new ();
   soak_ledger_set_grace (fixture->ledger, GRACE_US);
   for (uint32_t index = 0; index < N_UPSTREAMS; index++)
@@ -91,11 +91,11 @@
       fixture->upstreams[index]
           = soak_upstream_new (fixture->fleet.loop, fixture->ledger, roles[index], id, index);
       soak_upstream_crashes (fixture->upstreams[index], DOWN_S, on_down_changed, fixture);
-      for (uint32_t i = 0; i < TOWN_FLEET_N; i++)
+      for (uint32_t i = 0; i < RELAY_FLEET_N_INSTANCES; i++)
         instance_list_upstream (fixture, i, index);
     }
-  for (uint32_t i = 0; i < TOWN_FLEET_N; i++)
-    fixture->fleet.towns[i].jobs.budget_slack = 1000;
+  for (uint32_t i = 0; i < RELAY_FLEET_N_INSTANCES; i++)
+    fixture->fleet.instances[i].jobs.budget_slack = 1000;
 }
 
 static void
@@ -104,7 +104,7 @@
   for (uint32_t index = 0; index < N_UPSTREAMS; index++)
     soak_upstream_free (fixture->upstreams[index]);
   soak_ledger_free (fixture->ledger);
-  town_fleet_end (&fixture->fleet);
+  relay_fleet_teardown (&fixture->fleet);
 }
 
 static int
@@ -112,7 +112,7 @@
             const char *body)
 {
   char text[512];
-  int fd = loop_connect_from (host, fixture->fleet.towns[instance].port);
+  int fd = loop_connect_from (host, fixture->fleet.instances[instance].port);
 
   assert_true (fd >= 0);
   snprintf (text, sizeof text,
@@ -129,9 +129,9 @@
 {
   uint32_t status = 0;
 
-  loop_receive (fixture->fleet.loop, fd, NULL, fixture->got, sizeof fixture->got);
+  loop_receive (fixture->fleet.loop, fd, NULL, fixture->received, sizeof fixture->received);
   close (fd);
-  return sscanf (fixture->got, "HTTP/1.1 %u", &status) == 1 ? status : 0;
+  return sscanf (fixture->received, "HTTP/1.1 %u", &status) == 1 ? status : 0;
 }
 
 static uint32_t
@@ -150,10 +150,12 @@
   for (uint32_t i = 0; i < N_CALLS; i++)
     {
       char body[16];
-      int crasher = start_call (fixture, i % TOWN_FLEET_N, CRASHER_HOST, path, SOAK_CRASH "0");
+      int crasher
+          = start_call (fixture, i % RELAY_FLEET_N_INSTANCES, CRASHER_HOST, path, SOAK_CRASH "0");
 
       snprintf (body, sizeof body, "item %u", i);
-      n_served += call (fixture, (i + 1) % TOWN_FLEET_N, INNOCENT_HOST, path, body) == 200;
+      n_served
+          += call (fixture, (i + 1) % RELAY_FLEET_N_INSTANCES, INNOCENT_HOST, path, body) == 200;
       finish_call (fixture, crasher);
       loop_spin (fixture->fleet.loop, 30);
     }
@@ -190,7 +192,7 @@
       loop_spin (fixture->fleet.loop, 100);
     }
   assert_int_equal (call (fixture, 4, CRASHER_HOST, "/order/1", SOAK_CRASH "0"), 503);
-  assert_non_null (strstr (fixture->got, "Retry-After: "));
+  assert_non_null (strstr (fixture->received, "Retry-After: "));
 }
 
 static void
@@ -203,12 +205,12 @@
   crash_fixture_setup (&fixture);
   quarantine_request (&fixture);
   n_crashes = soak_ledger_crasher (fixture.ledger, 0).n_crashes;
-  for (uint32_t i = 0; i < TOWN_FLEET_N; i++)
+  for (uint32_t i = 0; i < RELAY_FLEET_N_INSTANCES; i++)
     {
-      town_fleet_restart (&fixture.fleet, i);
+      relay_fleet_restart (&fixture.fleet, i);
       for (uint32_t index = 0; index < N_UPSTREAMS; index++)
         instance_list_upstream (&fixture, i, index);
-      town_fleet_meet (&fixture.fleet);
+      relay_fleet_wait_connected (&fixture.fleet);
       loop_spin (fixture.fleet.loop, 50);
       assert_int_equal (call (&fixture, i, CRASHER_HOST, "/order/1", SOAK_CRASH "0"), 503);
     }
@@ -224,9 +226,9 @@
 
   (void)state;
   crash_fixture_setup (&fixture);
-  for (uint32_t i = 0; i < TOWN_FLEET_N; i++)
+  for (uint32_t i = 0; i < RELAY_FLEET_N_INSTANCES; i++)
     {
-      MfSuspects *suspects = fixture.fleet.towns[i].jobs.suspects;
+      MfSuspects *suspects = fixture.fleet.instances[i].jobs.suspects;
 
       for (uint64_t digest = 1; digest <= 2 * MF_SUSPECT_ROWS_MAX; digest++)
         {
@@ -236,10 +238,10 @@
         }
     }
   quarantine_request (&fixture);
-  town_fleet_restart (&fixture.fleet, 4);
+  relay_fleet_restart (&fixture.fleet, 4);
   for (uint32_t index = 0; index < N_UPSTREAMS; index++)
     instance_list_upstream (&fixture, 4, index);
-  town_fleet_meet (&fixture.fleet);
+  relay_fleet_wait_connected (&fixture.fleet);
   loop_spin (fixture.fleet.loop, 50);
   assert_int_equal (call (&fixture, 4, CRASHER_HOST, "/order/1", SOAK_CRASH "0"), 503);
   crash_fixture_teardown (&fixture);
@@ -250,7 +252,7 @@
 test_instance_that_was_alone_learns_of_convictions (void **state)
 {
   CrashFixture fixture;
-  Town *alone = &fixture.fleet.towns[3];
+  RelayFixture *alone = &fixture.fleet.instances[3];
   MfPeers *peers;
   MfError error = { 0 };
   char address[MF_ADDRESS_BYTES];
@@ -262,12 +264,12 @@
   mf_peers_free (peers);
   quarantine_request (&fixture);
   snprintf (address, sizeof address, "127.0.0.1:%u", PEER_PORT + 3);
-  alone->jobs.peers = mf_peers_new (fixture.fleet.loop, address, &mf_jobs_peers_user, &alone->jobs,
-                                    alone->lines, &error);
+  alone->jobs.peers = mf_peers_new (fixture.fleet.loop, address, &mf_jobs_peers_callbacks,
+                                    &alone->jobs, alone->log, &error);
   assert_non_null (alone->jobs.peers);
   snprintf (address, sizeof address, "127.0.0.1:%u", PEER_PORT);
   mf_peers_seed (alone->jobs.peers, address);
-  town_fleet_meet (&fixture.fleet);
+  relay_fleet_wait_connected (&fixture.fleet);
   loop_spin (fixture.fleet.loop, 50);
   assert_int_equal (call (&fixture, 3, CRASHER_HOST, "/order/1", SOAK_CRASH "0"), 503);
   crash_fixture_teardown (&fixture);
@@ -283,7 +285,7 @@
   crash_fixture_setup (&fixture);
   quarantine_request (&fixture);
   loop_spin (fixture.fleet.loop, 100);
-  for (uint32_t i = 0; i < TOWN_FLEET_N; i++)
+  for (uint32_t i = 0; i < RELAY_FLEET_N_INSTANCES; i++)
     {
       assert_int_equal (call (&fixture, i, CRASHER_HOST, "/order/1", "sound"), 200);
       assert_int_equal (call (&fixture, i, INNOCENT_HOST, "/order/1", "sound"), 200);
@@ -301,9 +303,10 @@
   crash_fixture_setup (&fixture);
   for (uint32_t i = 0; i < 6; i++)
     {
-      int crasher = start_call (&fixture, i % TOWN_FLEET_N, CRASHER_HOST, "/order/2",
+      int crasher = start_call (&fixture, i % RELAY_FLEET_N_INSTANCES, CRASHER_HOST, "/order/2",
                                 i % 2 == 0 ? SOAK_CRASH "0" : SOAK_CRASH "1");
-      int other_fd = start_call (&fixture, i % TOWN_FLEET_N, INNOCENT_HOST, "/read/1", "again");
+      int other_fd
+          = start_call (&fixture, i % RELAY_FLEET_N_INSTANCES, INNOCENT_HOST, "/read/1", "again");
 
       finish_call (&fixture, crasher);
       assert_int_equal (finish_call (&fixture, other_fd), 200);
@@ -339,7 +342,7 @@
 test_late_entry_of_a_predecessor_blames_nobody (void **state)
 {
   CrashFixture fixture;
-  MfTargets *targets = &fixture.fleet.towns[0].jobs.targets;
+  MfTargets *targets = &fixture.fleet.instances[0].jobs.targets;
   MfTargetInfo info;
   uint64_t now_us = mf_clock_now_us ();
 
@@ -347,7 +350,7 @@
   crash_fixture_setup (&fixture);
   info = mf_targets_find (targets, "u0-0")->info;
   mf_suspects_add_break (
-      fixture.fleet.towns[0].jobs.suspects,
+      fixture.fleet.instances[0].jobs.suspects,
       &(MfSuspectBreak){ .digest = 5,
                          .upstream = mf_target_process (mf_targets_find (targets, "u0-0")),
                          .place = mf_load_hash (info.address),
@@ -356,11 +359,12 @@
   mf_name_set (info.id, sizeof info.id, "before");
   info.born_ms = 0;
   mf_targets_update (targets, &info);
-  assert_null (mf_suspects_find (fixture.fleet.towns[0].jobs.suspects, 5, mf_clock_now_us ()));
+  assert_null (mf_suspects_find (fixture.fleet.instances[0].jobs.suspects, 5, mf_clock_now_us ()));
   info.born_ms = 2;
   mf_name_set (info.id, sizeof info.id, "after");
   mf_targets_update (targets, &info);
-  assert_non_null (mf_suspects_find (fixture.fleet.towns[0].jobs.suspects, 5, mf_clock_now_us ()));
+  assert_non_null (
+      mf_suspects_find (fixture.fleet.instances[0].jobs.suspects, 5, mf_clock_now_us ()));
   crash_fixture_teardown (&fixture);
 }
 
@@ -375,13 +379,14 @@
   for (uint32_t index = 0; index < 3; index++)
     soak_upstream_mood (fixture.upstreams[index], SOAK_RESETS);
   for (uint32_t i = 0; i < 12; i++)
-    call (&fixture, i % TOWN_FLEET_N, INNOCENT_HOST, "/order/1", "again");
+    call (&fixture, i % RELAY_FLEET_N_INSTANCES, INNOCENT_HOST, "/order/1", "again");
   for (uint32_t index = 0; index < 3; index++)
     soak_upstream_mood (fixture.upstreams[index], SOAK_GOOD);
-  for (uint32_t i = 0; i < TOWN_FLEET_N; i++)
+  for (uint32_t i = 0; i < RELAY_FLEET_N_INSTANCES; i++)
     {
       assert_int_equal (call (&fixture, i, INNOCENT_HOST, "/order/1", "again"), 200);
-      assert_int_equal (fixture.fleet.towns[i].jobs.counters.counts[MF_RELAY_COUNT_SUSPICIONS], 0);
+      assert_int_equal (fixture.fleet.instances[i].jobs.counters.counts[MF_RELAY_COUNT_SUSPICIONS],
+                        0);
     }
   crash_fixture_teardown (&fixture);
 }
@@ -398,11 +403,11 @@
   crash_fixture_setup (&fixture);
   for (uint32_t index = 0; index < 3; index++)
     {
-      target = mf_targets_find (&fixture.fleet.towns[0].jobs.targets, index == 0   ? "u0-0"
-                                                                      : index == 1 ? "u1-0"
-                                                                                   : "u2-0");
+      target = mf_targets_find (&fixture.fleet.instances[0].jobs.targets, index == 0   ? "u0-0"
+                                                                          : index == 1 ? "u1-0"
+                                                                                       : "u2-0");
       assert_non_null (target);
-      mf_suspects_add_break (fixture.fleet.towns[0].jobs.suspects,
+      mf_suspects_add_break (fixture.fleet.instances[0].jobs.suspects,
                              &(MfSuspectBreak){ .digest = 5,
                                                 .request = index,
                                                 .upstream = mf_target_process (target),
@@ -411,7 +416,7 @@
       mf_target_says_leaving (target);
       mf_target_replaced (target, UINT64_MAX);
     }
-  assert_null (mf_suspects_find (fixture.fleet.towns[0].jobs.suspects, 5, mf_clock_now_us ()));
+  assert_null (mf_suspects_find (fixture.fleet.instances[0].jobs.suspects, 5, mf_clock_now_us ()));
   crash_fixture_teardown (&fixture);
 }
 
--- a/tests/test_refuse.c
+++ b/tests/test_refuse.c
@@ -18,8 +18,8 @@
         .code = codes[i],
         .left_us = 600 * MF_US_PER_MS,
         .objective_us = 14 * MF_US_PER_S,
-        .room_us = 30 * MF_US_PER_S,
-        .point = UINT32_MAX,
+        .available_us = 30 * MF_US_PER_S,
+        .jitter = UINT32_MAX,
       };
 
       assert_true (mf_refuse_retry_after_us (&refusal) <= 200 * MF_US_PER_MS);
@@ -38,7 +38,7 @@
   uint64_t first_us = mf_refuse_retry_after_us (&refusal);
 
   (void)state;
-  refusal.point = UINT32_MAX;
+  refusal.jitter = UINT32_MAX;
   assert_true (mf_refuse_retry_after_us (&refusal) > first_us + first_us / 3);
 }
 
--- a/tests/test_stage.c
+++ b/tests/test_stage.c
@@ -15,18 +15,18 @@
 {
   (void)state;
   /* Twenty decode engines' worth of answers to three of prompts, of 35 engines. */
-  assert_in_range (mf_stage_want_prefill (35, 3., 20.), 5, 7);
-  assert_in_range (mf_stage_want_prefill (35, 10., 10.), 18, 21);
+  assert_in_range (mf_stage_optimal_prefill (35, 3., 20.), 5, 7);
+  assert_in_range (mf_stage_optimal_prefill (35, 10., 10.), 18, 21);
   /* Three that read and two that answer are left, whatever the work. */
-  assert_int_equal (mf_stage_want_prefill (35, 0.01, 20.), 3);
-  assert_int_equal (mf_stage_want_prefill (35, 20., 0.01), 33);
-  assert_int_equal (mf_stage_want_prefill (3, 1., 1.), 1);
+  assert_int_equal (mf_stage_optimal_prefill (35, 0.01, 20.), 3);
+  assert_int_equal (mf_stage_optimal_prefill (35, 20., 0.01), 33);
+  assert_int_equal (mf_stage_optimal_prefill (3, 1., 1.), 1);
 }
 
 /* Shows the same view for some time. Returns when it first asked for the move; 0: it did not. */
 static uint64_t
-first_move_us (MfStageTrend *trend, const MfStageView *snapshot, MfStageMove move, uint64_t from_us,
-               uint64_t duration_us)
+first_move_us (MfStageTrend *trend, const MfStageSnapshot *snapshot, MfStageMove move,
+               uint64_t from_us, uint64_t duration_us)
 {
   for (uint64_t at_us = from_us; at_us < from_us + duration_us; at_us += STEP_US)
     {
@@ -39,10 +39,10 @@
 static void
 test_moves_wait_until_enough_was_seen (void **state)
 {
-  const MfStageView idle = { 13, 22, 0.2, 0.2, 1. };
-  const MfStageView busy = { 13, 22, 4., 5., 20. };
-  const MfStageView crash = { 8, 22, 8., 40., 19. };
-  const MfStageView too_few_prefill = { 2, 16, 2., 12., 10. };
+  const MfStageSnapshot idle = { 13, 22, 0.2, 0.2, 1. };
+  const MfStageSnapshot busy = { 13, 22, 4., 5., 20. };
+  const MfStageSnapshot crash = { 8, 22, 8., 40., 19. };
+  const MfStageSnapshot too_few_prefill = { 2, 16, 2., 12., 10. };
   MfStageTrend trend = { 0 };
   uint64_t at_us;
 
@@ -68,8 +68,8 @@
 static void
 test_too_few_engines_stay_as_they_are (void **state)
 {
-  const MfStageView small = { 1, 2, 1., 9., 2. };
-  const MfStageView none = { 0, 9, 0., 0., 9. };
+  const MfStageSnapshot small = { 1, 2, 1., 9., 2. };
+  const MfStageSnapshot none = { 0, 9, 0., 0., 9. };
   MfStageTrend trend = { 0 };
 
   (void)state;
@@ -201,7 +201,7 @@
 static void
 simulation_balance (Simulation *simulation, MfStageTrend *trend)
 {
-  MfStageView snapshot = { 0 };
+  MfStageSnapshot snapshot = { 0 };
   MfTarget *idle = NULL;
 
   for (uint32_t i = 0; i < N_ENGINES; i++)
@@ -216,7 +216,7 @@
       if (target->info.role == MF_ROLE_PREFILL)
         {
           snapshot.prefill_busy += target->n_active > 0;
-          snapshot.prompts += target->n_active;
+          snapshot.queued_prompts += target->n_active;
           idle = changes ? idle : target;
         }
       else
--- a/tests/town.c
+++ b/tests/town.c
@@ -14,11 +14,11 @@
 static void
 on_request (FakeWireConn *conn, const char *text, void *data)
 {
-  TownUpstream *upstream = data;
+  RelayFixtureUpstream *upstream = data;
   char id[64] = "";
 
   fake_wire_header (text, "X-Attempt-Id", id, sizeof id);
-  upstream->act (conn, text, id);
+  upstream->handler (conn, text, id);
 }
 
 static MfRoutes *
@@ -47,53 +47,54 @@
 }
 
 void
-town_begin (Town *town, struct ev_loop *loop, uint16_t port)
+relay_fixture_setup (RelayFixture *fixture, struct ev_loop *loop, uint16_t port)
 {
   char address[MF_ADDRESS_BYTES];
   MfError error = { 0 };
 
-  memset (town, 0, sizeof *town);
-  town->loop = loop;
-  town->port = port;
+  memset (fixture, 0, sizeof *fixture);
+  fixture->loop = loop;
+  fixture->port = port;
   snprintf (address, sizeof address, "127.0.0.1:%u", port);
-  town->lines_fd = open ("/dev/null", O_WRONLY);
-  town->lines = mf_lines_new (town->loop, "t", town->lines_fd, &error);
-  assert_non_null (town->lines);
-  mf_jobs_init (&town->jobs, town->loop, &platform_dialect, town->lines);
-  town->jobs.budget_window_us = 10 * MF_US_PER_S;
-  town->jobs.budget_ratio = 0.2;
-  town->jobs.budget_slack = 2;
+  fixture->log_fd = open ("/dev/null", O_WRONLY);
+  fixture->log = mf_lines_new (fixture->loop, "t", fixture->log_fd, &error);
+  assert_non_null (fixture->log);
+  mf_jobs_init (&fixture->jobs, fixture->loop, &platform_dialect, fixture->log);
+  fixture->jobs.budget_window_us = 10 * MF_US_PER_S;
+  fixture->jobs.budget_ratio = 0.2;
+  fixture->jobs.budget_slack = 2;
   /* It has run for longer than the window. */
-  town->jobs.began_us = 0;
-  mf_jobs_configure (&town->jobs, make_routes ());
-  town->door = mf_door_new (town->loop, address, &platform_dialect, &mf_job_door_user, &town->jobs,
-                            &error);
-  assert_non_null (town->door);
-  mf_door_limit (town->door, &(MfDoorLimits){
-                                 .header_bytes_max = 16384,
-                                 .body_bytes_max = 65536,
-                                 .header_timeout_us = MF_US_PER_S,
-                                 .idle_timeout_us = 5 * MF_US_PER_S,
-                                 .callers_max = 100,
-                             });
+  fixture->jobs.started_us = 0;
+  mf_jobs_configure (&fixture->jobs, make_routes ());
+  fixture->listener = mf_door_new (fixture->loop, address, &platform_dialect,
+                                   &mf_job_listener_callbacks, &fixture->jobs, &error);
+  assert_non_null (fixture->listener);
+  mf_door_limit (fixture->listener, &(MfDoorLimits){
+                                        .header_bytes_max = 16384,
+                                        .body_bytes_max = 65536,
+                                        .header_timeout_us = MF_US_PER_S,
+                                        .idle_timeout_us = 5 * MF_US_PER_S,
+                                        .callers_max = 100,
+                                    });
 }
 
 void
-town_end (Town *town)
+relay_fixture_teardown (RelayFixture *fixture)
 {
-  mf_door_free (town->door);
-  mf_jobs_clear (&town->jobs);
-  for (uint32_t i = 0; i < TOWN_N_UPSTREAMS; i++)
+  mf_door_free (fixture->listener);
+  mf_jobs_clear (&fixture->jobs);
+  for (uint32_t i = 0; i < RELAY_FIXTURE_N_UPSTREAMS; i++)
     {
-      if (town->upstreams[i].wire != NULL)
-        fake_wire_free (town->upstreams[i].wire);
+      if (fixture->upstreams[i].wire != NULL)
+        fake_wire_free (fixture->upstreams[i].wire);
     }
-  mf_lines_free (town->lines);
-  close (town->lines_fd);
+  mf_lines_free (fixture->log);
+  close (fixture->log_fd);
 }
 
 static void
-list_target (Town *town, const char *id, MfRole role, const char *address, const char *data_centre)
+list_target (RelayFixture *fixture, const char *id, MfRole role, const char *address,
+             const char *data_centre)
 {
   MfTargetInfo info = { .role = role, .slots = 4, .born_ms = 1 };
 
@@ -101,37 +102,39 @@
   mf_name_set (info.service, sizeof info.service, role == MF_ROLE_PLAIN ? "shop" : "engines");
   mf_name_set (info.address, sizeof info.address, address);
   mf_name_set (info.data_centre, sizeof info.data_centre, data_centre);
-  mf_targets_update (&town->jobs.targets, &info);
+  mf_targets_update (&fixture->jobs.targets, &info);
 }
 
 void
-town_add (Town *town, uint32_t index, MfRole role, TownAct act)
+relay_fixture_add_upstream (RelayFixture *fixture, uint32_t index, MfRole role,
+                            RelayFixtureHandler handler)
 {
-  TownUpstream *upstream = &town->upstreams[index];
+  RelayFixtureUpstream *upstream = &fixture->upstreams[index];
   char id[MF_TARGET_ID_BYTES];
 
-  *upstream
-      = (TownUpstream){ .wire = fake_wire_new (town->loop, on_request, upstream), .act = act };
+  *upstream = (RelayFixtureUpstream){ .wire = fake_wire_new (fixture->loop, on_request, upstream),
+                                      .handler = handler };
   snprintf (id, sizeof id, "u%u", index);
-  list_target (town, id, role, fake_wire_address (upstream->wire),
+  list_target (fixture, id, role, fake_wire_address (upstream->wire),
                index == 0 || index == 2 ? "" : "far");
 }
 
 void
-town_know (Town *town, const char *id, MfRole role, const char *address)
+relay_fixture_list_upstream (RelayFixture *fixture, const char *id, MfRole role,
+                             const char *address)
 {
-  list_target (town, id, role, address, "");
+  list_target (fixture, id, role, address, "");
 }
 
 uint32_t
-town_n_requests (const Town *town, uint32_t index)
+relay_fixture_n_requests (const RelayFixture *fixture, uint32_t index)
 {
-  return fake_wire_n_requests (town->upstreams[index].wire);
+  return fake_wire_n_requests (fixture->upstreams[index].wire);
 }
 
 void
-town_answer (FakeWireConn *conn, const char *id, const char *status, const char *headers,
-             const char *body)
+relay_fixture_answer (FakeWireConn *conn, const char *id, const char *status, const char *headers,
+                      const char *body)
 {
   char text[2048];
 
@@ -141,41 +144,42 @@
 }
 
 void
-town_decline (FakeWireConn *conn, const char *text, const char *id)
+relay_fixture_decline (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
-  town_answer (conn, id, "503 Service Unavailable", "X-Not-Executed: 1\r\n", "");
+  relay_fixture_answer (conn, id, "503 Service Unavailable", "X-Not-Executed: 1\r\n", "");
 }
 
 void
-town_prefill (FakeWireConn *conn, const char *text, const char *id)
+relay_fixture_prefill (FakeWireConn *conn, const char *text, const char *id)
 {
   char stage[16] = "";
 
   if (strncmp (text, "DELETE ", 7) == 0)
     {
-      town_answer (conn, id, "200 OK", "", "");
+      relay_fixture_answer (conn, id, "200 OK", "", "");
       return;
     }
   assert_true (fake_wire_header (text, "X-Stage", stage, sizeof stage));
   assert_string_equal (stage, "prefill");
-  town_answer (conn, id, "200 OK", "", "{\"kvHandle\":\"h1\",\"tokens\":10,\"version\":1}");
+  relay_fixture_answer (conn, id, "200 OK", "",
+                        "{\"kvHandle\":\"h1\",\"tokens\":10,\"version\":1}");
 }
 
 /* Breaks off within the second event. */
 void
-town_stream_breaks (FakeWireConn *conn, const char *text, const char *id)
+relay_fixture_stream_breaks (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
   (void)id;
-  fake_wire_send (conn, TOWN_STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\n6\r\nid: 2\n\r\n");
+  fake_wire_send (conn, RELAY_FIXTURE_STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\n6\r\nid: 2\n\r\n");
   fake_wire_close (conn, true);
 }
 
 void
-town_stream_hangs (FakeWireConn *conn, const char *text, const char *id)
+relay_fixture_stream_hangs (FakeWireConn *conn, const char *text, const char *id)
 {
   (void)text;
   (void)id;
-  fake_wire_send (conn, TOWN_STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\n");
+  fake_wire_send (conn, RELAY_FIXTURE_STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\n");
 }
--- a/tests/town_fleet.c
+++ b/tests/town_fleet.c
@@ -14,90 +14,92 @@
 static bool
 all_connected (void *data)
 {
-  const TownFleet *fleet = data;
+  const RelayFleet *fleet = data;
 
-  for (uint32_t i = 0; i < TOWN_FLEET_N; i++)
+  for (uint32_t i = 0; i < RELAY_FLEET_N_INSTANCES; i++)
     {
-      if (mf_peers_count (fleet->towns[i].jobs.peers, mf_clock_now_us ()) != TOWN_FLEET_N)
+      if (mf_peers_count (fleet->instances[i].jobs.peers, mf_clock_now_us ())
+          != RELAY_FLEET_N_INSTANCES)
         return false;
     }
   return true;
 }
 
 static void
-instance_start (TownFleet *fleet, uint32_t index)
+instance_start (RelayFleet *fleet, uint32_t index)
 {
-  Town *town = &fleet->towns[index];
+  RelayFixture *fixture = &fleet->instances[index];
   char address[MF_ADDRESS_BYTES];
   char seed[MF_ADDRESS_BYTES];
   MfError error = { 0 };
 
-  town_begin (town, fleet->loop, (uint16_t)(fleet->door_port + index));
+  relay_fixture_setup (fixture, fleet->loop, (uint16_t)(fleet->listen_port + index));
   snprintf (address, sizeof address, "127.0.0.1:%u", fleet->peer_port + index);
   snprintf (seed, sizeof seed, "127.0.0.1:%u,127.0.0.1:%u", fleet->peer_port, fleet->peer_port + 1);
-  town->jobs.peers
-      = mf_peers_new (fleet->loop, address, &mf_jobs_peers_user, &town->jobs, town->lines, &error);
-  assert_non_null (town->jobs.peers);
-  mf_peers_seed (town->jobs.peers, seed);
+  fixture->jobs.peers = mf_peers_new (fleet->loop, address, &mf_jobs_peers_callbacks,
+                                      &fixture->jobs, fixture->log, &error);
+  assert_non_null (fixture->jobs.peers);
+  mf_peers_seed (fixture->jobs.peers, seed);
 }
 
 static void
-instance_free_peers (TownFleet *fleet, uint32_t index)
+instance_free_peers (RelayFleet *fleet, uint32_t index)
 {
-  MfPeers *peers = fleet->towns[index].jobs.peers;
+  MfPeers *peers = fleet->instances[index].jobs.peers;
 
-  fleet->towns[index].jobs.peers = NULL;
+  fleet->instances[index].jobs.peers = NULL;
   mf_peers_free (peers);
 }
 
 void
-town_fleet_meet (TownFleet *fleet)
+relay_fleet_wait_connected (RelayFleet *fleet)
 {
   assert_true (loop_pump (fleet->loop, all_connected, fleet));
 }
 
 void
-town_fleet_begin (TownFleet *fleet, uint16_t door_port, uint16_t peer_port)
+relay_fleet_setup (RelayFleet *fleet, uint16_t listen_port, uint16_t peer_port)
 {
   memset (fleet, 0, sizeof *fleet);
   fleet->loop = ev_loop_new (0);
-  fleet->door_port = door_port;
+  fleet->listen_port = listen_port;
   fleet->peer_port = peer_port;
-  for (uint32_t i = 0; i < TOWN_FLEET_N; i++)
+  for (uint32_t i = 0; i < RELAY_FLEET_N_INSTANCES; i++)
     instance_start (fleet, i);
-  town_fleet_meet (fleet);
+  relay_fleet_wait_connected (fleet);
 }
 
 void
-town_fleet_end (TownFleet *fleet)
+relay_fleet_teardown (RelayFleet *fleet)
 {
-  for (uint32_t i = TOWN_FLEET_N; i-- > 0;)
+  for (uint32_t i = RELAY_FLEET_N_INSTANCES; i-- > 0;)
     instance_free_peers (fleet, i);
-  for (uint32_t i = TOWN_FLEET_N; i-- > 0;)
-    town_end (&fleet->towns[i]);
+  for (uint32_t i = RELAY_FLEET_N_INSTANCES; i-- > 0;)
+    relay_fixture_teardown (&fleet->instances[i]);
   ev_loop_destroy (fleet->loop);
 }
 
 void
-town_fleet_restart (TownFleet *fleet, uint32_t index)
+relay_fleet_restart (RelayFleet *fleet, uint32_t index)
 {
   instance_free_peers (fleet, index);
-  town_end (&fleet->towns[index]);
+  relay_fixture_teardown (&fleet->instances[index]);
   loop_spin (fleet->loop, 20);
   instance_start (fleet, index);
 }
 
 void
-town_fleet_add_engines (TownFleet *fleet, uint32_t n_engines, TownAct act)
+relay_fleet_add_engines (RelayFleet *fleet, uint32_t n_engines, RelayFixtureHandler handler)
 {
   for (uint32_t engine = 0; engine < n_engines; engine++)
     {
       char id[16];
 
-      town_add (&fleet->towns[0], engine, MF_ROLE_DECODE, act);
+      relay_fixture_add_upstream (&fleet->instances[0], engine, MF_ROLE_DECODE, handler);
       snprintf (id, sizeof id, "u%u", engine);
-      for (uint32_t i = 1; i < TOWN_FLEET_N; i++)
-        town_know (&fleet->towns[i], id, MF_ROLE_DECODE,
-                   fake_wire_address (fleet->towns[0].upstreams[engine].wire));
+      for (uint32_t i = 1; i < RELAY_FLEET_N_INSTANCES; i++)
+        relay_fixture_list_upstream (
+            &fleet->instances[i], id, MF_ROLE_DECODE,
+            fake_wire_address (fleet->instances[0].upstreams[engine].wire));
     }
 }
