--- a/tests/test_budget.c
+++ b/tests/test_budget.c
@@ -64,7 +64,7 @@
 }
 
 static void
-test_floor_without_requests (void **state)
+test_allowance_without_requests (void **state)
 {
   MfBudget budget;
 
@@ -80,7 +80,7 @@
 /* The parts of all instances together, and of all of them started anew within a window, keep to
  * what is common, in deployments of any size. */
 static void
-test_parts_of_the_slack (void **state)
+test_allowances_keep_to_the_slack (void **state)
 {
   static const uint32_t sizes[][2] = { { 6, 52 }, { 7, 54 }, { 84, 208 }, { 300, 640 } };
 
@@ -111,8 +111,8 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_any_window_of_any_instances_keeps_to_the_ratio),
-    cmocka_unit_test (test_floor_without_requests),
-    cmocka_unit_test (test_parts_of_the_slack),
+    cmocka_unit_test (test_allowance_without_requests),
+    cmocka_unit_test (test_allowances_keep_to_the_slack),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_job.c
+++ b/tests/test_job.c
@@ -245,7 +245,7 @@
 }
 
 static void
-test_repeats_keep_to_the_budget (void **state)
+test_retries_keep_to_the_budget (void **state)
 {
   RelayFixture fixture;
 
@@ -767,7 +767,7 @@
 
 /* Ten callers want four slots: all are answered, never five at once. */
 static void
-test_requests_wait_for_room (void **state)
+test_requests_wait_for_a_free_slot (void **state)
 {
   static const char text[] = "POST /llm/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: t\r\n\r\n";
   RelayFixture fixture;
@@ -808,7 +808,7 @@
     cmocka_unit_test (test_refusals_without_upstream_or_route),
     cmocka_unit_test (test_read_is_tried_elsewhere),
     cmocka_unit_test (test_read_fails_in_the_end),
-    cmocka_unit_test (test_repeats_keep_to_the_budget),
+    cmocka_unit_test (test_retries_keep_to_the_budget),
     cmocka_unit_test (test_both_sends_of_a_repeat_count),
     cmocka_unit_test (test_prompt_is_not_read_again_beyond_the_budget),
     cmocka_unit_test (test_repeat_of_two_sends_needs_room_for_both),
@@ -828,7 +828,7 @@
     cmocka_unit_test (test_pauses_that_cannot_be_read_are_passed_over),
     cmocka_unit_test (test_unreachable_upstream_costs_no_request),
     cmocka_unit_test (test_deadline_ends_what_does_not_answer),
-    cmocka_unit_test (test_requests_wait_for_room),
+    cmocka_unit_test (test_requests_wait_for_a_free_slot),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_job_answer.c
+++ b/tests/test_job_answer.c
@@ -147,7 +147,7 @@
 
 /* An order ends without a promise, by its deadline at the latest; the connection is closed. */
 static void
-test_bytes_without_end_end_an_order (void **state)
+test_endless_answer_ends_a_non_idempotent_request (void **state)
 {
   (void)state;
   for (size_t i = 0; i < MF_ARRAY_LEN (floods); i++)
@@ -169,7 +169,7 @@
 
 /* What may run again is answered by another upstream. */
 static void
-test_reads_leave_bytes_without_end (void **state)
+test_endless_answer_to_an_idempotent_request_is_retried (void **state)
 {
   (void)state;
   for (size_t i = 0; i < MF_ARRAY_LEN (floods); i++)
@@ -189,7 +189,7 @@
 
 /* The same of an engine that is to read a prompt: another one reads it. */
 static void
-test_prompts_leave_bytes_without_end (void **state)
+test_endless_answer_to_a_prefill_is_retried (void **state)
 {
   (void)state;
   for (size_t i = 0; i < MF_ARRAY_LEN (floods); i++)
@@ -211,7 +211,7 @@
 /* A stream that may go on elsewhere does so; one that may not does not look whole. Nothing of the
  * event without end reaches the first caller. */
 static void
-test_events_without_end_end_the_stream (void **state)
+test_endless_event_ends_the_stream (void **state)
 {
   static const Flood endless = { RELAY_FIXTURE_STREAM_HEAD, "c8\r\n" JUNK "\r\n" };
   RelayFixture fixture;
@@ -241,7 +241,7 @@
 
 /* The upstream may be forgotten by discovery while it floods its last request. */
 static void
-test_forgotten_upstream_floods (void **state)
+test_endless_answer_of_a_removed_upstream (void **state)
 {
   static const Flood endless = { RELAY_FIXTURE_STREAM_HEAD, "c8\r\n" JUNK "\r\n" };
   RelayFixture fixture;
@@ -293,7 +293,7 @@
 
 /* An engine that answers the freeing of its memory without end is left after a while. */
 static void
-test_release_without_end_is_given_up (void **state)
+test_endless_answer_to_a_release_times_out (void **state)
 {
   static const Flood interim = { "", "HTTP/1.1 102 Processing\r\n\r\n" };
   RelayFixture fixture;
@@ -313,7 +313,7 @@
 
 /* Many large answers at once keep to what they may take together; small ones beside them come. */
 static void
-test_answers_keep_to_the_memory_there_is (void **state)
+test_buffered_answers_keep_to_the_memory_limit (void **state)
 {
   static const Flood body = { PLAIN_HEAD "Content-Length: 2000000\r\n\r\n", JUNK };
   static const uint64_t limit_bytes = 1024 * 1024;
@@ -350,14 +350,14 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_bytes_without_end_end_an_order),
-    cmocka_unit_test (test_reads_leave_bytes_without_end),
-    cmocka_unit_test (test_prompts_leave_bytes_without_end),
-    cmocka_unit_test (test_events_without_end_end_the_stream),
-    cmocka_unit_test (test_forgotten_upstream_floods),
+    cmocka_unit_test (test_endless_answer_ends_a_non_idempotent_request),
+    cmocka_unit_test (test_endless_answer_to_an_idempotent_request_is_retried),
+    cmocka_unit_test (test_endless_answer_to_a_prefill_is_retried),
+    cmocka_unit_test (test_endless_event_ends_the_stream),
+    cmocka_unit_test (test_endless_answer_of_a_removed_upstream),
     cmocka_unit_test (test_stream_that_trickles_goes_on_elsewhere),
-    cmocka_unit_test (test_release_without_end_is_given_up),
-    cmocka_unit_test (test_answers_keep_to_the_memory_there_is),
+    cmocka_unit_test (test_endless_answer_to_a_release_times_out),
+    cmocka_unit_test (test_buffered_answers_keep_to_the_memory_limit),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_job_room.c
+++ b/tests/test_job_room.c
@@ -164,7 +164,7 @@
 /* An engine that the instance which decides knows first is granted to one that does not know it
  * yet: that one asks for another at once, and not for the same again and again. */
 static void
-test_engine_that_the_asker_does_not_know_is_avoided (void **state)
+test_engine_that_the_requester_does_not_know_is_avoided (void **state)
 {
   RelayFleet fleet;
   uint32_t leader;
@@ -199,7 +199,7 @@
     cmocka_unit_test (test_waiting_requests_ask_the_next_leader),
     cmocka_unit_test (test_leader_gives_repeats_that_others_do_not_use),
     cmocka_unit_test (test_repeats_of_two_sends_keep_to_what_is_common),
-    cmocka_unit_test (test_engine_that_the_asker_does_not_know_is_avoided),
+    cmocka_unit_test (test_engine_that_the_requester_does_not_know_is_avoided),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_job_stage.c
+++ b/tests/test_job_stage.c
@@ -171,7 +171,7 @@
 
 /* A machine that stood still believes what held before: it leads anew. */
 static void
-test_who_stood_still_waits_again (void **state)
+test_suspended_leader_waits_again (void **state)
 {
   OrderFixture fixture;
 
@@ -214,7 +214,7 @@
 /* Whatever the time of day of two machines is, who orders next has the higher fence; and who hears
  * of a higher one than its own waits anew. */
 static void
-test_fences_outgrow_all_that_are_known (void **state)
+test_new_fence_exceeds_all_known_fences (void **state)
 {
   uint64_t ahead = (mf_clock_wall_ms () + 5000) << 10;
   OrderFixture fixture;
@@ -281,9 +281,9 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_idle_prefill_engine_is_ordered_to_decode),
-    cmocka_unit_test (test_who_stood_still_waits_again),
+    cmocka_unit_test (test_suspended_leader_waits_again),
     cmocka_unit_test (test_first_order_waits_longer_without_fences),
-    cmocka_unit_test (test_fences_outgrow_all_that_are_known),
+    cmocka_unit_test (test_new_fence_exceeds_all_known_fences),
     cmocka_unit_test (test_refused_orders_end),
     cmocka_unit_test (test_order_without_an_answer_counts_as_taken),
   };
--- a/tests/test_job_suspect.c
+++ b/tests/test_job_suspect.c
@@ -196,7 +196,7 @@
 }
 
 static void
-test_instance_that_starts_anew_learns_of_convictions (void **state)
+test_restarted_instance_receives_quarantines (void **state)
 {
   CrashFixture fixture;
   uint32_t n_crashes;
@@ -220,7 +220,7 @@
 
 /* More suspects than one message tells of do not keep a conviction back. */
 static void
-test_convictions_are_told_before_suspicions (void **state)
+test_quarantines_are_sent_before_suspicions (void **state)
 {
   CrashFixture fixture;
 
@@ -249,7 +249,7 @@
 
 /* An instance without peers finds out for itself, and is told when it is back among them. */
 static void
-test_instance_that_was_alone_learns_of_convictions (void **state)
+test_isolated_instance_receives_quarantines (void **state)
 {
   CrashFixture fixture;
   RelayFixture *alone = &fixture.fleet.instances[3];
@@ -277,7 +277,7 @@
 
 /* Another caller's request of the same content is another request, and so is another content. */
 static void
-test_others_are_served_as_before (void **state)
+test_other_requests_are_served (void **state)
 {
   CrashFixture fixture;
 
@@ -339,7 +339,7 @@
 
 /* Discovery names the process before once more, which ends nothing. */
 static void
-test_late_entry_of_a_predecessor_blames_nobody (void **state)
+test_late_entry_of_a_predecessor_is_no_crash (void **state)
 {
   CrashFixture fixture;
   MfTargets *targets = &fixture.fleet.instances[0].jobs.targets;
@@ -370,7 +370,7 @@
 
 /* An upstream that resets connections, and is there all the while, has not ended. */
 static void
-test_resets_convict_nobody (void **state)
+test_resets_quarantine_no_request (void **state)
 {
   CrashFixture fixture;
 
@@ -393,7 +393,7 @@
 
 /* What an upstream runs as it stops in order breaks of that. */
 static void
-test_upstream_that_leaves_in_order_blames_nobody (void **state)
+test_graceful_exit_is_no_crash (void **state)
 {
   CrashFixture fixture;
   MfTarget *target;
@@ -425,15 +425,15 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_request_that_crashed_three_upstreams_is_sent_no_more),
-    cmocka_unit_test (test_instance_that_starts_anew_learns_of_convictions),
-    cmocka_unit_test (test_convictions_are_told_before_suspicions),
-    cmocka_unit_test (test_instance_that_was_alone_learns_of_convictions),
-    cmocka_unit_test (test_others_are_served_as_before),
+    cmocka_unit_test (test_restarted_instance_receives_quarantines),
+    cmocka_unit_test (test_quarantines_are_sent_before_suspicions),
+    cmocka_unit_test (test_isolated_instance_receives_quarantines),
+    cmocka_unit_test (test_other_requests_are_served),
     cmocka_unit_test (test_request_that_is_answered_between_crashes_is_not_refused),
     cmocka_unit_test (test_request_that_silences_upstreams_is_found_out),
-    cmocka_unit_test (test_late_entry_of_a_predecessor_blames_nobody),
-    cmocka_unit_test (test_resets_convict_nobody),
-    cmocka_unit_test (test_upstream_that_leaves_in_order_blames_nobody),
+    cmocka_unit_test (test_late_entry_of_a_predecessor_is_no_crash),
+    cmocka_unit_test (test_resets_quarantine_no_request),
+    cmocka_unit_test (test_graceful_exit_is_no_crash),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
