--- a/libmangofork/relay/job_row.h
+++ b/libmangofork/relay/job_row.h
@@ -135,7 +135,7 @@
 void mf_jobs_send_suspects (MfJobs *jobs, uint64_t peer);
 void mf_jobs_handle_suspects (MfJobs *jobs, const MfSuspectNews *update);
 
-/* job_repeat.c: the budget for repeats. */
+/* job_retry.c: the budget for repeats. */
 MfServiceBudget *mf_jobs_budget (MfJobs *jobs, const char *service);
 bool mf_job_acquire_retry (MfJob *job);
 bool mf_job_acquire_send (MfJob *job, bool prefill);
--- a/tests/town.c
+++ b/tests/relay_fixture.c
@@ -1,4 +1,4 @@
-#include "town.h"
+#include "relay_fixture.h"
 
 #include "platform/platform.h"
 
--- a/tests/town.h
+++ b/tests/relay_fixture.h
@@ -1,5 +1,5 @@
-#ifndef TOWN_H
-#define TOWN_H
+#ifndef RELAY_FIXTURE_H
+#define RELAY_FIXTURE_H
 
 #include "libmangofork/relay/job.h"
 
--- a/tests/town_fleet.c
+++ b/tests/relay_fleet.c
@@ -1,4 +1,4 @@
-#include "town_fleet.h"
+#include "relay_fleet.h"
 
 #include "libmangofork/clock.h"
 
--- a/tests/town_fleet.h
+++ b/tests/relay_fleet.h
@@ -1,7 +1,7 @@
-#ifndef TOWN_FLEET_H
-#define TOWN_FLEET_H
+#ifndef RELAY_FLEET_H
+#define RELAY_FLEET_H
 
-#include "town.h"
+#include "relay_fixture.h"
 
 #define RELAY_FLEET_N_INSTANCES 5
 
--- a/tests/test_job.c
+++ b/tests/test_job.c
@@ -1,7 +1,7 @@
 #include "libmangofork/clock.h"
 
 #include "loop_pump.h"
-#include "town.h"
+#include "relay_fixture.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_job_room.c
+++ b/tests/test_job_room.c
@@ -1,7 +1,7 @@
 #include "libmangofork/clock.h"
 
 #include "loop_pump.h"
-#include "town_fleet.h"
+#include "relay_fleet.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_job_suspect.c
+++ b/tests/test_job_suspect.c
@@ -2,7 +2,7 @@
 
 #include "loop_pump.h"
 #include "soak/soak_upstream.h"
-#include "town_fleet.h"
+#include "relay_fleet.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
