--- a/libmangofork/relay/job_place.c
+++ b/libmangofork/relay/job_place.c
@@ -5,34 +5,33 @@
 #include <string.h>
 
 /* Prefilled memory is taken up to this part of its retention; the rest is for the way. */
-#define MEMORY_USE_PERCENT 80
+#define KV_USE_PERCENT 80
 
 /* What is asked of the placing for this request. */
 static MfPlaceAsk
-job_ask (const MfJob *job, MfRole role)
+job_place_query (const MfJob *job, MfRole role)
 {
-  MfPlaceAsk ask = {
+  MfPlaceAsk query = {
     .service = job->service->name,
     .role = role,
-    .tokens = role == MF_ROLE_PREFILL ? job->prompt_tokens : job->memory_tokens,
+    .tokens = role == MF_ROLE_PREFILL ? job->prompt_tokens : job->kv_tokens,
     .traits = job->service,
     .n_avoid = job->n_avoid,
     .apart = mf_job_is_suspect (job),
-    .memory_data_centre = role == MF_ROLE_DECODE && job->memory_target != NULL
-                              ? job->memory_target->info.data_centre
-                              : NULL,
+    .memory_data_centre
+    = role == MF_ROLE_DECODE && job->kv_target != NULL ? job->kv_target->info.data_centre : NULL,
     .data_centre = job->jobs->targets.data_centre,
     .point = mf_jobs_random (job->jobs),
   };
 
   for (uint32_t i = 0; i < job->n_avoid; i++)
-    ask.avoid[i] = job->avoid[i];
-  return ask;
+    query.avoid[i] = job->avoid[i];
+  return query;
 }
 
 /* No upstream is left to try. */
 static void
-job_run_out (MfJob *job, bool any_alive)
+job_end_without_upstream (MfJob *job, bool any_alive)
 {
   if (job->n_runs > 0)
     mf_job_finish (job, MF_CODE_UPSTREAM_DIED, "no other upstream is left to try");
@@ -45,23 +44,23 @@
 /* Notes when the first upstream of a role takes requests again, where all have asked for a pause.
  */
 static void
-job_note_pauses (MfJob *job, MfRole role, uint64_t now_us)
+job_note_pause_end (MfJob *job, MfRole role, uint64_t now_us)
 {
-  job->opens_us = mf_place_opens_us (&job->jobs->targets, job->service->name, role, now_us);
+  job->pause_end_us = mf_place_opens_us (&job->jobs->targets, job->service->name, role, now_us);
 }
 
 static void
 job_place_plain (MfJob *job)
 {
-  MfPlaceAsk ask = job_ask (job, MF_ROLE_PLAIN);
+  MfPlaceAsk query = job_place_query (job, MF_ROLE_PLAIN);
   bool any_alive = false;
   uint64_t now_us = mf_clock_now_us ();
-  MfTarget *target = mf_place_choose (&job->jobs->targets, &ask, now_us, &any_alive);
+  MfTarget *target = mf_place_choose (&job->jobs->targets, &query, now_us, &any_alive);
 
   if (target == NULL)
     {
-      job_note_pauses (job, MF_ROLE_PLAIN, now_us);
-      job_run_out (job, any_alive);
+      job_note_pause_end (job, MF_ROLE_PLAIN, now_us);
+      job_end_without_upstream (job, any_alive);
     }
   else
     mf_job_send (job, target, false);
@@ -69,29 +68,29 @@
 
 /* Drops memory that an engine no longer keeps: it was taken, or has lapsed. */
 static void
-job_check_memory (MfJob *job, uint64_t now_us)
+job_check_kv (MfJob *job, uint64_t now_us)
 {
-  uint64_t keep_us = job->service->kv_retention_us * MEMORY_USE_PERCENT / 100;
+  uint64_t retention_us = job->service->kv_retention_us * KV_USE_PERCENT / 100;
 
-  if (job->memory_target == NULL || (!job->memory_used && now_us - job->memory_us <= keep_us))
+  if (job->kv_target == NULL || (!job->kv_used && now_us - job->prefilled_us <= retention_us))
     return;
-  job->jobs->counters.counts[MF_RELAY_COUNT_PREFILLS_WASTED] += !job->memory_used;
-  mf_job_release_memory (job);
+  job->jobs->counters.counts[MF_RELAY_COUNT_PREFILLS_WASTED] += !job->kv_used;
+  mf_job_release_kv (job);
 }
 
 /* The engine that keeps room for this request, if it can still be used; else its room is given
  * back. */
 static MfTarget *
-job_use_room (MfJob *job, uint64_t now_us)
+job_use_reserved_target (MfJob *job, uint64_t now_us)
 {
-  MfTarget *room = job->room;
+  MfTarget *reserved = job->reserved_target;
 
-  if (room != NULL && room->listed && mf_target_takes (room, now_us)
-      && !mf_place_avoids (job->avoid, job->n_avoid, room))
-    return room;
+  if (reserved != NULL && reserved->listed && mf_target_takes (reserved, now_us)
+      && !mf_place_avoids (job->avoid, job->n_avoid, reserved))
+    return reserved;
   /* The instance that decides may not know yet; the same engine is not asked for again. */
-  if (room != NULL)
-    mf_job_avoid (job, room->id_hash);
+  if (reserved != NULL)
+    mf_job_avoid (job, reserved->id_hash);
   mf_job_reserve (job, NULL);
   return NULL;
 }
@@ -102,7 +101,7 @@
 job_choose_prefill (MfJob *job, uint64_t now_us)
 {
   MfTargets *targets = &job->jobs->targets;
-  MfPlaceAsk ask = job_ask (job, MF_ROLE_PREFILL);
+  MfPlaceAsk query = job_place_query (job, MF_ROLE_PREFILL);
   bool any_alive = false;
   MfTarget *prefill;
 
@@ -111,7 +110,7 @@
       && prefill->suspect_until_us <= now_us
       && !mf_place_avoids (job->avoid, job->n_avoid, prefill))
     return prefill;
-  prefill = mf_place_choose (targets, &ask, now_us, &any_alive);
+  prefill = mf_place_choose (targets, &query, now_us, &any_alive);
   return prefill != NULL && prefill->suspect_until_us <= now_us ? prefill : NULL;
 }
 
@@ -120,15 +119,15 @@
 static void
 job_wait_paused (MfJob *job, uint64_t now_us)
 {
-  if (job->opens_us >= job->give_up_us)
+  if (job->pause_end_us >= job->give_up_us)
     {
-      job_run_out (job, true);
+      job_end_without_upstream (job, true);
       return;
     }
   if (job->waiting_since_us == 0)
     job->waiting_since_us = now_us;
   job->phase = MF_JOB_WAITING;
-  job->try_due_us = job->opens_us;
+  job->step_deadline_us = job->pause_end_us;
   mf_job_set_timer (job);
 }
 
@@ -142,11 +141,11 @@
 
   if (!mf_place_has_role (targets, job->service->name, MF_ROLE_DECODE, NULL, 0))
     {
-      job_run_out (job, false);
+      job_end_without_upstream (job, false);
       return;
     }
-  job_check_memory (job, now_us);
-  decode = job_use_room (job, now_us);
+  job_check_kv (job, now_us);
+  decode = job_use_reserved_target (job, now_us);
   if (decode == NULL)
     {
       /* When all have declined or failed, or many, they are asked anew. */
@@ -154,36 +153,36 @@
           || !mf_place_has_role (targets, job->service->name, MF_ROLE_DECODE, job->avoid,
                                  job->n_avoid))
         job->n_avoid = 0;
-      job_note_pauses (job, MF_ROLE_DECODE, now_us);
-      if (job->opens_us > 0)
+      job_note_pause_end (job, MF_ROLE_DECODE, now_us);
+      if (job->pause_end_us > 0)
         job_wait_paused (job, now_us);
       else
-        mf_job_ask_room (job);
+        mf_job_request_slot (job);
       return;
     }
-  if (job->memory_target != NULL)
+  if (job->kv_target != NULL)
     {
       mf_job_send (job, decode, false);
       return;
     }
   prefill = job_choose_prefill (job, now_us);
-  if (prefill != NULL && mf_job_has_send (job, true))
+  if (prefill != NULL && mf_job_acquire_send (job, true))
     mf_job_send (job, prefill, true);
   else if (prefill == NULL || job->n_run_sends == 0)
     mf_job_send (job, decode, false);
   else
-    mf_job_repeat_or_end (job, &(MfJobDenied){
-                                   .code = MF_CODE_RETRY_BUDGET,
-                                   .why = "its prompt is lost, and the retry budget is spent",
-                                   .may_have_run = job->n_runs > 0,
-                               });
+    mf_job_retry_or_end (job, &(MfJobDenial){
+                                  .code = MF_CODE_RETRY_BUDGET,
+                                  .why = "its prompt is lost, and the retry budget is spent",
+                                  .may_have_run = job->n_runs > 0,
+                              });
 }
 
 /* Decides what a request does next, and begins it. */
 void
 mf_job_advance (MfJob *job)
 {
-  if (mf_job_end_convicted (job))
+  if (mf_job_end_quarantined (job))
     return;
   if (job->is_engine)
     job_place_engine (job);
@@ -193,45 +192,45 @@
 
 /* The upstream given up for another did not answer in time. */
 void
-mf_job_try_expired (MfJob *job)
+mf_job_step_expired (MfJob *job)
 {
   MfTarget *target = job->target;
   bool any_alive = false;
-  MfPlaceAsk ask;
+  MfPlaceAsk query;
 
   if (job->phase == MF_JOB_WAITING)
     {
-      if (job->awaited != 0)
-        mf_job_verdict_due (job);
-      else if (job->repeat_id != 0)
-        mf_job_repeat_denied (job);
-      else if (job->ask_id != 0)
-        mf_job_ask_expired (job);
+      if (job->awaited_process_id != 0)
+        mf_job_probe_done (job);
+      else if (job->retry_request_id != 0)
+        mf_job_retry_denied (job);
+      else if (job->slot_request_id != 0)
+        mf_job_slot_request_expired (job);
       else
         mf_job_advance (job);
       return;
     }
-  ask = job_ask (job, target->info.role);
+  query = job_place_query (job, target->info.role);
   if (job->n_avoid < MF_PLACE_AVOID_MAX)
-    ask.avoid[ask.n_avoid++] = target->id_hash;
+    query.avoid[query.n_avoid++] = target->id_hash;
   if (job->phase != MF_JOB_PREFILL
-      && (!mf_job_may_repeat (job) || job->n_runs + 1 >= job->route->attempts_max))
+      && (!mf_job_may_retry (job) || job->n_runs + 1 >= job->route->attempts_max))
     {
       mf_job_set_timer (job);
       return;
     }
-  if (mf_place_choose (&job->jobs->targets, &ask, mf_clock_now_us (), &any_alive) == NULL
-      || !mf_job_take_repeat (job))
+  if (mf_place_choose (&job->jobs->targets, &query, mf_clock_now_us (), &any_alive) == NULL
+      || !mf_job_acquire_retry (job))
     {
       mf_job_set_timer (job);
       return;
     }
-  mf_lines_add (job->jobs->lines, "request.moved",
+  mf_lines_add (job->jobs->log, "request.moved",
                 "id=%s from=%s why=\"no answer in time\" waited_ms=%.1f in_flight=%u", job->id,
                 target->info.id, (double)(mf_clock_now_us () - job->sent_us) / 1e3,
                 target->n_active);
   mf_target_failed (target, false, mf_clock_now_us ());
-  mf_job_note_break (job, target);
+  mf_job_note_failure (job, target);
   mf_job_avoid (job, target->id_hash);
   /* What was sent and is given up may have run. */
   if (job->phase != MF_JOB_PREFILL && mf_link_has_sent (job->link))
@@ -241,6 +240,6 @@
     }
   mf_job_cancel (job);
   if (job->head_sent)
-    mf_job_wait_again (job);
+    mf_job_reset_give_up (job);
   mf_job_advance (job);
 }
--- a/tests/test_budget.c
+++ b/tests/test_budget.c
@@ -7,7 +7,7 @@
 
 #define WINDOW_US (10 * MF_US_PER_S)
 #define RATIO 0.2
-#define FLOOR 2
+#define ALLOWANCE 2
 
 /* Instances that do not talk to each other keep to the bound of all together, in any window. */
 static void
@@ -18,7 +18,7 @@
     N_INSTANCES = 6,
     N_STEPS = 600,
   };
-  static uint32_t repeats[N_STEPS];
+  static uint32_t retries[N_STEPS];
   static uint32_t requests[N_STEPS];
   MfBudget budgets[N_INSTANCES];
   uint32_t window = (uint32_t)(WINDOW_US / (100 * MF_US_PER_MS));
@@ -40,47 +40,47 @@
               mf_budget_note_request (&budgets[i], now_us);
               requests[step]++;
               for (uint32_t tries = 0; tries < 3; tries++)
-                repeats[step] += mf_budget_take (&budgets[i], FLOOR, 1, now_us);
+                retries[step] += mf_budget_acquire (&budgets[i], ALLOWANCE, 1, now_us);
             }
         }
     }
   for (uint32_t from = 0; from + window <= N_STEPS; from++)
     {
-      uint32_t n_repeats = 0;
+      uint32_t n_retries = 0;
       uint32_t n_requests = 0;
       uint32_t n_before = 0;
 
       for (uint32_t step = from; step < from + window; step++)
         {
-          n_repeats += repeats[step];
+          n_retries += retries[step];
           n_requests += requests[step];
           n_before += step >= window ? requests[step - window] : 0;
         }
       if (n_before > n_requests)
         n_requests = n_before;
       /* The deployments' bound: 40 for all instances and two for each. */
-      assert_true (n_repeats <= RATIO * n_requests + 40 + FLOOR * N_INSTANCES);
+      assert_true (n_retries <= RATIO * n_requests + 40 + ALLOWANCE * N_INSTANCES);
     }
 }
 
 static void
-test_floor_without_requests (void **state)
+test_allowance_without_requests (void **state)
 {
   MfBudget budget;
 
   (void)state;
   mf_budget_init (&budget, WINDOW_US, RATIO);
-  assert_true (mf_budget_take (&budget, FLOOR, 1, MF_US_PER_S));
-  assert_true (mf_budget_take (&budget, FLOOR, 1, MF_US_PER_S));
-  assert_false (mf_budget_take (&budget, FLOOR, 1, MF_US_PER_S));
-  assert_false (mf_budget_take (&budget, FLOOR, 1, MF_US_PER_S + WINDOW_US - MF_US_PER_S));
-  assert_true (mf_budget_take (&budget, FLOOR, 1, 2 * MF_US_PER_S + WINDOW_US));
+  assert_true (mf_budget_acquire (&budget, ALLOWANCE, 1, MF_US_PER_S));
+  assert_true (mf_budget_acquire (&budget, ALLOWANCE, 1, MF_US_PER_S));
+  assert_false (mf_budget_acquire (&budget, ALLOWANCE, 1, MF_US_PER_S));
+  assert_false (mf_budget_acquire (&budget, ALLOWANCE, 1, MF_US_PER_S + WINDOW_US - MF_US_PER_S));
+  assert_true (mf_budget_acquire (&budget, ALLOWANCE, 1, 2 * MF_US_PER_S + WINDOW_US));
 }
 
 /* The parts of all instances together, and of all of them started anew within a window, keep to
  * what is common, in deployments of any size. */
 static void
-test_parts_of_the_slack (void **state)
+test_allowances_keep_to_the_slack (void **state)
 {
   static const uint32_t sizes[][2] = { { 6, 52 }, { 7, 54 }, { 84, 208 }, { 300, 640 } };
 
@@ -89,20 +89,20 @@
     {
       uint32_t n_instances = sizes[i][0];
       uint32_t slack = sizes[i][1];
-      uint32_t settled = mf_budget_floor (slack, n_instances, WINDOW_US, WINDOW_US);
-      uint32_t fresh = mf_budget_floor (slack, 1, WINDOW_US - 1, WINDOW_US);
+      uint32_t allowance = mf_budget_allowance (slack, n_instances, WINDOW_US, WINDOW_US);
+      uint32_t startup_allowance = mf_budget_allowance (slack, 1, WINDOW_US - 1, WINDOW_US);
 
-      assert_true (settled * n_instances <= slack);
-      assert_true (fresh * n_instances <= slack);
-      assert_true (settled >= 1);
+      assert_true (allowance * n_instances <= slack);
+      assert_true (startup_allowance * n_instances <= slack);
+      assert_true (allowance >= 1);
       /* What the leader gives is what the parts leave, less a reserve. */
-      assert_true (settled * n_instances + mf_budget_pool (slack, n_instances, WINDOW_US)
+      assert_true (allowance * n_instances + mf_budget_pool (slack, n_instances, WINDOW_US)
                    <= slack * 3 / 4);
       assert_true (mf_budget_pool (slack, n_instances, WINDOW_US) >= slack / 5);
     }
   /* Where the slack leaves room, a fleet that is started anew has room as well. */
-  assert_true (mf_budget_floor (52, 6, WINDOW_US, WINDOW_US) * 6
-                   + mf_budget_floor (52, 6, 0, WINDOW_US) * 6
+  assert_true (mf_budget_allowance (52, 6, WINDOW_US, WINDOW_US) * 6
+                   + mf_budget_allowance (52, 6, 0, WINDOW_US) * 6
                <= 52);
 }
 
@@ -111,8 +111,8 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_any_window_of_any_instances_keeps_to_the_ratio),
-    cmocka_unit_test (test_floor_without_requests),
-    cmocka_unit_test (test_parts_of_the_slack),
+    cmocka_unit_test (test_allowance_without_requests),
+    cmocka_unit_test (test_allowances_keep_to_the_slack),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
