--- a/libmangofork/relay/caller.c
+++ b/libmangofork/relay/caller.c
@@ -15,9 +15,9 @@
 
 #define READ_BYTES 16384
 /* Bytes kept of requests that a caller sends before it has the answer to an earlier one. */
-#define AHEAD_BYTES_MAX 65536
+#define PIPELINED_BYTES_MAX 65536
 /* A caller that has so much unread is not sent more until it has read. */
-#define UNREAD_BYTES_MAX 262144
+#define UNSENT_BYTES_MAX 262144
 /* Connections taken in one turn of the loop. */
 #define ACCEPTS_MAX 64
 /* After a request that cannot be read, what still comes is read for so long, that the answer is not
@@ -35,14 +35,14 @@
   MfDoorLimits limits;
   MfCaller *callers;
   uint32_t n_callers;
-  bool retired;
+  bool keep_alive_ended;
 };
 
 typedef enum
 {
-  CALLER_READING,  /* between requests, or in one */
-  CALLER_WAITING,  /* its request is being served */
-  CALLER_ANSWERED, /* the answer is being written */
+  CALLER_READING,    /* between requests, or in one */
+  CALLER_WAITING,    /* its request is being served */
+  CALLER_RESPONDING, /* the answer is being written */
   CALLER_LINGERING,
 } CallerState;
 
@@ -58,18 +58,18 @@
   ev_timer timer;
   MfMessage message;
   MfBuffer body;
-  MfBuffer ahead; /* read, and not yet looked at */
+  MfBuffer in; /* read, and not yet looked at */
   MfBuffer out;
   void *job;
-  uint64_t host; /* hash of the address it comes from, without the port */
+  uint64_t address_hash; /* hash of the address it comes from, without the port */
   uint64_t begun_us;
   uint64_t timer_us; /* when the timer is due */
   bool chunked;
   bool closing; /* the connection ends with the answer */
-  bool told_full;
-  bool lost;  /* a write failed; the loop finds the caller gone */
-  bool freed; /* memory goes once the outermost call returns */
-  uint32_t depth;
+  bool write_paused;
+  bool write_failed; /* a write failed; the loop finds the caller gone */
+  bool closed;       /* memory goes once the outermost call returns */
+  uint32_t n_holds;
 };
 
 static void caller_advance (MfCaller *caller);
@@ -84,7 +84,7 @@
   ev_timer_stop (caller->door->loop, &caller->timer);
   close (caller->fd);
   caller->fd = -1;
-  caller->freed = true;
+  caller->closed = true;
   caller->door->n_callers--;
   if (caller->prev != NULL)
     caller->prev->next = caller->next;
@@ -95,26 +95,26 @@
 }
 
 static void
-caller_enter (MfCaller *caller)
+caller_hold (MfCaller *caller)
 {
-  caller->depth++;
+  caller->n_holds++;
 }
 
 static void
-caller_leave (MfCaller *caller)
+caller_release (MfCaller *caller)
 {
-  if (--caller->depth > 0 || !caller->freed)
+  if (--caller->n_holds > 0 || !caller->closed)
     return;
   mf_message_clear (&caller->message);
   mf_buffer_clear (&caller->body);
-  mf_buffer_clear (&caller->ahead);
+  mf_buffer_clear (&caller->in);
   mf_buffer_clear (&caller->out);
   free (caller);
 }
 
 /* The connection is gone while its request was being served. */
 static void
-caller_depart (MfCaller *caller)
+caller_disconnect (MfCaller *caller)
 {
   bool was_served = caller->state == CALLER_WAITING;
 
@@ -135,9 +135,9 @@
 
 /* The connection has failed under a write. Its user is told from the loop, as it may be calling. */
 static void
-caller_lose (MfCaller *caller)
+caller_write_failed (MfCaller *caller)
 {
-  caller->lost = true;
+  caller->write_failed = true;
   mf_buffer_clear (&caller->out);
   ev_io_stop (caller->door->loop, &caller->reader);
   ev_io_stop (caller->door->loop, &caller->writer);
@@ -149,11 +149,11 @@
 static void
 out_flush (MfCaller *caller)
 {
-  if (caller->lost)
+  if (caller->write_failed)
     return;
   if (caller->out.failed)
     {
-      caller_lose (caller);
+      caller_write_failed (caller);
       return;
     }
   while (caller->fd >= 0 && mf_buffer_bytes (&caller->out) > 0)
@@ -170,7 +170,7 @@
         }
       if (n_sent < 0)
         {
-          caller_lose (caller);
+          caller_write_failed (caller);
           return;
         }
       mf_buffer_take (&caller->out, (size_t)n_sent);
@@ -181,9 +181,9 @@
 
 /* The answer has been written: goes on to the next request or closes. */
 static void
-answer_settle (MfCaller *caller)
+response_finish (MfCaller *caller)
 {
-  if (caller->fd < 0 || caller->lost || caller->state != CALLER_ANSWERED
+  if (caller->fd < 0 || caller->write_failed || caller->state != CALLER_RESPONDING
       || mf_buffer_bytes (&caller->out) > 0)
     return;
   if (caller->closing)
@@ -215,7 +215,7 @@
 }
 
 static void
-answer_head (MfCaller *caller, uint32_t status, const MfBuffer *headers)
+response_head_write (MfCaller *caller, uint32_t status, const MfBuffer *headers)
 {
   char line[96];
 
@@ -223,7 +223,7 @@
   mf_buffer_add_text (&caller->out, line);
   if (headers != NULL)
     mf_buffer_add (&caller->out, mf_buffer_data (headers), mf_buffer_bytes (headers));
-  if (caller->door->retired || !http_should_keep_alive (&caller->message.parser)
+  if (caller->door->keep_alive_ended || !http_should_keep_alive (&caller->message.parser)
       || caller->message.fault != MF_CODE_OK)
     caller->closing = true;
   if (caller->closing)
@@ -238,8 +238,8 @@
   char line[64];
   bool is_head = caller->message.parser.method == HTTP_HEAD;
 
-  caller_enter (caller);
-  answer_head (caller, status, headers);
+  caller_hold (caller);
+  response_head_write (caller, status, headers);
   /* The length of what a HEAD leaves out is not known here. */
   if (!is_head && status != 204 && status != 304)
     {
@@ -249,12 +249,12 @@
   mf_buffer_add_text (&caller->out, "\r\n");
   if (!is_head)
     mf_buffer_add (&caller->out, body, body_bytes);
-  caller->state = CALLER_ANSWERED;
+  caller->state = CALLER_RESPONDING;
   caller->job = NULL;
   out_flush (caller);
-  answer_settle (caller);
+  response_finish (caller);
   caller_advance (caller);
-  caller_leave (caller);
+  caller_release (caller);
 }
 
 /* Answers piece by piece. The answer ends whole with mf_caller_end, or broken with mf_caller_abort.
@@ -262,16 +262,16 @@
 void
 mf_caller_begin (MfCaller *caller, uint32_t status, const MfBuffer *headers)
 {
-  caller_enter (caller);
+  caller_hold (caller);
   caller->chunked = caller->message.parser.http_minor > 0;
   if (!caller->chunked)
     caller->closing = true;
-  answer_head (caller, status, headers);
+  response_head_write (caller, status, headers);
   if (caller->chunked)
     mf_buffer_add_text (&caller->out, "Transfer-Encoding: chunked\r\n");
   mf_buffer_add_text (&caller->out, "\r\n");
   out_flush (caller);
-  caller_leave (caller);
+  caller_release (caller);
 }
 
 /* Sends the next bytes of an answer that was begun. */
@@ -280,9 +280,9 @@
 {
   char line[24];
 
-  if (n_bytes == 0 || caller->fd < 0 || caller->lost)
+  if (n_bytes == 0 || caller->fd < 0 || caller->write_failed)
     return;
-  caller_enter (caller);
+  caller_hold (caller);
   if (caller->chunked)
     {
       snprintf (line, sizeof line, "%zx\r\n", n_bytes);
@@ -292,28 +292,28 @@
   if (caller->chunked)
     mf_buffer_add_text (&caller->out, "\r\n");
   out_flush (caller);
-  if (caller->fd >= 0 && mf_buffer_bytes (&caller->out) > UNREAD_BYTES_MAX && !caller->told_full)
+  if (caller->fd >= 0 && mf_buffer_bytes (&caller->out) > UNSENT_BYTES_MAX && !caller->write_paused)
     {
-      caller->told_full = true;
+      caller->write_paused = true;
       if (caller->door->user->writable != NULL)
         caller->door->user->writable (caller->door->data, caller, false);
     }
-  caller_leave (caller);
+  caller_release (caller);
 }
 
 /* Ends an answer that was begun, whole. */
 void
 mf_caller_end (MfCaller *caller)
 {
-  caller_enter (caller);
+  caller_hold (caller);
   if (caller->chunked)
     mf_buffer_add_text (&caller->out, "0\r\n\r\n");
-  caller->state = CALLER_ANSWERED;
+  caller->state = CALLER_RESPONDING;
   caller->job = NULL;
   out_flush (caller);
-  answer_settle (caller);
+  response_finish (caller);
   caller_advance (caller);
-  caller_leave (caller);
+  caller_release (caller);
 }
 
 /* Closes the connection so that the answer cannot look whole. */
@@ -322,24 +322,24 @@
 {
   struct linger reset = { .l_onoff = 1, .l_linger = 0 };
 
-  caller_enter (caller);
+  caller_hold (caller);
   caller->job = NULL;
-  caller->state = CALLER_ANSWERED;
+  caller->state = CALLER_RESPONDING;
   if (caller->fd >= 0 && !caller->chunked)
     setsockopt (caller->fd, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
   caller_close (caller);
-  caller_leave (caller);
+  caller_release (caller);
 }
 
 /* Refuses what cannot be read; nothing that follows on the connection is looked at. */
 static void
-caller_refuse (MfCaller *caller, MfCode code)
+caller_reject (MfCaller *caller, MfCode code)
 {
   const MfCodeInfo *info = mf_code_info (code);
 
   caller->door->user->refused (caller->door->data, code);
   caller->closing = true;
-  mf_buffer_clear (&caller->ahead);
+  mf_buffer_clear (&caller->in);
   mf_caller_reply (caller, info->http_status, NULL, info->summary, strlen (info->summary));
 }
 
@@ -347,7 +347,7 @@
 on_head (MfMessage *message, void *data)
 {
   MfCaller *caller = data;
-  static const char go_on[] = "HTTP/1.1 100 Continue\r\n\r\n";
+  static const char continue_line[] = "HTTP/1.1 100 Continue\r\n\r\n";
   uint64_t length = message->parser.content_length;
 
   if (length != UINT64_MAX && caller->door->limits.body_bytes_max > 0
@@ -357,7 +357,7 @@
       return true;
     }
   if (mf_head_count (&message->head, MF_WORD_EXPECT_CONTINUE) > 0 && message->parser.http_minor > 0)
-    mf_buffer_add (&caller->out, go_on, sizeof go_on - 1);
+    mf_buffer_add (&caller->out, continue_line, sizeof continue_line - 1);
   return true;
 }
 
@@ -394,7 +394,7 @@
 static void
 caller_advance (MfCaller *caller)
 {
-  while (caller->fd >= 0 && caller->state == CALLER_READING && mf_buffer_bytes (&caller->ahead) > 0)
+  while (caller->fd >= 0 && caller->state == CALLER_READING && mf_buffer_bytes (&caller->in) > 0)
     {
       MfMessage *message = &caller->message;
       bool had_begun = message->begun;
@@ -402,16 +402,16 @@
       size_t taken;
 
       message->head_bytes_max = caller->door->limits.header_bytes_max;
-      taken = mf_message_feed (message, mf_buffer_data (&caller->ahead),
-                               mf_buffer_bytes (&caller->ahead));
-      mf_buffer_take (&caller->ahead, taken);
+      taken
+          = mf_message_feed (message, mf_buffer_data (&caller->in), mf_buffer_bytes (&caller->in));
+      mf_buffer_take (&caller->in, taken);
       if (!had_begun)
         caller->begun_us = mf_clock_now_us ();
       if (message->fault == MF_CODE_OK && message->done)
         message->fault = request_check (caller);
       if (message->fault != MF_CODE_OK)
         {
-          caller_refuse (caller, message->fault);
+          caller_reject (caller, message->fault);
           return;
         }
       if (!message->done)
@@ -424,7 +424,7 @@
       timer_set (caller, 0);
       caller->state = CALLER_WAITING;
       caller->chunked = false;
-      caller->told_full = false;
+      caller->write_paused = false;
       caller->door->user->request (caller->door->data, caller);
     }
 }
@@ -440,17 +440,17 @@
   (void)events;
   if (n_read < 0 && (errno == EAGAIN || errno == EINTR))
     return;
-  caller_enter (caller);
+  caller_hold (caller);
   if (n_read <= 0)
-    caller_depart (caller);
+    caller_disconnect (caller);
   else if (caller->state != CALLER_LINGERING && !caller->closing)
     {
-      mf_buffer_add (&caller->ahead, bytes, (size_t)n_read);
-      if (caller->state != CALLER_READING && mf_buffer_bytes (&caller->ahead) > AHEAD_BYTES_MAX)
-        caller_depart (caller);
+      mf_buffer_add (&caller->in, bytes, (size_t)n_read);
+      if (caller->state != CALLER_READING && mf_buffer_bytes (&caller->in) > PIPELINED_BYTES_MAX)
+        caller_disconnect (caller);
       caller_advance (caller);
     }
-  caller_leave (caller);
+  caller_release (caller);
 }
 
 static void
@@ -460,18 +460,18 @@
 
   (void)loop;
   (void)events;
-  caller_enter (caller);
+  caller_hold (caller);
   out_flush (caller);
-  if (caller->fd >= 0 && caller->told_full && mf_buffer_bytes (&caller->out) == 0
+  if (caller->fd >= 0 && caller->write_paused && mf_buffer_bytes (&caller->out) == 0
       && caller->state == CALLER_WAITING)
     {
-      caller->told_full = false;
+      caller->write_paused = false;
       if (caller->door->user->writable != NULL)
         caller->door->user->writable (caller->door->data, caller, true);
     }
-  answer_settle (caller);
+  response_finish (caller);
   caller_advance (caller);
-  caller_leave (caller);
+  caller_release (caller);
 }
 
 static void
@@ -481,21 +481,21 @@
 
   (void)loop;
   (void)events;
-  caller_enter (caller);
-  if (caller->lost)
-    caller_depart (caller);
+  caller_hold (caller);
+  if (caller->write_failed)
+    caller_disconnect (caller);
   else if (caller->state == CALLER_READING && caller->message.begun)
     {
       caller->message.fault = MF_CODE_SLOW_SENDER;
-      caller_refuse (caller, MF_CODE_SLOW_SENDER);
+      caller_reject (caller, MF_CODE_SLOW_SENDER);
     }
   else
     caller_close (caller);
-  caller_leave (caller);
+  caller_release (caller);
 }
 
 static uint64_t
-host_hash (const struct sockaddr_storage *from)
+hash_address (const struct sockaddr_storage *from)
 {
   const struct sockaddr_in *in4 = (const struct sockaddr_in *)from;
   const struct sockaddr_in6 *in6 = (const struct sockaddr_in6 *)from;
@@ -518,7 +518,7 @@
   setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
   caller->door = door;
   caller->fd = fd;
-  caller->host = host_hash (from);
+  caller->address_hash = hash_address (from);
   caller->next = door->callers;
   if (door->callers != NULL)
     door->callers->prev = caller;
@@ -594,9 +594,9 @@
     {
       MfCaller *caller = door->callers;
 
-      caller_enter (caller);
+      caller_hold (caller);
       caller_close (caller);
-      caller_leave (caller);
+      caller_release (caller);
     }
   free (door);
 }
@@ -619,7 +619,7 @@
 void
 mf_door_retire (MfDoor *door)
 {
-  door->retired = true;
+  door->keep_alive_ended = true;
 }
 
 /* Closes the connections on which nothing is due. */
@@ -633,9 +633,9 @@
       next = caller->next;
       if (caller->state != CALLER_READING || caller->message.begun)
         continue;
-      caller_enter (caller);
+      caller_hold (caller);
       caller_close (caller);
-      caller_leave (caller);
+      caller_release (caller);
     }
 }
 
@@ -681,7 +681,7 @@
 uint64_t
 mf_caller_host (const MfCaller *caller)
 {
-  return caller->host;
+  return caller->address_hash;
 }
 
 /* What the answer will be given to: the user's own. */
--- a/libmangofork/relay/events.c
+++ b/libmangofork/relay/events.c
@@ -36,7 +36,7 @@
 
 /* The length of the first event, its blank line included; 0 when none is whole. */
 static size_t
-event_bytes (const char *bytes, size_t n_bytes)
+first_event_bytes (const char *bytes, size_t n_bytes)
 {
   for (size_t i = 0; i + 1 < n_bytes; i++)
     {
@@ -54,23 +54,23 @@
 void
 mf_events_feed (MfEvents *events, const char *bytes, size_t n_bytes, MfBuffer *out)
 {
-  size_t whole;
+  size_t complete_bytes;
 
   mf_buffer_add (&events->partial, bytes, n_bytes);
   if (mf_buffer_bytes (&events->partial) > EVENT_BYTES_MAX)
     events->partial.failed = true;
-  while (
-      (whole = event_bytes (mf_buffer_data (&events->partial), mf_buffer_bytes (&events->partial)))
-      > 0)
+  while ((complete_bytes = first_event_bytes (mf_buffer_data (&events->partial),
+                                              mf_buffer_bytes (&events->partial)))
+         > 0)
     {
       uint64_t id = 0;
-      bool has_id = event_id (mf_buffer_data (&events->partial), whole, &id);
+      bool has_id = event_id (mf_buffer_data (&events->partial), complete_bytes, &id);
 
       if (!has_id || !events->has_last || id > events->last_id)
         {
           events->has_gap
               = events->has_gap || (has_id && events->has_last && id != events->last_id + 1);
-          mf_buffer_add (out, mf_buffer_data (&events->partial), whole);
+          mf_buffer_add (out, mf_buffer_data (&events->partial), complete_bytes);
           events->n_events++;
           if (has_id)
             {
@@ -78,7 +78,7 @@
               events->has_last = true;
             }
         }
-      mf_buffer_take (&events->partial, whole);
+      mf_buffer_take (&events->partial, complete_bytes);
     }
 }
 
--- a/libmangofork/relay/line.c
+++ b/libmangofork/relay/line.c
@@ -19,9 +19,9 @@
 /* Lines a second about changes of state. */
 #define STATE_LINES_PER_S 60
 /* Bytes that wait for a slow reader. */
-#define WAITING_BYTES_MAX 65536
+#define PENDING_BYTES_MAX 65536
 /* Lines are written together at this interval, to save calls. */
-#define FLUSH_EVERY_S 0.25
+#define FLUSH_INTERVAL_S 0.25
 
 /* How many lines of one kind may still be written in this second. */
 typedef struct
@@ -29,7 +29,7 @@
   uint32_t per_s;
   uint32_t n_left;
   uint64_t second;
-} Allowance;
+} RateLimit;
 
 struct MfLines
 {
@@ -39,11 +39,11 @@
   char instance[MF_NAME_BYTES];
   log4c_category_t *category;
   log4c_appender_t *appender;
-  MfBuffer waiting;
-  Allowance requests;
-  Allowance states;
+  MfBuffer pending;
+  RateLimit requests;
+  RateLimit states;
   uint64_t n_dropped;
-  uint64_t n_dropped_told;
+  uint64_t n_dropped_reported;
 };
 
 static int
@@ -51,7 +51,7 @@
 {
   MfLines *lines = log4c_appender_get_udata (appender);
 
-  mf_buffer_add_text (&lines->waiting, event->evt_rendered_msg);
+  mf_buffer_add_text (&lines->pending, event->evt_rendered_msg);
   return 0;
 }
 
@@ -78,20 +78,20 @@
 {
   struct pollfd ready = { .fd = lines->fd, .events = POLLOUT };
 
-  while (mf_buffer_bytes (&lines->waiting) > 0 && poll (&ready, 1, 0) == 1
+  while (mf_buffer_bytes (&lines->pending) > 0 && poll (&ready, 1, 0) == 1
          && (ready.revents & POLLOUT) != 0)
     {
-      size_t n_bytes = mf_buffer_bytes (&lines->waiting);
+      size_t n_bytes = mf_buffer_bytes (&lines->pending);
       /* A pipe that is ready takes this much without waiting. */
       ssize_t n_written
-          = write (lines->fd, mf_buffer_data (&lines->waiting), n_bytes < 4096 ? n_bytes : 4096);
+          = write (lines->fd, mf_buffer_data (&lines->pending), n_bytes < 4096 ? n_bytes : 4096);
 
       if (n_written <= 0)
         break;
-      mf_buffer_take (&lines->waiting, (size_t)n_written);
+      mf_buffer_take (&lines->pending, (size_t)n_written);
     }
-  if (lines->waiting.failed)
-    mf_buffer_clear (&lines->waiting);
+  if (lines->pending.failed)
+    mf_buffer_clear (&lines->pending);
 }
 
 static void
@@ -100,30 +100,30 @@
   MfLines *lines = watcher->data;
 
   (void)events;
-  if (lines->n_dropped != lines->n_dropped_told)
+  if (lines->n_dropped != lines->n_dropped_reported)
     {
-      uint64_t n_more = lines->n_dropped - lines->n_dropped_told;
+      uint64_t n_new = lines->n_dropped - lines->n_dropped_reported;
 
-      lines->n_dropped_told = lines->n_dropped;
-      mf_lines_state (lines, "log.dropped", "lines=%llu", (unsigned long long)n_more);
+      lines->n_dropped_reported = lines->n_dropped;
+      mf_lines_state (lines, "log.dropped", "lines=%llu", (unsigned long long)n_new);
     }
   lines_flush (lines);
   ev_timer_stop (loop, watcher);
 }
 
 static bool
-allowance_take (Allowance *allowance, uint64_t now_us)
+rate_limit_take (RateLimit *limit, uint64_t now_us)
 {
   uint64_t second = now_us / MF_US_PER_S;
 
-  if (allowance->second != second)
+  if (limit->second != second)
     {
-      allowance->second = second;
-      allowance->n_left = allowance->per_s;
+      limit->second = second;
+      limit->n_left = limit->per_s;
     }
-  if (allowance->n_left == 0)
+  if (limit->n_left == 0)
     return false;
-  allowance->n_left--;
+  limit->n_left--;
   return true;
 }
 
@@ -143,22 +143,21 @@
   log4c_category_log (lines->category, LOG4C_PRIORITY_INFO, "%s", line);
   if (!ev_is_active (&lines->timer))
     {
-      ev_timer_set (&lines->timer, FLUSH_EVERY_S, 0.);
+      ev_timer_set (&lines->timer, FLUSH_INTERVAL_S, 0.);
       ev_timer_start (lines->loop, &lines->timer);
     }
 }
 
-static void lines_try (MfLines *lines, Allowance *allowance, const char *event, const char *format,
+static void lines_try (MfLines *lines, RateLimit *limit, const char *event, const char *format,
                        va_list args) __attribute__ ((format (printf, 4, 0)));
 
 static void
-lines_try (MfLines *lines, Allowance *allowance, const char *event, const char *format,
-           va_list args)
+lines_try (MfLines *lines, RateLimit *limit, const char *event, const char *format, va_list args)
 {
   char pairs[LINE_BYTES];
 
-  if (!allowance_take (allowance, mf_clock_now_us ())
-      || mf_buffer_bytes (&lines->waiting) > WAITING_BYTES_MAX)
+  if (!rate_limit_take (limit, mf_clock_now_us ())
+      || mf_buffer_bytes (&lines->pending) > PENDING_BYTES_MAX)
     {
       lines->n_dropped++;
       return;
@@ -216,7 +215,7 @@
     .states = { .per_s = STATE_LINES_PER_S },
   };
   mf_name_set (lines->instance, sizeof lines->instance, instance);
-  ev_timer_init (&lines->timer, on_timer, FLUSH_EVERY_S, 0.);
+  ev_timer_init (&lines->timer, on_timer, FLUSH_INTERVAL_S, 0.);
   lines->timer.data = lines;
   lines->category = log4c_category_get ("mangofork-lines");
   lines->appender = log4c_appender_get ("mangofork-lines");
@@ -241,6 +240,6 @@
   ev_timer_stop (lines->loop, &lines->timer);
   log4c_category_set_appender (lines->category, NULL);
   log4c_appender_set_udata (lines->appender, NULL);
-  mf_buffer_clear (&lines->waiting);
+  mf_buffer_clear (&lines->pending);
   free (lines);
 }
--- a/libmangofork/relay/link.c
+++ b/libmangofork/relay/link.c
@@ -13,13 +13,13 @@
 /* Bytes read from a connection at a time; an event of a stream is below 3 KB. */
 #define READ_BYTES 16384
 /* Bytes of a request's id, as in MfLinkCall.echo_id. */
-#define ECHO_BYTES 128
+#define REQUEST_ID_BYTES 128
 /* Part of the idle time a peer names that is used: the close must not cross a request. */
-#define IDLE_SHARE_PERCENT 60
+#define KEEP_ALIVE_PERCENT 60
 /* Probes of a silent connection: first after, then every second, so many. A peer that is gone is
  * then found within four seconds. */
 #define PROBE_IDLE_S 1
-#define PROBE_EVERY_S 1
+#define PROBE_INTERVAL_S 1
 #define PROBE_COUNT 3
 
 typedef enum
@@ -44,17 +44,17 @@
   MfBuffer out;
   const MfLinkUser *user;
   void *data;
-  char echo_id[ECHO_BYTES];
+  char echo_id[REQUEST_ID_BYTES];
   bool head_only;
-  bool foreign;     /* the answer being read belongs to another request */
-  bool was_foreign; /* some answer on this connection did */
+  bool id_mismatch;     /* the answer being read belongs to another request */
+  bool had_id_mismatch; /* some answer on this connection did */
   bool has_sent;
-  bool no_request; /* opened to see whether the peer takes it */
-  bool in_event;   /* the user is being called */
-  bool cancelled;  /* by the user, while it was being called */
+  bool no_request;  /* opened to see whether the peer takes it */
+  bool in_callback; /* the user is being called */
+  bool cancelled;   /* by the user, while it was being called */
   uint64_t timeout_us;
   uint64_t idle_since_us;
-  uint64_t keep_us; /* how long it may be idle */
+  uint64_t idle_timeout_us; /* how long it may be idle */
   const char *why;
 };
 
@@ -130,7 +130,7 @@
 
 /* Puts a connection with nothing on it among the idle ones, for so long. */
 static void
-link_rest (MfLink *link, uint64_t keep_us)
+link_make_idle (MfLink *link, uint64_t idle_timeout_us)
 {
   MfLinkPool *pool = link->pool;
 
@@ -138,7 +138,7 @@
   mf_buffer_clear (&link->out);
   link->state = LINK_IDLE;
   link->user = NULL;
-  link->keep_us = keep_us;
+  link->idle_timeout_us = idle_timeout_us;
   link->idle_since_us = mf_clock_now_us ();
   link->next_idle = pool->idle;
   if (pool->idle != NULL)
@@ -147,42 +147,43 @@
   pool->n_idle++;
   ev_io_start (pool->loop, &link->reader);
   ev_timer_stop (pool->loop, &link->timer);
-  ev_timer_set (&link->timer, (double)keep_us / (double)MF_US_PER_S, 0.);
+  ev_timer_set (&link->timer, (double)idle_timeout_us / (double)MF_US_PER_S, 0.);
   ev_timer_start (pool->loop, &link->timer);
 }
 
 /* Keeps the connection for the next request, or closes it when that would not be safe. */
 static void
-link_keep (MfLink *link, bool surplus)
+link_recycle (MfLink *link, bool has_surplus)
 {
   MfLinkPool *pool = link->pool;
-  char named[64];
-  uint64_t keep_us = pool->idle_default_us;
+  char value[64];
+  uint64_t idle_timeout_us = pool->idle_default_us;
 
-  if (mf_head_copy (&link->message.head, MF_WORD_KEEP_ALIVE, named, sizeof named))
+  if (mf_head_copy (&link->message.head, MF_WORD_KEEP_ALIVE, value, sizeof value))
     {
-      const char *timeout = strstr (named, "timeout=");
+      const char *timeout = strstr (value, "timeout=");
 
       if (timeout != NULL)
-        keep_us = strtoull (timeout + 8, NULL, 10) * MF_US_PER_S * IDLE_SHARE_PERCENT / 100;
+        idle_timeout_us = strtoull (timeout + 8, NULL, 10) * MF_US_PER_S * KEEP_ALIVE_PERCENT / 100;
     }
-  if (surplus || link->was_foreign || mf_buffer_bytes (&link->out) > 0 || keep_us == 0
-      || !http_should_keep_alive (&link->message.parser) || pool->n_idle >= pool->n_idle_max)
+  if (has_surplus || link->had_id_mismatch || mf_buffer_bytes (&link->out) > 0
+      || idle_timeout_us == 0 || !http_should_keep_alive (&link->message.parser)
+      || pool->n_idle >= pool->n_idle_max)
     {
       link_free (link);
       return;
     }
-  link_rest (link, keep_us);
+  link_make_idle (link, idle_timeout_us);
 }
 
 /* The answer to this request is whole. */
 static void
-link_finish (MfLink *link, bool surplus)
+link_complete (MfLink *link, bool has_surplus)
 {
   const MfLinkUser *user = link->user;
   void *data = link->data;
 
-  link_keep (link, surplus);
+  link_recycle (link, has_surplus);
   user->end (data, MF_LINK_WHOLE, "answered");
 }
 
@@ -191,17 +192,17 @@
 {
   MfLink *link = data;
   MfLinkPool *pool = link->pool;
-  char id[ECHO_BYTES];
+  char id[REQUEST_ID_BYTES];
 
   if (pool->heard != NULL)
     pool->heard (pool->owner, &message->head, message->parser.status_code);
   /* An upstream echoes the id that it was sent: what names any other, or names one where none was
    * sent, answers another request. */
-  link->foreign = mf_head_copy (&message->head, MF_WORD_REQUEST_ID, id, sizeof id) && id[0] != '\0'
-                  && strcmp (id, link->echo_id) != 0;
-  if (link->foreign)
+  link->id_mismatch = mf_head_copy (&message->head, MF_WORD_REQUEST_ID, id, sizeof id)
+                      && id[0] != '\0' && strcmp (id, link->echo_id) != 0;
+  if (link->id_mismatch)
     {
-      link->was_foreign = true;
+      link->had_id_mismatch = true;
       return true;
     }
   if (link->user->head != NULL)
@@ -215,7 +216,7 @@
   MfLink *link = data;
 
   (void)message;
-  if (!link->foreign && !link->cancelled && link->user->body != NULL)
+  if (!link->id_mismatch && !link->cancelled && link->user->body != NULL)
     link->user->body (link->data, bytes, n_bytes);
 }
 
@@ -225,13 +226,13 @@
 static bool
 link_feed (MfLink *link, const char *bytes, size_t n_bytes)
 {
-  size_t at = 0;
+  size_t offset = 0;
 
-  while (at < n_bytes)
+  while (offset < n_bytes)
     {
-      link->in_event = true;
-      at += mf_message_feed (&link->message, bytes + at, n_bytes - at);
-      link->in_event = false;
+      link->in_callback = true;
+      offset += mf_message_feed (&link->message, bytes + offset, n_bytes - offset);
+      link->in_callback = false;
       if (link->cancelled)
         {
           link_free (link);
@@ -244,13 +245,13 @@
         }
       if (!link->message.done)
         return true;
-      if (link->foreign)
+      if (link->id_mismatch)
         {
           mf_message_reset (&link->message);
-          link->foreign = false;
+          link->id_mismatch = false;
           continue;
         }
-      link_finish (link, at < n_bytes);
+      link_complete (link, offset < n_bytes);
       return false;
     }
   return true;
@@ -260,14 +261,14 @@
 static void
 link_closed (MfLink *link, bool clean)
 {
-  bool whole;
+  bool complete;
 
-  link->in_event = true;
-  whole = clean && !link->foreign && mf_message_finish (&link->message);
-  link->in_event = false;
+  link->in_callback = true;
+  complete = clean && !link->id_mismatch && mf_message_finish (&link->message);
+  link->in_callback = false;
   if (link->cancelled)
     link_free (link);
-  else if (whole)
+  else if (complete)
     link_end (link, MF_LINK_WHOLE, "answered");
   else
     link_fail (link, clean ? "the upstream closed the connection" : "the connection was reset");
@@ -338,7 +339,7 @@
 
 /* The connection could not be made. */
 static void
-link_unconnected (MfLink *link, int fault)
+link_connect_failed (MfLink *link, int fault)
 {
   MfLinkPool *pool = link->pool;
 
@@ -358,7 +359,7 @@
   ev_io_stop (pool->loop, &link->writer);
   link->no_request = false;
   if (pool->n_idle < pool->n_idle_max && pool->idle_default_us > 0)
-    link_rest (link, pool->idle_default_us);
+    link_make_idle (link, pool->idle_default_us);
   else
     link_free (link);
   user->end (data, MF_LINK_WHOLE, "connected");
@@ -377,7 +378,7 @@
     {
       if (getsockopt (link->fd, SOL_SOCKET, SO_ERROR, &fault, &fault_bytes) != 0 || fault != 0)
         {
-          link_unconnected (link, fault);
+          link_connect_failed (link, fault);
           return;
         }
       if (link->no_request)
@@ -422,17 +423,17 @@
 
 /* Makes the kernel find out about a peer that is gone without a word. */
 static void
-socket_watch_peer (int fd, uint64_t unacked_timeout_us)
+socket_set_keepalive (int fd, uint64_t unacked_timeout_us)
 {
   int one = 1;
   int idle_s = PROBE_IDLE_S;
-  int every_s = PROBE_EVERY_S;
+  int interval_s = PROBE_INTERVAL_S;
   int count = PROBE_COUNT;
   unsigned int timeout_ms = (unsigned int)(unacked_timeout_us / MF_US_PER_MS);
 
   setsockopt (fd, SOL_SOCKET, SO_KEEPALIVE, &one, sizeof one);
   setsockopt (fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle_s, sizeof idle_s);
-  setsockopt (fd, IPPROTO_TCP, TCP_KEEPINTVL, &every_s, sizeof every_s);
+  setsockopt (fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_s, sizeof interval_s);
   setsockopt (fd, IPPROTO_TCP, TCP_KEEPCNT, &count, sizeof count);
   if (timeout_ms > 0)
     setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms, sizeof timeout_ms);
@@ -465,7 +466,7 @@
       link_fail_later (link, "no connection could be opened");
       return link;
     }
-  socket_watch_peer (link->fd, pool->unacked_timeout_us);
+  socket_set_keepalive (link->fd, pool->unacked_timeout_us);
   ev_io_set (&link->reader, link->fd, EV_READ);
   ev_io_set (&link->writer, link->fd, EV_WRITE);
   ev_io_start (pool->loop, &link->writer);
@@ -483,7 +484,7 @@
   if (link == NULL)
     return NULL;
   now_us = mf_clock_now_us ();
-  if (now_us - link->idle_since_us > link->keep_us
+  if (now_us - link->idle_since_us > link->idle_timeout_us
       || (idle_max_us > 0 && now_us - link->idle_since_us > idle_max_us))
     return NULL;
   idle_remove (link);
@@ -520,7 +521,7 @@
   link->user = call->user;
   link->data = call->data;
   link->has_sent = false;
-  link->foreign = false;
+  link->id_mismatch = false;
   link->head_only = call->head_only;
   link->timeout_us = call->timeout_us;
   link->echo_id[0] = '\0';
@@ -543,7 +544,7 @@
 void
 mf_link_cancel (MfLink *link)
 {
-  if (!link->in_event)
+  if (!link->in_callback)
     {
       link_free (link);
       return;
--- a/libmangofork/relay/message.c
+++ b/libmangofork/relay/message.c
@@ -37,7 +37,7 @@
 
 /* Gives the header that has just ended its meaning. */
 static void
-field_close (MfMessage *message)
+field_finish (MfMessage *message)
 {
   MfHead *head = &message->head;
   MfHeadField *field;
@@ -63,7 +63,7 @@
     return message_fail (message, MF_CODE_BAD_HEADER);
   if (message->in_value || head->n_fields == 0)
     {
-      field_close (message);
+      field_finish (message);
       if (head->n_fields == MF_HEAD_FIELDS_MAX)
         return message_fail (message, MF_CODE_HEADERS_TOO_LARGE);
       head->fields[head->n_fields++]
@@ -98,7 +98,7 @@
 
   if (message->head_done) /* trailers */
     return 0;
-  field_close (message);
+  field_finish (message);
   message->head_done = true;
   if (parser->type == HTTP_RESPONSE && parser->status_code < 200)
     return 0;
@@ -118,7 +118,7 @@
 }
 
 static void
-head_empty (MfHead *head)
+head_reset (MfHead *head)
 {
   head->text.start = 0;
   head->text.end = 0;
@@ -134,7 +134,7 @@
 
   if (parser->type == HTTP_RESPONSE && parser->status_code < 200)
     {
-      head_empty (&message->head);
+      head_reset (&message->head);
       message->head_done = false;
       return 0;
     }
@@ -168,7 +168,7 @@
 {
   enum http_parser_type type = message->parser.type;
 
-  head_empty (&message->head);
+  head_reset (&message->head);
   message->begun = false;
   message->head_done = false;
   message->done = false;
@@ -208,22 +208,22 @@
 size_t
 mf_message_feed (MfMessage *message, const char *bytes, size_t n_bytes)
 {
-  size_t taken;
+  size_t n_consumed;
   enum http_errno fault;
 
   if (message->done || message->fault != MF_CODE_OK || n_bytes == 0)
     return 0;
   message->begun = true;
-  taken = http_parser_execute (&message->parser, &parser_settings, bytes, n_bytes);
+  n_consumed = http_parser_execute (&message->parser, &parser_settings, bytes, n_bytes);
   fault = HTTP_PARSER_ERRNO (&message->parser);
   if (message->done)
-    return taken;
+    return n_consumed;
   if (fault != HPE_OK && message->fault == MF_CODE_OK)
     message->fault = parser_fault (fault);
   /* CONNECT and the like end the parser's work without a message. */
-  if (message->parser.upgrade != 0 && message->fault == MF_CODE_OK && taken < n_bytes)
+  if (message->parser.upgrade != 0 && message->fault == MF_CODE_OK && n_consumed < n_bytes)
     message->fault = MF_CODE_BAD_HEADER;
-  return taken;
+  return n_consumed;
 }
 
 /* The peer has closed. Returns whether that ends the message whole. */
--- a/libmangofork/relay/relay.c
+++ b/libmangofork/relay/relay.c
@@ -12,29 +12,29 @@
 
 /* Upstreams whose entries lapsed while the platform's store was away are back within two seconds of
  * its return (the users' letter); a little more for the way. */
-#define RETURN_US (2300 * MF_US_PER_MS)
+#define REREGISTRATION_US (2300 * MF_US_PER_MS)
 /* A shorter absence of the store lets no entry lapse. */
-#define AWAY_MIN_US (1 * MF_US_PER_S)
+#define OUTAGE_MIN_US (1 * MF_US_PER_S)
 /* Housekeeping: expired upstreams, drain, changed settings. */
 #define TICK_S 0.1
 /* The settings file is looked at this often. */
-#define SETTINGS_EVERY_US (1 * MF_US_PER_S)
+#define SETTINGS_CHECK_INTERVAL_US (1 * MF_US_PER_S)
 /* Descriptors for other than callers: files, listeners, upstreams. */
-#define FILES_RESERVED 700
+#define DESCRIPTORS_RESERVED 700
 /* Memory one caller may take: its buffers and its request. */
-#define CALLER_BYTES 100000
+#define BYTES_PER_CALLER 100000
 /* Part of the process's memory that the answers kept whole may take together. */
-#define ANSWERS_MEMORY_PART 4
+#define KEPT_ANSWERS_MEMORY_DIVISOR 4
 /* While shutting down, callers' idle connections are closed once the balancer has had time to learn
  * of it: it asks every second and believes the second miss. */
-#define DRAIN_IDLE_US (2500 * MF_US_PER_MS)
+#define DRAIN_CLOSE_IDLE_US (2500 * MF_US_PER_MS)
 /* Streams are begun until so much of the grace is over, as the longest of them need the rest. */
 #define DRAIN_STREAMS_PERCENT 40
 /* New connections are taken until so much of the grace is over. The balancer sends none any more,
  * but for checks of its own; what comes later could be cut by the end. */
-#define DRAIN_SHUT_PERCENT 70
+#define DRAIN_ACCEPT_PERCENT 70
 /* The process ends by itself this long before it would be killed. */
-#define DRAIN_SPARE_US (250 * MF_US_PER_MS)
+#define EXIT_MARGIN_US (250 * MF_US_PER_MS)
 
 /* Limits of a door before a configuration names others. */
 static const MfDoorLimits default_limits = {
@@ -69,12 +69,12 @@
   uint64_t drain_begun_us; /* 0: not shutting down */
   bool idle_closed;
   MfFollow follow;
-  uint64_t settings_seen_us;        /* when the file was last looked at */
-  struct timespec settings_changed; /* when it was last written */
+  uint64_t settings_checked_us;   /* when the file was last looked at */
+  struct timespec settings_mtime; /* when it was last written */
 };
 
 static void
-ready_judge (MfRelay *relay)
+ready_update (MfRelay *relay)
 {
   bool is_ready = relay->jobs.routes != NULL && relay->has_listed && relay->drain_begun_us == 0;
 
@@ -155,21 +155,21 @@
 
   if (relay->jobs.routes != NULL)
     {
-      const MfCallerLimits *given = &relay->jobs.routes->limits;
-
-      if (given->header_bytes_max > 0)
-        limits.header_bytes_max = given->header_bytes_max;
-      if (given->body_bytes_max > 0)
-        limits.body_bytes_max = given->body_bytes_max;
-      if (given->header_timeout_us > 0)
-        limits.header_timeout_us = given->header_timeout_us;
-      if (given->idle_timeout_us > 0)
-        limits.idle_timeout_us = given->idle_timeout_us;
+      const MfCallerLimits *configured = &relay->jobs.routes->limits;
+
+      if (configured->header_bytes_max > 0)
+        limits.header_bytes_max = configured->header_bytes_max;
+      if (configured->body_bytes_max > 0)
+        limits.body_bytes_max = configured->body_bytes_max;
+      if (configured->header_timeout_us > 0)
+        limits.header_timeout_us = configured->header_timeout_us;
+      if (configured->idle_timeout_us > 0)
+        limits.idle_timeout_us = configured->idle_timeout_us;
     }
-  if (settings->files_max > 2 * FILES_RESERVED)
-    limits.callers_max = settings->files_max - FILES_RESERVED;
-  if (settings->memory_bytes > 0 && limits.callers_max > settings->memory_bytes / CALLER_BYTES)
-    limits.callers_max = (uint32_t)(settings->memory_bytes / CALLER_BYTES);
+  if (settings->files_max > 2 * DESCRIPTORS_RESERVED)
+    limits.callers_max = settings->files_max - DESCRIPTORS_RESERVED;
+  if (settings->memory_bytes > 0 && limits.callers_max > settings->memory_bytes / BYTES_PER_CALLER)
+    limits.callers_max = (uint32_t)(settings->memory_bytes / BYTES_PER_CALLER);
   mf_door_limit (relay->door, &limits);
 }
 
@@ -194,7 +194,7 @@
                   routes->n_services, relay->jobs.n_jobs);
   mf_jobs_configure (&relay->jobs, routes);
   limits_apply (relay);
-  ready_judge (relay);
+  ready_update (relay);
 }
 
 /* Adds an upstream, or renews what is known of it. */
@@ -246,7 +246,7 @@
         mf_relay_upstream_gone (relay, target->info.id, "not in the list");
     }
   relay->has_listed = true;
-  ready_judge (relay);
+  ready_update (relay);
 }
 
 /* The source answers. */
@@ -257,12 +257,12 @@
 
   if (!relay->source_is_up)
     {
-      uint64_t away_us = relay->source_seen_us > 0 ? now_us - relay->source_seen_us : 0;
+      uint64_t outage_us = relay->source_seen_us > 0 ? now_us - relay->source_seen_us : 0;
 
-      if (away_us >= AWAY_MIN_US)
-        relay->keep_until_us = now_us + RETURN_US;
+      if (outage_us >= OUTAGE_MIN_US)
+        relay->keep_until_us = now_us + REREGISTRATION_US;
       mf_lines_state (relay->lines, "store.regained", "away_ms=%llu",
-                      (unsigned long long)away_us / 1000);
+                      (unsigned long long)outage_us / 1000);
     }
   relay->source_is_up = true;
   relay->source_seen_us = now_us;
@@ -305,9 +305,9 @@
 
 /* A time between none and this, by chance. */
 uint64_t
-mf_relay_spread_us (MfRelay *relay, uint64_t most_us)
+mf_relay_spread_us (MfRelay *relay, uint64_t max_us)
 {
-  return most_us * (uint64_t)mf_jobs_random (&relay->jobs) >> 32;
+  return max_us * (uint64_t)mf_jobs_random (&relay->jobs) >> 32;
 }
 
 /* The source has been read, by a call that took so long and could wait for changes for so long;
@@ -342,7 +342,7 @@
   if (relay->source == NULL)
     return;
   if (now_us + feed->keep_us > relay->keep_until_us && feed->keep_us > 0
-      && feed->keep_us <= RETURN_US)
+      && feed->keep_us <= REREGISTRATION_US)
     relay->keep_until_us = now_us + feed->keep_us;
   if (!relay->deployment->source->feed (relay->source, feed) || as_of_us == 0)
     return;
@@ -387,7 +387,7 @@
   relay->jobs.order_turn_us = relay->settings.order_turn_us;
   relay->follow.bound_us = relay->settings.change_us;
   if (relay->settings.memory_bytes > 0)
-    relay->jobs.answer_bytes_max = relay->settings.memory_bytes / ANSWERS_MEMORY_PART;
+    relay->jobs.answer_bytes_max = relay->settings.memory_bytes / KEPT_ANSWERS_MEMORY_DIVISOR;
   if (relay->door != NULL)
     limits_apply (relay);
 }
@@ -424,18 +424,18 @@
 static void
 settings_watch (MfRelay *relay, uint64_t now_us)
 {
-  struct stat file;
+  struct stat status;
 
-  if (now_us - relay->settings_seen_us < SETTINGS_EVERY_US)
+  if (now_us - relay->settings_checked_us < SETTINGS_CHECK_INTERVAL_US)
     return;
-  relay->settings_seen_us = now_us;
-  if (stat (relay->path, &file) != 0
-      || (file.st_mtim.tv_sec == relay->settings_changed.tv_sec
-          && file.st_mtim.tv_nsec == relay->settings_changed.tv_nsec))
+  relay->settings_checked_us = now_us;
+  if (stat (relay->path, &status) != 0
+      || (status.st_mtim.tv_sec == relay->settings_mtime.tv_sec
+          && status.st_mtim.tv_nsec == relay->settings_mtime.tv_nsec))
     return;
-  if (relay->settings_changed.tv_sec != 0)
+  if (relay->settings_mtime.tv_sec != 0)
     settings_reread (relay);
-  relay->settings_changed = file.st_mtim;
+  relay->settings_mtime = status.st_mtim;
 }
 
 /* One step of the shutdown: first the balancer is told, then idle connections close, then the
@@ -443,10 +443,10 @@
 static void
 drain_step (MfRelay *relay)
 {
-  uint64_t past_us = mf_clock_now_us () - relay->drain_begun_us;
-  uint64_t limit_us = relay->settings.grace_us - DRAIN_SPARE_US;
+  uint64_t elapsed_us = mf_clock_now_us () - relay->drain_begun_us;
+  uint64_t limit_us = relay->settings.grace_us - EXIT_MARGIN_US;
 
-  if (past_us >= DRAIN_IDLE_US)
+  if (elapsed_us >= DRAIN_CLOSE_IDLE_US)
     {
       if (!relay->idle_closed)
         mf_lines_state (relay->lines, "drain.idle", "requests=%u callers=%u", relay->jobs.n_jobs,
@@ -454,10 +454,10 @@
       relay->idle_closed = true;
       mf_door_close_idle (relay->door);
     }
-  if (past_us >= relay->settings.grace_us * DRAIN_SHUT_PERCENT / 100)
+  if (elapsed_us >= relay->settings.grace_us * DRAIN_ACCEPT_PERCENT / 100)
     mf_door_shut (relay->door);
   if ((relay->idle_closed && relay->jobs.n_jobs == 0 && mf_door_n_callers (relay->door) == 0)
-      || past_us >= limit_us)
+      || elapsed_us >= limit_us)
     ev_break (relay->loop, EVBREAK_ALL);
 }
 
@@ -471,11 +471,11 @@
   (void)events;
   if (relay->keep_until_us > 0 && now_us >= relay->keep_until_us)
     {
-      uint32_t n_dropped = mf_targets_expire (&relay->jobs.targets, now_us);
+      uint32_t n_expired = mf_targets_expire (&relay->jobs.targets, now_us);
 
       relay->keep_until_us = 0;
-      if (n_dropped > 0)
-        mf_lines_state (relay->lines, "upstream.expired", "upstreams=%u", n_dropped);
+      if (n_expired > 0)
+        mf_lines_state (relay->lines, "upstream.expired", "upstreams=%u", n_expired);
     }
   mf_jobs_forget_breaks (&relay->jobs, now_us);
   settings_watch (relay, now_us);
@@ -499,17 +499,17 @@
   relay->drain_begun_us = mf_clock_now_us ();
   relay->jobs.no_streams_after_us
       = relay->drain_begun_us + relay->settings.grace_us * DRAIN_STREAMS_PERCENT / 100;
-  relay->jobs.ends_us = relay->drain_begun_us + relay->settings.grace_us - DRAIN_SPARE_US;
+  relay->jobs.ends_us = relay->drain_begun_us + relay->settings.grace_us - EXIT_MARGIN_US;
   mf_lines_state (relay->lines, "stop", "signal=%d requests=%u callers=%u", watcher->signum,
                   relay->jobs.n_jobs, mf_door_n_callers (relay->door));
   mf_door_retire (relay->door);
-  ready_judge (relay);
+  ready_update (relay);
 }
 
 /* Holds back, or lets in, the signals that the loop takes. A second SIGTERM must not end the
  * process in another way while it is ending. */
 static void
-signals_hold (bool held)
+signals_block (bool blocked)
 {
   sigset_t signals;
 
@@ -517,7 +517,7 @@
   sigaddset (&signals, SIGTERM);
   sigaddset (&signals, SIGINT);
   sigaddset (&signals, SIGHUP);
-  sigprocmask (held ? SIG_BLOCK : SIG_UNBLOCK, &signals, NULL);
+  sigprocmask (blocked ? SIG_BLOCK : SIG_UNBLOCK, &signals, NULL);
 }
 
 static void
@@ -536,7 +536,7 @@
   ev_timer_init (&relay->tick, on_tick, TICK_S, TICK_S);
   relay->tick.data = relay;
   ev_timer_start (relay->loop, &relay->tick);
-  signals_hold (false);
+  signals_block (false);
 }
 
 static bool
@@ -578,7 +578,7 @@
 
 /* Lets the process open as many files as it is told it may. */
 static void
-files_allow (const MfRelaySettings *settings)
+descriptor_limit_raise (const MfRelaySettings *settings)
 {
   struct rlimit limit;
 
@@ -607,7 +607,7 @@
       free (relay);
       return NULL;
     }
-  files_allow (&relay->settings);
+  descriptor_limit_raise (&relay->settings);
   relay->loop = ev_default_loop (EVFLAG_NOENV);
   relay->lines = mf_lines_new (relay->loop, relay->settings.name, STDOUT_FILENO, error);
   mf_jobs_init (&relay->jobs, relay->loop, deployment->dialect, relay->lines);
@@ -652,7 +652,7 @@
 {
   if (relay == NULL)
     return;
-  signals_hold (true);
+  signals_block (true);
   ev_timer_stop (relay->loop, &relay->tick);
   ev_signal_stop (relay->loop, &relay->on_hup);
   ev_signal_stop (relay->loop, &relay->on_term);
--- a/libmangofork/relay/relay_counters.c
+++ b/libmangofork/relay/relay_counters.c
@@ -6,12 +6,12 @@
 {
   const char *name;
   const char *help;
-} CounterName;
+} CounterInfo;
 
-static const CounterName counter_names[] = {
-#define COUNTER_NAME(id, name_, help_) { .name = (name_), .help = (help_) },
-  MF_RELAY_COUNTER_TABLE (COUNTER_NAME)
-#undef COUNTER_NAME
+static const CounterInfo counter_infos[] = {
+#define COUNTER_INFO(id, name_, help_) { .name = (name_), .help = (help_) },
+  MF_RELAY_COUNTER_TABLE (COUNTER_INFO)
+#undef COUNTER_INFO
 };
 
 /* Adds a time in microseconds to a histogram. */
@@ -83,8 +83,8 @@
       snprintf (line, sizeof line,
                 "# HELP mangofork_relay_%s %s\n# TYPE mangofork_relay_%s counter\n"
                 "mangofork_relay_%s %llu\n",
-                counter_names[i].name, counter_names[i].help, counter_names[i].name,
-                counter_names[i].name, (unsigned long long)counters->counts[i]);
+                counter_infos[i].name, counter_infos[i].help, counter_infos[i].name,
+                counter_infos[i].name, (unsigned long long)counters->counts[i]);
       mf_buffer_add_text (out, line);
     }
   mf_code_foreach (code_render, &(CodeRender){ .counters = counters, .out = out });
--- a/tests/loop_pump.c
+++ b/tests/loop_pump.c
@@ -8,11 +8,11 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define TURNS_MAX 4000
-#define TURN_S 0.002
+#define ITERATIONS_MAX 4000
+#define ITERATION_S 0.002
 
 static void
-turn_over (struct ev_loop *loop, ev_timer *watcher, int events)
+on_iteration_end (struct ev_loop *loop, ev_timer *watcher, int events)
 {
   (void)watcher;
   (void)events;
@@ -20,11 +20,11 @@
 }
 
 static void
-turn (struct ev_loop *loop)
+iterate (struct ev_loop *loop)
 {
   ev_timer timer;
 
-  ev_timer_init (&timer, turn_over, TURN_S, 0);
+  ev_timer_init (&timer, on_iteration_end, ITERATION_S, 0);
   ev_timer_start (loop, &timer);
   ev_run (loop, EVRUN_ONCE);
   ev_timer_stop (loop, &timer);
@@ -33,20 +33,20 @@
 bool
 loop_pump (struct ev_loop *loop, bool (*done) (void *data), void *data)
 {
-  for (int i = 0; i < TURNS_MAX; i++)
+  for (int i = 0; i < ITERATIONS_MAX; i++)
     {
       if (done (data))
         return true;
-      turn (loop);
+      iterate (loop);
     }
   return done (data);
 }
 
 void
-loop_spin (struct ev_loop *loop, int n_turns)
+loop_spin (struct ev_loop *loop, int n_iterations)
 {
-  for (int i = 0; i < n_turns; i++)
-    turn (loop);
+  for (int i = 0; i < n_iterations; i++)
+    iterate (loop);
 }
 
 int
@@ -91,24 +91,24 @@
 size_t
 loop_receive (struct ev_loop *loop, int fd, const char *needle, char *dst, size_t dst_bytes)
 {
-  size_t got = 0;
+  size_t n_received = 0;
 
   dst[0] = '\0';
-  for (int i = 0; i < TURNS_MAX && got + 1 < dst_bytes; i++)
+  for (int i = 0; i < ITERATIONS_MAX && n_received + 1 < dst_bytes; i++)
     {
-      ssize_t n = recv (fd, dst + got, dst_bytes - got - 1, 0);
+      ssize_t n = recv (fd, dst + n_received, dst_bytes - n_received - 1, 0);
 
       if (n == 0 || (n < 0 && errno != EAGAIN))
         break;
       if (n < 0)
         {
-          turn (loop);
+          iterate (loop);
           continue;
         }
-      got += (size_t)n;
-      dst[got] = '\0';
+      n_received += (size_t)n;
+      dst[n_received] = '\0';
       if (needle != NULL && strstr (dst, needle) != NULL)
         break;
     }
-  return got;
+  return n_received;
 }
--- a/tests/loop_pump.h
+++ b/tests/loop_pump.h
@@ -9,7 +9,7 @@
 /* Runs the loop until done says so, at most a bounded number of turns. Returns what done said. */
 bool loop_pump (struct ev_loop *loop, bool (*done) (void *data), void *data);
 /* Runs the loop for a number of short turns. */
-void loop_spin (struct ev_loop *loop, int n_turns);
+void loop_spin (struct ev_loop *loop, int n_iterations);
 
 /* Connects to a port of the loopback address; the socket does not block. */
 int loop_connect (uint16_t port);
--- a/tests/test_caller.c
+++ b/tests/test_caller.c
@@ -22,38 +22,38 @@
 typedef struct
 {
   struct ev_loop *loop;
-  MfDoor *door;
-  bool answers;      /* each request at once, with its own body */
-  MfCaller *waiting; /* the last request that was not answered */
+  MfDoor *listener;
+  bool replies_at_once; /* each request at once, with its own body */
+  MfCaller *waiting;    /* the last request that was not answered */
   uint32_t n_requests;
   uint32_t n_departed;
   uint32_t n_refused;
-  MfCode refused;
-  char got[4096];
-} House;
+  MfCode refused_code;
+  char received[4096];
+} Fixture;
 
 static void
 on_request (void *data, MfCaller *caller)
 {
-  House *house = data;
+  Fixture *fixture = data;
   const MfBuffer *body = mf_caller_body (caller);
   char copy[256];
   int n_bytes
       = snprintf (copy, sizeof copy, "[%.*s]", (int)mf_buffer_bytes (body), mf_buffer_data (body));
 
-  house->n_requests++;
-  house->waiting = caller;
-  if (house->answers)
+  fixture->n_requests++;
+  fixture->waiting = caller;
+  if (fixture->replies_at_once)
     mf_caller_reply (caller, 200, NULL, copy, (size_t)n_bytes);
 }
 
 static void
 on_departed (void *data, MfCaller *caller)
 {
-  House *house = data;
+  Fixture *fixture = data;
 
   (void)caller;
-  house->n_departed++;
+  fixture->n_departed++;
 }
 
 static void
@@ -67,13 +67,13 @@
 static void
 on_refused (void *data, MfCode code)
 {
-  House *house = data;
+  Fixture *fixture = data;
 
-  house->n_refused++;
-  house->refused = code;
+  fixture->n_refused++;
+  fixture->refused_code = code;
 }
 
-static const MfDoorUser user = {
+static const MfDoorUser callbacks = {
   .request = on_request,
   .departed = on_departed,
   .writable = on_writable,
@@ -81,62 +81,64 @@
 };
 
 static void
-house_begin (House *house, bool answers)
+fixture_begin (Fixture *fixture, bool replies_at_once)
 {
   MfError error = { 0 };
 
-  *house = (House){ .loop = ev_loop_new (0), .answers = answers };
-  house->door = mf_door_new (house->loop, ADDRESS, &platform_dialect, &user, house, &error);
-  assert_non_null (house->door);
-  mf_door_limit (house->door, &(MfDoorLimits){
-                                  .header_bytes_max = 1024,
-                                  .body_bytes_max = 64,
-                                  .header_timeout_us = 60 * MF_US_PER_MS,
-                                  .idle_timeout_us = 200 * MF_US_PER_MS,
-                                  .callers_max = 3,
-                              });
+  *fixture = (Fixture){ .loop = ev_loop_new (0), .replies_at_once = replies_at_once };
+  fixture->listener
+      = mf_door_new (fixture->loop, ADDRESS, &platform_dialect, &callbacks, fixture, &error);
+  assert_non_null (fixture->listener);
+  mf_door_limit (fixture->listener, &(MfDoorLimits){
+                                        .header_bytes_max = 1024,
+                                        .body_bytes_max = 64,
+                                        .header_timeout_us = 60 * MF_US_PER_MS,
+                                        .idle_timeout_us = 200 * MF_US_PER_MS,
+                                        .callers_max = 3,
+                                    });
 }
 
 static void
-house_end (House *house)
+fixture_end (Fixture *fixture)
 {
-  mf_door_free (house->door);
-  ev_loop_destroy (house->loop);
+  mf_door_free (fixture->listener);
+  ev_loop_destroy (fixture->loop);
 }
 
 /* Sends a text on a new connection and reads until it closes or the needle has come. */
 static int
-say (House *house, const char *text, const char *needle)
+send_and_receive (Fixture *fixture, const char *text, const char *needle)
 {
   int fd = loop_connect (PORT);
 
   assert_true (fd >= 0);
   loop_send (fd, text, strlen (text));
-  loop_receive (house->loop, fd, needle, house->got, sizeof house->got);
+  loop_receive (fixture->loop, fd, needle, fixture->received, sizeof fixture->received);
   return fd;
 }
 
 static void
 test_requests_one_after_the_other (void **state)
 {
-  House house;
+  Fixture fixture;
   int fd;
 
   (void)state;
-  house_begin (&house, true);
-  fd = say (&house,
-            "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\noneGET /b HTTP/1.1\r\n"
-            "Host: h\r\n\r\nPOST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
-            "5\r\nthree\r\n0\r\n\r\n",
-            "[three]");
-  assert_int_equal (house.n_requests, 3);
-  assert_non_null (strstr (house.got, "[one]"));
-  assert_non_null (strstr (house.got, "[]"));
-  assert_non_null (strstr (house.got, "[three]"));
+  fixture_begin (&fixture, true);
+  fd = send_and_receive (
+      &fixture,
+      "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\noneGET /b HTTP/1.1\r\n"
+      "Host: h\r\n\r\nPOST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
+      "5\r\nthree\r\n0\r\n\r\n",
+      "[three]");
+  assert_int_equal (fixture.n_requests, 3);
+  assert_non_null (strstr (fixture.received, "[one]"));
+  assert_non_null (strstr (fixture.received, "[]"));
+  assert_non_null (strstr (fixture.received, "[three]"));
   close (fd);
-  loop_spin (house.loop, 10);
-  assert_int_equal (house.n_departed, 0);
-  house_end (&house);
+  loop_spin (fixture.loop, 10);
+  assert_int_equal (fixture.n_departed, 0);
+  fixture_end (&fixture);
 }
 
 /* What hides a second request in the first gets 400, and nothing after it is read. */
@@ -157,183 +159,184 @@
   (void)state;
   for (size_t i = 0; i < MF_ARRAY_LEN (texts); i++)
     {
-      House house;
+      Fixture fixture;
       int fd;
 
-      house_begin (&house, true);
-      fd = say (&house, texts[i], NULL);
-      assert_int_equal (house.n_requests, 0);
-      assert_int_equal (house.n_refused, 1);
-      assert_memory_equal (house.got, "HTTP/1.1 400 ", 13);
-      assert_non_null (strstr (house.got, "Connection: close"));
+      fixture_begin (&fixture, true);
+      fd = send_and_receive (&fixture, texts[i], NULL);
+      assert_int_equal (fixture.n_requests, 0);
+      assert_int_equal (fixture.n_refused, 1);
+      assert_memory_equal (fixture.received, "HTTP/1.1 400 ", 13);
+      assert_non_null (strstr (fixture.received, "Connection: close"));
       close (fd);
-      house_end (&house);
+      fixture_end (&fixture);
     }
 }
 
 static void
 test_limits (void **state)
 {
-  House house;
+  Fixture fixture;
   char text[2048];
   int fd;
 
   (void)state;
-  house_begin (&house, true);
-  fd = say (&house, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 65\r\n\r\n", NULL);
-  assert_memory_equal (house.got, "HTTP/1.1 413 ", 13);
+  fixture_begin (&fixture, true);
+  fd = send_and_receive (&fixture, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 65\r\n\r\n",
+                         NULL);
+  assert_memory_equal (fixture.received, "HTTP/1.1 413 ", 13);
   close (fd);
   snprintf (text, sizeof text, "GET / HTTP/1.1\r\nHost: h\r\nX-Long: %01200d\r\n\r\n", 0);
-  fd = say (&house, text, NULL);
-  assert_memory_equal (house.got, "HTTP/1.1 431 ", 13);
+  fd = send_and_receive (&fixture, text, NULL);
+  assert_memory_equal (fixture.received, "HTTP/1.1 431 ", 13);
   close (fd);
-  fd = say (&house, "GET / HTTP/1.1\r\nHos", NULL);
-  assert_memory_equal (house.got, "HTTP/1.1 408 ", 13);
+  fd = send_and_receive (&fixture, "GET / HTTP/1.1\r\nHos", NULL);
+  assert_memory_equal (fixture.received, "HTTP/1.1 408 ", 13);
   close (fd);
-  assert_int_equal (house.n_requests, 0);
-  house_end (&house);
+  assert_int_equal (fixture.n_requests, 0);
+  fixture_end (&fixture);
 }
 
 static void
 test_idle_connections_close_in_time (void **state)
 {
-  House house;
+  Fixture fixture;
   int fd;
 
   (void)state;
-  house_begin (&house, true);
-  fd = say (&house, "GET / HTTP/1.1\r\nHost: h\r\n\r\n", "[]");
-  assert_int_equal (mf_door_n_callers (house.door), 1);
-  loop_receive (house.loop, fd, NULL, house.got, sizeof house.got);
-  assert_string_equal (house.got, "");
-  assert_int_equal (mf_door_n_callers (house.door), 0);
+  fixture_begin (&fixture, true);
+  fd = send_and_receive (&fixture, "GET / HTTP/1.1\r\nHost: h\r\n\r\n", "[]");
+  assert_int_equal (mf_door_n_callers (fixture.listener), 1);
+  loop_receive (fixture.loop, fd, NULL, fixture.received, sizeof fixture.received);
+  assert_string_equal (fixture.received, "");
+  assert_int_equal (mf_door_n_callers (fixture.listener), 0);
   close (fd);
-  house_end (&house);
+  fixture_end (&fixture);
 }
 
 static void
 test_no_more_callers_than_allowed (void **state)
 {
-  House house;
+  Fixture fixture;
   int fds[4];
 
   (void)state;
-  house_begin (&house, true);
+  fixture_begin (&fixture, true);
   for (size_t i = 0; i < 4; i++)
     fds[i] = loop_connect (PORT);
-  loop_spin (house.loop, 10);
-  assert_int_equal (mf_door_n_callers (house.door), 3);
+  loop_spin (fixture.loop, 10);
+  assert_int_equal (mf_door_n_callers (fixture.listener), 3);
   for (size_t i = 0; i < 4; i++)
     close (fds[i]);
-  house_end (&house);
+  fixture_end (&fixture);
 }
 
 static bool
 has_departed (void *data)
 {
-  return ((House *)data)->n_departed == 1;
+  return ((Fixture *)data)->n_departed == 1;
 }
 
 static void
 test_caller_who_leaves_while_its_request_waits (void **state)
 {
-  House house;
+  Fixture fixture;
   int fd;
 
   (void)state;
-  house_begin (&house, false);
+  fixture_begin (&fixture, false);
   fd = loop_connect (PORT);
   loop_send (fd, "GET / HTTP/1.1\r\nHost: h\r\n\r\n", 27);
-  loop_spin (house.loop, 10);
-  assert_int_equal (house.n_requests, 1);
-  assert_int_equal (house.n_departed, 0);
+  loop_spin (fixture.loop, 10);
+  assert_int_equal (fixture.n_requests, 1);
+  assert_int_equal (fixture.n_departed, 0);
   close (fd);
-  assert_true (loop_pump (house.loop, has_departed, &house));
-  assert_int_equal (mf_door_n_callers (house.door), 0);
-  house_end (&house);
+  assert_true (loop_pump (fixture.loop, has_departed, &fixture));
+  assert_int_equal (mf_door_n_callers (fixture.listener), 0);
+  fixture_end (&fixture);
 }
 
 static void
 test_stream_that_breaks_does_not_look_whole (void **state)
 {
-  House house;
+  Fixture fixture;
   int fd;
 
   (void)state;
-  house_begin (&house, false);
+  fixture_begin (&fixture, false);
   fd = loop_connect (PORT);
   loop_send (fd, "GET / HTTP/1.1\r\nHost: h\r\n\r\n", 27);
-  loop_spin (house.loop, 10);
-  mf_caller_begin (house.waiting, 200, NULL);
-  mf_caller_write (house.waiting, "some", 4);
-  mf_caller_abort (house.waiting);
-  loop_receive (house.loop, fd, NULL, house.got, sizeof house.got);
-  assert_non_null (strstr (house.got, "Transfer-Encoding: chunked"));
-  assert_non_null (strstr (house.got, "4\r\nsome\r\n"));
-  assert_null (strstr (house.got, "0\r\n\r\n"));
+  loop_spin (fixture.loop, 10);
+  mf_caller_begin (fixture.waiting, 200, NULL);
+  mf_caller_write (fixture.waiting, "some", 4);
+  mf_caller_abort (fixture.waiting);
+  loop_receive (fixture.loop, fd, NULL, fixture.received, sizeof fixture.received);
+  assert_non_null (strstr (fixture.received, "Transfer-Encoding: chunked"));
+  assert_non_null (strstr (fixture.received, "4\r\nsome\r\n"));
+  assert_null (strstr (fixture.received, "0\r\n\r\n"));
   close (fd);
-  house_end (&house);
+  fixture_end (&fixture);
 }
 
 static void
 test_stream_that_ends_goes_on_to_the_next_request (void **state)
 {
-  House house;
+  Fixture fixture;
   int fd;
 
   (void)state;
-  house_begin (&house, false);
+  fixture_begin (&fixture, false);
   fd = loop_connect (PORT);
   loop_send (fd, "GET / HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n", 56);
-  loop_spin (house.loop, 10);
-  assert_int_equal (house.n_requests, 1);
-  mf_caller_begin (house.waiting, 200, NULL);
-  mf_caller_write (house.waiting, "some", 4);
-  mf_caller_end (house.waiting);
-  assert_int_equal (house.n_requests, 2);
-  loop_receive (house.loop, fd, "0\r\n\r\n", house.got, sizeof house.got);
-  assert_non_null (strstr (house.got, "4\r\nsome\r\n0\r\n\r\n"));
+  loop_spin (fixture.loop, 10);
+  assert_int_equal (fixture.n_requests, 1);
+  mf_caller_begin (fixture.waiting, 200, NULL);
+  mf_caller_write (fixture.waiting, "some", 4);
+  mf_caller_end (fixture.waiting);
+  assert_int_equal (fixture.n_requests, 2);
+  loop_receive (fixture.loop, fd, "0\r\n\r\n", fixture.received, sizeof fixture.received);
+  assert_non_null (strstr (fixture.received, "4\r\nsome\r\n0\r\n\r\n"));
   close (fd);
-  house_end (&house);
+  fixture_end (&fixture);
 }
 
 static void
 test_retired_door_closes_after_answers (void **state)
 {
-  House house;
+  Fixture fixture;
   int busy;
   int idle;
 
   (void)state;
-  house_begin (&house, true);
-  idle = say (&house, "GET / HTTP/1.1\r\nHost: h\r\n\r\n", "[]");
-  mf_door_retire (house.door);
-  busy = say (&house, "GET / HTTP/1.1\r\nHost: h\r\n\r\n", NULL);
-  assert_non_null (strstr (house.got, "Connection: close"));
-  mf_door_close_idle (house.door);
-  loop_receive (house.loop, idle, NULL, house.got, sizeof house.got);
-  assert_string_equal (house.got, "");
+  fixture_begin (&fixture, true);
+  idle = send_and_receive (&fixture, "GET / HTTP/1.1\r\nHost: h\r\n\r\n", "[]");
+  mf_door_retire (fixture.listener);
+  busy = send_and_receive (&fixture, "GET / HTTP/1.1\r\nHost: h\r\n\r\n", NULL);
+  assert_non_null (strstr (fixture.received, "Connection: close"));
+  mf_door_close_idle (fixture.listener);
+  loop_receive (fixture.loop, idle, NULL, fixture.received, sizeof fixture.received);
+  assert_string_equal (fixture.received, "");
   close (busy);
   close (idle);
-  house_end (&house);
+  fixture_end (&fixture);
 }
 
 static void
 test_continue_is_answered (void **state)
 {
-  House house;
+  Fixture fixture;
   int fd;
 
   (void)state;
-  house_begin (&house, true);
-  fd = say (&house,
-            "POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n",
-            "100 Continue\r\n\r\n");
+  fixture_begin (&fixture, true);
+  fd = send_and_receive (
+      &fixture, "POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n",
+      "100 Continue\r\n\r\n");
   loop_send (fd, "hi", 2);
-  loop_receive (house.loop, fd, "[hi]", house.got, sizeof house.got);
-  assert_non_null (strstr (house.got, "[hi]"));
+  loop_receive (fixture.loop, fd, "[hi]", fixture.received, sizeof fixture.received);
+  assert_non_null (strstr (fixture.received, "[hi]"));
   close (fd);
-  house_end (&house);
+  fixture_end (&fixture);
 }
 
 int
--- a/tests/test_house_libraries.c
+++ b/tests/test_house_libraries.c
@@ -65,7 +65,7 @@
   Daemon daemon = { 0 };
   struct MHD_Daemon *mhd = MHD_start_daemon (MHD_USE_INTERNAL_POLLING_THREAD, MHD_TEST_PORT, NULL,
                                              NULL, on_mhd_request, &daemon, MHD_OPTION_END);
-  char got[4096];
+  char received[4096];
   int fd;
 
   (void)state;
@@ -73,7 +73,7 @@
   fd = loop_connect (MHD_TEST_PORT);
   assert_true (fd >= 0);
   loop_send (fd, text, strlen (text));
-  loop_receive (loop, fd, "ok", got, sizeof got);
+  loop_receive (loop, fd, "ok", received, sizeof received);
   close (fd);
   MHD_stop_daemon (mhd);
   assert_true (daemon.n_requests >= 1);
@@ -96,9 +96,9 @@
 on_curl_body (char *bytes, size_t size, size_t n_bytes, void *data)
 {
   char *body = data;
-  size_t had = strlen (body);
+  size_t had_bytes = strlen (body);
 
-  snprintf (body + had, 64 - had, "%.*s", (int)(size * n_bytes), bytes);
+  snprintf (body + had_bytes, 64 - had_bytes, "%.*s", (int)(size * n_bytes), bytes);
   return size * n_bytes;
 }
 
--- a/tests/test_link.c
+++ b/tests/test_link.c
@@ -14,7 +14,7 @@
 #include <cmocka.h>
 
 #define REQUEST "POST /x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: mine\r\nContent-Length: 2\r\n\r\n"
-#define ANSWER(id, body)                                                                           \
+#define RESPONSE(id, body)                                                                         \
   "HTTP/1.1 200 OK\r\nX-Attempt-Id: " id                                                           \
   "\r\nKeep-Alive: timeout=5\r\nContent-Length: 2\r\n\r\n" body
 
@@ -24,7 +24,7 @@
   struct ev_loop *loop;
   FakeWire *wire;
   MfLinkPool pool;
-  const char *script; /* what the upstream answers */
+  const char *responses; /* what the upstream answers */
   bool close_after;
   bool reset_after;
   uint32_t n_heads;
@@ -40,8 +40,8 @@
   Exchange *exchange = data;
 
   (void)text;
-  if (exchange->script != NULL)
-    fake_wire_send (conn, exchange->script);
+  if (exchange->responses != NULL)
+    fake_wire_send (conn, exchange->responses);
   if (exchange->close_after || exchange->reset_after)
     fake_wire_close (conn, exchange->reset_after);
 }
@@ -60,9 +60,10 @@
 on_body (void *data, const char *bytes, size_t n_bytes)
 {
   Exchange *exchange = data;
-  size_t had = strlen (exchange->body);
+  size_t had_bytes = strlen (exchange->body);
 
-  snprintf (exchange->body + had, sizeof exchange->body - had, "%.*s", (int)n_bytes, bytes);
+  snprintf (exchange->body + had_bytes, sizeof exchange->body - had_bytes, "%.*s", (int)n_bytes,
+            bytes);
 }
 
 static void
@@ -75,12 +76,12 @@
   exchange->end = end;
 }
 
-static const MfLinkUser user = { .head = on_head, .body = on_body, .end = on_end };
+static const MfLinkUser callbacks = { .head = on_head, .body = on_body, .end = on_end };
 
 static void
-exchange_begin (Exchange *exchange, const char *script)
+exchange_begin (Exchange *exchange, const char *responses)
 {
-  *exchange = (Exchange){ .loop = ev_loop_new (0), .script = script };
+  *exchange = (Exchange){ .loop = ev_loop_new (0), .responses = responses };
   exchange->wire = fake_wire_new (exchange->loop, on_request, exchange);
   exchange->pool = (MfLinkPool){
     .loop = exchange->loop,
@@ -113,7 +114,7 @@
   exchange->n_ends = 0;
   exchange->body[0] = '\0';
   return mf_link_start (&exchange->pool, &(MfLinkCall){
-                                             .user = &user,
+                                             .user = &callbacks,
                                              .data = exchange,
                                              .head = REQUEST,
                                              .head_bytes = strlen (REQUEST),
@@ -138,7 +139,7 @@
   Exchange exchange;
 
   (void)state;
-  exchange_begin (&exchange, ANSWER ("mine", "ok"));
+  exchange_begin (&exchange, RESPONSE ("mine", "ok"));
   run (&exchange, "mine");
   assert_int_equal (exchange.end, MF_LINK_WHOLE);
   assert_string_equal (exchange.body, "ok");
@@ -156,7 +157,7 @@
   Exchange exchange;
 
   (void)state;
-  exchange_begin (&exchange, ANSWER ("other", "no") ANSWER ("mine", "ok"));
+  exchange_begin (&exchange, RESPONSE ("other", "no") RESPONSE ("mine", "ok"));
   run (&exchange, "mine");
   assert_int_equal (exchange.end, MF_LINK_WHOLE);
   assert_int_equal (exchange.n_heads, 1);
@@ -171,7 +172,7 @@
   Exchange exchange;
 
   (void)state;
-  exchange_begin (&exchange, ANSWER ("mine", "ok") ANSWER ("mine", "no"));
+  exchange_begin (&exchange, RESPONSE ("mine", "ok") RESPONSE ("mine", "no"));
   run (&exchange, "mine");
   assert_int_equal (exchange.end, MF_LINK_WHOLE);
   assert_string_equal (exchange.body, "ok");
@@ -185,10 +186,10 @@
   Exchange exchange;
 
   (void)state;
-  exchange_begin (&exchange, ANSWER ("mine", "ok"));
+  exchange_begin (&exchange, RESPONSE ("mine", "ok"));
   run (&exchange, "mine");
   assert_int_equal (exchange.pool.n_idle, 1);
-  fake_wire_send (fake_wire_last_conn (exchange.wire), ANSWER ("mine", "no"));
+  fake_wire_send (fake_wire_last_conn (exchange.wire), RESPONSE ("mine", "no"));
   loop_spin (exchange.loop, 20);
   assert_int_equal (exchange.pool.n_idle, 0);
   run (&exchange, "mine");
@@ -200,7 +201,7 @@
 static void
 test_broken_answers (void **state)
 {
-  static const char *const scripts[] = {
+  static const char *const texts[] = {
     "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
     "HTTP/1.1 200 OK\r\nContent-Le",
@@ -209,9 +210,9 @@
   Exchange exchange;
 
   (void)state;
-  for (size_t i = 0; i < MF_ARRAY_LEN (scripts); i++)
+  for (size_t i = 0; i < MF_ARRAY_LEN (texts); i++)
     {
-      exchange_begin (&exchange, scripts[i]);
+      exchange_begin (&exchange, texts[i]);
       exchange.close_after = true;
       run (&exchange, "mine");
       assert_int_equal (exchange.end, MF_LINK_BROKEN);
@@ -285,7 +286,7 @@
 
   (void)state;
   exchange_begin (&exchange,
-                  ANSWER ("late", "no") "HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\nok");
+                  RESPONSE ("late", "no") "HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\nok");
   run (&exchange, NULL);
   assert_int_equal (exchange.end, MF_LINK_WHOLE);
   assert_int_equal (exchange.status, 202);
--- a/tests/test_message.c
+++ b/tests/test_message.c
@@ -24,13 +24,13 @@
   mf_buffer_add (&reader->body, bytes, n_bytes);
 }
 
-static const MfMessageEvents events = { .body = on_body };
+static const MfMessageEvents callbacks = { .body = on_body };
 
 static void
 reader_begin (Reader *reader, enum http_parser_type type)
 {
   *reader = (Reader){ 0 };
-  mf_message_init (&reader->message, type, &platform_dialect, &events, reader);
+  mf_message_init (&reader->message, type, &platform_dialect, &callbacks, reader);
 }
 
 static void
@@ -42,7 +42,7 @@
 
 /* The fault of a request; MF_CODE_OK when it is whole. */
 static MfCode
-fault_of (const char *text, uint64_t head_bytes_max)
+error_of (const char *text, uint64_t head_bytes_max)
 {
   Reader reader;
   MfCode fault;
@@ -61,35 +61,35 @@
 test_heads_that_hide_a_second_request (void **state)
 {
   (void)state;
-  assert_int_equal (fault_of ("POST / HTTP/1.1\r\nHost: a\r\nContent-Length : 3\r\n\r\nabc", 0),
+  assert_int_equal (error_of ("POST / HTTP/1.1\r\nHost: a\r\nContent-Length : 3\r\n\r\nabc", 0),
                     MF_CODE_BAD_HEADER);
-  assert_int_equal (fault_of ("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n"
+  assert_int_equal (error_of ("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n"
                               "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
                               0),
                     MF_CODE_BAD_LENGTH);
-  assert_int_equal (fault_of ("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n"
+  assert_int_equal (error_of ("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n"
                               "Content-Length: 4\r\n\r\nabcd",
                               0),
                     MF_CODE_BAD_LENGTH);
   assert_int_equal (
-      fault_of ("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\n\r\n", 0),
+      error_of ("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\n\r\n", 0),
       MF_CODE_BAD_LENGTH);
-  assert_int_equal (fault_of ("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1x\r\n\r\n", 0),
+  assert_int_equal (error_of ("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1x\r\n\r\n", 0),
                     MF_CODE_BAD_LENGTH);
-  assert_int_equal (fault_of ("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
+  assert_int_equal (error_of ("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
                               "zz\r\n\r\n",
                               0),
                     MF_CODE_BAD_LENGTH);
-  assert_int_equal (fault_of ("GET / HTTP/1.1\r\nHo st: a\r\n\r\n", 0), MF_CODE_BAD_HEADER);
+  assert_int_equal (error_of ("GET / HTTP/1.1\r\nHo st: a\r\n\r\n", 0), MF_CODE_BAD_HEADER);
 }
 
 static void
 test_head_too_large (void **state)
 {
   (void)state;
-  assert_int_equal (fault_of ("GET / HTTP/1.1\r\nHost: a\r\nX-Long: 0123456789\r\n\r\n", 20),
+  assert_int_equal (error_of ("GET / HTTP/1.1\r\nHost: a\r\nX-Long: 0123456789\r\n\r\n", 20),
                     MF_CODE_HEADERS_TOO_LARGE);
-  assert_int_equal (fault_of ("GET / HTTP/1.1\r\nHost: a\r\n\r\n", 20), MF_CODE_OK);
+  assert_int_equal (error_of ("GET / HTTP/1.1\r\nHost: a\r\n\r\n", 20), MF_CODE_OK);
 }
 
 static void
@@ -178,15 +178,15 @@
   static const char text[] = "GET / HTTP/1.1\r\nHost: a\r\nConnection: keep-alive , "
                              "X-Own\r\nX-Own: 1\r\nX-On: 2\r\n\r\n";
   Reader reader;
-  uint32_t n_hop = 0;
+  uint32_t n_hop_by_hop = 0;
 
   (void)state;
   reader_begin (&reader, HTTP_REQUEST);
   mf_message_feed (&reader.message, text, sizeof text - 1);
   assert_true (reader.message.done);
   for (uint32_t i = 0; i < reader.message.head.n_fields; i++)
-    n_hop += mf_head_is_hop (&reader.message.head, &reader.message.head.fields[i]);
-  assert_int_equal (n_hop, 1);
+    n_hop_by_hop += mf_head_is_hop (&reader.message.head, &reader.message.head.fields[i]);
+  assert_int_equal (n_hop_by_hop, 1);
   reader_end (&reader);
 }
 
--- a/tests/test_platform_decode.c
+++ b/tests/test_platform_decode.c
@@ -12,13 +12,13 @@
   "\"state\":\"ready\",\"coldRemainingMs\":0,\"sequence\":4,\"born\":1781418871288"
 
 static bool
-entry_reads (const char *text, MfTargetInfo *info)
+entry_decode (const char *text, MfTargetInfo *info)
 {
   MfError error = { 0 };
-  bool good = platform_decode_upstream ("i-1", text, strlen (text), info, &error);
+  bool ok = platform_decode_upstream ("i-1", text, strlen (text), info, &error);
 
-  assert_int_equal (good, !mf_error_is_set (&error));
-  return good;
+  assert_int_equal (ok, !mf_error_is_set (&error));
+  return ok;
 }
 
 static void
@@ -27,7 +27,7 @@
   MfTargetInfo info;
 
   (void)state;
-  assert_true (entry_reads (ENTRY "}", &info));
+  assert_true (entry_decode (ENTRY "}", &info));
   assert_string_equal (info.id, "i-1");
   assert_string_equal (info.service, "s");
   assert_string_equal (info.address, "10.0.0.9:80");
@@ -36,9 +36,9 @@
   assert_int_equal (info.slots, 64);
   assert_int_equal (info.born_ms, 1781418871288);
   assert_false (info.leaving);
-  assert_true (entry_reads (ENTRY ",\"stage\":\"prefill\",\"new\":{}}", &info));
+  assert_true (entry_decode (ENTRY ",\"stage\":\"prefill\",\"new\":{}}", &info));
   assert_int_equal (info.role, MF_ROLE_PREFILL);
-  assert_true (entry_reads (ENTRY ",\"stage\":\"decode\"}", &info));
+  assert_true (entry_decode (ENTRY ",\"stage\":\"decode\"}", &info));
   assert_int_equal (info.role, MF_ROLE_DECODE);
 }
 
@@ -74,7 +74,7 @@
 
   (void)state;
   for (size_t i = 0; i < MF_ARRAY_LEN (texts); i++)
-    assert_false (entry_reads (texts[i], &info));
+    assert_false (entry_decode (texts[i], &info));
 }
 
 static void
@@ -83,9 +83,9 @@
   MfTargetInfo info;
 
   (void)state;
-  assert_true (entry_reads ("{\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"zone\":\"z\","
-                            "\"slots\":1,\"state\":\"draining\",\"sequence\":4}",
-                            &info));
+  assert_true (entry_decode ("{\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"zone\":\"z\","
+                             "\"slots\":1,\"state\":\"draining\",\"sequence\":4}",
+                             &info));
   assert_true (info.leaving);
 }
 
--- a/tests/test_platform_settings.c
+++ b/tests/test_platform_settings.c
@@ -6,12 +6,12 @@
 
 #include <cmocka.h>
 
-#define NEEDED                                                                                     \
+#define REQUIRED                                                                                   \
   "node=front-1\nzone=z-a\nlisten.front=10.1.0.35:8144\nlisten.readiness=10.1.0.35:8140\n"         \
   "provider.address=10.200.1.7:8142\n"
 
 static bool
-reads (const char *text, MfRelaySettings *settings, MfError *error)
+parse (const char *text, MfRelaySettings *settings, MfError *error)
 {
   *error = (MfError){ 0 };
   return platform_settings_parse (text, strlen (text), settings, error);
@@ -20,18 +20,18 @@
 static void
 test_all_of_the_page (void **state)
 {
-  static const char text[]
-      = NEEDED "unknown=1\nno line\nlisten.control=10.1.0.35:8146\ninternalPorts=7660,7675\n"
-               "seeds=10.1.0.35:8146,10.2.0.28:8146\nlimits.memoryMb=110\nlimits.maxFds=4100\n"
-               "bounds.contactMs=3500.5\nbounds.drainMs=2000\nbounds.configApplyMs=1500\nbounds."
-               "graceS=8.5\r\n"
-               "bounds.retryBudgetRatio=0.25\nbounds.budgetWindowS=12\nbounds.retryBudgetSlack=52\n"
-               "bounds.fenceRequired=true\nbounds.leaseMs=2500";
+  static const char text[] = REQUIRED
+      "unknown=1\nno line\nlisten.control=10.1.0.35:8146\ninternalPorts=7660,7675\n"
+      "seeds=10.1.0.35:8146,10.2.0.28:8146\nlimits.memoryMb=110\nlimits.maxFds=4100\n"
+      "bounds.contactMs=3500.5\nbounds.drainMs=2000\nbounds.configApplyMs=1500\nbounds."
+      "graceS=8.5\r\n"
+      "bounds.retryBudgetRatio=0.25\nbounds.budgetWindowS=12\nbounds.retryBudgetSlack=52\n"
+      "bounds.fenceRequired=true\nbounds.leaseMs=2500";
   MfRelaySettings settings;
   MfError error;
 
   (void)state;
-  assert_true (reads (text, &settings, &error));
+  assert_true (parse (text, &settings, &error));
   assert_string_equal (settings.name, "front-1");
   assert_string_equal (settings.data_centre, "z-a");
   assert_string_equal (settings.metrics, "10.1.0.35:7660");
@@ -57,9 +57,9 @@
   (void)state;
   /* The lower of two bounds, in either order. */
   assert_true (
-      reads (NEEDED "bounds.configApplyMs=3000\nbounds.drainMs=4000\n", &settings, &error));
+      parse (REQUIRED "bounds.configApplyMs=3000\nbounds.drainMs=4000\n", &settings, &error));
   assert_int_equal (settings.change_us, 3 * MF_US_PER_S);
-  assert_true (reads (NEEDED, &settings, &error));
+  assert_true (parse (REQUIRED, &settings, &error));
   assert_int_equal (settings.contact_us, 3 * MF_US_PER_S);
   assert_int_equal (settings.change_us, 2 * MF_US_PER_S);
   assert_string_equal (settings.peers, "");
@@ -73,14 +73,14 @@
   MfError error;
 
   (void)state;
-  assert_false (reads ("node=a\n", &settings, &error));
+  assert_false (parse ("node=a\n", &settings, &error));
   assert_int_equal (error.code, MF_CODE_TEXT_MISSING);
   assert_non_null (strstr (error.text, "zone"));
-  assert_false (reads (NEEDED "bounds.graceS=soon\n", &settings, &error));
+  assert_false (parse (REQUIRED "bounds.graceS=soon\n", &settings, &error));
   assert_int_equal (error.code, MF_CODE_TEXT_TYPE);
   assert_non_null (strstr (error.text, "bounds.graceS"));
-  assert_false (reads (NEEDED "bounds.graceS=-1\n", &settings, &error));
-  assert_false (reads (NEEDED "bounds.graceS=nan\n", &settings, &error));
+  assert_false (parse (REQUIRED "bounds.graceS=-1\n", &settings, &error));
+  assert_false (parse (REQUIRED "bounds.graceS=nan\n", &settings, &error));
   assert_false (platform_settings_read ("/nowhere/settings.conf", &settings, &error));
 }
 
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -37,8 +37,8 @@
   FakeWire *upstreams[2];
   MfRelay *relay;
   int out;
-  char got[65536];
-} Stage;
+  char received[65536];
+} Fixture;
 
 static void
 on_upstream (FakeWireConn *conn, const char *text, void *data)
@@ -56,7 +56,7 @@
 }
 
 static void
-config_put (Stage *stage, unsigned version, const char *prefix)
+config_put (Fixture *fixture, unsigned version, const char *prefix)
 {
   char text[1024];
 
@@ -66,64 +66,64 @@
       "\"kind\":\"non_idempotent\",\"timeoutMs\":600,\"targetLatencyMs\":100,\"service\":\"s\","
       "\"maxAttempts\":1}],\"services\":[{\"name\":\"s\"}],\"limits\":{}}",
       version, prefix);
-  fake_store_put (stage->store, "op/config", text);
+  fake_store_put (fixture->store, "op/config", text);
 }
 
 static void
-upstream_put (Stage *stage, unsigned index, const char *state)
+upstream_put (Fixture *fixture, unsigned index, const char *state)
 {
   char id[8];
 
   snprintf (id, sizeof id, "u%u", index);
-  fake_store_put_upstream (stage->store, id, "s", fake_wire_address (stage->upstreams[index]), "",
-                           state);
+  fake_store_put_upstream (fixture->store, id, "s", fake_wire_address (fixture->upstreams[index]),
+                           "", state);
 }
 
 /* peers is the address for other instances; empty: there are none. */
 static void
-stage_begin_with (Stage *stage, const char *peers)
+fixture_begin_with (Fixture *fixture, const char *peers)
 {
   MfError error = { 0 };
   FILE *file = fopen (SETTINGS, "w");
 
-  memset (stage, 0, sizeof *stage);
-  stage->loop = ev_default_loop (0);
-  stage->store = fake_store_new (stage->loop);
+  memset (fixture, 0, sizeof *fixture);
+  fixture->loop = ev_default_loop (0);
+  fixture->store = fake_store_new (fixture->loop);
   assert_non_null (file);
   fprintf (file,
            "node=n1\nzone=z\nlisten.front=127.0.0.1:%d\nlisten.readiness=127.0.0.1:%d\n"
            "internalPorts=%d,%d\nprovider.address=%s\nbounds.contactMs=400\nbounds.graceS=3\n"
            "bounds.drainMs=%d\nlisten.control=%s\n",
-           PORT, READY_PORT, METRICS_PORT, METRICS_PORT + 1, fake_store_address (stage->store),
+           PORT, READY_PORT, METRICS_PORT, METRICS_PORT + 1, fake_store_address (fixture->store),
            CHANGE_MS, peers);
   fclose (file);
   for (unsigned i = 0; i < 2; i++)
-    stage->upstreams[i] = fake_wire_new (stage->loop, on_upstream, stage);
-  stage->out = dup (STDOUT_FILENO);
-  stage->relay = mf_relay_new (&platform_deployment, SETTINGS, &error);
-  assert_non_null (stage->relay);
+    fixture->upstreams[i] = fake_wire_new (fixture->loop, on_upstream, fixture);
+  fixture->out = dup (STDOUT_FILENO);
+  fixture->relay = mf_relay_new (&platform_deployment, SETTINGS, &error);
+  assert_non_null (fixture->relay);
 }
 
 static void
-stage_begin (Stage *stage)
+fixture_begin (Fixture *fixture)
 {
-  stage_begin_with (stage, "");
+  fixture_begin_with (fixture, "");
 }
 
 static void
-stage_end (Stage *stage)
+fixture_end (Fixture *fixture)
 {
-  mf_relay_free (stage->relay);
+  mf_relay_free (fixture->relay);
   for (unsigned i = 0; i < 2; i++)
-    fake_wire_free (stage->upstreams[i]);
-  fake_store_free (stage->store);
-  close (stage->out);
+    fake_wire_free (fixture->upstreams[i]);
+  fake_store_free (fixture->store);
+  close (fixture->out);
   unlink (SETTINGS);
 }
 
 /* The status of a request at a port; 0 when the connection ends without one. */
 static int
-status_of (Stage *stage, int port, const char *path)
+status_of (Fixture *fixture, int port, const char *path)
 {
   char text[256];
   int fd = loop_connect ((uint16_t)port);
@@ -133,159 +133,159 @@
   snprintf (text, sizeof text,
             "GET %s HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: t\r\nConnection: close\r\n\r\n", path);
   loop_send (fd, text, strlen (text));
-  loop_receive (stage->loop, fd, NULL, stage->got, sizeof stage->got);
+  loop_receive (fixture->loop, fd, NULL, fixture->received, sizeof fixture->received);
   close (fd);
-  return strncmp (stage->got, "HTTP/1.1 ", 9) == 0 ? atoi (stage->got + 9) : 0;
+  return strncmp (fixture->received, "HTTP/1.1 ", 9) == 0 ? atoi (fixture->received + 9) : 0;
 }
 
 /* What is waited for: a status of a path at a port. */
 typedef struct
 {
-  Stage *stage;
+  Fixture *fixture;
   int port;
   const char *path;
   int status;
-} Wanted;
+} StatusWait;
 
 static bool
 has_status (void *data)
 {
-  Wanted *wanted = data;
+  StatusWait *wait = data;
 
   /* Some time passes between two questions, which are answered at once. */
-  loop_spin (wanted->stage->loop, 5);
-  return status_of (wanted->stage, wanted->port, wanted->path) == wanted->status;
+  loop_spin (wait->fixture->loop, 5);
+  return status_of (wait->fixture, wait->port, wait->path) == wait->status;
 }
 
 static void
-wait_for (Stage *stage, int port, const char *path, int status)
+wait_for (Fixture *fixture, int port, const char *path, int status)
 {
-  Wanted wanted = { stage, port, path, status };
+  StatusWait wait = { fixture, port, path, status };
 
-  assert_true (loop_pump (stage->loop, has_status, &wanted));
+  assert_true (loop_pump (fixture->loop, has_status, &wait));
 }
 
 static void
 test_nothing_is_known_at_first (void **state)
 {
-  Stage stage;
+  Fixture fixture;
 
   (void)state;
-  stage_begin (&stage);
-  assert_int_equal (status_of (&stage, READY_PORT, "/ready"), 503);
+  fixture_begin (&fixture);
+  assert_int_equal (status_of (&fixture, READY_PORT, "/ready"), 503);
   /* Not 404: a configuration may have the route. */
-  assert_int_equal (status_of (&stage, PORT, "/a/1"), 503);
-  assert_non_null (strstr (stage.got, "Retry-After"));
-  config_put (&stage, 1, "/a/");
-  upstream_put (&stage, 0, "ready");
-  wait_for (&stage, READY_PORT, "/ready", 200);
-  wait_for (&stage, PORT, "/a/1", 200);
-  assert_int_equal (status_of (&stage, PORT, "/b/1"), 404);
-  assert_int_equal (status_of (&stage, METRICS_PORT, "/metrics"), 200);
-  assert_non_null (strstr (stage.got, "mangofork_relay_requests_total"));
-  stage_end (&stage);
+  assert_int_equal (status_of (&fixture, PORT, "/a/1"), 503);
+  assert_non_null (strstr (fixture.received, "Retry-After"));
+  config_put (&fixture, 1, "/a/");
+  upstream_put (&fixture, 0, "ready");
+  wait_for (&fixture, READY_PORT, "/ready", 200);
+  wait_for (&fixture, PORT, "/a/1", 200);
+  assert_int_equal (status_of (&fixture, PORT, "/b/1"), 404);
+  assert_int_equal (status_of (&fixture, METRICS_PORT, "/metrics"), 200);
+  assert_non_null (strstr (fixture.received, "mangofork_relay_requests_total"));
+  fixture_end (&fixture);
 }
 
 static void
 test_newer_versions_replace_older_ones_only (void **state)
 {
-  Stage stage;
+  Fixture fixture;
 
   (void)state;
-  stage_begin (&stage);
-  upstream_put (&stage, 0, "ready");
-  config_put (&stage, 5, "/a/");
-  wait_for (&stage, PORT, "/a/1", 200);
-  config_put (&stage, 9, "/b/");
-  wait_for (&stage, PORT, "/b/1", 200);
-  assert_int_equal (status_of (&stage, PORT, "/a/1"), 404);
-  config_put (&stage, 7, "/c/");
-  fake_store_put (stage.store, "op/config", "{\"version\":11,\"routes\":7}");
-  loop_spin (stage.loop, 200);
-  assert_int_equal (status_of (&stage, PORT, "/b/1"), 200);
-  assert_int_equal (status_of (&stage, PORT, "/c/1"), 404);
-  stage_end (&stage);
+  fixture_begin (&fixture);
+  upstream_put (&fixture, 0, "ready");
+  config_put (&fixture, 5, "/a/");
+  wait_for (&fixture, PORT, "/a/1", 200);
+  config_put (&fixture, 9, "/b/");
+  wait_for (&fixture, PORT, "/b/1", 200);
+  assert_int_equal (status_of (&fixture, PORT, "/a/1"), 404);
+  config_put (&fixture, 7, "/c/");
+  fake_store_put (fixture.store, "op/config", "{\"version\":11,\"routes\":7}");
+  loop_spin (fixture.loop, 200);
+  assert_int_equal (status_of (&fixture, PORT, "/b/1"), 200);
+  assert_int_equal (status_of (&fixture, PORT, "/c/1"), 404);
+  fixture_end (&fixture);
 }
 
 static void
 test_leaving_upstreams_get_nothing (void **state)
 {
-  Stage stage;
+  Fixture fixture;
   uint32_t n_before;
 
   (void)state;
-  stage_begin (&stage);
-  config_put (&stage, 1, "/a/");
-  upstream_put (&stage, 0, "ready");
-  wait_for (&stage, PORT, "/a/1", 200);
-  upstream_put (&stage, 1, "ready");
-  upstream_put (&stage, 0, "draining");
-  loop_spin (stage.loop, 400);
-  n_before = fake_wire_n_requests (stage.upstreams[0]);
+  fixture_begin (&fixture);
+  config_put (&fixture, 1, "/a/");
+  upstream_put (&fixture, 0, "ready");
+  wait_for (&fixture, PORT, "/a/1", 200);
+  upstream_put (&fixture, 1, "ready");
+  upstream_put (&fixture, 0, "draining");
+  loop_spin (fixture.loop, 400);
+  n_before = fake_wire_n_requests (fixture.upstreams[0]);
   for (unsigned i = 0; i < 10; i++)
-    assert_int_equal (status_of (&stage, PORT, "/a/1"), 200);
-  assert_int_equal (fake_wire_n_requests (stage.upstreams[0]), n_before);
-  assert_true (fake_wire_n_requests (stage.upstreams[1]) >= 10);
+    assert_int_equal (status_of (&fixture, PORT, "/a/1"), 200);
+  assert_int_equal (fake_wire_n_requests (fixture.upstreams[0]), n_before);
+  assert_true (fake_wire_n_requests (fixture.upstreams[1]) >= 10);
   /* An entry that ends without a word, and one that cannot be read. */
-  fake_store_remove (stage.store, "servers/u1");
-  wait_for (&stage, PORT, "/a/1", 503);
-  upstream_put (&stage, 1, "ready");
-  wait_for (&stage, PORT, "/a/1", 200);
-  fake_store_put (stage.store, "servers/u1", "{\"service\":");
-  wait_for (&stage, PORT, "/a/1", 503);
-  stage_end (&stage);
+  fake_store_remove (fixture.store, "servers/u1");
+  wait_for (&fixture, PORT, "/a/1", 503);
+  upstream_put (&fixture, 1, "ready");
+  wait_for (&fixture, PORT, "/a/1", 200);
+  fake_store_put (fixture.store, "servers/u1", "{\"service\":");
+  wait_for (&fixture, PORT, "/a/1", 503);
+  fixture_end (&fixture);
 }
 
 /* Pages of a list: more upstreams than one page holds are all known. */
 static void
 test_lists_have_pages (void **state)
 {
-  Stage stage;
+  Fixture fixture;
 
   (void)state;
-  stage_begin (&stage);
+  fixture_begin (&fixture);
   for (unsigned i = 0; i < FAKE_STORE_PAGE * 2; i++)
     {
       char id[8];
 
       snprintf (id, sizeof id, "a%u", i);
-      fake_store_put_upstream (stage.store, id, "other", "127.0.0.1:1", "", "ready");
+      fake_store_put_upstream (fixture.store, id, "other", "127.0.0.1:1", "", "ready");
     }
-  upstream_put (&stage, 1, "ready");
-  config_put (&stage, 1, "/a/");
-  wait_for (&stage, PORT, "/a/1", 200);
-  stage_end (&stage);
+  upstream_put (&fixture, 1, "ready");
+  config_put (&fixture, 1, "/a/");
+  wait_for (&fixture, PORT, "/a/1", 200);
+  fixture_end (&fixture);
 }
 
 static void
 test_the_store_is_away_in_every_way (void **state)
 {
-  static const FakeStoreMood moods[]
+  static const FakeStoreMood states[]
       = { FAKE_STORE_BUSY, FAKE_STORE_MANY, FAKE_STORE_RESETS, FAKE_STORE_SILENT };
-  Stage stage;
+  Fixture fixture;
 
   (void)state;
-  stage_begin (&stage);
-  config_put (&stage, 1, "/a/");
-  upstream_put (&stage, 0, "ready");
-  wait_for (&stage, PORT, "/a/1", 200);
-  for (unsigned i = 0; i < MF_ARRAY_LEN (moods); i++)
+  fixture_begin (&fixture);
+  config_put (&fixture, 1, "/a/");
+  upstream_put (&fixture, 0, "ready");
+  wait_for (&fixture, PORT, "/a/1", 200);
+  for (unsigned i = 0; i < MF_ARRAY_LEN (states); i++)
     {
       char prefix[8];
       char path[8];
 
       snprintf (prefix, sizeof prefix, "/%u/", i);
       snprintf (path, sizeof path, "/%u/x", i);
-      fake_store_mood (stage.store, moods[i]);
-      loop_spin (stage.loop, 100);
-      assert_int_equal (status_of (&stage, READY_PORT, "/ready"), 200);
-      config_put (&stage, i + 2, prefix);
+      fake_store_mood (fixture.store, states[i]);
+      loop_spin (fixture.loop, 100);
+      assert_int_equal (status_of (&fixture, READY_PORT, "/ready"), 200);
+      config_put (&fixture, i + 2, prefix);
       /* The history is gone by the time it is back. */
-      fake_store_forget (stage.store);
-      fake_store_mood (stage.store, FAKE_STORE_SERVES);
-      wait_for (&stage, PORT, path, 200);
+      fake_store_forget (fixture.store);
+      fake_store_mood (fixture.store, FAKE_STORE_SERVES);
+      wait_for (&fixture, PORT, path, 200);
     }
-  stage_end (&stage);
+  fixture_end (&fixture);
 }
 
 /* An entry that lapsed while the store was away is used on for a while, and dropped when it is not
@@ -293,36 +293,36 @@
 static void
 test_lapsed_entries_are_kept_for_a_while (void **state)
 {
-  Stage stage;
+  Fixture fixture;
 
   (void)state;
-  stage_begin (&stage);
-  config_put (&stage, 1, "/a/");
-  upstream_put (&stage, 0, "ready");
-  upstream_put (&stage, 1, "ready");
-  wait_for (&stage, PORT, "/a/1", 200);
-  fake_store_mood (stage.store, FAKE_STORE_BUSY);
-  loop_spin (stage.loop, 600);
-  fake_store_remove (stage.store, "servers/u0");
-  fake_store_remove (stage.store, "servers/u1");
-  fake_store_mood (stage.store, FAKE_STORE_SERVES);
-  loop_spin (stage.loop, 300);
-  assert_int_equal (status_of (&stage, PORT, "/a/1"), 200);
-  upstream_put (&stage, 1, "ready");
-  loop_spin (stage.loop, 1300);
-  assert_int_equal (status_of (&stage, PORT, "/a/1"), 200);
-  fake_store_remove (stage.store, "servers/u1");
-  wait_for (&stage, PORT, "/a/1", 503);
-  stage_end (&stage);
+  fixture_begin (&fixture);
+  config_put (&fixture, 1, "/a/");
+  upstream_put (&fixture, 0, "ready");
+  upstream_put (&fixture, 1, "ready");
+  wait_for (&fixture, PORT, "/a/1", 200);
+  fake_store_mood (fixture.store, FAKE_STORE_BUSY);
+  loop_spin (fixture.loop, 600);
+  fake_store_remove (fixture.store, "servers/u0");
+  fake_store_remove (fixture.store, "servers/u1");
+  fake_store_mood (fixture.store, FAKE_STORE_SERVES);
+  loop_spin (fixture.loop, 300);
+  assert_int_equal (status_of (&fixture, PORT, "/a/1"), 200);
+  upstream_put (&fixture, 1, "ready");
+  loop_spin (fixture.loop, 1300);
+  assert_int_equal (status_of (&fixture, PORT, "/a/1"), 200);
+  fake_store_remove (fixture.store, "servers/u1");
+  wait_for (&fixture, PORT, "/a/1", 503);
+  fixture_end (&fixture);
 }
 
 /* Eight instances more in the data centre of the relay. */
 typedef struct
 {
-  Stage stage;
+  Fixture fixture;
   MfPeers *peers[N_PEERS];
   MfFeedRole role; /* the relay's */
-} Centre;
+} PeerFixture;
 
 static void
 on_peer_fill (void *data, MfLoadReport *report)
@@ -340,11 +340,11 @@
 static void
 on_peer_message (void *data, uint64_t peer, const MfRelayMessage *message)
 {
-  Centre *centre = data;
+  PeerFixture *peer_fixture = data;
 
   (void)peer;
   if (message->kind == MF_RELAY_MESSAGE_FEED)
-    centre->role = MF_FEED_READER;
+    peer_fixture->role = MF_FEED_READER;
 }
 
 static void
@@ -354,7 +354,7 @@
   (void)peer;
 }
 
-static const MfPeersUser peers_user = {
+static const MfPeersUser peers_callbacks = {
   .fill = on_peer_fill,
   .changed = on_peer_changed,
   .message = on_peer_message,
@@ -362,13 +362,13 @@
 };
 
 static bool
-all_are_in_touch (void *data)
+all_are_connected (void *data)
 {
-  const Centre *centre = data;
+  const PeerFixture *peer_fixture = data;
 
   for (uint32_t i = 0; i < N_PEERS; i++)
     {
-      if (mf_peers_standing (centre->peers[i], mf_clock_now_us ()).n_instances != N_PEERS + 1)
+      if (mf_peers_standing (peer_fixture->peers[i], mf_clock_now_us ()).n_instances != N_PEERS + 1)
         return false;
     }
   return true;
@@ -376,15 +376,15 @@
 
 /* The relay's address decides by its rank whether it reads for others or is told. */
 static void
-centre_begin (Centre *centre, MfFeedRole role)
+peer_fixture_begin (PeerFixture *peer_fixture, MfFeedRole role)
 {
   MfError error = { 0 };
   char seed[MF_ADDRESS_BYTES];
 
-  memset (centre, 0, sizeof *centre);
-  for (int port = PEER_PORT; centre->role != role; port += N_PEERS + 1)
+  memset (peer_fixture, 0, sizeof *peer_fixture);
+  for (int port = PEER_PORT; peer_fixture->role != role; port += N_PEERS + 1)
     {
-      uint32_t n_first = 0;
+      uint32_t rank = 0;
       uint64_t own;
 
       snprintf (seed, sizeof seed, "127.0.0.1:%d", port);
@@ -394,41 +394,42 @@
           char other[MF_ADDRESS_BYTES];
 
           snprintf (other, sizeof other, "127.0.0.1:%d", port + i);
-          n_first += mf_load_hash (other) * RANK_FACTOR > own;
+          rank += mf_load_hash (other) * RANK_FACTOR > own;
         }
-      centre->role
-          = mf_feed_role (&(MfFeedStanding){ .n_instances = N_PEERS + 1, .rank = n_first });
+      peer_fixture->role
+          = mf_feed_role (&(MfFeedStanding){ .n_instances = N_PEERS + 1, .rank = rank });
     }
-  stage_begin_with (&centre->stage, seed);
+  fixture_begin_with (&peer_fixture->fixture, seed);
   for (int i = 0; i < N_PEERS; i++)
     {
       char address[MF_ADDRESS_BYTES];
 
       snprintf (address, sizeof address, "127.0.0.1:%d", atoi (strchr (seed, ':') + 1) + i + 1);
-      centre->peers[i] = mf_peers_new (centre->stage.loop, address, &peers_user, centre,
-                                       mf_relay_lines (centre->stage.relay), &error);
-      assert_non_null (centre->peers[i]);
-      mf_peers_set_data_centre (centre->peers[i], "z");
-      mf_peers_seed (centre->peers[i], seed);
+      peer_fixture->peers[i]
+          = mf_peers_new (peer_fixture->fixture.loop, address, &peers_callbacks, peer_fixture,
+                          mf_relay_lines (peer_fixture->fixture.relay), &error);
+      assert_non_null (peer_fixture->peers[i]);
+      mf_peers_set_data_centre (peer_fixture->peers[i], "z");
+      mf_peers_seed (peer_fixture->peers[i], seed);
     }
-  centre->role = MF_FEED_ALONE;
-  config_put (&centre->stage, 1, "/a/");
-  upstream_put (&centre->stage, 0, "ready");
-  wait_for (&centre->stage, PORT, "/a/1", 200);
-  assert_true (loop_pump (centre->stage.loop, all_are_in_touch, centre));
+  peer_fixture->role = MF_FEED_ALONE;
+  config_put (&peer_fixture->fixture, 1, "/a/");
+  upstream_put (&peer_fixture->fixture, 0, "ready");
+  wait_for (&peer_fixture->fixture, PORT, "/a/1", 200);
+  assert_true (loop_pump (peer_fixture->fixture.loop, all_are_connected, peer_fixture));
 }
 
 static void
-centre_end (Centre *centre)
+peer_fixture_end (PeerFixture *peer_fixture)
 {
   for (uint32_t i = 0; i < N_PEERS; i++)
-    mf_peers_free (centre->peers[i]);
-  stage_end (&centre->stage);
+    mf_peers_free (peer_fixture->peers[i]);
+  fixture_end (&peer_fixture->fixture);
 }
 
 /* Tells the relay, as a reader, that all up to a revision is as in the feed. */
 static void
-feed_send (Centre *centre, MfFeed *feed, uint64_t to_revision)
+feed_send (PeerFixture *peer_fixture, MfFeed *feed, uint64_t to_revision)
 {
   static MfRelayMessage message;
 
@@ -437,7 +438,7 @@
   message.feed.to_revision = to_revision;
   message.feed.sent_us = mf_clock_awake_us ();
   message.feed.as_of_us = message.feed.sent_us;
-  mf_peers_send_near (centre->peers[0], &message);
+  mf_peers_send_near (peer_fixture->peers[0], &message);
 }
 
 /* While it is told, the relay leaves the store alone and acts on what it is told; when it is told
@@ -445,84 +446,84 @@
 static void
 test_who_is_told_leaves_the_store_alone (void **state)
 {
-  Centre centre;
-  Stage *stage = &centre.stage;
+  PeerFixture peer_fixture;
+  Fixture *fixture = &peer_fixture.fixture;
   MfFeed feed = { 0 };
-  MfFeed missed = { 0 };
+  MfFeed gap_feed = { 0 };
   char value[256];
   uint64_t revision;
   uint64_t until_us;
   uint32_t n_calls;
 
   (void)state;
-  centre_begin (&centre, MF_FEED_FOLLOWER);
-  revision = fake_store_revision (stage->store);
+  peer_fixture_begin (&peer_fixture, MF_FEED_FOLLOWER);
+  revision = fake_store_revision (fixture->store);
   mf_feed_begin (&feed, revision);
   /* Its last call ends within 300 ms. */
   for (uint32_t i = 0; i < 10; i++)
     {
-      feed_send (&centre, &feed, revision);
-      loop_spin (stage->loop, 50);
+      feed_send (&peer_fixture, &feed, revision);
+      loop_spin (fixture->loop, 50);
     }
-  n_calls = fake_store_n_calls (stage->store);
+  n_calls = fake_store_n_calls (fixture->store);
   until_us = mf_clock_now_us () + 1200 * MF_US_PER_MS;
   while (mf_clock_now_us () < until_us)
     {
-      feed_send (&centre, &feed, revision);
-      loop_spin (stage->loop, 50);
+      feed_send (&peer_fixture, &feed, revision);
+      loop_spin (fixture->loop, 50);
     }
-  assert_int_equal (fake_store_n_calls (stage->store), n_calls);
-  assert_int_equal (status_of (stage, PORT, "/a/1"), 200);
+  assert_int_equal (fake_store_n_calls (fixture->store), n_calls);
+  assert_int_equal (status_of (fixture, PORT, "/a/1"), 200);
   snprintf (value, sizeof value,
             "{\"service\":\"s\",\"address\":\"%s\",\"zone\":\"z\",\"version\":1,\"slots\":4,"
             "\"state\":\"draining\",\"coldRemainingMs\":0,\"sequence\":2}",
-            fake_wire_address (stage->upstreams[0]));
+            fake_wire_address (fixture->upstreams[0]));
   assert_true (mf_feed_add (&feed, "servers/u0", revision + 1, false, value, strlen (value)));
-  feed_send (&centre, &feed, revision + 1);
-  wait_for (stage, PORT, "/a/1", 503);
-  assert_int_equal (fake_store_n_calls (stage->store), n_calls);
+  feed_send (&peer_fixture, &feed, revision + 1);
+  wait_for (fixture, PORT, "/a/1", 503);
+  assert_int_equal (fake_store_n_calls (fixture->store), n_calls);
   /* The reader falls silent. */
   until_us = mf_clock_now_us () + CHANGE_MS * MF_US_PER_MS;
-  while (mf_clock_now_us () < until_us && fake_store_n_calls (stage->store) == n_calls)
-    loop_spin (stage->loop, 5);
-  assert_true (fake_store_n_calls (stage->store) > n_calls);
+  while (mf_clock_now_us () < until_us && fake_store_n_calls (fixture->store) == n_calls)
+    loop_spin (fixture->loop, 5);
+  assert_true (fake_store_n_calls (fixture->store) > n_calls);
   /* A feed that goes on from what the relay has not heard of. */
-  mf_feed_begin (&missed, revision + 7);
+  mf_feed_begin (&gap_feed, revision + 7);
   for (uint32_t i = 0; i < 10; i++)
     {
-      feed_send (&centre, &missed, revision + 8);
-      loop_spin (stage->loop, 50);
+      feed_send (&peer_fixture, &gap_feed, revision + 8);
+      loop_spin (fixture->loop, 50);
     }
   /* The store's own revision of what was told before it, and what the relay reads. */
-  upstream_put (stage, 0, "draining");
-  upstream_put (stage, 1, "ready");
-  wait_for (stage, PORT, "/a/1", 200);
+  upstream_put (fixture, 0, "draining");
+  upstream_put (fixture, 1, "ready");
+  wait_for (fixture, PORT, "/a/1", 200);
   mf_feed_clear (&feed);
-  mf_feed_clear (&missed);
-  centre_end (&centre);
+  mf_feed_clear (&gap_feed);
+  peer_fixture_end (&peer_fixture);
 }
 
 /* The first of a data centre read, and tell the others what they have read. */
 static void
 test_who_reads_tells_the_others (void **state)
 {
-  Centre centre;
+  PeerFixture peer_fixture;
 
   (void)state;
-  centre_begin (&centre, MF_FEED_READER);
-  upstream_put (&centre.stage, 1, "ready");
-  loop_spin (centre.stage.loop, 400);
-  assert_int_equal (centre.role, MF_FEED_READER);
-  centre_end (&centre);
+  peer_fixture_begin (&peer_fixture, MF_FEED_READER);
+  upstream_put (&peer_fixture.fixture, 1, "ready");
+  loop_spin (peer_fixture.fixture.loop, 400);
+  assert_int_equal (peer_fixture.role, MF_FEED_READER);
+  peer_fixture_end (&peer_fixture);
 }
 
 static bool
 cannot_connect (void *data)
 {
-  Stage *stage = data;
+  Fixture *fixture = data;
   int fd;
 
-  loop_spin (stage->loop, 2);
+  loop_spin (fixture->loop, 2);
   fd = loop_connect (PORT);
   if (fd >= 0)
     close (fd);
@@ -534,30 +535,30 @@
 static void
 test_shutdown (void **state)
 {
-  static const char late[] = "GET /a/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: t\r\n\r\n";
-  Stage stage;
+  static const char request[] = "GET /a/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: t\r\n\r\n";
+  Fixture fixture;
   int kept;
 
   (void)state;
-  stage_begin (&stage);
-  config_put (&stage, 1, "/a/");
-  upstream_put (&stage, 0, "ready");
-  wait_for (&stage, PORT, "/a/1", 200);
+  fixture_begin (&fixture);
+  config_put (&fixture, 1, "/a/");
+  upstream_put (&fixture, 0, "ready");
+  wait_for (&fixture, PORT, "/a/1", 200);
   raise (SIGTERM);
-  wait_for (&stage, READY_PORT, "/ready", 503);
-  assert_int_equal (status_of (&stage, PORT, "/a/1"), 200);
-  assert_non_null (strstr (stage.got, "Connection: close"));
+  wait_for (&fixture, READY_PORT, "/ready", 503);
+  assert_int_equal (status_of (&fixture, PORT, "/a/1"), 200);
+  assert_non_null (strstr (fixture.received, "Connection: close"));
   kept = loop_connect (PORT);
-  assert_true (loop_pump (stage.loop, cannot_connect, &stage));
-  assert_int_equal (status_of (&stage, READY_PORT, "/ready"), 503);
+  assert_true (loop_pump (fixture.loop, cannot_connect, &fixture));
+  assert_int_equal (status_of (&fixture, READY_PORT, "/ready"), 503);
   /* For some moments more an answer would still come before the end. */
-  loop_spin (stage.loop, 100);
-  loop_send (kept, late, strlen (late));
-  loop_receive (stage.loop, kept, NULL, stage.got, sizeof stage.got);
-  assert_true (stage.got[0] == '\0' || strncmp (stage.got, "HTTP/1.1 503", 12) == 0);
+  loop_spin (fixture.loop, 100);
+  loop_send (kept, request, strlen (request));
+  loop_receive (fixture.loop, kept, NULL, fixture.received, sizeof fixture.received);
+  assert_true (fixture.received[0] == '\0' || strncmp (fixture.received, "HTTP/1.1 503", 12) == 0);
   close (kept);
-  mf_relay_run (stage.relay);
-  stage_end (&stage);
+  mf_relay_run (fixture.relay);
+  fixture_end (&fixture);
   /* A signal that comes while the process ends does not end it in another way. */
   raise (SIGTERM);
   signal (SIGTERM, SIG_IGN);
@@ -566,17 +567,17 @@
 static void
 test_settings_are_read_again (void **state)
 {
-  Stage stage;
+  Fixture fixture;
   FakeStore *other;
   uint32_t n_before;
   FILE *file;
 
   (void)state;
-  stage_begin (&stage);
-  config_put (&stage, 1, "/a/");
-  upstream_put (&stage, 0, "ready");
-  wait_for (&stage, PORT, "/a/1", 200);
-  other = fake_store_new (stage.loop);
+  fixture_begin (&fixture);
+  config_put (&fixture, 1, "/a/");
+  upstream_put (&fixture, 0, "ready");
+  wait_for (&fixture, PORT, "/a/1", 200);
+  other = fake_store_new (fixture.loop);
   file = fopen (SETTINGS, "w");
   assert_non_null (file);
   fprintf (file,
@@ -585,7 +586,7 @@
            PORT, READY_PORT, fake_store_address (other));
   fclose (file);
   raise (SIGHUP);
-  loop_spin (stage.loop, 300);
+  loop_spin (fixture.loop, 300);
   assert_true (fake_store_n_calls (other) > 0);
   /* Without a signal it takes a look at the file. */
   file = fopen (SETTINGS, "w");
@@ -593,19 +594,19 @@
   fprintf (file,
            "node=n1\nzone=z\nlisten.front=127.0.0.1:%d\nlisten.readiness=127.0.0.1:%d\n"
            "provider.address=%s\nbounds.contactMs=400\n",
-           PORT, READY_PORT, fake_store_address (stage.store));
+           PORT, READY_PORT, fake_store_address (fixture.store));
   fclose (file);
-  n_before = fake_store_n_calls (stage.store);
-  loop_spin (stage.loop, 900);
-  assert_true (fake_store_n_calls (stage.store) > n_before);
+  n_before = fake_store_n_calls (fixture.store);
+  loop_spin (fixture.loop, 900);
+  assert_true (fake_store_n_calls (fixture.store) > n_before);
   /* Faulty settings change nothing. */
   file = fopen (SETTINGS, "w");
   assert_non_null (file);
   fclose (file);
   raise (SIGHUP);
-  loop_spin (stage.loop, 50);
-  assert_int_equal (status_of (&stage, READY_PORT, "/ready"), 200);
-  stage_end (&stage);
+  loop_spin (fixture.loop, 50);
+  assert_int_equal (status_of (&fixture, READY_PORT, "/ready"), 200);
+  fixture_end (&fixture);
   fake_store_free (other);
 }
 
