--- a/libmangofork/relay/caller.c
+++ b/libmangofork/relay/caller.c
@@ -14,14 +14,15 @@
 #include <xxhash.h>
 
 #define READ_BYTES 16384
-/* Bytes kept of requests that a caller sends before it has the answer to an earlier one. */
+/* Pipelined requests are buffered up to this size while an earlier one is being served; a caller
+ * that sends more is disconnected. */
 #define PIPELINED_BYTES_MAX 65536
-/* A caller that has so much unread is not sent more until it has read. */
+/* A streamed response is paused while more than this is buffered for a slow caller. */
 #define UNSENT_BYTES_MAX 262144
-/* Connections taken in one turn of the loop. */
+/* Connections accepted in one iteration of the event loop. */
 #define ACCEPTS_MAX 64
-/* After a request that cannot be read, what still comes is read for so long, that the answer is not
- * lost to a reset. */
+/* After the last response on a connection, input is read and discarded for this long. Closing a
+ * socket with unread input sends a reset, and the caller could lose the response to it. */
 #define LINGER_US (500 * MF_US_PER_MS)
 
 struct MfDoor
@@ -40,10 +41,10 @@
 
 typedef enum
 {
-  CALLER_READING,    /* between requests, or in one */
-  CALLER_WAITING,    /* its request is being served */
-  CALLER_RESPONDING, /* the answer is being written */
-  CALLER_LINGERING,
+  CALLER_READING,    /* idle, or reading a request */
+  CALLER_WAITING,    /* the request is being served */
+  CALLER_RESPONDING, /* the rest of the response is being written */
+  CALLER_LINGERING,  /* the response is written; input is discarded until the connection closes */
 } CallerState;
 
 struct MfCaller
@@ -58,17 +59,17 @@
   ev_timer timer;
   MfMessage message;
   MfBuffer body;
-  MfBuffer in; /* read, and not yet looked at */
+  MfBuffer in; /* received, not parsed yet */
   MfBuffer out;
   void *job;
-  uint64_t address_hash; /* hash of the address it comes from, without the port */
+  uint64_t address_hash; /* of the peer's IP address, without the port */
   uint64_t begun_us;
-  uint64_t timer_us; /* when the timer is due */
+  uint64_t timer_us;
   bool chunked;
-  bool closing; /* the connection ends with the answer */
+  bool closing; /* the connection closes after the response */
   bool write_paused;
-  bool write_failed; /* a write failed; the loop finds the caller gone */
-  bool closed;       /* memory goes once the outermost call returns */
+  bool write_failed; /* the caller is disconnected from the event loop */
+  bool closed;       /* freed when the outermost function that holds it returns */
   uint32_t n_holds;
 };
 
@@ -112,7 +113,7 @@
   free (caller);
 }
 
-/* The connection is gone while its request was being served. */
+/* Closes the connection, and reports it if a request was being served. */
 static void
 caller_disconnect (MfCaller *caller)
 {
@@ -133,7 +134,8 @@
   ev_timer_start (caller->door->loop, &caller->timer);
 }
 
-/* The connection has failed under a write. Its user is told from the loop, as it may be calling. */
+/* Handles a failed write. The departed callback is called later, from the event loop, since the
+ * write may have been started by the user of the listener. */
 static void
 caller_write_failed (MfCaller *caller)
 {
@@ -179,7 +181,7 @@
     ev_io_stop (caller->door->loop, &caller->writer);
 }
 
-/* The answer has been written: goes on to the next request or closes. */
+/* When the response has been written, waits for the next request or closes the connection. */
 static void
 response_finish (MfCaller *caller)
 {
@@ -230,7 +232,7 @@
     mf_buffer_add_text (&caller->out, "Connection: close\r\n");
 }
 
-/* Answers in one piece. headers holds whole lines, or is NULL. */
+/* Sends a complete response. headers holds complete header lines, or is NULL. */
 void
 mf_caller_reply (MfCaller *caller, uint32_t status, const MfBuffer *headers, const char *body,
                  size_t body_bytes)
@@ -240,7 +242,7 @@
 
   caller_hold (caller);
   response_head_write (caller, status, headers);
-  /* The length of what a HEAD leaves out is not known here. */
+  /* The length of the body that a response to HEAD leaves out is not known here. */
   if (!is_head && status != 204 && status != 304)
     {
       snprintf (line, sizeof line, "Content-Length: %zu\r\n", body_bytes);
@@ -257,8 +259,7 @@
   caller_release (caller);
 }
 
-/* Answers piece by piece. The answer ends whole with mf_caller_end, or broken with mf_caller_abort.
- */
+/* Begins a streamed response. mf_caller_end completes it; mf_caller_abort cuts it off. */
 void
 mf_caller_begin (MfCaller *caller, uint32_t status, const MfBuffer *headers)
 {
@@ -274,7 +275,7 @@
   caller_release (caller);
 }
 
-/* Sends the next bytes of an answer that was begun. */
+/* Sends the next bytes of a streamed response. */
 void
 mf_caller_write (MfCaller *caller, const char *bytes, size_t n_bytes)
 {
@@ -301,7 +302,7 @@
   caller_release (caller);
 }
 
-/* Ends an answer that was begun, whole. */
+/* Completes a streamed response. */
 void
 mf_caller_end (MfCaller *caller)
 {
@@ -316,7 +317,8 @@
   caller_release (caller);
 }
 
-/* Closes the connection so that the answer cannot look whole. */
+/* Closes the connection in such a way that the caller cannot take the response for complete:
+ * without the last chunk, or with a reset where the response has no chunks. */
 void
 mf_caller_abort (MfCaller *caller)
 {
@@ -331,7 +333,7 @@
   caller_release (caller);
 }
 
-/* Refuses what cannot be read; nothing that follows on the connection is looked at. */
+/* Rejects a malformed request. What follows on the connection is discarded. */
 static void
 caller_reject (MfCaller *caller, MfCode code)
 {
@@ -376,7 +378,8 @@
 
 static const MfMessageEvents message_events = { .head = on_head, .body = on_body };
 
-/* What is wrong with the head of a request that HTTP's own rules allow to be read. */
+/* Checks the head of a request that the parser has accepted: exactly one Host, and a target that is
+ * a path. */
 static MfCode
 request_check (const MfCaller *caller)
 {
@@ -390,7 +393,7 @@
   return MF_CODE_OK;
 }
 
-/* Reads requests from what has come, until one is to be served. */
+/* Parses the buffered input until a request is complete or the input is used up. */
 static void
 caller_advance (MfCaller *caller)
 {
@@ -558,7 +561,8 @@
     }
 }
 
-/* Opens a door at an address. The user and its data are borrowed. */
+/* Listens at an address. The callbacks and their data are borrowed. Returns NULL with error set on
+ * failure. */
 MfDoor *
 mf_door_new (struct ev_loop *loop, const char *address, const MfDialect *dialect,
              const MfDoorUser *user, void *data, MfError *error)
@@ -567,7 +571,7 @@
 
   if (door == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for a door");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while opening a listener");
       return NULL;
     }
   *door = (MfDoor){ .loop = loop, .dialect = dialect, .user = user, .data = data };
@@ -583,7 +587,7 @@
   return door;
 }
 
-/* Closes the door and all its connections at once. Accepts NULL. */
+/* Closes the listener and all its connections at once. Accepts NULL. */
 void
 mf_door_free (MfDoor *door)
 {
@@ -601,28 +605,28 @@
   free (door);
 }
 
-/* Puts limits in force, for what is read from now on. */
+/* Sets the limits for requests that are read from now on. */
 void
 mf_door_limit (MfDoor *door, const MfDoorLimits *limits)
 {
   door->limits = *limits;
 }
 
-/* Connections of callers, idle ones included. */
+/* Returns the number of open connections, idle ones included. */
 uint32_t
 mf_door_n_callers (const MfDoor *door)
 {
   return door->n_callers;
 }
 
-/* From now on, connections close after the answer that is due on them. */
+/* From now on each connection closes after its next response. */
 void
 mf_door_retire (MfDoor *door)
 {
   door->keep_alive_ended = true;
 }
 
-/* Closes the connections on which nothing is due. */
+/* Closes the connections on which no request has begun. */
 void
 mf_door_close_idle (MfDoor *door)
 {
@@ -639,7 +643,7 @@
     }
 }
 
-/* Takes no further connection. */
+/* Closes the listening socket; open connections stay. */
 void
 mf_door_shut (MfDoor *door)
 {
@@ -650,14 +654,13 @@
   door->fd = -1;
 }
 
-/* The request that waits for its answer. */
+/* Returns the head of the request that is being served. */
 const MfHead *
 mf_caller_head (const MfCaller *caller)
 {
   return &caller->message.head;
 }
 
-/* The method of the request, as the caller wrote it. */
 const char *
 mf_caller_method (const MfCaller *caller)
 {
@@ -670,21 +673,21 @@
   return &caller->body;
 }
 
-/* When the first byte of the request was read. */
+/* Returns when the first byte of the request was read, on the monotonic clock. */
 uint64_t
 mf_caller_begun_us (const MfCaller *caller)
 {
   return caller->begun_us;
 }
 
-/* Hash of the address that the connection comes from, without its port. */
+/* Returns a hash of the peer's IP address, without the port. */
 uint64_t
 mf_caller_host (const MfCaller *caller)
 {
   return caller->address_hash;
 }
 
-/* What the answer will be given to: the user's own. */
+/* Attaches a pointer of the user to the request; it is cleared when the response ends. */
 void
 mf_caller_attach (MfCaller *caller, void *job)
 {
--- a/libmangofork/relay/caller.h
+++ b/libmangofork/relay/caller.h
@@ -8,20 +8,22 @@
 typedef struct MfCaller MfCaller;
 typedef struct MfDoor MfDoor;
 
-/* What serves the requests that come through a door. departed and writable may be NULL. */
+/* Callbacks of a listener. departed and writable may be NULL. */
 typedef struct
 {
-  /* A request has come whole. It is answered with one of the calls below, now or later. */
+  /* A complete request has been read. It is answered with mf_caller_reply or mf_caller_begin, from
+   * this callback or later. */
   void (*request) (void *data, MfCaller *caller);
-  /* The caller has left before its answer was whole; caller is not used afterwards. */
+  /* The caller has disconnected before its response was complete. caller must not be used any
+   * more. */
   void (*departed) (void *data, MfCaller *caller);
-  /* The caller can, or can no longer, take more of a stream. */
+  /* The send buffer of a streamed response has become too full, or has been drained. */
   void (*writable) (void *data, MfCaller *caller, bool can_write);
-  /* The relay itself refuses this request, which cannot be read. */
+  /* A malformed or too large request has been rejected without a call of request. */
   void (*refused) (void *data, MfCode code);
 } MfDoorUser;
 
-/* Limits of a door; they may change while it is open. */
+/* Limits of a listener; they may change while it is open. */
 typedef struct
 {
   uint64_t header_bytes_max;
--- a/libmangofork/relay/link.c
+++ b/libmangofork/relay/link.c
@@ -10,14 +10,14 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Bytes read from a connection at a time; an event of a stream is below 3 KB. */
+/* Bytes read from a connection at a time; the events of an engine's stream are below 3 KB. */
 #define READ_BYTES 16384
-/* Bytes of a request's id, as in MfLinkCall.echo_id. */
+/* Size of a request id, its closing NUL included. */
 #define REQUEST_ID_BYTES 128
-/* Part of the idle time a peer names that is used: the close must not cross a request. */
+/* Part of the peer's Keep-Alive time-out for which an idle connection is reused. The margin keeps a
+ * request from being sent while the peer closes the connection. */
 #define KEEP_ALIVE_PERCENT 60
-/* Probes of a silent connection: first after, then every second, so many. A peer that is gone is
- * then found within four seconds. */
+/* TCP keep-alive: a peer that has vanished is detected within four seconds. */
 #define PROBE_IDLE_S 1
 #define PROBE_INTERVAL_S 1
 #define PROBE_COUNT 3
@@ -27,7 +27,7 @@
   LINK_CONNECTING,
   LINK_BUSY,
   LINK_IDLE,
-  LINK_ENDING, /* its end is reported from the loop */
+  LINK_ENDING, /* has failed; the event loop reports it */
 } LinkState;
 
 struct MfLink
@@ -39,26 +39,26 @@
   LinkState state;
   ev_io reader;
   ev_io writer;
-  ev_timer timer; /* connecting: time-out; idle: close; ending: at once */
+  ev_timer timer; /* connecting and busy: time-out; idle: close; ending: due at once */
   MfMessage message;
   MfBuffer out;
   const MfLinkUser *user;
   void *data;
   char echo_id[REQUEST_ID_BYTES];
   bool head_only;
-  bool id_mismatch;     /* the answer being read belongs to another request */
-  bool had_id_mismatch; /* some answer on this connection did */
+  bool id_mismatch;     /* the response being read belongs to another request */
+  bool had_id_mismatch; /* so did an earlier one on this connection, or this one */
   bool has_sent;
-  bool no_request;  /* opened to see whether the peer takes it */
-  bool in_callback; /* the user is being called */
-  bool cancelled;   /* by the user, while it was being called */
+  bool no_request;  /* opened by mf_link_open */
+  bool in_callback; /* a callback is running */
+  bool cancelled;   /* from within a callback */
   uint64_t timeout_us;
   uint64_t idle_since_us;
-  uint64_t idle_timeout_us; /* how long it may be idle */
+  uint64_t idle_timeout_us; /* since idle_since_us */
   const char *why;
 };
 
-/* Takes the link out of its pool, which may be gone before the link is. */
+/* Removes the link from its pool, which may be freed before the link. */
 static void
 link_detach (MfLink *link)
 {
@@ -98,7 +98,7 @@
   pool->n_idle--;
 }
 
-/* Reports the end and frees the link. */
+/* Frees the link and reports the end of the exchange. */
 static void
 link_end (MfLink *link, MfLinkEnd end, const char *why)
 {
@@ -115,7 +115,7 @@
   link_end (link, link->has_sent ? MF_LINK_BROKEN : MF_LINK_UNREACHED, why);
 }
 
-/* Reports a failure from the loop, as the user must not be called while it calls. */
+/* Reports a failure from the event loop, since callbacks must not run within mf_link_start. */
 static void
 link_fail_later (MfLink *link, const char *why)
 {
@@ -128,7 +128,7 @@
   ev_timer_start (link->pool->loop, &link->timer);
 }
 
-/* Puts a connection with nothing on it among the idle ones, for so long. */
+/* Adds the connection to the idle ones, for idle_timeout_us at most. */
 static void
 link_make_idle (MfLink *link, uint64_t idle_timeout_us)
 {
@@ -151,7 +151,8 @@
   ev_timer_start (pool->loop, &link->timer);
 }
 
-/* Keeps the connection for the next request, or closes it when that would not be safe. */
+/* Keeps the connection for the next request, or closes it when its reuse would not be safe.
+ * has_surplus tells that bytes have followed the response. */
 static void
 link_recycle (MfLink *link, bool has_surplus)
 {
@@ -176,7 +177,6 @@
   link_make_idle (link, idle_timeout_us);
 }
 
-/* The answer to this request is whole. */
 static void
 link_complete (MfLink *link, bool has_surplus)
 {
@@ -196,8 +196,8 @@
 
   if (pool->heard != NULL)
     pool->heard (pool->owner, &message->head, message->parser.status_code);
-  /* An upstream echoes the id that it was sent: what names any other, or names one where none was
-   * sent, answers another request. */
+  /* An upstream echoes the request id that it was sent. A response with another id, or with an id
+   * where none was sent, is the late response to another request and is skipped. */
   link->id_mismatch = mf_head_copy (&message->head, MF_WORD_REQUEST_ID, id, sizeof id)
                       && id[0] != '\0' && strcmp (id, link->echo_id) != 0;
   if (link->id_mismatch)
@@ -222,7 +222,7 @@
 
 static const MfMessageEvents message_events = { .head = on_head, .body = on_body };
 
-/* Reads the answers in some bytes. Returns false when the link is gone. */
+/* Parses received bytes. Returns false when the link has ended or become idle. */
 static bool
 link_feed (MfLink *link, const char *bytes, size_t n_bytes)
 {
@@ -240,7 +240,7 @@
         }
       if (link->message.fault != MF_CODE_OK)
         {
-          link_fail (link, "the answer is not HTTP");
+          link_fail (link, "malformed HTTP response");
           return false;
         }
       if (!link->message.done)
@@ -257,7 +257,7 @@
   return true;
 }
 
-/* The peer has closed or the connection has failed. */
+/* Handles a connection that the peer has closed (clean), or that has failed. */
 static void
 link_closed (MfLink *link, bool clean)
 {
@@ -287,7 +287,7 @@
     return;
   if (link->state == LINK_IDLE)
     {
-      /* Closed, or an answer that nobody asked for. */
+      /* Closed by the peer, or a response without a request. */
       idle_remove (link);
       link_free (link);
       return;
@@ -300,7 +300,8 @@
   link_feed (link, bytes, (size_t)n_read);
 }
 
-/* Writes what is left of the request. Returns false on a failed connection. */
+/* Sends the rest of the request, as far as the socket takes it. Returns false on a failed
+ * connection. */
 static bool
 link_flush (MfLink *link)
 {
@@ -325,19 +326,18 @@
   return true;
 }
 
-/* Starts the time within which the answer must be whole, if there is one. */
+/* Starts the time-out of the exchange, if it has one. */
 static void
 link_set_timeout (MfLink *link)
 {
   ev_timer_stop (link->pool->loop, &link->timer);
   if (link->timeout_us == 0)
     return;
-  link->why = "no whole answer in time";
+  link->why = "response timed out";
   ev_timer_set (&link->timer, (double)link->timeout_us / (double)MF_US_PER_S, 0.);
   ev_timer_start (link->pool->loop, &link->timer);
 }
 
-/* The connection could not be made. */
 static void
 link_connect_failed (MfLink *link, int fault)
 {
@@ -345,10 +345,10 @@
 
   if (fault == ECONNREFUSED && pool->refused != NULL)
     pool->refused (pool->owner);
-  link_fail (link, "the connection was refused");
+  link_fail (link, "connect failed");
 }
 
-/* The peer has taken a connection without a request, which waits for the next one. */
+/* A connection without a request has been accepted; it is kept for the next request. */
 static void
 link_opened (MfLink *link)
 {
@@ -390,7 +390,8 @@
       ev_io_start (link->pool->loop, &link->reader);
       link_set_timeout (link);
     }
-  /* A peer may answer and close before it has read all; its answer is read first. */
+  /* A peer may respond and close before it has read the complete request; its response is read
+   * first. */
   if (!link_flush (link))
     {
       ev_io_stop (link->pool->loop, &link->writer);
@@ -413,7 +414,7 @@
       link_free (link);
       return;
     case LINK_CONNECTING:
-      link_fail (link, "connecting took too long");
+      link_fail (link, "connect timed out");
       return;
     default:
       link_fail (link, link->why);
@@ -421,7 +422,7 @@
     }
 }
 
-/* Makes the kernel find out about a peer that is gone without a word. */
+/* Makes the kernel detect a peer that has vanished without closing the connection. */
 static void
 socket_set_keepalive (int fd, uint64_t unacked_timeout_us)
 {
@@ -439,7 +440,7 @@
     setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms, sizeof timeout_ms);
 }
 
-/* Opens a connection; its failure, if at once, is reported from the loop. */
+/* Opens a connection. An immediate failure is reported from the event loop. */
 static MfLink *
 link_connect (MfLinkPool *pool)
 {
@@ -463,7 +464,7 @@
   link->writer.data = link;
   if (link->fd < 0)
     {
-      link_fail_later (link, "no connection could be opened");
+      link_fail_later (link, "could not open a connection");
       return link;
     }
   socket_set_keepalive (link->fd, pool->unacked_timeout_us);
@@ -474,7 +475,7 @@
   return link;
 }
 
-/* Takes the connection that was used last, unless it has been idle for too long. */
+/* Returns the most recently used idle connection, or NULL when it has been idle for too long. */
 static MfLink *
 idle_take (MfLinkPool *pool, uint64_t idle_max_us)
 {
@@ -493,8 +494,8 @@
   return link;
 }
 
-/* Opens a connection without a request, to see whether the peer takes it; it is then kept for the
- * next request. NULL without memory. */
+/* Opens a connection without a request, to see whether the peer accepts it; it is then kept for the
+ * next request. Returns NULL when memory runs out. */
 MfLink *
 mf_link_open (MfLinkPool *pool, const MfLinkUser *user, void *data)
 {
@@ -508,7 +509,8 @@
   return link;
 }
 
-/* Sends a request on an idle connection or a new one. NULL without memory or descriptors. */
+/* Sends a request on an idle connection or a new one. Returns NULL when memory runs out; all other
+ * failures are reported to the end callback. */
 MfLink *
 mf_link_start (MfLinkPool *pool, const MfLinkCall *call)
 {
@@ -530,7 +532,7 @@
   mf_buffer_add (&link->out, call->head, call->head_bytes);
   mf_buffer_add (&link->out, call->body, call->body_bytes);
   if (link->out.failed)
-    link_fail_later (link, "memory ran out");
+    link_fail_later (link, "out of memory");
   else if (link->state == LINK_BUSY)
     {
       link_set_timeout (link);
@@ -540,7 +542,7 @@
   return link;
 }
 
-/* Ends the exchange and closes its connection; the user hears nothing more. */
+/* Ends the exchange and closes its connection; no callback is called any more. */
 void
 mf_link_cancel (MfLink *link)
 {
@@ -553,7 +555,7 @@
   link_detach (link);
 }
 
-/* Stops or goes on reading the answer, for a caller that reads slowly. */
+/* Pauses or resumes reading the response, for a caller that reads slowly. */
 void
 mf_link_hold (MfLink *link, bool held)
 {
@@ -565,14 +567,14 @@
     ev_io_start (link->pool->loop, &link->reader);
 }
 
-/* Whether a byte of the request may have left. */
+/* Whether any byte of the request has been sent. */
 bool
 mf_link_has_sent (const MfLink *link)
 {
   return link->has_sent;
 }
 
-/* Closes the idle connections. */
+/* Closes the idle connections of the pool. */
 void
 mf_link_pool_close (MfLinkPool *pool)
 {
--- a/libmangofork/relay/link.h
+++ b/libmangofork/relay/link.h
@@ -7,46 +7,49 @@
 
 typedef struct MfLink MfLink;
 
-/* How an exchange on a connection ended. */
+/* How an HTTP exchange ended. */
 typedef enum
 {
-  MF_LINK_WHOLE,     /* the answer came whole */
-  MF_LINK_UNREACHED, /* no byte of the request has left */
-  MF_LINK_BROKEN,    /* some of it has left; the answer did not come whole */
+  MF_LINK_WHOLE,     /* the response is complete */
+  MF_LINK_UNREACHED, /* no byte of the request was sent */
+  MF_LINK_BROKEN,    /* part of it was sent; the response is missing or incomplete */
 } MfLinkEnd;
 
-/* What an exchange tells its user; never from within mf_link_start. head and body may be NULL. */
+/* Callbacks of an exchange, never called from within mf_link_start. head and body may be NULL. */
 typedef struct
 {
-  /* The head of the answer to this request. */
+  /* The head of the response has been read. */
   void (*head) (void *data, const MfHead *head, uint32_t status);
   void (*body) (void *data, const char *bytes, size_t n_bytes);
-  /* The link is gone for the user when this is called. why names the cause in plain words. */
+  /* The exchange has ended and the link must not be used any more. why is the cause, for
+   * the log. */
   void (*end) (void *data, MfLinkEnd end, const char *why);
 } MfLinkUser;
 
-/* The connections to one address. */
+/* The connections to one address, with those that are idle kept for reuse. */
 typedef struct
 {
   struct ev_loop *loop;
   const MfDialect *dialect;
   char address[MF_ADDRESS_BYTES];
-  MfLink *idle; /* the last used first */
+  MfLink *idle; /* most recently used first */
   uint32_t n_idle;
   uint32_t n_idle_max;
-  uint32_t n_links;         /* idle ones included */
-  uint64_t idle_default_us; /* an idle connection is kept this long when the peer names no time */
+  uint32_t n_links;         /* all connections, idle ones included */
+  uint64_t idle_default_us; /* idle time-out for a peer that sends no Keep-Alive time-out */
   uint64_t connect_timeout_us;
-  uint64_t unacked_timeout_us; /* the peer must acknowledge what it is sent within this time */
+  uint64_t
+      unacked_timeout_us; /* sent data must be acknowledged within this time (TCP_USER_TIMEOUT) */
   uint64_t n_connects;
-  /* Told of the head of each answer that comes from the address, to whatever call; may be NULL. */
+  /* Called with the head of each response from the address, also of one that belongs to another
+   * request; may be NULL. */
   void (*heard) (void *owner, const MfHead *head, uint32_t status);
-  /* Told when the host says that nothing listens at the address; may be NULL. */
+  /* Called when a connection is refused, as nothing listens at the address; may be NULL. */
   void (*refused) (void *owner);
   void *owner;
 } MfLinkPool;
 
-/* One request to send. All is copied. */
+/* A request to send. The head, the body and the id are copied. */
 typedef struct
 {
   const MfLinkUser *user;
@@ -55,10 +58,10 @@
   size_t head_bytes;
   const char *body;
   size_t body_bytes;
-  const char *echo_id;  /* answers that name another request are passed over; NULL: it has no id */
-  uint64_t idle_max_us; /* a connection that was idle for longer is not used; 0: any */
-  bool head_only;       /* a HEAD request */
-  uint64_t timeout_us;  /* the whole exchange, once connected; 0: its user sees to it */
+  const char *echo_id;  /* its request id, which the response repeats; NULL: none */
+  uint64_t idle_max_us; /* a connection that was idle for longer is not reused; 0: any is */
+  bool head_only;       /* a HEAD request, whose response has no body */
+  uint64_t timeout_us;  /* for the complete exchange, from the connection on; 0: none */
 } MfLinkCall;
 
 MfLink *mf_link_open (MfLinkPool *pool, const MfLinkUser *user, void *data);
