--- a/libmangofork/relay/caller.c
+++ b/libmangofork/relay/caller.c
@@ -25,15 +25,15 @@
  * socket with unread input sends a reset, and the caller could lose the response to it. */
 #define LINGER_US (500 * MF_US_PER_MS)
 
-struct MfDoor
+struct MfListener
 {
   struct ev_loop *loop;
   const MfDialect *dialect;
-  const MfDoorUser *user;
+  const MfListenerCallbacks *callbacks;
   void *data;
   int fd;
   ev_io acceptor;
-  MfDoorLimits limits;
+  MfListenerLimits limits;
   MfCaller *callers;
   uint32_t n_callers;
   bool keep_alive_ended;
@@ -49,7 +49,7 @@
 
 struct MfCaller
 {
-  MfDoor *door;
+  MfListener *listener;
   MfCaller *next;
   MfCaller *prev;
   int fd;
@@ -80,17 +80,17 @@
 {
   if (caller->fd < 0)
     return;
-  ev_io_stop (caller->door->loop, &caller->reader);
-  ev_io_stop (caller->door->loop, &caller->writer);
-  ev_timer_stop (caller->door->loop, &caller->timer);
+  ev_io_stop (caller->listener->loop, &caller->reader);
+  ev_io_stop (caller->listener->loop, &caller->writer);
+  ev_timer_stop (caller->listener->loop, &caller->timer);
   close (caller->fd);
   caller->fd = -1;
   caller->closed = true;
-  caller->door->n_callers--;
+  caller->listener->n_callers--;
   if (caller->prev != NULL)
     caller->prev->next = caller->next;
   else
-    caller->door->callers = caller->next;
+    caller->listener->callers = caller->next;
   if (caller->next != NULL)
     caller->next->prev = caller->prev;
 }
@@ -120,18 +120,18 @@
   bool was_served = caller->state == CALLER_WAITING;
 
   caller_close (caller);
-  if (was_served && caller->door->user->departed != NULL)
-    caller->door->user->departed (caller->door->data, caller);
+  if (was_served && caller->listener->callbacks->departed != NULL)
+    caller->listener->callbacks->departed (caller->listener->data, caller);
 }
 
 static void
 timer_set (MfCaller *caller, uint64_t after_us)
 {
-  ev_timer_stop (caller->door->loop, &caller->timer);
+  ev_timer_stop (caller->listener->loop, &caller->timer);
   if (after_us == 0)
     return;
   ev_timer_set (&caller->timer, (double)after_us / (double)MF_US_PER_S, 0.);
-  ev_timer_start (caller->door->loop, &caller->timer);
+  ev_timer_start (caller->listener->loop, &caller->timer);
 }
 
 /* Handles a failed write. The departed callback is called later, from the event loop, since the
@@ -141,11 +141,11 @@
 {
   caller->write_failed = true;
   mf_buffer_clear (&caller->out);
-  ev_io_stop (caller->door->loop, &caller->reader);
-  ev_io_stop (caller->door->loop, &caller->writer);
-  ev_timer_stop (caller->door->loop, &caller->timer);
+  ev_io_stop (caller->listener->loop, &caller->reader);
+  ev_io_stop (caller->listener->loop, &caller->writer);
+  ev_timer_stop (caller->listener->loop, &caller->timer);
   ev_timer_set (&caller->timer, 0., 0.);
-  ev_timer_start (caller->door->loop, &caller->timer);
+  ev_timer_start (caller->listener->loop, &caller->timer);
 }
 
 static void
@@ -167,7 +167,7 @@
         continue;
       if (n_sent < 0 && errno == EAGAIN)
         {
-          ev_io_start (caller->door->loop, &caller->writer);
+          ev_io_start (caller->listener->loop, &caller->writer);
           return;
         }
       if (n_sent < 0)
@@ -178,7 +178,7 @@
       mf_buffer_take (&caller->out, (size_t)n_sent);
     }
   if (caller->fd >= 0)
-    ev_io_stop (caller->door->loop, &caller->writer);
+    ev_io_stop (caller->listener->loop, &caller->writer);
 }
 
 /* When the response has been written, waits for the next request or closes the connection. */
@@ -198,7 +198,7 @@
   caller->state = CALLER_READING;
   mf_message_reset (&caller->message);
   mf_buffer_clear (&caller->body);
-  timer_set (caller, caller->door->limits.idle_timeout_us);
+  timer_set (caller, caller->listener->limits.idle_timeout_us);
 }
 
 static const char *
@@ -225,8 +225,8 @@
   mf_buffer_add_text (&caller->out, line);
   if (headers != NULL)
     mf_buffer_add (&caller->out, mf_buffer_data (headers), mf_buffer_bytes (headers));
-  if (caller->door->keep_alive_ended || !http_should_keep_alive (&caller->message.parser)
-      || caller->message.fault != MF_CODE_OK)
+  if (caller->listener->keep_alive_ended || !http_should_keep_alive (&caller->message.parser)
+      || caller->message.error_code != MF_CODE_OK)
     caller->closing = true;
   if (caller->closing)
     mf_buffer_add_text (&caller->out, "Connection: close\r\n");
@@ -296,8 +296,8 @@
   if (caller->fd >= 0 && mf_buffer_bytes (&caller->out) > UNSENT_BYTES_MAX && !caller->write_paused)
     {
       caller->write_paused = true;
-      if (caller->door->user->writable != NULL)
-        caller->door->user->writable (caller->door->data, caller, false);
+      if (caller->listener->callbacks->writable != NULL)
+        caller->listener->callbacks->writable (caller->listener->data, caller, false);
     }
   caller_release (caller);
 }
@@ -339,7 +339,7 @@
 {
   const MfCodeInfo *info = mf_code_info (code);
 
-  caller->door->user->refused (caller->door->data, code);
+  caller->listener->callbacks->refused (caller->listener->data, code);
   caller->closing = true;
   mf_buffer_clear (&caller->in);
   mf_caller_reply (caller, info->http_status, NULL, info->summary, strlen (info->summary));
@@ -352,13 +352,14 @@
   static const char continue_line[] = "HTTP/1.1 100 Continue\r\n\r\n";
   uint64_t length = message->parser.content_length;
 
-  if (length != UINT64_MAX && caller->door->limits.body_bytes_max > 0
-      && length > caller->door->limits.body_bytes_max)
+  if (length != UINT64_MAX && caller->listener->limits.body_bytes_max > 0
+      && length > caller->listener->limits.body_bytes_max)
     {
-      message->fault = MF_CODE_BODY_TOO_LARGE;
+      message->error_code = MF_CODE_BODY_TOO_LARGE;
       return true;
     }
-  if (mf_head_count (&message->head, MF_WORD_EXPECT_CONTINUE) > 0 && message->parser.http_minor > 0)
+  if (mf_head_count (&message->head, MF_HEADER_EXPECT_CONTINUE) > 0
+      && message->parser.http_minor > 0)
     mf_buffer_add (&caller->out, continue_line, sizeof continue_line - 1);
   return true;
 }
@@ -370,13 +371,13 @@
 
   mf_buffer_add (&caller->body, bytes, n_bytes);
   if (caller->body.failed)
-    message->fault = MF_CODE_NO_MEMORY;
-  else if (caller->door->limits.body_bytes_max > 0
-           && mf_buffer_bytes (&caller->body) > caller->door->limits.body_bytes_max)
-    message->fault = MF_CODE_BODY_TOO_LARGE;
+    message->error_code = MF_CODE_NO_MEMORY;
+  else if (caller->listener->limits.body_bytes_max > 0
+           && mf_buffer_bytes (&caller->body) > caller->listener->limits.body_bytes_max)
+    message->error_code = MF_CODE_BODY_TOO_LARGE;
 }
 
-static const MfMessageEvents message_events = { .head = on_head, .body = on_body };
+static const MfMessageCallbacks message_events = { .head = on_head, .body = on_body };
 
 /* Checks the head of a request that the parser has accepted: exactly one Host, and a target that is
  * a path. */
@@ -384,7 +385,7 @@
 request_check (const MfCaller *caller)
 {
   const MfMessage *message = &caller->message;
-  uint32_t n_hosts = mf_head_count (&message->head, MF_WORD_HOST);
+  uint32_t n_hosts = mf_head_count (&message->head, MF_HEADER_HOST);
 
   if (n_hosts > 1 || (n_hosts == 0 && message->parser.http_minor > 0))
     return MF_CODE_BAD_HEADER;
@@ -404,23 +405,23 @@
       bool had_head = message->head_done;
       size_t taken;
 
-      message->head_bytes_max = caller->door->limits.header_bytes_max;
+      message->head_bytes_max = caller->listener->limits.header_bytes_max;
       taken
           = mf_message_feed (message, mf_buffer_data (&caller->in), mf_buffer_bytes (&caller->in));
       mf_buffer_take (&caller->in, taken);
       if (!had_begun)
         caller->begun_us = mf_clock_now_us ();
-      if (message->fault == MF_CODE_OK && message->done)
-        message->fault = request_check (caller);
-      if (message->fault != MF_CODE_OK)
+      if (message->error_code == MF_CODE_OK && message->done)
+        message->error_code = request_check (caller);
+      if (message->error_code != MF_CODE_OK)
         {
-          caller_reject (caller, message->fault);
+          caller_reject (caller, message->error_code);
           return;
         }
       if (!message->done)
         {
           if (!had_begun || (!had_head && message->head_done))
-            timer_set (caller, caller->door->limits.header_timeout_us);
+            timer_set (caller, caller->listener->limits.header_timeout_us);
           out_flush (caller);
           continue;
         }
@@ -428,7 +429,7 @@
       caller->state = CALLER_WAITING;
       caller->chunked = false;
       caller->write_paused = false;
-      caller->door->user->request (caller->door->data, caller);
+      caller->listener->callbacks->request (caller->listener->data, caller);
     }
 }
 
@@ -469,8 +470,8 @@
       && caller->state == CALLER_WAITING)
     {
       caller->write_paused = false;
-      if (caller->door->user->writable != NULL)
-        caller->door->user->writable (caller->door->data, caller, true);
+      if (caller->listener->callbacks->writable != NULL)
+        caller->listener->callbacks->writable (caller->listener->data, caller, true);
     }
   response_finish (caller);
   caller_advance (caller);
@@ -489,7 +490,7 @@
     caller_disconnect (caller);
   else if (caller->state == CALLER_READING && caller->message.begun)
     {
-      caller->message.fault = MF_CODE_SLOW_SENDER;
+      caller->message.error_code = MF_CODE_SLOW_SENDER;
       caller_reject (caller, MF_CODE_SLOW_SENDER);
     }
   else
@@ -508,7 +509,7 @@
 }
 
 static void
-caller_open (MfDoor *door, int fd, const struct sockaddr_storage *from)
+caller_open (MfListener *listener, int fd, const struct sockaddr_storage *from)
 {
   MfCaller *caller = calloc (1, sizeof *caller);
   int one = 1;
@@ -519,29 +520,29 @@
       return;
     }
   setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-  caller->door = door;
+  caller->listener = listener;
   caller->fd = fd;
   caller->address_hash = hash_address (from);
-  caller->next = door->callers;
-  if (door->callers != NULL)
-    door->callers->prev = caller;
-  door->callers = caller;
-  door->n_callers++;
-  mf_message_init (&caller->message, HTTP_REQUEST, door->dialect, &message_events, caller);
+  caller->next = listener->callers;
+  if (listener->callers != NULL)
+    listener->callers->prev = caller;
+  listener->callers = caller;
+  listener->n_callers++;
+  mf_message_init (&caller->message, HTTP_REQUEST, listener->dialect, &message_events, caller);
   ev_io_init (&caller->reader, on_readable, fd, EV_READ);
   ev_io_init (&caller->writer, on_writable, fd, EV_WRITE);
   ev_init (&caller->timer, on_timer);
   caller->reader.data = caller;
   caller->writer.data = caller;
   caller->timer.data = caller;
-  ev_io_start (door->loop, &caller->reader);
-  timer_set (caller, door->limits.idle_timeout_us);
+  ev_io_start (listener->loop, &caller->reader);
+  timer_set (caller, listener->limits.idle_timeout_us);
 }
 
 static void
 on_acceptable (struct ev_loop *loop, ev_io *watcher, int events)
 {
-  MfDoor *door = watcher->data;
+  MfListener *listener = watcher->data;
 
   (void)loop;
   (void)events;
@@ -549,90 +550,91 @@
     {
       struct sockaddr_storage from = { 0 };
       socklen_t from_bytes = sizeof from;
-      int fd
-          = accept4 (door->fd, (struct sockaddr *)&from, &from_bytes, SOCK_NONBLOCK | SOCK_CLOEXEC);
+      int fd = accept4 (listener->fd, (struct sockaddr *)&from, &from_bytes,
+                        SOCK_NONBLOCK | SOCK_CLOEXEC);
 
       if (fd < 0)
         return;
-      if (door->n_callers >= door->limits.callers_max)
+      if (listener->n_callers >= listener->limits.callers_max)
         close (fd);
       else
-        caller_open (door, fd, &from);
+        caller_open (listener, fd, &from);
     }
 }
 
 /* Listens at an address. The callbacks and their data are borrowed. Returns NULL with error set on
  * failure. */
-MfDoor *
-mf_door_new (struct ev_loop *loop, const char *address, const MfDialect *dialect,
-             const MfDoorUser *user, void *data, MfError *error)
+MfListener *
+mf_listener_new (struct ev_loop *loop, const char *address, const MfDialect *dialect,
+                 const MfListenerCallbacks *callbacks, void *data, MfError *error)
 {
-  MfDoor *door = calloc (1, sizeof *door);
+  MfListener *listener = calloc (1, sizeof *listener);
 
-  if (door == NULL)
+  if (listener == NULL)
     {
       mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while opening a listener");
       return NULL;
     }
-  *door = (MfDoor){ .loop = loop, .dialect = dialect, .user = user, .data = data };
-  door->fd = mf_socket_listen (address, error);
-  if (door->fd < 0)
+  *listener
+      = (MfListener){ .loop = loop, .dialect = dialect, .callbacks = callbacks, .data = data };
+  listener->fd = mf_socket_listen (address, error);
+  if (listener->fd < 0)
     {
-      free (door);
+      free (listener);
       return NULL;
     }
-  ev_io_init (&door->acceptor, on_acceptable, door->fd, EV_READ);
-  door->acceptor.data = door;
-  ev_io_start (loop, &door->acceptor);
-  return door;
+  ev_io_init (&listener->acceptor, on_acceptable, listener->fd, EV_READ);
+  listener->acceptor.data = listener;
+  ev_io_start (loop, &listener->acceptor);
+  return listener;
 }
 
 /* Closes the listener and all its connections at once. Accepts NULL. */
 void
-mf_door_free (MfDoor *door)
+mf_listener_free (MfListener *listener)
 {
-  if (door == NULL)
+  if (listener == NULL)
     return;
-  mf_door_shut (door);
-  while (door->callers != NULL)
+  mf_listener_stop_accepting (listener);
+  while (listener->callers != NULL)
     {
-      MfCaller *caller = door->callers;
+      MfCaller *caller = listener->callers;
 
       caller_hold (caller);
       caller_close (caller);
       caller_release (caller);
     }
-  free (door);
+  free (listener);
 }
 
 /* Sets the limits for requests that are read from now on. */
 void
-mf_door_limit (MfDoor *door, const MfDoorLimits *limits)
+mf_listener_set_limits (MfListener *listener, const MfListenerLimits *limits)
 {
-  door->limits = *limits;
+  listener->limits = *limits;
 }
 
 /* Returns the number of open connections, idle ones included. */
 uint32_t
-mf_door_n_callers (const MfDoor *door)
+mf_listener_n_callers (const MfListener *listener)
 {
-  return door->n_callers;
+  return listener->n_callers;
 }
 
 /* From now on each connection closes after its next response. */
 void
-mf_door_retire (MfDoor *door)
+mf_listener_end_keep_alive (MfListener *listener)
 {
-  door->keep_alive_ended = true;
+  listener->keep_alive_ended = true;
 }
 
 /* Closes the connections on which no request has begun. */
 void
-mf_door_close_idle (MfDoor *door)
+mf_listener_close_idle (MfListener *listener)
 {
   MfCaller *next;
 
-  for (MfCaller *caller = door->callers; caller != NULL; caller = next)
+  for (MfCaller *caller = listener->callers; caller != NULL; caller = next)
     {
       next = caller->next;
       if (caller->state != CALLER_READING || caller->message.begun)
@@ -645,13 +647,13 @@
 
 /* Closes the listening socket; open connections stay. */
 void
-mf_door_shut (MfDoor *door)
+mf_listener_stop_accepting (MfListener *listener)
 {
-  if (door->fd < 0)
+  if (listener->fd < 0)
     return;
-  ev_io_stop (door->loop, &door->acceptor);
-  close (door->fd);
-  door->fd = -1;
+  ev_io_stop (listener->loop, &listener->acceptor);
+  close (listener->fd);
+  listener->fd = -1;
 }
 
 /* Returns the head of the request that is being served. */
@@ -682,14 +684,14 @@
 
 /* Returns a hash of the peer's IP address, without the port. */
 uint64_t
-mf_caller_host (const MfCaller *caller)
+mf_caller_address_hash (const MfCaller *caller)
 {
   return caller->address_hash;
 }
 
 /* Attaches a pointer of the user to the request; it is cleared when the response ends. */
 void
-mf_caller_attach (MfCaller *caller, void *job)
+mf_caller_set_job (MfCaller *caller, void *job)
 {
   caller->job = job;
 }
--- a/libmangofork/relay/caller.h
+++ b/libmangofork/relay/caller.h
@@ -6,7 +6,7 @@
 #include <ev.h>
 
 typedef struct MfCaller MfCaller;
-typedef struct MfDoor MfDoor;
+typedef struct MfListener MfListener;
 
 /* Callbacks of a listener. departed and writable may be NULL. */
 typedef struct
@@ -21,7 +21,7 @@
   void (*writable) (void *data, MfCaller *caller, bool can_write);
   /* A malformed or too large request has been rejected without a call of request. */
   void (*refused) (void *data, MfCode code);
-} MfDoorUser;
+} MfListenerCallbacks;
 
 /* Limits of a listener; they may change while it is open. */
 typedef struct
@@ -31,23 +31,23 @@
   uint64_t header_timeout_us;
   uint64_t idle_timeout_us;
   uint32_t callers_max;
-} MfDoorLimits;
+} MfListenerLimits;
 
-MfDoor *mf_door_new (struct ev_loop *loop, const char *address, const MfDialect *dialect,
-                     const MfDoorUser *user, void *data, MfError *error);
-void mf_door_free (MfDoor *door);
-void mf_door_limit (MfDoor *door, const MfDoorLimits *limits);
-uint32_t mf_door_n_callers (const MfDoor *door);
-void mf_door_retire (MfDoor *door);
-void mf_door_close_idle (MfDoor *door);
-void mf_door_shut (MfDoor *door);
+MfListener *mf_listener_new (struct ev_loop *loop, const char *address, const MfDialect *dialect,
+                             const MfListenerCallbacks *callbacks, void *data, MfError *error);
+void mf_listener_free (MfListener *listener);
+void mf_listener_set_limits (MfListener *listener, const MfListenerLimits *limits);
+uint32_t mf_listener_n_callers (const MfListener *listener);
+void mf_listener_end_keep_alive (MfListener *listener);
+void mf_listener_close_idle (MfListener *listener);
+void mf_listener_stop_accepting (MfListener *listener);
 
 const MfHead *mf_caller_head (const MfCaller *caller);
 const char *mf_caller_method (const MfCaller *caller);
 const MfBuffer *mf_caller_body (const MfCaller *caller);
 uint64_t mf_caller_begun_us (const MfCaller *caller);
-uint64_t mf_caller_host (const MfCaller *caller);
-void mf_caller_attach (MfCaller *caller, void *job);
+uint64_t mf_caller_address_hash (const MfCaller *caller);
+void mf_caller_set_job (MfCaller *caller, void *job);
 void *mf_caller_job (const MfCaller *caller);
 
 void mf_caller_reply (MfCaller *caller, uint32_t status, const MfBuffer *headers, const char *body,
--- a/libmangofork/relay/dialect.c
+++ b/libmangofork/relay/dialect.c
@@ -4,55 +4,58 @@
 #include <strings.h>
 
 /* Headers of HTTP itself, alike in every dialect. */
-static const MfDialectName http_names[] = {
-  { "Host", MF_WORD_HOST },
-  { "Content-Length", MF_WORD_CONTENT_LENGTH },
-  { "Content-Type", MF_WORD_CONTENT_TYPE },
-  { "Content-Encoding", MF_WORD_CONTENT_ENCODING },
-  { "Last-Event-ID", MF_WORD_LAST_EVENT },
-  { "Connection", MF_WORD_CONNECTION },
-  { "Keep-Alive", MF_WORD_KEEP_ALIVE },
-  { "Retry-After", MF_WORD_RETRY_AFTER },
-  { "Expect", MF_WORD_EXPECT_CONTINUE },
-  { "Transfer-Encoding", MF_WORD_HOP },
-  { "TE", MF_WORD_HOP },
-  { "Trailer", MF_WORD_HOP },
-  { "Upgrade", MF_WORD_HOP },
-  { "Proxy-Connection", MF_WORD_HOP },
-  { "Proxy-Authenticate", MF_WORD_HOP },
-  { "Proxy-Authorization", MF_WORD_HOP },
+static const MfDialectHeader http_headers[] = {
+  { "Host", MF_HEADER_HOST },
+  { "Content-Length", MF_HEADER_CONTENT_LENGTH },
+  { "Content-Type", MF_HEADER_CONTENT_TYPE },
+  { "Content-Encoding", MF_HEADER_CONTENT_ENCODING },
+  { "Last-Event-ID", MF_HEADER_LAST_EVENT_ID },
+  { "Connection", MF_HEADER_CONNECTION },
+  { "Keep-Alive", MF_HEADER_KEEP_ALIVE },
+  { "Retry-After", MF_HEADER_RETRY_AFTER },
+  { "Expect", MF_HEADER_EXPECT_CONTINUE },
+  { "Transfer-Encoding", MF_HEADER_HOP_BY_HOP },
+  { "TE", MF_HEADER_HOP_BY_HOP },
+  { "Trailer", MF_HEADER_HOP_BY_HOP },
+  { "Upgrade", MF_HEADER_HOP_BY_HOP },
+  { "Proxy-Connection", MF_HEADER_HOP_BY_HOP },
+  { "Proxy-Authenticate", MF_HEADER_HOP_BY_HOP },
+  { "Proxy-Authorization", MF_HEADER_HOP_BY_HOP },
 };
 
-static const MfDialectName *
-name_find (const MfDialectName *names, uint32_t n_names, const char *name, size_t name_bytes)
+static const MfDialectHeader *
+header_find (const MfDialectHeader *headers, uint32_t n_headers, const char *name,
+             size_t name_bytes)
 {
-  for (uint32_t i = 0; i < n_names; i++)
+  for (uint32_t i = 0; i < n_headers; i++)
     {
-      if (strncasecmp (names[i].name, name, name_bytes) == 0 && names[i].name[name_bytes] == '\0')
-        return &names[i];
+      if (strncasecmp (headers[i].name, name, name_bytes) == 0
+          && headers[i].name[name_bytes] == '\0')
+        return &headers[i];
     }
   return NULL;
 }
 
-/* What a header of this name means; MF_WORD_OTHER when it is not known. */
-MfWord
-mf_dialect_word (const MfDialect *dialect, const char *name, size_t name_bytes)
+/* What a header of this name means; MF_HEADER_OTHER when it is not known. */
+MfHeaderId
+mf_dialect_header_id (const MfDialect *dialect, const char *name, size_t name_bytes)
 {
-  const MfDialectName *found = name_find (http_names, MF_ARRAY_LEN (http_names), name, name_bytes);
+  const MfDialectHeader *found
+      = header_find (http_headers, MF_ARRAY_LEN (http_headers), name, name_bytes);
 
   if (found == NULL)
-    found = name_find (dialect->names, dialect->n_names, name, name_bytes);
-  return found == NULL ? MF_WORD_OTHER : found->word;
+    found = header_find (dialect->headers, dialect->n_headers, name, name_bytes);
+  return found == NULL ? MF_HEADER_OTHER : found->header;
 }
 
 /* The name that is written for a meaning; NULL when the dialect has none. */
 const char *
-mf_dialect_name (const MfDialect *dialect, MfWord word)
+mf_dialect_header_name (const MfDialect *dialect, MfHeaderId header)
 {
-  for (uint32_t i = 0; i < dialect->n_names; i++)
+  for (uint32_t i = 0; i < dialect->n_headers; i++)
     {
-      if (dialect->names[i].word == word)
-        return dialect->names[i].name;
+      if (dialect->headers[i].header == header)
+        return dialect->headers[i].name;
     }
   return NULL;
 }
--- a/libmangofork/relay/dialect.h
+++ b/libmangofork/relay/dialect.h
@@ -8,37 +8,37 @@
  * the deployment's dialect. */
 typedef enum
 {
-  MF_WORD_REQUEST_ID,      /* names one try of a caller; upstreams echo it */
-  MF_WORD_SEAL,            /* an upstream's mark on its own answers */
-  MF_WORD_NOT_RUN,         /* in an answer: the upstream did not run the request */
-  MF_WORD_LEAVING,         /* in an answer: the upstream is about to stop, unless "0" */
-  MF_WORD_DEADLINE,        /* milliseconds that are left for the answer */
-  MF_WORD_EXPECT_UPSTREAM, /* the only upstream process that may run the request */
-  MF_WORD_PROMPT_SIZE,     /* "prompt tokens,output tokens at most" */
-  MF_WORD_ANSWER_HINT,     /* tokens the caller expects of the answer */
-  MF_WORD_LAST_EVENT,      /* a stream goes on after this event */
-  MF_WORD_STAGE,           /* asks for the prompt to be read only */
-  MF_WORD_KV_SOURCE,       /* engine memory the request goes on from */
-  MF_WORD_ENGINE_PRIORITY, /* rank of the request in an engine */
-  MF_WORD_ENGINE_CONTROL,  /* any other header by which only a router steers an engine */
-  MF_WORD_HOST,
-  MF_WORD_CONTENT_LENGTH,
-  MF_WORD_CONTENT_TYPE,
-  MF_WORD_CONTENT_ENCODING,
-  MF_WORD_KEEP_ALIVE,
-  MF_WORD_RETRY_AFTER, /* in a refusal: seconds, maybe with a fraction */
-  MF_WORD_EXPECT_CONTINUE,
-  MF_WORD_CONNECTION,
-  MF_WORD_HOP, /* any other header that concerns one connection only */
-  MF_WORD_OTHER,
-} MfWord;
+  MF_HEADER_REQUEST_ID,      /* names one try of a caller; upstreams echo it */
+  MF_HEADER_RESPONSE_SEAL,   /* an upstream's mark on its own answers */
+  MF_HEADER_NOT_RUN,         /* in an answer: the upstream did not run the request */
+  MF_HEADER_LEAVING,         /* in an answer: the upstream is about to stop, unless "0" */
+  MF_HEADER_DEADLINE,        /* milliseconds that are left for the answer */
+  MF_HEADER_EXPECT_UPSTREAM, /* the only upstream process that may run the request */
+  MF_HEADER_TOKEN_COUNT,     /* "prompt tokens,output tokens at most" */
+  MF_HEADER_LENGTH_HINT,     /* tokens the caller expects of the answer */
+  MF_HEADER_LAST_EVENT_ID,   /* a stream goes on after this event */
+  MF_HEADER_STAGE,           /* asks for the prompt to be read only */
+  MF_HEADER_KV_SOURCE,       /* engine memory the request goes on from */
+  MF_HEADER_ENGINE_PRIORITY, /* rank of the request in an engine */
+  MF_HEADER_ENGINE_CONTROL,  /* any other header by which only a router steers an engine */
+  MF_HEADER_HOST,
+  MF_HEADER_CONTENT_LENGTH,
+  MF_HEADER_CONTENT_TYPE,
+  MF_HEADER_CONTENT_ENCODING,
+  MF_HEADER_KEEP_ALIVE,
+  MF_HEADER_RETRY_AFTER, /* in a refusal: seconds, maybe with a fraction */
+  MF_HEADER_EXPECT_CONTINUE,
+  MF_HEADER_CONNECTION,
+  MF_HEADER_HOP_BY_HOP, /* any other header that concerns one connection only */
+  MF_HEADER_OTHER,
+} MfHeaderId;
 
 /* One name on the wire and what it means. */
 typedef struct
 {
   const char *name;
-  MfWord word;
-} MfDialectName;
+  MfHeaderId header;
+} MfDialectHeader;
 
 /* How an engine tells that it has read a prompt. */
 typedef struct
@@ -50,9 +50,9 @@
 /* The wire of one deployment: names of headers, and the forms of the calls that engines take. */
 typedef struct
 {
-  const MfDialectName *names; /* the first name of a meaning is the one that is written */
-  uint32_t n_names;
-  const char *stage_prefill; /* value of MF_WORD_STAGE that asks for the prompt only */
+  const MfDialectHeader *headers; /* the first name of a meaning is the one that is written */
+  uint32_t n_headers;
+  const char *stage_prefill; /* value of MF_HEADER_STAGE that asks for the prompt only */
   const char *release_path;  /* a DELETE of this path and a handle frees it */
   /* Reads an engine's answer to a prefill; returns false when it names no handle. */
   bool (*read_prefill) (const char *body, size_t body_bytes, MfPrefillAnswer *answer);
@@ -62,7 +62,7 @@
   void (*write_stage_order) (MfRole role, const char *holder, uint64_t fence, MfBuffer *body);
 } MfDialect;
 
-MfWord mf_dialect_word (const MfDialect *dialect, const char *name, size_t name_bytes);
-const char *mf_dialect_name (const MfDialect *dialect, MfWord word);
+MfHeaderId mf_dialect_header_id (const MfDialect *dialect, const char *name, size_t name_bytes);
+const char *mf_dialect_header_name (const MfDialect *dialect, MfHeaderId header);
 
 #endif
--- a/libmangofork/relay/events.c
+++ b/libmangofork/relay/events.c
@@ -52,79 +52,79 @@
 
 /* Adds bytes of the stream, and to out the events that are whole and new. */
 void
-mf_events_feed (MfEvents *events, const char *bytes, size_t n_bytes, MfBuffer *out)
+mf_event_stream_feed (MfEventStream *stream, const char *bytes, size_t n_bytes, MfBuffer *out)
 {
   size_t complete_bytes;
 
-  mf_buffer_add (&events->partial, bytes, n_bytes);
-  if (mf_buffer_bytes (&events->partial) > EVENT_BYTES_MAX)
-    events->partial.failed = true;
-  while ((complete_bytes = first_event_bytes (mf_buffer_data (&events->partial),
-                                              mf_buffer_bytes (&events->partial)))
+  mf_buffer_add (&stream->partial, bytes, n_bytes);
+  if (mf_buffer_bytes (&stream->partial) > EVENT_BYTES_MAX)
+    stream->partial.failed = true;
+  while ((complete_bytes = first_event_bytes (mf_buffer_data (&stream->partial),
+                                              mf_buffer_bytes (&stream->partial)))
          > 0)
     {
       uint64_t id = 0;
-      bool has_id = event_id (mf_buffer_data (&events->partial), complete_bytes, &id);
+      bool has_id = event_id (mf_buffer_data (&stream->partial), complete_bytes, &id);
 
-      if (!has_id || !events->has_last || id > events->last_id)
+      if (!has_id || !stream->has_last_id || id > stream->last_id)
         {
-          events->has_gap
-              = events->has_gap || (has_id && events->has_last && id != events->last_id + 1);
-          mf_buffer_add (out, mf_buffer_data (&events->partial), complete_bytes);
-          events->n_events++;
+          stream->has_gap
+              = stream->has_gap || (has_id && stream->has_last_id && id != stream->last_id + 1);
+          mf_buffer_add (out, mf_buffer_data (&stream->partial), complete_bytes);
+          stream->n_events++;
           if (has_id)
             {
-              events->last_id = id;
-              events->has_last = true;
+              stream->last_id = id;
+              stream->has_last_id = true;
             }
         }
-      mf_buffer_take (&events->partial, complete_bytes);
+      mf_buffer_take (&stream->partial, complete_bytes);
     }
 }
 
 /* Counts the events in bytes that are passed on as they are. */
 void
-mf_events_count (MfEvents *events, const char *bytes, size_t n_bytes)
+mf_event_stream_count (MfEventStream *stream, const char *bytes, size_t n_bytes)
 {
   for (size_t i = 0; i < n_bytes; i++)
     {
-      events->open_bytes++;
+      stream->unterminated_bytes++;
       if (bytes[i] == '\r')
         continue;
-      if (bytes[i] == '\n' && events->after_newline)
+      if (bytes[i] == '\n' && stream->after_newline)
         {
-          events->n_events++;
-          events->open_bytes = 0;
+          stream->n_events++;
+          stream->unterminated_bytes = 0;
         }
-      events->after_newline = bytes[i] == '\n' && !events->after_newline;
+      stream->after_newline = bytes[i] == '\n' && !stream->after_newline;
     }
 }
 
 /* Whether more bytes have come without the end of an event than any event has. */
 bool
-mf_events_is_endless (const MfEvents *events)
+mf_event_stream_is_too_long (const MfEventStream *stream)
 {
-  return events->partial.failed || events->open_bytes > EVENT_BYTES_MAX;
+  return stream->partial.failed || stream->unterminated_bytes > EVENT_BYTES_MAX;
 }
 
 /* Forgets the event that was cut off, before the stream goes on elsewhere. */
 void
-mf_events_cut (MfEvents *events)
+mf_event_stream_discard_partial (MfEventStream *stream)
 {
-  mf_buffer_clear (&events->partial);
-  events->open_bytes = 0;
+  mf_buffer_clear (&stream->partial);
+  stream->unterminated_bytes = 0;
 }
 
 /* Whether the stream stands between two events. */
 bool
-mf_events_at_boundary (const MfEvents *events)
+mf_event_stream_at_boundary (const MfEventStream *stream)
 {
-  return mf_buffer_bytes (&events->partial) == 0 && !events->partial.failed;
+  return mf_buffer_bytes (&stream->partial) == 0 && !stream->partial.failed;
 }
 
 /* Frees what is kept of an event that has not come whole. */
 void
-mf_events_clear (MfEvents *events)
+mf_event_stream_clear (MfEventStream *stream)
 {
-  mf_buffer_clear (&events->partial);
+  mf_buffer_clear (&stream->partial);
 }
--- a/libmangofork/relay/job.c
+++ b/libmangofork/relay/job.c
@@ -110,7 +110,7 @@
   jobs->n_ended++;
   mf_job_answer_clear (&job->answer);
   mf_job_answer_clear (&job->held);
-  mf_events_clear (&job->events);
+  mf_event_stream_clear (&job->events);
   mf_routes_unref (job->routes);
   free (job);
 }
@@ -129,12 +129,12 @@
     job->waited_us += now_us - job->waiting_since_us;
   jobs->counters.counts[MF_RELAY_COUNT_WAITED] += job->waited_us > 0;
   if (job->waited_us > 0)
-    mf_relay_observe (&jobs->counters.waited, job->waited_us);
+    mf_relay_histogram_observe (&jobs->counters.waited, job->waited_us);
   if (code == MF_CODE_OK && job->first_event_us > 0)
-    mf_relay_observe (&jobs->counters.first_event, job->first_event_us - job->begun_us);
+    mf_relay_histogram_observe (&jobs->counters.first_event, job->first_event_us - job->begun_us);
   else if (code == MF_CODE_OK)
-    mf_relay_observe (&jobs->counters.answer, took_us);
-  mf_lines_add (
+    mf_relay_histogram_observe (&jobs->counters.answer, took_us);
+  mf_relay_log_event (
       jobs->lines, "request.end",
       "id=%s digest=%016llx route=%s service=%s code=%d status=%u why=\"%s\" "
       "took_ms=%.1f first_event_ms=%.1f waited_ms=%.1f sends=%u runs=%u prefills=%u events=%llu "
@@ -323,12 +323,12 @@
   char *comma;
   uint64_t hint_tokens = 0;
 
-  if (!mf_head_copy (head, MF_WORD_PROMPT_SIZE, text, sizeof text))
+  if (!mf_head_copy (head, MF_HEADER_TOKEN_COUNT, text, sizeof text))
     return;
   job->prompt_tokens = strtoull (text, &comma, 10);
   if (*comma == ',')
     job->output_tokens = strtoull (comma + 1, NULL, 10);
-  mf_head_number (head, MF_WORD_ANSWER_HINT, &hint_tokens);
+  mf_head_number (head, MF_HEADER_LENGTH_HINT, &hint_tokens);
   job->answer_tokens
       = mf_load_answer_tokens (hint_tokens, (uint64_t)job->jobs->answer_tokens, job->output_tokens);
   job->memory_tokens = mf_load_memory_tokens (
@@ -373,7 +373,7 @@
 
   job->deadline_us = job->begun_us + route->timeout_us;
   job->asked_us = job->begun_us;
-  if (mf_head_number (head, MF_WORD_DEADLINE, &left_ms)
+  if (mf_head_number (head, MF_HEADER_DEADLINE, &left_ms)
       && left_ms * MF_US_PER_MS < route->timeout_us)
     job->deadline_us = job->begun_us + left_ms * MF_US_PER_MS;
   if (left_ms > 0 && left_ms * MF_US_PER_MS < route->timeout_us * FIRST_TRY_PERCENT / 100)
@@ -414,13 +414,13 @@
   jobs->n_jobs++;
   ev_init (&job->timer, on_timer);
   job->timer.data = job;
-  if (!mf_head_copy (head, MF_WORD_REQUEST_ID, job->id, sizeof job->id))
+  if (!mf_head_copy (head, MF_HEADER_REQUEST_ID, job->id, sizeof job->id))
     job->id[0] = '\0';
   job->digest = mf_job_digest (caller);
   job->number = ++jobs->n_begun;
   job_read_size (job, head);
   job_read_times (job, head);
-  mf_caller_attach (caller, job);
+  mf_caller_set_job (caller, job);
   return job;
 }
 
@@ -435,8 +435,8 @@
   uint64_t left_ms = 0;
   uint64_t retry_us = 0;
 
-  mf_head_copy (head, MF_WORD_REQUEST_ID, id, sizeof id);
-  mf_head_number (head, MF_WORD_DEADLINE, &left_ms);
+  mf_head_copy (head, MF_HEADER_REQUEST_ID, id, sizeof id);
+  mf_head_number (head, MF_HEADER_DEADLINE, &left_ms);
   jobs->counters.by_code[mf_code_index (code)]++;
   jobs->counters.counts[MF_RELAY_COUNT_REFUSED]++;
   if (may_return)
@@ -449,11 +449,12 @@
       });
       headers_add_retry_after (&headers, retry_us);
     }
-  mf_lines_add (jobs->lines, "request.refused",
-                "id=%s code=%d status=%u why=\"%s\" config=%llu requests=%u retry_after_ms=%llu",
-                id, (int)code, info->http_status, info->summary,
-                (unsigned long long)(jobs->routes != NULL ? jobs->routes->version : 0),
-                jobs->n_jobs, (unsigned long long)(retry_us / 1000));
+  mf_relay_log_event (
+      jobs->lines, "request.refused",
+      "id=%s code=%d status=%u why=\"%s\" config=%llu requests=%u retry_after_ms=%llu", id,
+      (int)code, info->http_status, info->summary,
+      (unsigned long long)(jobs->routes != NULL ? jobs->routes->version : 0), jobs->n_jobs,
+      (unsigned long long)(retry_us / 1000));
   mf_caller_reply (caller, info->http_status, &headers, info->summary, strlen (info->summary));
   mf_buffer_clear (&headers);
 }
@@ -478,7 +479,7 @@
   const MfHead *head = mf_caller_head (caller);
   const MfRoute *route;
   size_t host_bytes = 0;
-  const char *host = mf_head_value (head, MF_WORD_HOST, &host_bytes);
+  const char *host = mf_head_value (head, MF_HEADER_HOST, &host_bytes);
   const char *target = mf_head_text (head, 0);
   size_t path_bytes = head->target_bytes;
   const char *query = memchr (target, '?', path_bytes);
@@ -557,7 +558,7 @@
   (void)data;
   if (job == NULL || job->link == NULL)
     return;
-  mf_link_hold (job->link, !can_write);
+  mf_link_pause_reading (job->link, !can_write);
   /* The upstream's silence is then the caller's doing. */
   job->try_due_us = 0;
 }
@@ -569,11 +570,11 @@
 
   jobs->counters.counts[MF_RELAY_COUNT_UNREADABLE]++;
   jobs->counters.by_code[mf_code_index (code)]++;
-  mf_lines_add (jobs->lines, "request.unreadable", "code=%d why=\"%s\"", (int)code,
-                mf_code_info (code)->summary);
+  mf_relay_log_event (jobs->lines, "request.unreadable", "code=%d why=\"%s\"", (int)code,
+                      mf_code_info (code)->summary);
 }
 
-const MfDoorUser mf_job_door_user = {
+const MfListenerCallbacks mf_job_door_user = {
   .request = on_request,
   .departed = on_departed,
   .writable = on_writable,
@@ -638,7 +639,7 @@
 
 /* Begins without a configuration, upstreams and peers. */
 void
-mf_jobs_init (MfJobs *jobs, struct ev_loop *loop, const MfDialect *dialect, MfLines *lines)
+mf_jobs_init (MfJobs *jobs, struct ev_loop *loop, const MfDialect *dialect, MfRelayLog *lines)
 {
   jobs->loop = loop;
   jobs->began_us = mf_clock_now_us ();
--- a/libmangofork/relay/job.h
+++ b/libmangofork/relay/job.h
@@ -46,7 +46,7 @@
 {
   struct ev_loop *loop;
   const MfDialect *dialect;
-  MfLines *lines;
+  MfRelayLog *lines;
   MfTargets targets;
   MfSuspects *suspects; /* requests that may end the upstreams that run them */
   MfDispatch *dispatch;
@@ -72,7 +72,7 @@
   MfStageOrder *orders;    /* on their way */
   uint64_t lead_ticked_us; /* by a clock that counts the time a machine stands still */
   bool orders_fenced;
-  uint64_t order_turn_us;
+  uint64_t order_interval_us;
   char instance[MF_NAME_BYTES]; /* the name under which it gives orders */
   uint64_t began_us;
   MfJob *first;
@@ -88,7 +88,7 @@
   MfRelayCounters counters;
 } MfJobs;
 
-void mf_jobs_init (MfJobs *jobs, struct ev_loop *loop, const MfDialect *dialect, MfLines *lines);
+void mf_jobs_init (MfJobs *jobs, struct ev_loop *loop, const MfDialect *dialect, MfRelayLog *lines);
 void mf_jobs_clear (MfJobs *jobs);
 void mf_jobs_configure (MfJobs *jobs, MfRoutes *routes);
 void mf_jobs_wake (MfJobs *jobs);
@@ -109,6 +109,6 @@
 extern const MfPeersUser mf_jobs_peers_user;
 
 /* The doors of callers are opened with this user and the MfJobs as its data. */
-extern const MfDoorUser mf_job_door_user;
+extern const MfListenerCallbacks mf_job_door_user;
 
 #endif
--- a/libmangofork/relay/job_answer.c
+++ b/libmangofork/relay/job_answer.c
@@ -23,16 +23,16 @@
   size_t n_bytes = 0;
 
   answer->status = status;
-  answer->sealed = mf_head_count (head, MF_WORD_SEAL) > 0;
-  answer->not_run = mf_head_count (head, MF_WORD_NOT_RUN) > 0 || status == 421;
-  answer->encoded = mf_head_value (head, MF_WORD_CONTENT_ENCODING, &n_bytes) != NULL;
+  answer->sealed = mf_head_count (head, MF_HEADER_RESPONSE_SEAL) > 0;
+  answer->not_run = mf_head_count (head, MF_HEADER_NOT_RUN) > 0 || status == 421;
+  answer->encoded = mf_head_value (head, MF_HEADER_CONTENT_ENCODING, &n_bytes) != NULL;
   for (uint32_t i = 0; i < head->n_fields; i++)
     {
       const MfHeadField *field = &head->fields[i];
 
-      if (field->word == MF_WORD_CONNECTION || field->word == MF_WORD_KEEP_ALIVE
-          || field->word == MF_WORD_HOP || field->word == MF_WORD_CONTENT_LENGTH
-          || mf_head_is_hop (head, field))
+      if (field->header == MF_HEADER_CONNECTION || field->header == MF_HEADER_KEEP_ALIVE
+          || field->header == MF_HEADER_HOP_BY_HOP || field->header == MF_HEADER_CONTENT_LENGTH
+          || mf_head_is_hop_by_hop (head, field))
         continue;
       mf_buffer_add (&answer->headers, mf_head_text (head, field->name_at), field->name_bytes);
       mf_buffer_add (&answer->headers, ": ", 2);
@@ -80,7 +80,8 @@
 static void
 job_cut (MfJob *job, const char *why)
 {
-  const MfLinkUser *user = job->phase == MF_JOB_PREFILL ? &mf_job_prefill_user : &mf_job_run_user;
+  const MfLinkCallbacks *user
+      = job->phase == MF_JOB_PREFILL ? &mf_job_prefill_user : &mf_job_run_user;
 
   mf_link_cancel (job->link);
   user->end (job, MF_LINK_BROKEN, why);
@@ -160,7 +161,7 @@
     }
   if (job->route->resumable)
     {
-      mf_events_feed (&job->events, bytes, n_bytes, &whole);
+      mf_event_stream_feed (&job->events, bytes, n_bytes, &whole);
       /* Bytes that end no event are no progress. */
       if (mf_buffer_bytes (&whole) > 0)
         job->try_due_us = now_us + job->route->target_gap_us * SILENT_GAPS;
@@ -169,11 +170,11 @@
     }
   else
     {
-      mf_events_count (&job->events, bytes, n_bytes);
+      mf_event_stream_count (&job->events, bytes, n_bytes);
       mf_caller_write (job->caller, bytes, n_bytes);
     }
   job_grow (job);
-  if (mf_events_is_endless (&job->events))
+  if (mf_event_stream_is_too_long (&job->events))
     job_cut (job, "an event has no end");
 }
 
@@ -192,11 +193,11 @@
     }
   else
     mf_target_declined (target, now_us);
-  mf_lines_add (job->jobs->lines, "request.declined",
-                "id=%s upstream=%s status=%u in_flight=%u tokens=%llu memory_age_ms=%.1f", job->id,
-                target->info.id, job->answer.status, target->n_active,
-                (unsigned long long)target->active_tokens,
-                job->memory_target != NULL ? (double)(now_us - job->memory_us) / 1e3 : 0.);
+  mf_relay_log_event (job->jobs->lines, "request.declined",
+                      "id=%s upstream=%s status=%u in_flight=%u tokens=%llu memory_age_ms=%.1f",
+                      job->id, target->info.id, job->answer.status, target->n_active,
+                      (unsigned long long)target->active_tokens,
+                      job->memory_target != NULL ? (double)(now_us - job->memory_us) / 1e3 : 0.);
   if (job->caller == NULL)
     {
       mf_job_finish (job, MF_CODE_DEPARTED, "declined, and the caller has left");
@@ -215,18 +216,18 @@
 {
   job->jobs->counters.counts[MF_RELAY_COUNT_BROKEN]++;
   mf_target_failed (target, false, mf_clock_now_us ());
-  mf_lines_add (job->jobs->lines, "request.broken",
-                "id=%s digest=%016llx upstream=%s why=\"%s\" events=%llu", job->id,
-                (unsigned long long)job->digest, target->info.id, why,
-                (unsigned long long)job->events.n_events);
+  mf_relay_log_event (job->jobs->lines, "request.broken",
+                      "id=%s digest=%016llx upstream=%s why=\"%s\" events=%llu", job->id,
+                      (unsigned long long)job->digest, target->info.id, why,
+                      (unsigned long long)job->events.n_events);
   if (job->caller == NULL)
     {
       mf_job_finish (job, MF_CODE_DEPARTED, why);
       return;
     }
   mf_job_avoid (job, target->id_hash);
-  mf_events_cut (&job->events);
-  if (!mf_job_may_repeat (job) || (job->head_sent && !job->events.has_last)
+  mf_event_stream_discard_partial (&job->events);
+  if (!mf_job_may_repeat (job) || (job->head_sent && !job->events.has_last_id)
       || job->n_runs >= job->route->attempts_max)
     {
       mf_job_finish (job, MF_CODE_UPSTREAM_DIED, why);
@@ -258,10 +259,10 @@
   else
     job->n_run_sends--;
   mf_target_failed (target, true, mf_clock_now_us ());
-  mf_lines_state (job->jobs->lines, "upstream.unreached",
-                  "upstream=%s address=%s id=%s why=\"%s\" failures=%u suspect_ms=%llu",
-                  target->info.id, target->info.address, job->id, why, target->n_failures,
-                  (unsigned long long)(target->suspect_until_us - mf_clock_now_us ()) / 1000);
+  mf_relay_log_state (job->jobs->lines, "upstream.unreached",
+                      "upstream=%s address=%s id=%s why=\"%s\" failures=%u suspect_ms=%llu",
+                      target->info.id, target->info.address, job->id, why, target->n_failures,
+                      (unsigned long long)(target->suspect_until_us - mf_clock_now_us ()) / 1000);
   if (job->caller == NULL)
     {
       mf_job_finish (job, MF_CODE_DEPARTED, why);
@@ -347,7 +348,7 @@
     {
       job->n_runs++;
       job->memory_used = true;
-      if (job->route->resumable && !mf_events_at_boundary (&job->events))
+      if (job->route->resumable && !mf_event_stream_at_boundary (&job->events))
         job_broke (job, target, "the stream ended within an event");
       else
         {
@@ -366,7 +367,7 @@
   mf_jobs_wake (jobs);
 }
 
-const MfLinkUser mf_job_run_user = {
+const MfLinkCallbacks mf_job_run_user = {
   .head = on_run_head,
   .body = on_run_body,
   .end = on_run_end,
@@ -402,18 +403,19 @@
     job->n_prefills++;
   if (end == MF_LINK_UNREACHED)
     job_unreached (job, target, why);
-  else if (end == MF_LINK_WHOLE && answer->status == 200 && !answer->not_run
+  else if (end == MF_LINK_COMPLETE && answer->status == 200 && !answer->not_run
            && job->jobs->dialect->read_prefill (mf_buffer_data (&answer->body),
                                                 mf_buffer_bytes (&answer->body), &job->memory))
     job_prefilled (job, target);
-  else if (end == MF_LINK_WHOLE && answer->not_run)
+  else if (end == MF_LINK_COMPLETE && answer->not_run)
     job_declined (job, target);
   else
     {
       mf_target_failed (target, false, mf_clock_now_us ());
-      mf_lines_add (job->jobs->lines, "request.broken",
-                    "id=%s digest=%016llx upstream=%s stage=prefill status=%u why=\"%s\"", job->id,
-                    (unsigned long long)job->digest, target->info.id, answer->status, why);
+      mf_relay_log_event (job->jobs->lines, "request.broken",
+                          "id=%s digest=%016llx upstream=%s stage=prefill status=%u why=\"%s\"",
+                          job->id, (unsigned long long)job->digest, target->info.id, answer->status,
+                          why);
       mf_job_avoid (job, target->id_hash);
       if (end == MF_LINK_BROKEN)
         {
@@ -429,7 +431,7 @@
   mf_target_unref (target);
 }
 
-const MfLinkUser mf_job_prefill_user = {
+const MfLinkCallbacks mf_job_prefill_user = {
   .head = on_answer_head,
   .body = on_answer_body,
   .end = on_prefill_end,
--- a/libmangofork/relay/job_place.c
+++ b/libmangofork/relay/job_place.c
@@ -226,10 +226,10 @@
       mf_job_set_timer (job);
       return;
     }
-  mf_lines_add (job->jobs->lines, "request.moved",
-                "id=%s from=%s why=\"no answer in time\" waited_ms=%.1f in_flight=%u", job->id,
-                target->info.id, (double)(mf_clock_now_us () - job->sent_us) / 1e3,
-                target->n_active);
+  mf_relay_log_event (job->jobs->lines, "request.moved",
+                      "id=%s from=%s why=\"no answer in time\" waited_ms=%.1f in_flight=%u",
+                      job->id, target->info.id, (double)(mf_clock_now_us () - job->sent_us) / 1e3,
+                      target->n_active);
   mf_target_failed (target, false, mf_clock_now_us ());
   mf_job_note_break (job, target);
   mf_job_avoid (job, target->id_hash);
--- a/libmangofork/relay/job_repeat.c
+++ b/libmangofork/relay/job_repeat.c
@@ -56,7 +56,7 @@
       = mf_budget_take (&budget->budget, jobs_floor (job->jobs), n_sends, mf_clock_now_us ());
 
   job->n_prepaid += allowed ? n_sends : 0;
-  job->jobs->counters.counts[allowed ? MF_RELAY_COUNT_REPEATS : MF_RELAY_COUNT_REPEATS_DENIED]++;
+  job->jobs->counters.counts[allowed ? MF_RELAY_COUNT_RETRIES : MF_RELAY_COUNT_RETRIES_DENIED]++;
   return allowed;
 }
 
@@ -171,7 +171,7 @@
   job->repeat_id = 0;
   job->try_due_us = 0;
   job->n_prepaid += repeat_sends (job);
-  job->jobs->counters.counts[MF_RELAY_COUNT_REPEATS_GIVEN]++;
+  job->jobs->counters.counts[MF_RELAY_COUNT_RETRIES_GRANTED]++;
   mf_job_advance (job);
 }
 
--- a/libmangofork/relay/job_room.c
+++ b/libmangofork/relay/job_room.c
@@ -180,8 +180,8 @@
 {
   MfJobs *jobs = job->jobs;
 
-  mf_lines_state (jobs->lines, "dispatch.unanswered", "id=%s waited_ms=%.1f", job->id,
-                  (double)(mf_clock_now_us () - job->waiting_since_us) / 1e3);
+  mf_relay_log_state (jobs->lines, "dispatch.unanswered", "id=%s waited_ms=%.1f", job->id,
+                      (double)(mf_clock_now_us () - job->waiting_since_us) / 1e3);
   mf_peers_distrust (jobs->peers, job->asked);
   mf_job_unask (job);
   if (++job->n_unanswered < UNANSWERED_MAX)
@@ -198,14 +198,14 @@
   MfTarget *decode = mf_targets_by_hash (targets, grant->decode);
   uint64_t now_us = mf_clock_now_us ();
 
-  mf_lines_add (job->jobs->lines, "request.granted",
-                "id=%s decode=%s by=%s waited_ms=%.1f load=%u load_tokens=%llu tokens=%llu",
-                job->id, decode != NULL ? decode->info.id : "unknown",
-                job->asked == MF_DISPATCH_SELF ? "self" : "peer",
-                (double)(now_us - job->waiting_since_us) / 1e3,
-                decode != NULL ? mf_target_load (decode) : 0,
-                (unsigned long long)(decode != NULL ? mf_target_load_tokens (decode) : 0),
-                (unsigned long long)job->memory_tokens);
+  mf_relay_log_event (job->jobs->lines, "request.granted",
+                      "id=%s decode=%s by=%s waited_ms=%.1f load=%u load_tokens=%llu tokens=%llu",
+                      job->id, decode != NULL ? decode->info.id : "unknown",
+                      job->asked == MF_DISPATCH_SELF ? "self" : "peer",
+                      (double)(now_us - job->waiting_since_us) / 1e3,
+                      decode != NULL ? mf_target_load (decode) : 0,
+                      (unsigned long long)(decode != NULL ? mf_target_load_tokens (decode) : 0),
+                      (unsigned long long)job->memory_tokens);
   job->ask_id = 0;
   job->n_unanswered = 0;
   job->try_due_us = 0;
--- a/libmangofork/relay/job_row.h
+++ b/libmangofork/relay/job_row.h
@@ -105,7 +105,7 @@
   uint32_t n_unreached;
 
   bool head_sent;
-  MfEvents events;
+  MfEventStream events;
   uint64_t first_event_us;
 };
 
@@ -161,7 +161,7 @@
 void mf_job_leave_target (MfJob *job);
 
 /* job_answer.c: what comes back from an upstream, to a prefill and to a run. */
-extern const MfLinkUser mf_job_prefill_user;
-extern const MfLinkUser mf_job_run_user;
+extern const MfLinkCallbacks mf_job_prefill_user;
+extern const MfLinkCallbacks mf_job_run_user;
 
 #endif
--- a/libmangofork/relay/job_send.c
+++ b/libmangofork/relay/job_send.c
@@ -80,7 +80,7 @@
   mf_target_unref (data);
 }
 
-static const MfLinkUser release_user = {
+static const MfLinkCallbacks release_user = {
   .end = on_released,
 };
 
@@ -96,9 +96,9 @@
     return;
   job->memory_target = NULL;
   if (!job->memory_used && target->paused_until_us > mf_clock_now_us ())
-    mf_lines_add (job->jobs->lines, "memory.left",
-                  "id=%s upstream=%s handle=%s why=\"the engine asked for a pause\"", job->id,
-                  target->info.id, job->memory.handle);
+    mf_relay_log_event (job->jobs->lines, "memory.left",
+                        "id=%s upstream=%s handle=%s why=\"the engine asked for a pause\"", job->id,
+                        target->info.id, job->memory.handle);
   else if (!job->memory_used && target->listed)
     {
       snprintf (path, sizeof path, "%s%s", job->jobs->dialect->release_path, job->memory.handle);
@@ -106,8 +106,8 @@
                 path, target->info.address);
       /* The exchange keeps the reference until it ends. */
       if (mf_link_start (&target->pool,
-                         &(MfLinkCall){
-                             .user = &release_user,
+                         &(MfLinkRequest){
+                             .callbacks = &release_user,
                              .data = target,
                              .head = head,
                              .head_bytes = strlen (head),
@@ -129,26 +129,26 @@
     {
       const MfHeadField *field = &head->fields[i];
 
-      switch (field->word)
+      switch (field->header)
         {
-        case MF_WORD_CONNECTION:
-        case MF_WORD_KEEP_ALIVE:
-        case MF_WORD_HOP:
-        case MF_WORD_EXPECT_CONTINUE:
-        case MF_WORD_CONTENT_LENGTH:
-        case MF_WORD_DEADLINE:
-        case MF_WORD_EXPECT_UPSTREAM:
-        case MF_WORD_STAGE:
-        case MF_WORD_KV_SOURCE:
-        case MF_WORD_ENGINE_PRIORITY:
-        case MF_WORD_ENGINE_CONTROL:
+        case MF_HEADER_CONNECTION:
+        case MF_HEADER_KEEP_ALIVE:
+        case MF_HEADER_HOP_BY_HOP:
+        case MF_HEADER_EXPECT_CONTINUE:
+        case MF_HEADER_CONTENT_LENGTH:
+        case MF_HEADER_DEADLINE:
+        case MF_HEADER_EXPECT_UPSTREAM:
+        case MF_HEADER_STAGE:
+        case MF_HEADER_KV_SOURCE:
+        case MF_HEADER_ENGINE_PRIORITY:
+        case MF_HEADER_ENGINE_CONTROL:
           continue;
-        case MF_WORD_LAST_EVENT:
-          if (job->events.has_last)
+        case MF_HEADER_LAST_EVENT_ID:
+          if (job->events.has_last_id)
             continue;
           break;
         default:
-          if (mf_head_is_hop (head, field))
+          if (mf_head_is_hop_by_hop (head, field))
             continue;
           break;
         }
@@ -160,9 +160,9 @@
 }
 
 static void
-head_add (const MfJob *job, MfBuffer *out, MfWord word, const char *value)
+head_add (const MfJob *job, MfBuffer *out, MfHeaderId word, const char *value)
 {
-  mf_head_write (out, mf_dialect_name (job->jobs->dialect, word), value, strlen (value));
+  mf_head_write (out, mf_dialect_header_name (job->jobs->dialect, word), value, strlen (value));
 }
 
 /* Writes the head of the request as the upstream gets it. */
@@ -182,16 +182,16 @@
   mf_buffer_add_text (out, " HTTP/1.1\r\n");
   head_add_callers (job, out);
   snprintf (value, sizeof value, "%llu", (unsigned long long)(left_us / MF_US_PER_MS + 1));
-  head_add (job, out, MF_WORD_DEADLINE, value);
-  head_add (job, out, MF_WORD_EXPECT_UPSTREAM, target->info.id);
+  head_add (job, out, MF_HEADER_DEADLINE, value);
+  head_add (job, out, MF_HEADER_EXPECT_UPSTREAM, target->info.id);
   if (prefill)
-    head_add (job, out, MF_WORD_STAGE, job->jobs->dialect->stage_prefill);
+    head_add (job, out, MF_HEADER_STAGE, job->jobs->dialect->stage_prefill);
   else if (job->memory_target != NULL)
     {
       snprintf (value, sizeof value, "%s/%s", job->memory_target->info.address, job->memory.handle);
-      head_add (job, out, MF_WORD_KV_SOURCE, value);
+      head_add (job, out, MF_HEADER_KV_SOURCE, value);
     }
-  if (!prefill && job->events.has_last)
+  if (!prefill && job->events.has_last_id)
     {
       snprintf (value, sizeof value, "%llu", (unsigned long long)job->events.last_id);
       mf_head_write (out, "Last-Event-Id", value, strlen (value));
@@ -259,29 +259,30 @@
   job->sent_us = now_us;
   job->try_due_us = job_try_due_us (job, target, prefill, now_us);
   mf_job_answer_clear (&job->answer);
-  job->link
-      = mf_link_start (&target->pool, &(MfLinkCall){
-                                          .user = prefill ? &mf_job_prefill_user : &mf_job_run_user,
-                                          .data = job,
-                                          .head = mf_buffer_data (&head),
-                                          .head_bytes = mf_buffer_bytes (&head),
-                                          .body = mf_buffer_data (body),
-                                          .body_bytes = mf_buffer_bytes (body),
-                                          .echo_id = job->id[0] != '\0' ? job->id : NULL,
-                                          .idle_max_us = once ? ORDER_IDLE_MAX_US : 0,
-                                          .head_only = job->is_head,
-                                      });
+  job->link = mf_link_start (&target->pool,
+                             &(MfLinkRequest){
+                                 .callbacks = prefill ? &mf_job_prefill_user : &mf_job_run_user,
+                                 .data = job,
+                                 .head = mf_buffer_data (&head),
+                                 .head_bytes = mf_buffer_bytes (&head),
+                                 .body = mf_buffer_data (body),
+                                 .body_bytes = mf_buffer_bytes (body),
+                                 .echo_id = job->id[0] != '\0' ? job->id : NULL,
+                                 .idle_max_us = once ? ORDER_IDLE_MAX_US : 0,
+                                 .head_only = job->is_head,
+                             });
   mf_buffer_clear (&head);
   jobs->counters.counts[MF_RELAY_COUNT_SENDS]++;
-  mf_lines_add (jobs->lines, "request.send",
-                "id=%s upstream=%s stage=%s try=%u memory=%s in_flight=%u tokens=%llu "
-                "answer_ms=%.1f failure_share=%.2f seen_ms=%.0f left_ms=%lld",
-                job->id, target->info.id, prefill ? "prefill" : mf_role_name (target->info.role),
-                job->n_arrivals + 1, job->memory_target != NULL ? job->memory.handle : "none",
-                target->n_active, (unsigned long long)target->active_tokens,
-                target->answer_us / 1e3, mf_target_failure_share (target, now_us),
-                target->answered_us > 0 ? (double)(now_us - target->answered_us) / 1e3 : -1.,
-                ((long long)job->deadline_us - (long long)now_us) / 1000);
+  mf_relay_log_event (jobs->lines, "request.send",
+                      "id=%s upstream=%s stage=%s try=%u memory=%s in_flight=%u tokens=%llu "
+                      "answer_ms=%.1f failure_share=%.2f seen_ms=%.0f left_ms=%lld",
+                      job->id, target->info.id,
+                      prefill ? "prefill" : mf_role_name (target->info.role), job->n_arrivals + 1,
+                      job->memory_target != NULL ? job->memory.handle : "none", target->n_active,
+                      (unsigned long long)target->active_tokens, target->answer_us / 1e3,
+                      mf_target_failure_share (target, now_us),
+                      target->answered_us > 0 ? (double)(now_us - target->answered_us) / 1e3 : -1.,
+                      ((long long)job->deadline_us - (long long)now_us) / 1000);
   if (job->link == NULL)
     {
       mf_job_leave_target (job);
--- a/libmangofork/relay/job_stage.c
+++ b/libmangofork/relay/job_stage.c
@@ -181,23 +181,23 @@
   MfStageOrder *order = data;
   MfTarget *target = order->target;
   bool taken = order->status == 200 || order->status == 202;
-  bool refused = end == MF_LINK_UNREACHED || (end == MF_LINK_WHOLE && !taken);
+  bool refused = end == MF_LINK_UNREACHED || (end == MF_LINK_COMPLETE && !taken);
 
   if (refused)
     target->stage_until_us = 0;
   target->n_orders_failed += !taken;
   order->jobs->counters.counts[MF_RELAY_COUNT_ORDERS_REFUSED] += refused;
-  mf_lines_state (order->jobs->lines, "engine.order_ended",
-                  "upstream=%s stage=%s status=%u taken=%s why=\"%s\" away_ms=%llu",
-                  target->info.id, mf_role_name (order->role), order->status,
-                  taken     ? "yes"
-                  : refused ? "no"
-                            : "unknown",
-                  why, (unsigned long long)(refused ? 0 : order->away_us) / 1000);
+  mf_relay_log_state (order->jobs->lines, "engine.order_ended",
+                      "upstream=%s stage=%s status=%u taken=%s why=\"%s\" away_ms=%llu",
+                      target->info.id, mf_role_name (order->role), order->status,
+                      taken     ? "yes"
+                      : refused ? "no"
+                                : "unknown",
+                      why, (unsigned long long)(refused ? 0 : order->away_us) / 1000);
   order_free (order);
 }
 
-static const MfLinkUser order_user = {
+static const MfLinkCallbacks order_user = {
   .head = on_order_head,
   .end = on_order_end,
 };
@@ -218,8 +218,8 @@
                          "POST %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n"
                          "Content-Type: application/json\r\nContent-Length: %zu\r\n\r\n",
                          jobs->dialect->order_path, target->info.address,
-                         mf_dialect_name (jobs->dialect, MF_WORD_EXPECT_UPSTREAM), target->info.id,
-                         mf_buffer_bytes (&body));
+                         mf_dialect_header_name (jobs->dialect, MF_HEADER_EXPECT_UPSTREAM),
+                         target->info.id, mf_buffer_bytes (&body));
   *order = (MfStageOrder){
     .next = jobs->orders,
     .jobs = jobs,
@@ -233,8 +233,8 @@
   lead->ordered_us = now_us;
   target->stage_ordered = role;
   target->stage_until_us = now_us + order->away_us;
-  order->link = mf_link_start (&target->pool, &(MfLinkCall){
-                                                  .user = &order_user,
+  order->link = mf_link_start (&target->pool, &(MfLinkRequest){
+                                                  .callbacks = &order_user,
                                                   .data = order,
                                                   .head = head,
                                                   .head_bytes = (size_t)head_bytes,
@@ -268,7 +268,7 @@
 static uint64_t
 first_order_us (const MfJobs *jobs)
 {
-  uint64_t wait_us = jobs->order_turn_us + mf_peers_fresh_us (jobs->peers) + YIELD_US;
+  uint64_t wait_us = jobs->order_interval_us + mf_peers_fresh_us (jobs->peers) + YIELD_US;
 
   return jobs->orders_fenced ? wait_us : wait_us + ORDER_US + CONNECT_US;
 }
@@ -301,11 +301,11 @@
   if (target == NULL)
     return;
   jobs->counters.counts[MF_RELAY_COUNT_ORDERS]++;
-  mf_lines_state (jobs->lines, "engine.ordered",
-                  "upstream=%s stage=%s fence=%llu led_ms=%llu prefill=%u decode=%u "
-                  "prefill_busy=%.2f decode_used=%.2f",
-                  target->info.id, mf_role_name (role), (unsigned long long)lead->fence,
-                  (unsigned long long)(now_us - lead->led_since_us) / 1000, view.n_prefill,
-                  view.n_decode, lead->trend.prefill_busy, lead->trend.decode_used);
+  mf_relay_log_state (jobs->lines, "engine.ordered",
+                      "upstream=%s stage=%s fence=%llu led_ms=%llu prefill=%u decode=%u "
+                      "prefill_busy=%.2f decode_used=%.2f",
+                      target->info.id, mf_role_name (role), (unsigned long long)lead->fence,
+                      (unsigned long long)(now_us - lead->led_since_us) / 1000, view.n_prefill,
+                      view.n_decode, lead->trend.prefill_busy, lead->trend.decode_used);
   order_send (jobs, lead, service, target, role, now_us);
 }
--- a/libmangofork/relay/job_suspect.c
+++ b/libmangofork/relay/job_suspect.c
@@ -28,7 +28,7 @@
   const char *method = mf_caller_method (caller);
   const MfBuffer *body = mf_caller_body (caller);
   uint64_t parts[] = {
-    mf_caller_host (caller),
+    mf_caller_address_hash (caller),
     XXH3_64bits (method, strlen (method)),
     XXH3_64bits (mf_head_text (head, 0), head->target_bytes),
     XXH3_64bits (mf_buffer_data (body), mf_buffer_bytes (body)),
@@ -174,11 +174,11 @@
 {
   const MfSuspect *suspect = mf_suspects_find (jobs->suspects, digest, mf_clock_now_us ());
 
-  jobs->counters.counts[MF_RELAY_COUNT_CONVICTIONS]++;
-  mf_lines_state (jobs->lines, "request.convicted",
-                  "digest=%016llx upstreams_ended=%u by=%s sentence_ms=%u",
-                  (unsigned long long)digest, suspect->n_deaths, by,
-                  age_ms (mf_clock_now_us (), suspect->convicted_until_us));
+  jobs->counters.counts[MF_RELAY_COUNT_QUARANTINES]++;
+  mf_relay_log_state (jobs->lines, "request.convicted",
+                      "digest=%016llx upstreams_ended=%u by=%s sentence_ms=%u",
+                      (unsigned long long)digest, suspect->n_deaths, by,
+                      age_ms (mf_clock_now_us (), suspect->convicted_until_us));
 }
 
 static void
@@ -240,10 +240,10 @@
   if (verdict < MF_SUSPECT_COUNTED || suspect == NULL)
     return;
   jobs->counters.counts[MF_RELAY_COUNT_SUSPICIONS]++;
-  mf_lines_add (jobs->lines, "request.suspected",
-                "digest=%016llx upstreams_ended=%u was_suspect=%s break_age_ms=%u",
-                (unsigned long long)broken->digest, suspect->n_deaths,
-                broken->suspect ? "yes" : "no", age_ms (broken->at_us, mf_clock_now_us ()));
+  mf_relay_log_event (jobs->lines, "request.suspected",
+                      "digest=%016llx upstreams_ended=%u was_suspect=%s break_age_ms=%u",
+                      (unsigned long long)broken->digest, suspect->n_deaths,
+                      broken->suspect ? "yes" : "no", age_ms (broken->at_us, mf_clock_now_us ()));
   if (verdict == MF_SUSPECT_CONVICTED)
     note_conviction (jobs, broken->digest, "self");
   if (suspect->n_deaths >= TOLD_AT_ONCE || !has_try (jobs, broken->digest))
@@ -271,8 +271,8 @@
   MfJobs *jobs = data;
 
   if (mf_suspects_n_breaks (jobs->suspects) > 0)
-    mf_lines_state (jobs->lines, "upstream.ended", "upstream=%s why=\"%s\" leaving=%s",
-                    target->info.id, why, mf_target_is_leaving (target) ? "yes" : "no");
+    mf_relay_log_state (jobs->lines, "upstream.ended", "upstream=%s why=\"%s\" leaving=%s",
+                        target->info.id, why, mf_target_is_leaving (target) ? "yes" : "no");
   upstream_ended (jobs, target);
 }
 
--- a/libmangofork/relay/line.c
+++ b/libmangofork/relay/line.c
@@ -31,7 +31,7 @@
   uint64_t second;
 } RateLimit;
 
-struct MfLines
+struct MfRelayLog
 {
   struct ev_loop *loop;
   ev_timer timer;
@@ -40,8 +40,8 @@
   log4c_category_t *category;
   log4c_appender_t *appender;
   MfBuffer pending;
-  RateLimit requests;
-  RateLimit states;
+  RateLimit request_limit;
+  RateLimit state_limit;
   uint64_t n_dropped;
   uint64_t n_dropped_reported;
 };
@@ -49,9 +49,9 @@
 static int
 appender_append (log4c_appender_t *appender, const log4c_logging_event_t *event)
 {
-  MfLines *lines = log4c_appender_get_udata (appender);
+  MfRelayLog *log = log4c_appender_get_udata (appender);
 
-  mf_buffer_add_text (&lines->pending, event->evt_rendered_msg);
+  mf_buffer_add_text (&log->pending, event->evt_rendered_msg);
   return 0;
 }
 
@@ -74,40 +74,40 @@
 
 /* Writes what the reader takes at once. */
 static void
-lines_flush (MfLines *lines)
+log_flush (MfRelayLog *log)
 {
-  struct pollfd ready = { .fd = lines->fd, .events = POLLOUT };
+  struct pollfd ready = { .fd = log->fd, .events = POLLOUT };
 
-  while (mf_buffer_bytes (&lines->pending) > 0 && poll (&ready, 1, 0) == 1
+  while (mf_buffer_bytes (&log->pending) > 0 && poll (&ready, 1, 0) == 1
          && (ready.revents & POLLOUT) != 0)
     {
-      size_t n_bytes = mf_buffer_bytes (&lines->pending);
+      size_t n_bytes = mf_buffer_bytes (&log->pending);
       /* A pipe that is ready takes this much without waiting. */
       ssize_t n_written
-          = write (lines->fd, mf_buffer_data (&lines->pending), n_bytes < 4096 ? n_bytes : 4096);
+          = write (log->fd, mf_buffer_data (&log->pending), n_bytes < 4096 ? n_bytes : 4096);
 
       if (n_written <= 0)
         break;
-      mf_buffer_take (&lines->pending, (size_t)n_written);
+      mf_buffer_take (&log->pending, (size_t)n_written);
     }
-  if (lines->pending.failed)
-    mf_buffer_clear (&lines->pending);
+  if (log->pending.failed)
+    mf_buffer_clear (&log->pending);
 }
 
 static void
 on_timer (struct ev_loop *loop, ev_timer *watcher, int events)
 {
-  MfLines *lines = watcher->data;
+  MfRelayLog *log = watcher->data;
 
   (void)events;
-  if (lines->n_dropped != lines->n_dropped_reported)
+  if (log->n_dropped != log->n_dropped_reported)
     {
-      uint64_t n_new = lines->n_dropped - lines->n_dropped_reported;
+      uint64_t n_new = log->n_dropped - log->n_dropped_reported;
 
-      lines->n_dropped_reported = lines->n_dropped;
-      mf_lines_state (lines, "log.dropped", "lines=%llu", (unsigned long long)n_new);
+      log->n_dropped_reported = log->n_dropped;
+      mf_relay_log_state (log, "log.dropped", "lines=%llu", (unsigned long long)n_new);
     }
-  lines_flush (lines);
+  log_flush (log);
   ev_timer_stop (loop, watcher);
 }
 
@@ -128,7 +128,7 @@
 }
 
 static void
-lines_write (MfLines *lines, const char *event, const char *pairs)
+log_write (MfRelayLog *log, const char *event, const char *pairs)
 {
   char line[LINE_BYTES + 256];
   uint64_t wall_ms = mf_clock_wall_ms ();
@@ -139,107 +139,109 @@
   gmtime_r (&wall_s, &utc);
   strftime (stamp, sizeof stamp, "%Y-%m-%dT%H:%M:%S", &utc);
   snprintf (line, sizeof line, "time=%s.%03uZ instance=%s event=%s %s\n", stamp,
-            (unsigned int)(wall_ms % 1000), lines->instance, event, pairs);
-  log4c_category_log (lines->category, LOG4C_PRIORITY_INFO, "%s", line);
-  if (!ev_is_active (&lines->timer))
+            (unsigned int)(wall_ms % 1000), log->instance, event, pairs);
+  log4c_category_log (log->category, LOG4C_PRIORITY_INFO, "%s", line);
+  if (!ev_is_active (&log->timer))
     {
-      ev_timer_set (&lines->timer, FLUSH_INTERVAL_S, 0.);
-      ev_timer_start (lines->loop, &lines->timer);
+      ev_timer_set (&log->timer, FLUSH_INTERVAL_S, 0.);
+      ev_timer_start (log->loop, &log->timer);
     }
 }
 
-static void lines_try (MfLines *lines, RateLimit *limit, const char *event, const char *format,
-                       va_list args) __attribute__ ((format (printf, 4, 0)));
+static void log_write_limited (MfRelayLog *log, RateLimit *limit, const char *event,
+                               const char *format, va_list args)
+    __attribute__ ((format (printf, 4, 0)));
 
 static void
-lines_try (MfLines *lines, RateLimit *limit, const char *event, const char *format, va_list args)
+log_write_limited (MfRelayLog *log, RateLimit *limit, const char *event, const char *format,
+                   va_list args)
 {
   char pairs[LINE_BYTES];
 
   if (!rate_limit_take (limit, mf_clock_now_us ())
-      || mf_buffer_bytes (&lines->pending) > PENDING_BYTES_MAX)
+      || mf_buffer_bytes (&log->pending) > PENDING_BYTES_MAX)
     {
-      lines->n_dropped++;
+      log->n_dropped++;
       return;
     }
   vsnprintf (pairs, sizeof pairs, format, args);
-  lines_write (lines, event, pairs);
+  log_write (log, event, pairs);
 }
 
 /* Adds one line: what happened, then the pairs. Changes of state are written before requests when
  * there is not room for all. */
 void
-mf_lines_add (MfLines *lines, const char *event, const char *format, ...)
+mf_relay_log_event (MfRelayLog *log, const char *event, const char *format, ...)
 {
   va_list args;
 
   va_start (args, format);
-  lines_try (lines, &lines->requests, event, format, args);
+  log_write_limited (log, &log->request_limit, event, format, args);
   va_end (args);
 }
 
 /* The same for a change of state, which has an allowance of its own. */
 void
-mf_lines_state (MfLines *lines, const char *event, const char *format, ...)
+mf_relay_log_state (MfRelayLog *log, const char *event, const char *format, ...)
 {
   va_list args;
 
   va_start (args, format);
-  lines_try (lines, &lines->states, event, format, args);
+  log_write_limited (log, &log->state_limit, event, format, args);
   va_end (args);
 }
 
 /* Lines left out since the start. */
 uint64_t
-mf_lines_dropped (const MfLines *lines)
+mf_relay_log_n_dropped (const MfRelayLog *log)
 {
-  return lines->n_dropped;
+  return log->n_dropped;
 }
 
 /* Writes lines to a descriptor, which stays the caller's. NULL with error set. */
-MfLines *
-mf_lines_new (struct ev_loop *loop, const char *instance, int fd, MfError *error)
+MfRelayLog *
+mf_relay_log_new (struct ev_loop *loop, const char *instance, int fd, MfError *error)
 {
-  MfLines *lines = calloc (1, sizeof *lines);
+  MfRelayLog *log = calloc (1, sizeof *log);
   log4c_layout_t *layout;
 
-  if (lines == NULL)
+  if (log == NULL)
     {
       mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the log");
       return NULL;
     }
-  *lines = (MfLines){
+  *log = (MfRelayLog){
     .loop = loop,
     .fd = fd,
-    .requests = { .per_s = REQUEST_LINES_PER_S },
-    .states = { .per_s = STATE_LINES_PER_S },
+    .request_limit = { .per_s = REQUEST_LINES_PER_S },
+    .state_limit = { .per_s = STATE_LINES_PER_S },
   };
-  mf_name_set (lines->instance, sizeof lines->instance, instance);
-  ev_timer_init (&lines->timer, on_timer, FLUSH_INTERVAL_S, 0.);
-  lines->timer.data = lines;
-  lines->category = log4c_category_get ("mangofork-lines");
-  lines->appender = log4c_appender_get ("mangofork-lines");
+  mf_name_set (log->instance, sizeof log->instance, instance);
+  ev_timer_init (&log->timer, on_timer, FLUSH_INTERVAL_S, 0.);
+  log->timer.data = log;
+  log->category = log4c_category_get ("mangofork-lines");
+  log->appender = log4c_appender_get ("mangofork-lines");
   layout = log4c_layout_get ("mangofork-lines");
-  log4c_appender_set_type (lines->appender, &appender_type);
-  log4c_appender_set_udata (lines->appender, lines);
+  log4c_appender_set_type (log->appender, &appender_type);
+  log4c_appender_set_udata (log->appender, log);
   log4c_layout_set_type (layout, &layout_type);
-  log4c_appender_set_layout (lines->appender, layout);
-  log4c_category_set_appender (lines->category, lines->appender);
-  log4c_category_set_additivity (lines->category, 0);
-  log4c_category_set_priority (lines->category, LOG4C_PRIORITY_INFO);
-  return lines;
+  log4c_appender_set_layout (log->appender, layout);
+  log4c_category_set_appender (log->category, log->appender);
+  log4c_category_set_additivity (log->category, 0);
+  log4c_category_set_priority (log->category, LOG4C_PRIORITY_INFO);
+  return log;
 }
 
 /* Accepts NULL. Writes what is left, as far as the reader takes it. */
 void
-mf_lines_free (MfLines *lines)
+mf_relay_log_free (MfRelayLog *log)
 {
-  if (lines == NULL)
+  if (log == NULL)
     return;
-  lines_flush (lines);
-  ev_timer_stop (lines->loop, &lines->timer);
-  log4c_category_set_appender (lines->category, NULL);
-  log4c_appender_set_udata (lines->appender, NULL);
-  mf_buffer_clear (&lines->pending);
-  free (lines);
+  log_flush (log);
+  ev_timer_stop (log->loop, &log->timer);
+  log4c_category_set_appender (log->category, NULL);
+  log4c_appender_set_udata (log->appender, NULL);
+  mf_buffer_clear (&log->pending);
+  free (log);
 }
--- a/libmangofork/relay/link.c
+++ b/libmangofork/relay/link.c
@@ -42,7 +42,7 @@
   ev_timer timer; /* connecting and busy: time-out; idle: close; ending: due at once */
   MfMessage message;
   MfBuffer out;
-  const MfLinkUser *user;
+  const MfLinkCallbacks *callbacks;
   void *data;
   char echo_id[REQUEST_ID_BYTES];
   bool head_only;
@@ -102,11 +102,11 @@
 static void
 link_end (MfLink *link, MfLinkEnd end, const char *why)
 {
-  const MfLinkUser *user = link->user;
+  const MfLinkCallbacks *callbacks = link->callbacks;
   void *data = link->data;
 
   link_free (link);
-  user->end (data, end, why);
+  callbacks->end (data, end, why);
 }
 
 static void
@@ -137,7 +137,7 @@
   mf_message_reset (&link->message);
   mf_buffer_clear (&link->out);
   link->state = LINK_IDLE;
-  link->user = NULL;
+  link->callbacks = NULL;
   link->idle_timeout_us = idle_timeout_us;
   link->idle_since_us = mf_clock_now_us ();
   link->next_idle = pool->idle;
@@ -160,7 +160,7 @@
   char value[64];
   uint64_t idle_timeout_us = pool->idle_default_us;
 
-  if (mf_head_copy (&link->message.head, MF_WORD_KEEP_ALIVE, value, sizeof value))
+  if (mf_head_copy (&link->message.head, MF_HEADER_KEEP_ALIVE, value, sizeof value))
     {
       const char *timeout = strstr (value, "timeout=");
 
@@ -180,11 +180,11 @@
 static void
 link_complete (MfLink *link, bool has_surplus)
 {
-  const MfLinkUser *user = link->user;
+  const MfLinkCallbacks *callbacks = link->callbacks;
   void *data = link->data;
 
   link_recycle (link, has_surplus);
-  user->end (data, MF_LINK_WHOLE, "answered");
+  callbacks->end (data, MF_LINK_COMPLETE, "answered");
 }
 
 static bool
@@ -194,19 +194,19 @@
   MfLinkPool *pool = link->pool;
   char id[REQUEST_ID_BYTES];
 
-  if (pool->heard != NULL)
-    pool->heard (pool->owner, &message->head, message->parser.status_code);
+  if (pool->on_response != NULL)
+    pool->on_response (pool->owner, &message->head, message->parser.status_code);
   /* An upstream echoes the request id that it was sent. A response with another id, or with an id
    * where none was sent, is the late response to another request and is skipped. */
-  link->id_mismatch = mf_head_copy (&message->head, MF_WORD_REQUEST_ID, id, sizeof id)
+  link->id_mismatch = mf_head_copy (&message->head, MF_HEADER_REQUEST_ID, id, sizeof id)
                       && id[0] != '\0' && strcmp (id, link->echo_id) != 0;
   if (link->id_mismatch)
     {
       link->had_id_mismatch = true;
       return true;
     }
-  if (link->user->head != NULL)
-    link->user->head (link->data, &message->head, message->parser.status_code);
+  if (link->callbacks->head != NULL)
+    link->callbacks->head (link->data, &message->head, message->parser.status_code);
   return !link->head_only;
 }
 
@@ -216,11 +216,11 @@
   MfLink *link = data;
 
   (void)message;
-  if (!link->id_mismatch && !link->cancelled && link->user->body != NULL)
-    link->user->body (link->data, bytes, n_bytes);
+  if (!link->id_mismatch && !link->cancelled && link->callbacks->body != NULL)
+    link->callbacks->body (link->data, bytes, n_bytes);
 }
 
-static const MfMessageEvents message_events = { .head = on_head, .body = on_body };
+static const MfMessageCallbacks message_events = { .head = on_head, .body = on_body };
 
 /* Parses received bytes. Returns false when the link has ended or become idle. */
 static bool
@@ -238,7 +238,7 @@
           link_free (link);
           return false;
         }
-      if (link->message.fault != MF_CODE_OK)
+      if (link->message.error_code != MF_CODE_OK)
         {
           link_fail (link, "malformed HTTP response");
           return false;
@@ -269,7 +269,7 @@
   if (link->cancelled)
     link_free (link);
   else if (complete)
-    link_end (link, MF_LINK_WHOLE, "answered");
+    link_end (link, MF_LINK_COMPLETE, "answered");
   else
     link_fail (link, clean ? "the upstream closed the connection" : "the connection was reset");
 }
@@ -339,11 +339,11 @@
 }
 
 static void
-link_connect_failed (MfLink *link, int fault)
+link_connect_failed (MfLink *link, int socket_error)
 {
   MfLinkPool *pool = link->pool;
 
-  if (fault == ECONNREFUSED && pool->refused != NULL)
+  if (socket_error == ECONNREFUSED && pool->refused != NULL)
     pool->refused (pool->owner);
   link_fail (link, "connect failed");
 }
@@ -353,7 +353,7 @@
 link_opened (MfLink *link)
 {
   MfLinkPool *pool = link->pool;
-  const MfLinkUser *user = link->user;
+  const MfLinkCallbacks *callbacks = link->callbacks;
   void *data = link->data;
 
   ev_io_stop (pool->loop, &link->writer);
@@ -362,23 +362,24 @@
     link_make_idle (link, pool->idle_default_us);
   else
     link_free (link);
-  user->end (data, MF_LINK_WHOLE, "connected");
+  callbacks->end (data, MF_LINK_COMPLETE, "connected");
 }
 
 static void
 on_writable (struct ev_loop *loop, ev_io *watcher, int events)
 {
   MfLink *link = watcher->data;
-  int fault = 0;
-  socklen_t fault_bytes = sizeof fault;
+  int socket_error = 0;
+  socklen_t socket_error_bytes = sizeof socket_error;
 
   (void)loop;
   (void)events;
   if (link->state == LINK_CONNECTING)
     {
-      if (getsockopt (link->fd, SOL_SOCKET, SO_ERROR, &fault, &fault_bytes) != 0 || fault != 0)
+      if (getsockopt (link->fd, SOL_SOCKET, SO_ERROR, &socket_error, &socket_error_bytes) != 0
+          || socket_error != 0)
         {
-          link_connect_failed (link, fault);
+          link_connect_failed (link, socket_error);
           return;
         }
       if (link->no_request)
@@ -497,13 +498,13 @@
 /* Opens a connection without a request, to see whether the peer accepts it; it is then kept for the
  * next request. Returns NULL when memory runs out. */
 MfLink *
-mf_link_open (MfLinkPool *pool, const MfLinkUser *user, void *data)
+mf_link_open (MfLinkPool *pool, const MfLinkCallbacks *callbacks, void *data)
 {
   MfLink *link = link_connect (pool);
 
   if (link == NULL)
     return NULL;
-  link->user = user;
+  link->callbacks = callbacks;
   link->data = data;
   link->no_request = true;
   return link;
@@ -512,25 +513,25 @@
 /* Sends a request on an idle connection or a new one. Returns NULL when memory runs out; all other
  * failures are reported to the end callback. */
 MfLink *
-mf_link_start (MfLinkPool *pool, const MfLinkCall *call)
+mf_link_start (MfLinkPool *pool, const MfLinkRequest *request)
 {
-  MfLink *link = idle_take (pool, call->idle_max_us);
+  MfLink *link = idle_take (pool, request->idle_max_us);
 
   if (link == NULL)
     link = link_connect (pool);
   if (link == NULL)
     return NULL;
-  link->user = call->user;
-  link->data = call->data;
+  link->callbacks = request->callbacks;
+  link->data = request->data;
   link->has_sent = false;
   link->id_mismatch = false;
-  link->head_only = call->head_only;
-  link->timeout_us = call->timeout_us;
+  link->head_only = request->head_only;
+  link->timeout_us = request->timeout_us;
   link->echo_id[0] = '\0';
-  if (call->echo_id != NULL && strlen (call->echo_id) < sizeof link->echo_id)
-    memcpy (link->echo_id, call->echo_id, strlen (call->echo_id) + 1);
-  mf_buffer_add (&link->out, call->head, call->head_bytes);
-  mf_buffer_add (&link->out, call->body, call->body_bytes);
+  if (request->echo_id != NULL && strlen (request->echo_id) < sizeof link->echo_id)
+    memcpy (link->echo_id, request->echo_id, strlen (request->echo_id) + 1);
+  mf_buffer_add (&link->out, request->head, request->head_bytes);
+  mf_buffer_add (&link->out, request->body, request->body_bytes);
   if (link->out.failed)
     link_fail_later (link, "out of memory");
   else if (link->state == LINK_BUSY)
@@ -557,11 +558,11 @@
 
 /* Pauses or resumes reading the response, for a caller that reads slowly. */
 void
-mf_link_hold (MfLink *link, bool held)
+mf_link_pause_reading (MfLink *link, bool paused)
 {
   if (link->state != LINK_BUSY)
     return;
-  if (held)
+  if (paused)
     ev_io_stop (link->pool->loop, &link->reader);
   else
     ev_io_start (link->pool->loop, &link->reader);
--- a/libmangofork/relay/link.h
+++ b/libmangofork/relay/link.h
@@ -10,7 +10,7 @@
 /* How an HTTP exchange ended. */
 typedef enum
 {
-  MF_LINK_WHOLE,     /* the response is complete */
+  MF_LINK_COMPLETE,  /* the response is complete */
   MF_LINK_UNREACHED, /* no byte of the request was sent */
   MF_LINK_BROKEN,    /* part of it was sent; the response is missing or incomplete */
 } MfLinkEnd;
@@ -24,7 +24,7 @@
   /* The exchange has ended and the link must not be used any more. why is the cause, for
    * the log. */
   void (*end) (void *data, MfLinkEnd end, const char *why);
-} MfLinkUser;
+} MfLinkCallbacks;
 
 /* The connections to one address, with those that are idle kept for reuse. */
 typedef struct
@@ -43,7 +43,7 @@
   uint64_t n_connects;
   /* Called with the head of each response from the address, also of one that belongs to another
    * request; may be NULL. */
-  void (*heard) (void *owner, const MfHead *head, uint32_t status);
+  void (*on_response) (void *owner, const MfHead *head, uint32_t status);
   /* Called when a connection is refused, as nothing listens at the address; may be NULL. */
   void (*refused) (void *owner);
   void *owner;
@@ -52,7 +52,7 @@
 /* A request to send. The head, the body and the id are copied. */
 typedef struct
 {
-  const MfLinkUser *user;
+  const MfLinkCallbacks *callbacks;
   void *data;
   const char *head;
   size_t head_bytes;
@@ -62,12 +62,12 @@
   uint64_t idle_max_us; /* a connection that was idle for longer is not reused; 0: any is */
   bool head_only;       /* a HEAD request, whose response has no body */
   uint64_t timeout_us;  /* for the complete exchange, from the connection on; 0: none */
-} MfLinkCall;
+} MfLinkRequest;
 
-MfLink *mf_link_open (MfLinkPool *pool, const MfLinkUser *user, void *data);
-MfLink *mf_link_start (MfLinkPool *pool, const MfLinkCall *call);
+MfLink *mf_link_open (MfLinkPool *pool, const MfLinkCallbacks *callbacks, void *data);
+MfLink *mf_link_start (MfLinkPool *pool, const MfLinkRequest *request);
 void mf_link_cancel (MfLink *link);
-void mf_link_hold (MfLink *link, bool held);
+void mf_link_pause_reading (MfLink *link, bool paused);
 bool mf_link_has_sent (const MfLink *link);
 void mf_link_pool_close (MfLinkPool *pool);
 
--- a/libmangofork/relay/message.c
+++ b/libmangofork/relay/message.c
@@ -10,8 +10,8 @@
 static int
 message_fail (MfMessage *message, MfCode code)
 {
-  if (message->fault == MF_CODE_OK)
-    message->fault = code;
+  if (message->error_code == MF_CODE_OK)
+    message->error_code = code;
   return -1;
 }
 
@@ -48,8 +48,8 @@
   while (field->value_bytes > 0
          && strchr (" \t", mf_head_text (head, field->value_at)[field->value_bytes - 1]) != NULL)
     field->value_bytes--;
-  field->word
-      = mf_dialect_word (message->dialect, mf_head_text (head, field->name_at), field->name_bytes);
+  field->header = mf_dialect_header_id (message->dialect, mf_head_text (head, field->name_at),
+                                        field->name_bytes);
   message->in_value = false;
 }
 
@@ -68,7 +68,7 @@
         return message_fail (message, MF_CODE_HEADERS_TOO_LARGE);
       head->fields[head->n_fields++]
           = (MfHeadField){ .name_at = (uint32_t)mf_buffer_bytes (&head->text),
-                           .word = MF_WORD_OTHER };
+                           .header = MF_HEADER_OTHER };
     }
   head->fields[head->n_fields - 1].name_bytes += (uint32_t)n_bytes;
   return head_append (message, bytes, n_bytes);
@@ -102,7 +102,7 @@
   message->head_done = true;
   if (parser->type == HTTP_RESPONSE && parser->status_code < 200)
     return 0;
-  if (message->events->head != NULL && !message->events->head (message, message->data))
+  if (message->callbacks->head != NULL && !message->callbacks->head (message, message->data))
     return 1;
   return 0;
 }
@@ -112,8 +112,8 @@
 {
   MfMessage *message = parser->data;
 
-  if (message->events->body != NULL)
-    message->events->body (message, bytes, n_bytes, message->data);
+  if (message->callbacks->body != NULL)
+    message->callbacks->body (message, bytes, n_bytes, message->data);
   return 0;
 }
 
@@ -155,9 +155,9 @@
 /* type is HTTP_REQUEST or HTTP_RESPONSE. The dialect and events are borrowed. */
 void
 mf_message_init (MfMessage *message, enum http_parser_type type, const MfDialect *dialect,
-                 const MfMessageEvents *events, void *data)
+                 const MfMessageCallbacks *callbacks, void *data)
 {
-  *message = (MfMessage){ .dialect = dialect, .events = events, .data = data };
+  *message = (MfMessage){ .dialect = dialect, .callbacks = callbacks, .data = data };
   http_parser_init (&message->parser, type);
   message->parser.data = message;
 }
@@ -173,7 +173,7 @@
   message->head_done = false;
   message->done = false;
   message->in_value = false;
-  message->fault = MF_CODE_OK;
+  message->error_code = MF_CODE_OK;
   http_parser_init (&message->parser, type);
   message->parser.data = message;
 }
@@ -187,7 +187,7 @@
 
 /* The product's code for what the parser found wrong. */
 static MfCode
-parser_fault (enum http_errno fault)
+parser_error_code (enum http_errno fault)
 {
   switch (fault)
     {
@@ -211,18 +211,18 @@
   size_t n_consumed;
   enum http_errno fault;
 
-  if (message->done || message->fault != MF_CODE_OK || n_bytes == 0)
+  if (message->done || message->error_code != MF_CODE_OK || n_bytes == 0)
     return 0;
   message->begun = true;
   n_consumed = http_parser_execute (&message->parser, &parser_settings, bytes, n_bytes);
   fault = HTTP_PARSER_ERRNO (&message->parser);
   if (message->done)
     return n_consumed;
-  if (fault != HPE_OK && message->fault == MF_CODE_OK)
-    message->fault = parser_fault (fault);
+  if (fault != HPE_OK && message->error_code == MF_CODE_OK)
+    message->error_code = parser_error_code (fault);
   /* CONNECT and the like end the parser's work without a message. */
-  if (message->parser.upgrade != 0 && message->fault == MF_CODE_OK && n_consumed < n_bytes)
-    message->fault = MF_CODE_BAD_HEADER;
+  if (message->parser.upgrade != 0 && message->error_code == MF_CODE_OK && n_consumed < n_bytes)
+    message->error_code = MF_CODE_BAD_HEADER;
   return n_consumed;
 }
 
@@ -232,7 +232,7 @@
 {
   if (message->done)
     return true;
-  if (message->fault != MF_CODE_OK || !message->head_done)
+  if (message->error_code != MF_CODE_OK || !message->head_done)
     return false;
   http_parser_execute (&message->parser, &parser_settings, "", 0);
   return message->done;
@@ -247,11 +247,11 @@
 
 /* The value of the first header with this meaning; NULL when there is none. Not NUL-closed. */
 const char *
-mf_head_value (const MfHead *head, MfWord word, size_t *value_bytes)
+mf_head_value (const MfHead *head, MfHeaderId header, size_t *value_bytes)
 {
   for (uint32_t i = 0; i < head->n_fields; i++)
     {
-      if (head->fields[i].word != word)
+      if (head->fields[i].header != header)
         continue;
       *value_bytes = head->fields[i].value_bytes;
       return mf_head_text (head, head->fields[i].value_at);
@@ -261,10 +261,10 @@
 
 /* Copies that value as a string. Returns false when there is none or it does not fit. */
 bool
-mf_head_copy (const MfHead *head, MfWord word, char *dst, size_t dst_bytes)
+mf_head_copy (const MfHead *head, MfHeaderId header, char *dst, size_t dst_bytes)
 {
   size_t value_bytes = 0;
-  const char *value = mf_head_value (head, word, &value_bytes);
+  const char *value = mf_head_value (head, header, &value_bytes);
 
   if (value == NULL || value_bytes >= dst_bytes)
     return false;
@@ -275,12 +275,12 @@
 
 /* Reads that value as a number without sign; returns false when it is none. */
 bool
-mf_head_number (const MfHead *head, MfWord word, uint64_t *number)
+mf_head_number (const MfHead *head, MfHeaderId header, uint64_t *number)
 {
   char text[24];
   char *end;
 
-  if (!mf_head_copy (head, word, text, sizeof text) || text[0] < '0' || text[0] > '9')
+  if (!mf_head_copy (head, header, text, sizeof text) || text[0] < '0' || text[0] > '9')
     return false;
   *number = strtoull (text, &end, 10);
   return *end == '\0' || *end == '.';
@@ -289,12 +289,12 @@
 /* Reads that value as seconds, which may have a fraction. Returns false when it is missing,
  * negative or no number. */
 bool
-mf_head_seconds (const MfHead *head, MfWord word, double *seconds)
+mf_head_seconds (const MfHead *head, MfHeaderId header, double *seconds)
 {
   char text[32];
   char *end;
 
-  if (!mf_head_copy (head, word, text, sizeof text) || text[0] < '0' || text[0] > '9')
+  if (!mf_head_copy (head, header, text, sizeof text) || text[0] < '0' || text[0] > '9')
     return false;
   *seconds = strtod (text, &end);
   return *end == '\0' && *seconds <= DBL_MAX;
@@ -302,12 +302,12 @@
 
 /* How often a header of this meaning stands in the head. */
 uint32_t
-mf_head_count (const MfHead *head, MfWord word)
+mf_head_count (const MfHead *head, MfHeaderId header)
 {
   uint32_t n_found = 0;
 
   for (uint32_t i = 0; i < head->n_fields; i++)
-    n_found += head->fields[i].word == word;
+    n_found += head->fields[i].header == header;
   return n_found;
 }
 
@@ -337,13 +337,13 @@
 
 /* Whether the Connection header names this header as one that concerns the connection only. */
 bool
-mf_head_is_hop (const MfHead *head, const MfHeadField *field)
+mf_head_is_hop_by_hop (const MfHead *head, const MfHeadField *field)
 {
   for (uint32_t i = 0; i < head->n_fields; i++)
     {
       const MfHeadField *list = &head->fields[i];
 
-      if (list->word == MF_WORD_CONNECTION
+      if (list->header == MF_HEADER_CONNECTION
           && list_holds (mf_head_text (head, list->value_at), list->value_bytes,
                          mf_head_text (head, field->name_at), field->name_bytes))
         return true;
--- a/libmangofork/relay/message.h
+++ b/libmangofork/relay/message.h
@@ -17,7 +17,7 @@
   uint32_t name_bytes;
   uint32_t value_at;
   uint32_t value_bytes;
-  MfWord word;
+  MfHeaderId header;
 } MfHeadField;
 
 /* The head of a message. For requests, target is the path with its query. */
@@ -37,14 +37,14 @@
   /* The head is whole. Returns false when the message has no body whatever its head says. */
   bool (*head) (MfMessage *message, void *data);
   void (*body) (MfMessage *message, const char *bytes, size_t n_bytes, void *data);
-} MfMessageEvents;
+} MfMessageCallbacks;
 
 /* An HTTP/1.1 message while it is read. */
 struct MfMessage
 {
   http_parser parser;
   const MfDialect *dialect;
-  const MfMessageEvents *events;
+  const MfMessageCallbacks *callbacks;
   void *data;
   MfHead head;
   uint64_t head_bytes_max; /* 0: no limit */
@@ -52,23 +52,23 @@
   bool head_done;
   bool done;
   bool in_value;
-  MfCode fault; /* why it cannot be read; MF_CODE_OK while it can */
+  MfCode error_code; /* why it cannot be read; MF_CODE_OK while it can */
 };
 
 void mf_message_init (MfMessage *message, enum http_parser_type type, const MfDialect *dialect,
-                      const MfMessageEvents *events, void *data);
+                      const MfMessageCallbacks *callbacks, void *data);
 void mf_message_reset (MfMessage *message);
 void mf_message_clear (MfMessage *message);
 size_t mf_message_feed (MfMessage *message, const char *bytes, size_t n_bytes);
 bool mf_message_finish (MfMessage *message);
 
-const char *mf_head_value (const MfHead *head, MfWord word, size_t *value_bytes);
-bool mf_head_copy (const MfHead *head, MfWord word, char *dst, size_t dst_bytes);
-bool mf_head_number (const MfHead *head, MfWord word, uint64_t *number);
-bool mf_head_seconds (const MfHead *head, MfWord word, double *seconds);
-uint32_t mf_head_count (const MfHead *head, MfWord word);
+const char *mf_head_value (const MfHead *head, MfHeaderId header, size_t *value_bytes);
+bool mf_head_copy (const MfHead *head, MfHeaderId header, char *dst, size_t dst_bytes);
+bool mf_head_number (const MfHead *head, MfHeaderId header, uint64_t *number);
+bool mf_head_seconds (const MfHead *head, MfHeaderId header, double *seconds);
+uint32_t mf_head_count (const MfHead *head, MfHeaderId header);
 const char *mf_head_text (const MfHead *head, uint32_t at);
-bool mf_head_is_hop (const MfHead *head, const MfHeadField *field);
+bool mf_head_is_hop_by_hop (const MfHead *head, const MfHeadField *field);
 void mf_head_write (MfBuffer *out, const char *name, const char *value, size_t value_bytes);
 
 #endif
--- a/libmangofork/relay/peers.c
+++ b/libmangofork/relay/peers.c
@@ -223,8 +223,8 @@
     return;
   if (peer->heard_us == 0)
     {
-      mf_lines_state (peers->lines, "peer.heard", "peer=%s peers=%u", peer->address,
-                      peers->n_peers);
+      mf_relay_log_state (peers->lines, "peer.heard", "peer=%s peers=%u", peer->address,
+                          peers->n_peers);
     }
   peer->heard_us = now_us;
   peer->told_gone = false;
@@ -273,8 +273,8 @@
   /* A process that ends drops its requests at the engines with it. */
   if (peer != NULL && peer->heard_us > 0 && !peers->closing)
     {
-      mf_lines_state (peers->lines, "peer.closed", "peer=%s entries=%u", peer->address,
-                      peer->n_entries);
+      mf_relay_log_state (peers->lines, "peer.closed", "peer=%s entries=%u", peer->address,
+                          peer->n_entries);
       peer->n_entries = 0;
       peer->heard_us = 0;
       peer_gone (peers, peer);
@@ -365,7 +365,7 @@
   mf_buffer_add (&incoming->in, bytes, (size_t)n_read);
   if (incoming_take (incoming))
     return;
-  mf_lines_state (incoming->peers->lines, "peer.faulty", "peer=%s", incoming->address);
+  mf_relay_log_state (incoming->peers->lines, "peer.faulty", "peer=%s", incoming->address);
   incoming_close (incoming);
 }
 
@@ -426,7 +426,7 @@
 /* Listens at an address, which is also the one others are told. NULL with error set. */
 MfPeers *
 mf_peers_new (struct ev_loop *loop, const char *address, const MfPeersUser *user, void *data,
-              MfLines *lines, MfError *error)
+              MfRelayLog *lines, MfError *error)
 {
   MfPeers *peers = calloc (1, sizeof *peers);
 
--- a/libmangofork/relay/peers.h
+++ b/libmangofork/relay/peers.h
@@ -27,7 +27,7 @@
 } MfPeersUser;
 
 MfPeers *mf_peers_new (struct ev_loop *loop, const char *address, const MfPeersUser *user,
-                       void *data, MfLines *lines, MfError *error);
+                       void *data, MfRelayLog *lines, MfError *error);
 void mf_peers_set_data_centre (MfPeers *peers, const char *data_centre);
 void mf_peers_free (MfPeers *peers);
 void mf_peers_seed (MfPeers *peers, const char *addresses);
--- a/libmangofork/relay/peers_row.h
+++ b/libmangofork/relay/peers_row.h
@@ -63,7 +63,7 @@
   char address[MF_ADDRESS_BYTES];
   const MfPeersUser *user;
   void *data;
-  MfLines *lines;
+  MfRelayLog *lines;
   int fd;
   ev_io acceptor;
   ev_timer tick;
--- a/libmangofork/relay/relay.c
+++ b/libmangofork/relay/relay.c
@@ -37,7 +37,7 @@
 #define EXIT_MARGIN_US (250 * MF_US_PER_MS)
 
 /* Limits of a door before a configuration names others. */
-static const MfDoorLimits default_limits = {
+static const MfListenerLimits default_limits = {
   .header_bytes_max = 16384,
   .body_bytes_max = 4 * 1024 * 1024,
   .header_timeout_us = 5 * MF_US_PER_S,
@@ -51,11 +51,11 @@
   const MfRelayDeployment *deployment;
   char path[MF_RELAY_PATH_BYTES];
   MfRelaySettings settings;
-  MfLines *lines;
+  MfRelayLog *log;
   MfJobs jobs;
-  MfDoor *door;
-  MfDoor *ready_door;
-  MfDoor *metrics_door;
+  MfListener *listener;
+  MfListener *readiness_listener;
+  MfListener *metrics_listener;
   void *source;
   ev_signal on_hup;
   ev_signal on_term;
@@ -81,9 +81,8 @@
   if (is_ready == relay->is_ready)
     return;
   relay->is_ready = is_ready;
-  mf_lines_state (
-      relay->lines, "ready", "ready=%s config=%llu upstreams=%u draining=%s",
-      is_ready ? "yes" : "no",
+  mf_relay_log_state (
+      relay->log, "ready", "ready=%s config=%llu upstreams=%u draining=%s", is_ready ? "yes" : "no",
       (unsigned long long)(relay->jobs.routes != NULL ? relay->jobs.routes->version : 0),
       relay->jobs.targets.n_targets, relay->drain_begun_us > 0 ? "yes" : "no");
 }
@@ -117,11 +116,11 @@
             "mangofork_relay_instances %u\n"
             "mangofork_relay_upstreams %u\nmangofork_relay_config_version %llu\n"
             "mangofork_relay_log_lines_dropped_total %llu\n",
-            relay->jobs.n_jobs, mf_door_n_callers (relay->door),
+            relay->jobs.n_jobs, mf_listener_n_callers (relay->listener),
             relay->jobs.peers != NULL ? mf_peers_count (relay->jobs.peers, mf_clock_now_us ()) : 1,
             relay->jobs.targets.n_targets,
             (unsigned long long)(relay->jobs.routes != NULL ? relay->jobs.routes->version : 0),
-            (unsigned long long)mf_lines_dropped (relay->lines));
+            (unsigned long long)mf_relay_log_n_dropped (relay->log));
   mf_buffer_add_text (&text, line);
   mf_caller_reply (caller, 200, &headers, mf_buffer_data (&text), mf_buffer_bytes (&text));
   mf_buffer_clear (&headers);
@@ -133,15 +132,15 @@
 {
   MfRelay *relay = data;
 
-  mf_lines_state (relay->lines, "admin.unreadable", "code=%d", (int)code);
+  mf_relay_log_state (relay->log, "admin.unreadable", "code=%d", (int)code);
 }
 
-static const MfDoorUser ready_user = {
+static const MfListenerCallbacks readiness_callbacks = {
   .request = on_ready_request,
   .refused = on_refused,
 };
 
-static const MfDoorUser metrics_user = {
+static const MfListenerCallbacks metrics_callbacks = {
   .request = on_metrics_request,
   .refused = on_refused,
 };
@@ -150,7 +149,7 @@
 static void
 limits_apply (MfRelay *relay)
 {
-  MfDoorLimits limits = default_limits;
+  MfListenerLimits limits = default_limits;
   const MfRelaySettings *settings = &relay->settings;
 
   if (relay->jobs.routes != NULL)
@@ -170,7 +169,7 @@
     limits.callers_max = settings->files_max - DESCRIPTORS_RESERVED;
   if (settings->memory_bytes > 0 && limits.callers_max > settings->memory_bytes / BYTES_PER_CALLER)
     limits.callers_max = (uint32_t)(settings->memory_bytes / BYTES_PER_CALLER);
-  mf_door_limit (relay->door, &limits);
+  mf_listener_set_limits (relay->listener, &limits);
 }
 
 /* For sources. Puts a configuration in force unless it is older than the one that is; takes over
@@ -183,15 +182,15 @@
   if (relay->jobs.routes != NULL && routes->version <= before)
     {
       if (routes->version < before)
-        mf_lines_state (relay->lines, "config.older", "version=%llu in_force=%llu",
-                        (unsigned long long)routes->version, (unsigned long long)before);
+        mf_relay_log_state (relay->log, "config.older", "version=%llu in_force=%llu",
+                            (unsigned long long)routes->version, (unsigned long long)before);
       mf_routes_unref (routes);
       return;
     }
-  mf_lines_state (relay->lines, "config.applied",
-                  "version=%llu before=%llu routes=%u services=%u requests=%u",
-                  (unsigned long long)routes->version, (unsigned long long)before, routes->n_routes,
-                  routes->n_services, relay->jobs.n_jobs);
+  mf_relay_log_state (relay->log, "config.applied",
+                      "version=%llu before=%llu routes=%u services=%u requests=%u",
+                      (unsigned long long)routes->version, (unsigned long long)before,
+                      routes->n_routes, routes->n_services, relay->jobs.n_jobs);
   mf_jobs_configure (&relay->jobs, routes);
   limits_apply (relay);
   ready_update (relay);
@@ -199,12 +198,12 @@
 
 /* Adds an upstream, or renews what is known of it. */
 void
-mf_relay_upstream (MfRelay *relay, const MfTargetInfo *info)
+mf_relay_update_upstream (MfRelay *relay, const MfTargetInfo *info)
 {
   if (!mf_targets_update (&relay->jobs.targets, info))
     return;
-  mf_lines_state (
-      relay->lines, "upstream.known",
+  mf_relay_log_state (
+      relay->log, "upstream.known",
       "upstream=%s service=%s address=%s stage=%s data_centre=%s leaving=%s born_ms=%llu", info->id,
       info->service, info->address, mf_role_name (info->role), info->data_centre,
       info->leaving ? "yes" : "no", (unsigned long long)info->born_ms);
@@ -213,7 +212,7 @@
 
 /* An upstream is listed no longer. While the source has just come back, it is kept for a while. */
 void
-mf_relay_upstream_gone (MfRelay *relay, const char *id, const char *why)
+mf_relay_remove_upstream (MfRelay *relay, const char *id, const char *why)
 {
   uint64_t now_us = mf_clock_now_us ();
   bool keep = now_us < relay->keep_until_us;
@@ -222,8 +221,9 @@
   /* The id may stand in what is removed. */
   mf_name_set (name, sizeof name, id);
   if (mf_targets_remove (&relay->jobs.targets, name, !keep, now_us))
-    mf_lines_state (relay->lines, "upstream.gone", "upstream=%s why=\"%s\" kept_ms=%llu", name, why,
-                    (unsigned long long)(keep ? (relay->keep_until_us - now_us) / 1000 : 0));
+    mf_relay_log_state (relay->log, "upstream.gone", "upstream=%s why=\"%s\" kept_ms=%llu", name,
+                        why,
+                        (unsigned long long)(keep ? (relay->keep_until_us - now_us) / 1000 : 0));
 }
 
 /* A full list of upstreams begins; mf_relay_list_end ends it. */
@@ -243,7 +243,7 @@
     {
       next = target->next;
       if (!target->listed)
-        mf_relay_upstream_gone (relay, target->info.id, "not in the list");
+        mf_relay_remove_upstream (relay, target->info.id, "not in the list");
     }
   relay->has_listed = true;
   ready_update (relay);
@@ -261,8 +261,8 @@
 
       if (outage_us >= OUTAGE_MIN_US)
         relay->keep_until_us = now_us + REREGISTRATION_US;
-      mf_lines_state (relay->lines, "store.regained", "away_ms=%llu",
-                      (unsigned long long)outage_us / 1000);
+      mf_relay_log_state (relay->log, "store.regained", "away_ms=%llu",
+                          (unsigned long long)outage_us / 1000);
     }
   relay->source_is_up = true;
   relay->source_seen_us = now_us;
@@ -270,7 +270,7 @@
 
 /* Whether this instance reads the source for itself, for others too, or is told. */
 MfFeedRole
-mf_relay_role (MfRelay *relay)
+mf_relay_feed_role (MfRelay *relay)
 {
   MfFeedStanding standing = { .n_instances = 1 };
 
@@ -281,7 +281,7 @@
 
 /* How long the source may be left alone, as others tell what it holds; 0: it is to be read now. */
 uint64_t
-mf_relay_rest_us (MfRelay *relay, MfFeedRole role)
+mf_relay_read_delay_us (MfRelay *relay, MfFeedRole role)
 {
   return mf_follow_rest_us (&relay->follow, role, mf_clock_awake_us (),
                             mf_jobs_random (&relay->jobs));
@@ -289,7 +289,7 @@
 
 /* How long a call to the source waits for changes; alone_us where nobody else depends on it. */
 uint64_t
-mf_relay_wait_us (const MfRelay *relay, MfFeedRole role, uint64_t alone_us)
+mf_relay_watch_timeout_us (const MfRelay *relay, MfFeedRole role, uint64_t alone_us)
 {
   return mf_follow_wait_us (&relay->follow, role, alone_us);
 }
@@ -297,15 +297,15 @@
 /* The pause after a failed call to the source, when the one before was last_us; is_known tells that
  * a whole picture has been read once. */
 uint64_t
-mf_relay_retry_us (MfRelay *relay, bool is_known, uint64_t last_us)
+mf_relay_retry_delay_us (MfRelay *relay, bool is_known, uint64_t last_us)
 {
-  return mf_follow_retry_us (&relay->follow, is_known ? mf_relay_role (relay) : MF_FEED_ALONE,
+  return mf_follow_retry_us (&relay->follow, is_known ? mf_relay_feed_role (relay) : MF_FEED_ALONE,
                              last_us, mf_jobs_random (&relay->jobs));
 }
 
 /* A time between none and this, by chance. */
 uint64_t
-mf_relay_spread_us (MfRelay *relay, uint64_t max_us)
+mf_relay_jitter_us (MfRelay *relay, uint64_t max_us)
 {
   return max_us * (uint64_t)mf_jobs_random (&relay->jobs) >> 32;
 }
@@ -322,7 +322,7 @@
   feed->as_of_us = feed->sent_us - mf_feed_way_us (took_us, wait_us);
   feed->keep_us = relay->keep_until_us > now_us ? relay->keep_until_us - now_us : 0;
   mf_follow_note (&relay->follow, feed->as_of_us);
-  if (relay->jobs.peers == NULL || mf_relay_role (relay) != MF_FEED_READER)
+  if (relay->jobs.peers == NULL || mf_relay_feed_role (relay) != MF_FEED_READER)
     return;
   message->kind = MF_RELAY_MESSAGE_FEED;
   message->feed = *feed;
@@ -344,7 +344,7 @@
   if (now_us + feed->keep_us > relay->keep_until_us && feed->keep_us > 0
       && feed->keep_us <= REREGISTRATION_US)
     relay->keep_until_us = now_us + feed->keep_us;
-  if (!relay->deployment->source->feed (relay->source, feed) || as_of_us == 0)
+  if (!relay->deployment->source->apply_feed (relay->source, feed) || as_of_us == 0)
     return;
   mf_follow_note (&relay->follow, as_of_us);
   mf_relay_source_up (relay);
@@ -355,18 +355,19 @@
 mf_relay_source_down (MfRelay *relay, const char *why)
 {
   if (relay->source_is_up || relay->source_seen_us == 0)
-    mf_lines_state (relay->lines, "store.lost", "why=\"%s\" seen_ms=%llu", why,
-                    (unsigned long long)(relay->source_seen_us > 0
-                                             ? (mf_clock_now_us () - relay->source_seen_us) / 1000
-                                             : 0));
+    mf_relay_log_state (
+        relay->log, "store.lost", "why=\"%s\" seen_ms=%llu", why,
+        (unsigned long long)(relay->source_seen_us > 0
+                                 ? (mf_clock_now_us () - relay->source_seen_us) / 1000
+                                 : 0));
   relay->source_is_up = false;
 }
 
 /* Where the process writes its log. */
-MfLines *
-mf_relay_lines (MfRelay *relay)
+MfRelayLog *
+mf_relay_log (MfRelay *relay)
 {
-  return relay->lines;
+  return relay->log;
 }
 
 /* What the process counts. */
@@ -384,11 +385,11 @@
   relay->jobs.budget_ratio = relay->settings.retry_ratio;
   relay->jobs.budget_slack = relay->settings.retry_slack;
   relay->jobs.orders_fenced = relay->settings.orders_fenced;
-  relay->jobs.order_turn_us = relay->settings.order_turn_us;
-  relay->follow.bound_us = relay->settings.change_us;
+  relay->jobs.order_interval_us = relay->settings.order_interval_us;
+  relay->follow.bound_us = relay->settings.change_bound_us;
   if (relay->settings.memory_bytes > 0)
     relay->jobs.answer_bytes_max = relay->settings.memory_bytes / KEPT_ANSWERS_MEMORY_DIVISOR;
-  if (relay->door != NULL)
+  if (relay->listener != NULL)
     limits_apply (relay);
 }
 
@@ -400,16 +401,16 @@
 
   if (!relay->deployment->read_settings (relay->path, &settings, &error))
     {
-      mf_lines_state (relay->lines, "settings.faulty", "code=%d why=\"%s\"", (int)error.code,
-                      error.text);
+      mf_relay_log_state (relay->log, "settings.faulty", "code=%d why=\"%s\"", (int)error.code,
+                          error.text);
       return;
     }
   relay->settings = settings;
   settings_apply (relay);
   if (relay->jobs.peers != NULL)
     mf_peers_seed (relay->jobs.peers, settings.seeds);
-  relay->deployment->source->renew (relay->source, &relay->settings);
-  mf_lines_state (relay->lines, "settings.applied", "store=%s", settings.store);
+  relay->deployment->source->update_settings (relay->source, &relay->settings);
+  mf_relay_log_state (relay->log, "settings.applied", "store=%s", settings.store);
 }
 
 static void
@@ -449,14 +450,15 @@
   if (elapsed_us >= DRAIN_CLOSE_IDLE_US)
     {
       if (!relay->idle_closed)
-        mf_lines_state (relay->lines, "drain.idle", "requests=%u callers=%u", relay->jobs.n_jobs,
-                        mf_door_n_callers (relay->door));
+        mf_relay_log_state (relay->log, "drain.idle", "requests=%u callers=%u", relay->jobs.n_jobs,
+                            mf_listener_n_callers (relay->listener));
       relay->idle_closed = true;
-      mf_door_close_idle (relay->door);
+      mf_listener_close_idle (relay->listener);
     }
   if (elapsed_us >= relay->settings.grace_us * DRAIN_ACCEPT_PERCENT / 100)
-    mf_door_shut (relay->door);
-  if ((relay->idle_closed && relay->jobs.n_jobs == 0 && mf_door_n_callers (relay->door) == 0)
+    mf_listener_stop_accepting (relay->listener);
+  if ((relay->idle_closed && relay->jobs.n_jobs == 0
+       && mf_listener_n_callers (relay->listener) == 0)
       || elapsed_us >= limit_us)
     ev_break (relay->loop, EVBREAK_ALL);
 }
@@ -475,7 +477,7 @@
 
       relay->keep_until_us = 0;
       if (n_expired > 0)
-        mf_lines_state (relay->lines, "upstream.expired", "upstreams=%u", n_expired);
+        mf_relay_log_state (relay->log, "upstream.expired", "upstreams=%u", n_expired);
     }
   mf_jobs_forget_breaks (&relay->jobs, now_us);
   settings_watch (relay, now_us);
@@ -500,9 +502,9 @@
   relay->jobs.no_streams_after_us
       = relay->drain_begun_us + relay->settings.grace_us * DRAIN_STREAMS_PERCENT / 100;
   relay->jobs.ends_us = relay->drain_begun_us + relay->settings.grace_us - EXIT_MARGIN_US;
-  mf_lines_state (relay->lines, "stop", "signal=%d requests=%u callers=%u", watcher->signum,
-                  relay->jobs.n_jobs, mf_door_n_callers (relay->door));
-  mf_door_retire (relay->door);
+  mf_relay_log_state (relay->log, "stop", "signal=%d requests=%u callers=%u", watcher->signum,
+                      relay->jobs.n_jobs, mf_listener_n_callers (relay->listener));
+  mf_listener_end_keep_alive (relay->listener);
   ready_update (relay);
 }
 
@@ -540,25 +542,25 @@
 }
 
 static bool
-doors_open (MfRelay *relay, MfError *error)
+listeners_open (MfRelay *relay, MfError *error)
 {
   const MfDialect *dialect = relay->deployment->dialect;
   const MfRelaySettings *settings = &relay->settings;
 
-  relay->ready_door
-      = mf_door_new (relay->loop, settings->ready, dialect, &ready_user, relay, error);
-  if (relay->ready_door == NULL)
+  relay->readiness_listener = mf_listener_new (relay->loop, settings->readiness, dialect,
+                                               &readiness_callbacks, relay, error);
+  if (relay->readiness_listener == NULL)
     return false;
-  mf_door_limit (relay->ready_door, &default_limits);
-  relay->door = mf_door_new (relay->loop, settings->listen, dialect, &mf_job_door_user,
-                             &relay->jobs, error);
-  if (relay->door == NULL)
+  mf_listener_set_limits (relay->readiness_listener, &default_limits);
+  relay->listener = mf_listener_new (relay->loop, settings->listen, dialect, &mf_job_door_user,
+                                     &relay->jobs, error);
+  if (relay->listener == NULL)
     return false;
   limits_apply (relay);
   if (settings->peers[0] != '\0')
     {
       relay->jobs.peers = mf_peers_new (relay->loop, settings->peers, &mf_jobs_peers_user,
-                                        &relay->jobs, relay->lines, error);
+                                        &relay->jobs, relay->log, error);
       if (relay->jobs.peers == NULL)
         return false;
       mf_peers_set_data_centre (relay->jobs.peers, settings->data_centre);
@@ -568,11 +570,11 @@
     }
   if (settings->metrics[0] == '\0')
     return true;
-  relay->metrics_door
-      = mf_door_new (relay->loop, settings->metrics, dialect, &metrics_user, relay, error);
-  if (relay->metrics_door == NULL)
+  relay->metrics_listener
+      = mf_listener_new (relay->loop, settings->metrics, dialect, &metrics_callbacks, relay, error);
+  if (relay->metrics_listener == NULL)
     return false;
-  mf_door_limit (relay->metrics_door, &default_limits);
+  mf_listener_set_limits (relay->metrics_listener, &default_limits);
   return true;
 }
 
@@ -609,15 +611,15 @@
     }
   descriptor_limit_raise (&relay->settings);
   relay->loop = ev_default_loop (EVFLAG_NOENV);
-  relay->lines = mf_lines_new (relay->loop, relay->settings.name, STDOUT_FILENO, error);
-  mf_jobs_init (&relay->jobs, relay->loop, deployment->dialect, relay->lines);
+  relay->log = mf_relay_log_new (relay->loop, relay->settings.name, STDOUT_FILENO, error);
+  mf_jobs_init (&relay->jobs, relay->loop, deployment->dialect, relay->log);
   mf_name_set (relay->jobs.targets.data_centre, sizeof relay->jobs.targets.data_centre,
                relay->settings.data_centre);
   mf_name_set (relay->jobs.instance, sizeof relay->jobs.instance, relay->settings.name);
-  relay->jobs.targets.lines = relay->lines;
-  relay->jobs.targets.unacked_timeout_us = relay->settings.contact_us;
+  relay->jobs.targets.lines = relay->log;
+  relay->jobs.targets.unacked_timeout_us = relay->settings.recovery_us;
   settings_apply (relay);
-  if (relay->lines == NULL || !doors_open (relay, error))
+  if (relay->log == NULL || !listeners_open (relay, error))
     {
       mf_relay_free (relay);
       return NULL;
@@ -629,11 +631,12 @@
       mf_relay_free (relay);
       return NULL;
     }
-  mf_lines_state (relay->lines, "start",
-                  "listen=%s data_centre=%s store=%s memory_mb=%llu files=%u grace_ms=%llu",
-                  relay->settings.listen, relay->settings.data_centre, relay->settings.store,
-                  (unsigned long long)relay->settings.memory_bytes >> 20, relay->settings.files_max,
-                  (unsigned long long)relay->settings.grace_us / 1000);
+  mf_relay_log_state (relay->log, "start",
+                      "listen=%s data_centre=%s store=%s memory_mb=%llu files=%u grace_ms=%llu",
+                      relay->settings.listen, relay->settings.data_centre, relay->settings.store,
+                      (unsigned long long)relay->settings.memory_bytes >> 20,
+                      relay->settings.files_max,
+                      (unsigned long long)relay->settings.grace_us / 1000);
   return relay;
 }
 
@@ -642,8 +645,8 @@
 mf_relay_run (MfRelay *relay)
 {
   ev_run (relay->loop, 0);
-  mf_lines_state (relay->lines, "stopped", "requests=%u callers=%u", relay->jobs.n_jobs,
-                  mf_door_n_callers (relay->door));
+  mf_relay_log_state (relay->log, "stopped", "requests=%u callers=%u", relay->jobs.n_jobs,
+                      mf_listener_n_callers (relay->listener));
 }
 
 /* Closes everything at once. Accepts NULL. */
@@ -661,9 +664,9 @@
     relay->deployment->source->stop (relay->source);
   mf_jobs_clear (&relay->jobs);
   mf_peers_free (relay->jobs.peers);
-  mf_door_free (relay->door);
-  mf_door_free (relay->ready_door);
-  mf_door_free (relay->metrics_door);
-  mf_lines_free (relay->lines);
+  mf_listener_free (relay->listener);
+  mf_listener_free (relay->readiness_listener);
+  mf_listener_free (relay->metrics_listener);
+  mf_relay_log_free (relay->log);
   free (relay);
 }
--- a/libmangofork/relay/relay_counters.c
+++ b/libmangofork/relay/relay_counters.c
@@ -16,7 +16,7 @@
 
 /* Adds a time in microseconds to a histogram. */
 void
-mf_relay_observe (MfRelayHistogram *histogram, uint64_t value_us)
+mf_relay_histogram_observe (MfRelayHistogram *histogram, uint64_t value_us)
 {
   uint32_t bucket = 0;
 
@@ -78,7 +78,7 @@
 {
   char line[256];
 
-  for (uint32_t i = 0; i < MF_RELAY_COUNT_COUNT; i++)
+  for (uint32_t i = 0; i < MF_RELAY_N_COUNTERS; i++)
     {
       snprintf (line, sizeof line,
                 "# HELP mangofork_relay_%s %s\n# TYPE mangofork_relay_%s counter\n"
--- a/libmangofork/relay/relay_counters.h
+++ b/libmangofork/relay/relay_counters.h
@@ -16,9 +16,9 @@
   X (DEPARTED, "departures_total", "callers that left before their answer")                        \
   X (UNREADABLE, "unreadable_total", "requests refused because they could not be read")            \
   X (SENDS, "sends_total", "requests sent to upstreams, repeats included")                         \
-  X (REPEATS, "repeats_total", "repeats sent to upstreams")                                        \
-  X (REPEATS_GIVEN, "repeats_given_total", "repeats that the leading instance allowed")            \
-  X (REPEATS_DENIED, "repeats_denied_total", "repeats the retry budget did not allow")             \
+  X (RETRIES, "repeats_total", "repeats sent to upstreams")                                        \
+  X (RETRIES_GRANTED, "repeats_given_total", "repeats that the leading instance allowed")          \
+  X (RETRIES_DENIED, "repeats_denied_total", "repeats the retry budget did not allow")             \
   X (NOT_RUN, "rejections_total", "requests that upstreams declined to run")                       \
   X (BROKEN, "broken_total", "exchanges with upstreams that broke")                                \
   X (UNREACHED, "unreached_total", "connections to upstreams that could not be made")              \
@@ -32,7 +32,7 @@
   X (ORDERS, "orders_total", "orders given to engines")                                            \
   X (ORDERS_REFUSED, "orders_refused_total", "orders that engines refused")                        \
   X (SUSPICIONS, "suspicions_total", "upstreams that ended under a request, by request")           \
-  X (CONVICTIONS, "convictions_total", "requests refused as upstreams have ended under them")      \
+  X (QUARANTINES, "convictions_total", "requests refused as upstreams have ended under them")      \
   X (SUSPECTS_REFUSED, "suspects_refused_total", "tries of such requests that were refused")       \
   X (CONNECTS, "connects_total", "connections opened to upstreams")
 
@@ -41,7 +41,7 @@
 #define MF_RELAY_COUNTER_ENUM(id, name, help) MF_RELAY_COUNT_##id,
   MF_RELAY_COUNTER_TABLE (MF_RELAY_COUNTER_ENUM)
 #undef MF_RELAY_COUNTER_ENUM
-      MF_RELAY_COUNT_COUNT,
+      MF_RELAY_N_COUNTERS,
 } MfRelayCounter;
 
 typedef struct
@@ -54,14 +54,14 @@
 /* What is counted of requests since the process started. */
 typedef struct
 {
-  uint64_t counts[MF_RELAY_COUNT_COUNT];
+  uint64_t counts[MF_RELAY_N_COUNTERS];
   uint64_t by_code[64];         /* ends of requests by the index of their code */
   MfRelayHistogram answer;      /* plain requests: to the whole answer */
   MfRelayHistogram first_event; /* streams: to the first event */
   MfRelayHistogram waited;      /* for room */
 } MfRelayCounters;
 
-void mf_relay_observe (MfRelayHistogram *histogram, uint64_t value_us);
+void mf_relay_histogram_observe (MfRelayHistogram *histogram, uint64_t value_us);
 void mf_relay_counters_render (const MfRelayCounters *counters, MfBuffer *out);
 
 #endif
--- a/libmangofork/relay/target.c
+++ b/libmangofork/relay/target.c
@@ -117,14 +117,14 @@
 
   (void)why;
   target->look = NULL;
-  if (end != MF_LINK_WHOLE)
+  if (end != MF_LINK_COMPLETE)
     mf_target_failed (target, true, mf_clock_now_us ());
   if (target->targets->user != NULL)
     target->targets->user->looked (target->targets->user_data, target);
   mf_target_unref (target);
 }
 
-static const MfLinkUser look_user = {
+static const MfLinkCallbacks look_user = {
   .end = on_look_end,
 };
 
@@ -175,20 +175,20 @@
   char value[32] = "";
   double pause_s = 0.;
 
-  if (mf_head_count (head, MF_WORD_LEAVING) > 0
-      && !(mf_head_copy (head, MF_WORD_LEAVING, value, sizeof value) && strcmp (value, "0") == 0))
+  if (mf_head_count (head, MF_HEADER_LEAVING) > 0
+      && !(mf_head_copy (head, MF_HEADER_LEAVING, value, sizeof value) && strcmp (value, "0") == 0))
     mf_target_says_leaving (target);
-  if (status != 503 || mf_head_count (head, MF_WORD_RETRY_AFTER) == 0)
+  if (status != 503 || mf_head_count (head, MF_HEADER_RETRY_AFTER) == 0)
     return;
-  if (mf_head_seconds (head, MF_WORD_RETRY_AFTER, &pause_s))
+  if (mf_head_seconds (head, MF_HEADER_RETRY_AFTER, &pause_s))
     {
       mf_target_pause (target, pause_s, mf_clock_now_us ());
       return;
     }
-  mf_head_copy (head, MF_WORD_RETRY_AFTER, value, sizeof value);
+  mf_head_copy (head, MF_HEADER_RETRY_AFTER, value, sizeof value);
   if (target->targets->lines != NULL)
-    mf_lines_state (target->targets->lines, "upstream.pause_unreadable", "upstream=%s value=\"%s\"",
-                    target->info.id, value);
+    mf_relay_log_state (target->targets->lines, "upstream.pause_unreadable",
+                        "upstream=%s value=\"%s\"", target->info.id, value);
 }
 
 /* Whether the process of an entry has said that it is about to stop. Where one of the two names no
@@ -226,7 +226,7 @@
     .idle_default_us = IDLE_DEFAULT_US,
     .connect_timeout_us = CONNECT_TIMEOUT_US,
     .unacked_timeout_us = targets->unacked_timeout_us,
-    .heard = on_heard,
+    .on_response = on_heard,
     .refused = on_refused,
     .owner = target,
   };
@@ -424,9 +424,10 @@
   targets->departures[targets->n_departures++ % MF_TARGETS_DEPARTURES_MAX]
       = (MfDeparture){ .id_hash = target->id_hash, .born_ms = target->info.born_ms };
   if (targets->lines != NULL)
-    mf_lines_state (targets->lines, "upstream.leaving",
-                    "upstream=%s service=%s listed_leaving=%s in_flight=%u", target->info.id,
-                    target->info.service, target->info.leaving ? "yes" : "no", target->n_active);
+    mf_relay_log_state (targets->lines, "upstream.leaving",
+                        "upstream=%s service=%s listed_leaving=%s in_flight=%u", target->info.id,
+                        target->info.service, target->info.leaving ? "yes" : "no",
+                        target->n_active);
 }
 
 /* The process wants no requests of this instance for so many seconds. */
@@ -440,9 +441,10 @@
     return;
   target->paused_until_us = until_us;
   if (target->targets->lines != NULL)
-    mf_lines_state (target->targets->lines, "upstream.paused",
-                    "upstream=%s service=%s asked_s=%.3f pause_s=%.3f in_flight=%u",
-                    target->info.id, target->info.service, pause_s, bounded_s, target->n_active);
+    mf_relay_log_state (target->targets->lines, "upstream.paused",
+                        "upstream=%s service=%s asked_s=%.3f pause_s=%.3f in_flight=%u",
+                        target->info.id, target->info.service, pause_s, bounded_s,
+                        target->n_active);
 }
 
 /* Whether requests are to be kept from it: this instance avoids it, another met a different process
--- a/libmangofork/relay/target.h
+++ b/libmangofork/relay/target.h
@@ -93,7 +93,7 @@
 /* All upstreams known, in one list, in no order. */
 struct MfTargets
 {
-  MfLines *lines; /* NULL: nothing is logged */
+  MfRelayLog *lines; /* NULL: nothing is logged */
   struct ev_loop *loop;
   const MfDialect *dialect;
   const MfTargetsUser *user; /* NULL: nobody is told */
--- a/tests/soak/relay_soak.c
+++ b/tests/soak/relay_soak.c
@@ -398,7 +398,7 @@
   mf_buffer_add (&caller->body, bytes, n_bytes);
 }
 
-static const MfMessageEvents message_events = { .body = on_body };
+static const MfMessageCallbacks message_events = { .body = on_body };
 
 static void
 on_readable (struct ev_loop *loop, ev_io *watcher, int events)
@@ -426,7 +426,7 @@
       return;
     }
   mf_message_feed (&caller->message, bytes, (size_t)n_read);
-  if (caller->message.fault != MF_CODE_OK)
+  if (caller->message.error_code != MF_CODE_OK)
     {
       violation (caller->soak, "an answer is not HTTP", caller->soak->sent[caller->sent].id);
       caller_settle (caller, false);
--- a/tests/test_caller.c
+++ b/tests/test_caller.c
@@ -22,7 +22,7 @@
 typedef struct
 {
   struct ev_loop *loop;
-  MfDoor *listener;
+  MfListener *listener;
   bool replies_at_once; /* each request at once, with its own body */
   MfCaller *waiting;    /* the last request that was not answered */
   uint32_t n_requests;
@@ -73,7 +73,7 @@
   fixture->refused_code = code;
 }
 
-static const MfDoorUser callbacks = {
+static const MfListenerCallbacks callbacks = {
   .request = on_request,
   .departed = on_departed,
   .writable = on_writable,
@@ -87,21 +87,21 @@
 
   *fixture = (Fixture){ .loop = ev_loop_new (0), .replies_at_once = replies_at_once };
   fixture->listener
-      = mf_door_new (fixture->loop, ADDRESS, &platform_dialect, &callbacks, fixture, &error);
+      = mf_listener_new (fixture->loop, ADDRESS, &platform_dialect, &callbacks, fixture, &error);
   assert_non_null (fixture->listener);
-  mf_door_limit (fixture->listener, &(MfDoorLimits){
-                                        .header_bytes_max = 1024,
-                                        .body_bytes_max = 64,
-                                        .header_timeout_us = 60 * MF_US_PER_MS,
-                                        .idle_timeout_us = 200 * MF_US_PER_MS,
-                                        .callers_max = 3,
-                                    });
+  mf_listener_set_limits (fixture->listener, &(MfListenerLimits){
+                                                 .header_bytes_max = 1024,
+                                                 .body_bytes_max = 64,
+                                                 .header_timeout_us = 60 * MF_US_PER_MS,
+                                                 .idle_timeout_us = 200 * MF_US_PER_MS,
+                                                 .callers_max = 3,
+                                             });
 }
 
 static void
 fixture_end (Fixture *fixture)
 {
-  mf_door_free (fixture->listener);
+  mf_listener_free (fixture->listener);
   ev_loop_destroy (fixture->loop);
 }
 
@@ -206,10 +206,10 @@
   (void)state;
   fixture_begin (&fixture, true);
   fd = send_and_receive (&fixture, "GET / HTTP/1.1\r\nHost: h\r\n\r\n", "[]");
-  assert_int_equal (mf_door_n_callers (fixture.listener), 1);
+  assert_int_equal (mf_listener_n_callers (fixture.listener), 1);
   loop_receive (fixture.loop, fd, NULL, fixture.received, sizeof fixture.received);
   assert_string_equal (fixture.received, "");
-  assert_int_equal (mf_door_n_callers (fixture.listener), 0);
+  assert_int_equal (mf_listener_n_callers (fixture.listener), 0);
   close (fd);
   fixture_end (&fixture);
 }
@@ -225,7 +225,7 @@
   for (size_t i = 0; i < 4; i++)
     fds[i] = loop_connect (PORT);
   loop_spin (fixture.loop, 10);
-  assert_int_equal (mf_door_n_callers (fixture.listener), 3);
+  assert_int_equal (mf_listener_n_callers (fixture.listener), 3);
   for (size_t i = 0; i < 4; i++)
     close (fds[i]);
   fixture_end (&fixture);
@@ -252,7 +252,7 @@
   assert_int_equal (fixture.n_departed, 0);
   close (fd);
   assert_true (loop_pump (fixture.loop, has_departed, &fixture));
-  assert_int_equal (mf_door_n_callers (fixture.listener), 0);
+  assert_int_equal (mf_listener_n_callers (fixture.listener), 0);
   fixture_end (&fixture);
 }
 
@@ -310,10 +310,10 @@
   (void)state;
   fixture_begin (&fixture, true);
   idle = send_and_receive (&fixture, "GET / HTTP/1.1\r\nHost: h\r\n\r\n", "[]");
-  mf_door_retire (fixture.listener);
+  mf_listener_end_keep_alive (fixture.listener);
   busy = send_and_receive (&fixture, "GET / HTTP/1.1\r\nHost: h\r\n\r\n", NULL);
   assert_non_null (strstr (fixture.received, "Connection: close"));
-  mf_door_close_idle (fixture.listener);
+  mf_listener_close_idle (fixture.listener);
   loop_receive (fixture.loop, idle, NULL, fixture.received, sizeof fixture.received);
   assert_string_equal (fixture.received, "");
   close (busy);
--- a/tests/test_job_stage.c
+++ b/tests/test_job_stage.c
@@ -68,7 +68,7 @@
   town->jobs.peers = mf_peers_new (town->loop, PEER_ADDRESS, &user, town, town->lines, &error);
   assert_non_null (town->jobs.peers);
   town->jobs.orders_fenced = true;
-  town->jobs.order_turn_us = 3 * MF_US_PER_S;
+  town->jobs.order_interval_us = 3 * MF_US_PER_S;
   mf_name_set (town->jobs.instance, sizeof town->jobs.instance, "front-1");
   for (uint32_t i = 0; i < TOWN_N_UPSTREAMS; i++)
     town_add (town, i, MF_ROLE_PREFILL, act);
--- a/tests/test_link.c
+++ b/tests/test_link.c
@@ -76,7 +76,7 @@
   exchange->end = end;
 }
 
-static const MfLinkUser callbacks = { .head = on_head, .body = on_body, .end = on_end };
+static const MfLinkCallbacks callbacks = { .head = on_head, .body = on_body, .end = on_end };
 
 static void
 exchange_begin (Exchange *exchange, const char *responses)
@@ -113,8 +113,8 @@
   exchange->n_heads = 0;
   exchange->n_ends = 0;
   exchange->body[0] = '\0';
-  return mf_link_start (&exchange->pool, &(MfLinkCall){
-                                             .user = &callbacks,
+  return mf_link_start (&exchange->pool, &(MfLinkRequest){
+                                             .callbacks = &callbacks,
                                              .data = exchange,
                                              .head = REQUEST,
                                              .head_bytes = strlen (REQUEST),
@@ -141,7 +141,7 @@
   (void)state;
   exchange_begin (&exchange, RESPONSE ("mine", "ok"));
   run (&exchange, "mine");
-  assert_int_equal (exchange.end, MF_LINK_WHOLE);
+  assert_int_equal (exchange.end, MF_LINK_COMPLETE);
   assert_string_equal (exchange.body, "ok");
   assert_int_equal (exchange.pool.n_idle, 1);
   run (&exchange, "mine");
@@ -159,7 +159,7 @@
   (void)state;
   exchange_begin (&exchange, RESPONSE ("other", "no") RESPONSE ("mine", "ok"));
   run (&exchange, "mine");
-  assert_int_equal (exchange.end, MF_LINK_WHOLE);
+  assert_int_equal (exchange.end, MF_LINK_COMPLETE);
   assert_int_equal (exchange.n_heads, 1);
   assert_string_equal (exchange.body, "ok");
   assert_int_equal (exchange.pool.n_idle, 0);
@@ -174,7 +174,7 @@
   (void)state;
   exchange_begin (&exchange, RESPONSE ("mine", "ok") RESPONSE ("mine", "no"));
   run (&exchange, "mine");
-  assert_int_equal (exchange.end, MF_LINK_WHOLE);
+  assert_int_equal (exchange.end, MF_LINK_COMPLETE);
   assert_string_equal (exchange.body, "ok");
   assert_int_equal (exchange.pool.n_idle, 0);
   exchange_end (&exchange);
@@ -234,7 +234,7 @@
   exchange_begin (&exchange, "HTTP/1.1 200 OK\r\nX-Attempt-Id: mine\r\n\r\nwhole");
   exchange.close_after = true;
   run (&exchange, "mine");
-  assert_int_equal (exchange.end, MF_LINK_WHOLE);
+  assert_int_equal (exchange.end, MF_LINK_COMPLETE);
   assert_string_equal (exchange.body, "whole");
   exchange_end (&exchange);
   exchange_begin (&exchange, "HTTP/1.1 200 OK\r\nX-Attempt-Id: mine\r\n\r\nwhole");
@@ -288,7 +288,7 @@
   exchange_begin (&exchange,
                   RESPONSE ("late", "no") "HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\nok");
   run (&exchange, NULL);
-  assert_int_equal (exchange.end, MF_LINK_WHOLE);
+  assert_int_equal (exchange.end, MF_LINK_COMPLETE);
   assert_int_equal (exchange.status, 202);
   assert_string_equal (exchange.body, "ok");
   exchange_end (&exchange);
--- a/tests/test_message.c
+++ b/tests/test_message.c
@@ -24,7 +24,7 @@
   mf_buffer_add (&reader->body, bytes, n_bytes);
 }
 
-static const MfMessageEvents callbacks = { .body = on_body };
+static const MfMessageCallbacks callbacks = { .body = on_body };
 
 static void
 reader_begin (Reader *reader, enum http_parser_type type)
@@ -50,7 +50,7 @@
   reader_begin (&reader, HTTP_REQUEST);
   reader.message.head_bytes_max = head_bytes_max;
   mf_message_feed (&reader.message, text, strlen (text));
-  fault = reader.message.fault;
+  fault = reader.message.error_code;
   if (fault == MF_CODE_OK)
     assert_true (reader.message.done);
   reader_end (&reader);
@@ -112,9 +112,9 @@
       assert_true (reader.message.done);
       assert_int_equal (reader.message.head.target_bytes, 8);
       assert_memory_equal (mf_head_text (&reader.message.head, 0), "/a/b?c=1", 8);
-      assert_true (mf_head_copy (&reader.message.head, MF_WORD_REQUEST_ID, id, sizeof id));
+      assert_true (mf_head_copy (&reader.message.head, MF_HEADER_REQUEST_ID, id, sizeof id));
       assert_string_equal (id, "id7");
-      assert_true (mf_head_number (&reader.message.head, MF_WORD_DEADLINE, &deadline_ms));
+      assert_true (mf_head_number (&reader.message.head, MF_HEADER_DEADLINE, &deadline_ms));
       assert_int_equal (deadline_ms, 600);
       assert_int_equal (mf_buffer_bytes (&reader.body), 5);
       assert_memory_equal (mf_buffer_data (&reader.body), "abcde", 5);
@@ -139,7 +139,7 @@
   assert_int_equal (mf_message_feed (&reader.message, two + taken, sizeof two - 1 - taken),
                     sizeof two - 1 - taken);
   assert_false (reader.message.done);
-  assert_int_equal (reader.message.fault, MF_CODE_OK);
+  assert_int_equal (reader.message.error_code, MF_CODE_OK);
   reader_end (&reader);
 }
 
@@ -158,7 +158,7 @@
   reader_begin (&reader, HTTP_RESPONSE);
   mf_message_feed (&reader.message, interim, sizeof interim - 1);
   assert_true (reader.message.done);
-  assert_true (mf_head_copy (&reader.message.head, MF_WORD_REQUEST_ID, id, sizeof id));
+  assert_true (mf_head_copy (&reader.message.head, MF_HEADER_REQUEST_ID, id, sizeof id));
   assert_string_equal (id, "yes");
   reader_end (&reader);
   reader_begin (&reader, HTTP_RESPONSE);
@@ -185,7 +185,7 @@
   mf_message_feed (&reader.message, text, sizeof text - 1);
   assert_true (reader.message.done);
   for (uint32_t i = 0; i < reader.message.head.n_fields; i++)
-    n_hop_by_hop += mf_head_is_hop (&reader.message.head, &reader.message.head.fields[i]);
+    n_hop_by_hop += mf_head_is_hop_by_hop (&reader.message.head, &reader.message.head.fields[i]);
   assert_int_equal (n_hop_by_hop, 1);
   reader_end (&reader);
 }
--- a/tests/test_peers.c
+++ b/tests/test_peers.c
@@ -33,7 +33,7 @@
 typedef struct
 {
   struct ev_loop *loop;
-  MfLines *lines;
+  MfRelayLog *lines;
   int lines_fd;
   Node nodes[N];
 } Fleet;
@@ -99,7 +99,7 @@
   memset (fleet, 0, sizeof *fleet);
   fleet->loop = ev_loop_new (0);
   fleet->lines_fd = open ("/dev/null", O_WRONLY);
-  fleet->lines = mf_lines_new (fleet->loop, "t", fleet->lines_fd, &error);
+  fleet->lines = mf_relay_log_new (fleet->loop, "t", fleet->lines_fd, &error);
   assert_non_null (fleet->lines);
   for (uint32_t i = 0; i < N; i++)
     node_begin (fleet, i);
@@ -110,7 +110,7 @@
 {
   for (uint32_t i = 0; i < N; i++)
     mf_peers_free (fleet->nodes[i].peers);
-  mf_lines_free (fleet->lines);
+  mf_relay_log_free (fleet->lines);
   close (fleet->lines_fd);
   ev_loop_destroy (fleet->loop);
 }
--- a/tests/test_platform_settings.c
+++ b/tests/test_platform_settings.c
@@ -38,11 +38,11 @@
   assert_string_equal (settings.peers, "10.1.0.35:8146");
   assert_string_equal (settings.seeds, "10.1.0.35:8146,10.2.0.28:8146");
   assert_int_equal (settings.memory_bytes, 110 << 20);
-  assert_int_equal (settings.contact_us, 3500500);
+  assert_int_equal (settings.recovery_us, 3500500);
   assert_int_equal (settings.grace_us, 8500000);
-  assert_int_equal (settings.change_us, 1500 * MF_US_PER_MS);
+  assert_int_equal (settings.change_bound_us, 1500 * MF_US_PER_MS);
   assert_true (settings.orders_fenced);
-  assert_int_equal (settings.order_turn_us, 2500000);
+  assert_int_equal (settings.order_interval_us, 2500000);
   assert_int_equal (settings.retry_window_us, 12 * MF_US_PER_S);
   assert_int_equal (settings.retry_slack, 52);
   assert_true (settings.retry_ratio > 0.249 && settings.retry_ratio < 0.251);
@@ -58,10 +58,10 @@
   /* The lower of two bounds, in either order. */
   assert_true (
       parse (REQUIRED "bounds.configApplyMs=3000\nbounds.drainMs=4000\n", &settings, &error));
-  assert_int_equal (settings.change_us, 3 * MF_US_PER_S);
+  assert_int_equal (settings.change_bound_us, 3 * MF_US_PER_S);
   assert_true (parse (REQUIRED, &settings, &error));
-  assert_int_equal (settings.contact_us, 3 * MF_US_PER_S);
-  assert_int_equal (settings.change_us, 2 * MF_US_PER_S);
+  assert_int_equal (settings.recovery_us, 3 * MF_US_PER_S);
+  assert_int_equal (settings.change_bound_us, 2 * MF_US_PER_S);
   assert_string_equal (settings.peers, "");
   assert_string_equal (settings.metrics, "");
 }
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -407,7 +407,7 @@
       snprintf (address, sizeof address, "127.0.0.1:%d", atoi (strchr (seed, ':') + 1) + i + 1);
       peer_fixture->peers[i]
           = mf_peers_new (peer_fixture->fixture.loop, address, &peers_callbacks, peer_fixture,
-                          mf_relay_lines (peer_fixture->fixture.relay), &error);
+                          mf_relay_log (peer_fixture->fixture.relay), &error);
       assert_non_null (peer_fixture->peers[i]);
       mf_peers_set_data_centre (peer_fixture->peers[i], "z");
       mf_peers_seed (peer_fixture->peers[i], seed);
--- a/tests/town.c
+++ b/tests/town.c
@@ -57,7 +57,7 @@
   town->port = port;
   snprintf (address, sizeof address, "127.0.0.1:%u", port);
   town->lines_fd = open ("/dev/null", O_WRONLY);
-  town->lines = mf_lines_new (town->loop, "t", town->lines_fd, &error);
+  town->lines = mf_relay_log_new (town->loop, "t", town->lines_fd, &error);
   assert_non_null (town->lines);
   mf_jobs_init (&town->jobs, town->loop, &platform_dialect, town->lines);
   town->jobs.budget_window_us = 10 * MF_US_PER_S;
@@ -66,29 +66,29 @@
   /* It has run for longer than the window. */
   town->jobs.began_us = 0;
   mf_jobs_configure (&town->jobs, routes_make ());
-  town->door = mf_door_new (town->loop, address, &platform_dialect, &mf_job_door_user, &town->jobs,
-                            &error);
+  town->door = mf_listener_new (town->loop, address, &platform_dialect, &mf_job_door_user,
+                                &town->jobs, &error);
   assert_non_null (town->door);
-  mf_door_limit (town->door, &(MfDoorLimits){
-                                 .header_bytes_max = 16384,
-                                 .body_bytes_max = 65536,
-                                 .header_timeout_us = MF_US_PER_S,
-                                 .idle_timeout_us = 5 * MF_US_PER_S,
-                                 .callers_max = 100,
-                             });
+  mf_listener_set_limits (town->door, &(MfListenerLimits){
+                                          .header_bytes_max = 16384,
+                                          .body_bytes_max = 65536,
+                                          .header_timeout_us = MF_US_PER_S,
+                                          .idle_timeout_us = 5 * MF_US_PER_S,
+                                          .callers_max = 100,
+                                      });
 }
 
 void
 town_end (Town *town)
 {
-  mf_door_free (town->door);
+  mf_listener_free (town->door);
   mf_jobs_clear (&town->jobs);
   for (uint32_t i = 0; i < TOWN_N_UPSTREAMS; i++)
     {
       if (town->upstreams[i].wire != NULL)
         fake_wire_free (town->upstreams[i].wire);
     }
-  mf_lines_free (town->lines);
+  mf_relay_log_free (town->lines);
   close (town->lines_fd);
 }
 
--- a/tests/town.h
+++ b/tests/town.h
@@ -24,11 +24,11 @@
 typedef struct
 {
   struct ev_loop *loop;
-  MfLines *lines;
+  MfRelayLog *lines;
   int lines_fd;
   uint16_t port;
   MfJobs jobs;
-  MfDoor *door;
+  MfListener *door;
   TownUpstream upstreams[TOWN_N_UPSTREAMS];
   char got[8192];
 } Town;
