--- a/libmangofork/relay/dialect.c
+++ b/libmangofork/relay/dialect.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <strings.h>
 
-/* Headers of HTTP itself, alike in every dialect. */
+/* Standard HTTP headers, the same in every dialect. */
 static const MfDialectHeader http_headers[] = {
   { "Host", MF_HEADER_HOST },
   { "Content-Length", MF_HEADER_CONTENT_LENGTH },
@@ -36,7 +36,7 @@
   return NULL;
 }
 
-/* What a header of this name means; MF_HEADER_OTHER when it is not known. */
+/* Returns the id of a header, MF_HEADER_OTHER when the name is not known. */
 MfHeaderId
 mf_dialect_header_id (const MfDialect *dialect, const char *name, size_t name_bytes)
 {
@@ -48,7 +48,7 @@
   return found == NULL ? MF_HEADER_OTHER : found->header;
 }
 
-/* The name that is written for a meaning; NULL when the dialect has none. */
+/* Returns the name of a header in this dialect, or NULL when it has none. */
 const char *
 mf_dialect_header_name (const MfDialect *dialect, MfHeaderId header)
 {
--- a/libmangofork/relay/dialect.h
+++ b/libmangofork/relay/dialect.h
@@ -4,61 +4,59 @@
 #include "libmangofork/buffer.h"
 #include "libmangofork/types.h"
 
-/* What a header means to the relay. The names that stand for these meanings on the wire belong to
- * the deployment's dialect. */
+/* Headers that the relay knows. Their names on the wire are part of the deployment's dialect. */
 typedef enum
 {
-  MF_HEADER_REQUEST_ID,      /* names one try of a caller; upstreams echo it */
-  MF_HEADER_RESPONSE_SEAL,   /* an upstream's mark on its own answers */
-  MF_HEADER_NOT_RUN,         /* in an answer: the upstream did not run the request */
-  MF_HEADER_LEAVING,         /* in an answer: the upstream is about to stop, unless "0" */
-  MF_HEADER_DEADLINE,        /* milliseconds that are left for the answer */
-  MF_HEADER_EXPECT_UPSTREAM, /* the only upstream process that may run the request */
-  MF_HEADER_TOKEN_COUNT,     /* "prompt tokens,output tokens at most" */
-  MF_HEADER_LENGTH_HINT,     /* tokens the caller expects of the answer */
-  MF_HEADER_LAST_EVENT_ID,   /* a stream goes on after this event */
-  MF_HEADER_STAGE,           /* asks for the prompt to be read only */
-  MF_HEADER_KV_SOURCE,       /* engine memory the request goes on from */
-  MF_HEADER_ENGINE_PRIORITY, /* rank of the request in an engine */
-  MF_HEADER_ENGINE_CONTROL,  /* any other header by which only a router steers an engine */
+  MF_HEADER_REQUEST_ID,      /* id of one attempt of a caller; upstreams echo it */
+  MF_HEADER_RESPONSE_SEAL,   /* marks a response as written by the upstream itself */
+  MF_HEADER_NOT_RUN,         /* in a response: the upstream did not run the request */
+  MF_HEADER_LEAVING,         /* in a response: the upstream is shutting down, unless "0" */
+  MF_HEADER_DEADLINE,        /* milliseconds left for the response */
+  MF_HEADER_EXPECT_UPSTREAM, /* id of the upstream process that is to run the request */
+  MF_HEADER_TOKEN_COUNT,     /* "PROMPT,OUTPUT": tokens of the prompt, and of the output at most */
+  MF_HEADER_LENGTH_HINT,     /* output tokens that the caller expects */
+  MF_HEADER_LAST_EVENT_ID,   /* resumes a stream after this event */
+  MF_HEADER_STAGE,           /* requests a prefill only */
+  MF_HEADER_KV_SOURCE,       /* KV of a prefill that a decode continues from */
+  MF_HEADER_ENGINE_PRIORITY, /* priority of the request in an engine */
+  MF_HEADER_ENGINE_CONTROL,  /* any other header for engines that only a router may send */
   MF_HEADER_HOST,
   MF_HEADER_CONTENT_LENGTH,
   MF_HEADER_CONTENT_TYPE,
   MF_HEADER_CONTENT_ENCODING,
   MF_HEADER_KEEP_ALIVE,
-  MF_HEADER_RETRY_AFTER, /* in a refusal: seconds, maybe with a fraction */
+  MF_HEADER_RETRY_AFTER, /* seconds, which may have a fraction */
   MF_HEADER_EXPECT_CONTINUE,
   MF_HEADER_CONNECTION,
-  MF_HEADER_HOP_BY_HOP, /* any other header that concerns one connection only */
+  MF_HEADER_HOP_BY_HOP, /* any other hop-by-hop header */
   MF_HEADER_OTHER,
 } MfHeaderId;
 
-/* One name on the wire and what it means. */
 typedef struct
 {
   const char *name;
   MfHeaderId header;
 } MfDialectHeader;
 
-/* How an engine tells that it has read a prompt. */
+/* An engine's response to a prefill. */
 typedef struct
 {
-  char handle[64]; /* names the memory at the engine */
+  char handle[64]; /* names the KV at the engine */
   uint32_t tokens;
 } MfPrefillAnswer;
 
-/* The wire of one deployment: names of headers, and the forms of the calls that engines take. */
+/* The wire format of one deployment: header names and the requests that engines accept. */
 typedef struct
 {
-  const MfDialectHeader *headers; /* the first name of a meaning is the one that is written */
+  const MfDialectHeader *headers; /* the first entry of an id is used for sending */
   uint32_t n_headers;
-  const char *stage_prefill; /* value of MF_HEADER_STAGE that asks for the prompt only */
-  const char *release_path;  /* a DELETE of this path and a handle frees it */
-  /* Reads an engine's answer to a prefill; returns false when it names no handle. */
+  const char *stage_prefill; /* value of MF_HEADER_STAGE that requests a prefill only */
+  const char *release_path;  /* DELETE of this path plus a KV handle frees the KV */
+  /* Parses an engine's response to a prefill. Returns false when it has no handle. */
   bool (*read_prefill) (const char *body, size_t body_bytes, MfPrefillAnswer *answer);
-  const char *order_path; /* takes orders to an engine, by POST */
-  /* Writes the body of an order to work as a prefill or decode engine. Of two orders, an engine
-   * that checks takes the one with the higher fence. */
+  const char *order_path; /* orders to an engine are sent here by POST */
+  /* Writes the body of an order to change to the prefill or decode role. An engine that checks
+   * fences rejects an order whose fence is lower than that of an earlier one. */
   void (*write_stage_order) (MfRole role, const char *holder, uint64_t fence, MfBuffer *body);
 } MfDialect;
 
--- a/libmangofork/relay/events.c
+++ b/libmangofork/relay/events.c
@@ -3,10 +3,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Bytes of one event at most; an engine's are below 3 KB. */
+/* Bytes of one event at most; an engine's events are below 3 KB. */
 #define EVENT_BYTES_MAX 262144
 
-/* The id an event gives; returns false when it gives none that is a number. */
+/* Reads the id of an event. Returns false when it has none or the id is not a number. */
 static bool
 event_id (const char *event, size_t event_bytes, uint64_t *id)
 {
@@ -34,7 +34,7 @@
   return false;
 }
 
-/* The length of the first event, its blank line included; 0 when none is whole. */
+/* Returns the size of the first event, its blank line included; 0 when it is incomplete. */
 static size_t
 first_event_bytes (const char *bytes, size_t n_bytes)
 {
@@ -50,7 +50,8 @@
   return 0;
 }
 
-/* Adds bytes of the stream, and to out the events that are whole and new. */
+/* Reads bytes of the stream. Appends the complete events to out, without those that were passed on
+ * before. */
 void
 mf_event_stream_feed (MfEventStream *stream, const char *bytes, size_t n_bytes, MfBuffer *out)
 {
@@ -82,7 +83,7 @@
     }
 }
 
-/* Counts the events in bytes that are passed on as they are. */
+/* Counts the events in bytes that are passed on unchanged. */
 void
 mf_event_stream_count (MfEventStream *stream, const char *bytes, size_t n_bytes)
 {
@@ -100,14 +101,14 @@
     }
 }
 
-/* Whether more bytes have come without the end of an event than any event has. */
+/* Whether an event is longer than EVENT_BYTES_MAX. */
 bool
 mf_event_stream_is_too_long (const MfEventStream *stream)
 {
   return stream->partial.failed || stream->unterminated_bytes > EVENT_BYTES_MAX;
 }
 
-/* Forgets the event that was cut off, before the stream goes on elsewhere. */
+/* Discards the incomplete event, before the stream is resumed at another upstream. */
 void
 mf_event_stream_discard_partial (MfEventStream *stream)
 {
@@ -115,14 +116,14 @@
   stream->unterminated_bytes = 0;
 }
 
-/* Whether the stream stands between two events. */
+/* Whether no event is incomplete. */
 bool
 mf_event_stream_at_boundary (const MfEventStream *stream)
 {
   return mf_buffer_bytes (&stream->partial) == 0 && !stream->partial.failed;
 }
 
-/* Frees what is kept of an event that has not come whole. */
+/* Frees the buffer of the incomplete event. */
 void
 mf_event_stream_clear (MfEventStream *stream)
 {
--- a/libmangofork/relay/events.h
+++ b/libmangofork/relay/events.h
@@ -3,17 +3,17 @@
 
 #include "libmangofork/buffer.h"
 
-/* The events of a text/event-stream while they arrive: whole ones are let through, each once, and
- * the id of the last one is kept, from which a broken stream goes on. */
+/* Reads a text/event-stream. Complete events are passed on, each once, and the id of the last one
+ * is kept, so that a broken stream can be resumed after it. */
 typedef struct
 {
-  MfBuffer partial; /* an event that is not whole yet */
-  uint64_t last_id; /* of the last event let through */
+  MfBuffer partial; /* an incomplete event */
+  uint64_t last_id; /* of the last event passed on */
   bool has_last_id;
-  bool has_gap; /* an event came whose id does not follow */
+  bool has_gap; /* an id was not the successor of the one before */
   uint64_t n_events;
-  bool after_newline;          /* while events are only counted */
-  uint64_t unterminated_bytes; /* the same: since the last event ended */
+  bool after_newline;          /* used by mf_event_stream_count only */
+  uint64_t unterminated_bytes; /* likewise: bytes since the last event ended */
 } MfEventStream;
 
 void mf_event_stream_feed (MfEventStream *stream, const char *bytes, size_t n_bytes, MfBuffer *out);
--- a/libmangofork/relay/line.c
+++ b/libmangofork/relay/line.c
@@ -14,16 +14,15 @@
 #include <unistd.h>
 
 #define LINE_BYTES 1024
-/* Lines a second about requests, twice what an instance serves at the sites' heaviest. */
+/* Twice the highest request rate of one instance at the known sites. */
 #define REQUEST_LINES_PER_S 120
-/* Lines a second about changes of state. */
 #define STATE_LINES_PER_S 60
-/* Bytes that wait for a slow reader. */
+/* Lines are dropped while more than this is waiting for a slow reader. */
 #define PENDING_BYTES_MAX 65536
-/* Lines are written together at this interval, to save calls. */
+/* Lines are written in batches at this interval, to save system calls. */
 #define FLUSH_INTERVAL_S 0.25
 
-/* How many lines of one kind may still be written in this second. */
+/* Limits the lines of one kind per second. */
 typedef struct
 {
   uint32_t per_s;
@@ -72,7 +71,7 @@
   .format = layout_format,
 };
 
-/* Writes what the reader takes at once. */
+/* Writes what the reader accepts without blocking. */
 static void
 log_flush (MfRelayLog *log)
 {
@@ -82,7 +81,7 @@
          && (ready.revents & POLLOUT) != 0)
     {
       size_t n_bytes = mf_buffer_bytes (&log->pending);
-      /* A pipe that is ready takes this much without waiting. */
+      /* A writable pipe accepts 4096 bytes without blocking. */
       ssize_t n_written
           = write (log->fd, mf_buffer_data (&log->pending), n_bytes < 4096 ? n_bytes : 4096);
 
@@ -168,8 +167,7 @@
   log_write (log, event, pairs);
 }
 
-/* Adds one line: what happened, then the pairs. Changes of state are written before requests when
- * there is not room for all. */
+/* Logs an event about a request: its name, then key=value pairs. */
 void
 mf_relay_log_event (MfRelayLog *log, const char *event, const char *format, ...)
 {
@@ -180,7 +178,8 @@
   va_end (args);
 }
 
-/* The same for a change of state, which has an allowance of its own. */
+/* Logs a change of state. It has its own rate limit, so that a burst of requests cannot crowd it
+ * out. */
 void
 mf_relay_log_state (MfRelayLog *log, const char *event, const char *format, ...)
 {
@@ -191,14 +190,14 @@
   va_end (args);
 }
 
-/* Lines left out since the start. */
+/* Returns the number of lines dropped since the start. */
 uint64_t
 mf_relay_log_n_dropped (const MfRelayLog *log)
 {
   return log->n_dropped;
 }
 
-/* Writes lines to a descriptor, which stays the caller's. NULL with error set. */
+/* Logs to a descriptor, which is borrowed. Returns NULL with error set on failure. */
 MfRelayLog *
 mf_relay_log_new (struct ev_loop *loop, const char *instance, int fd, MfError *error)
 {
@@ -207,7 +206,7 @@
 
   if (log == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the log");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while opening the log");
       return NULL;
     }
   *log = (MfRelayLog){
@@ -232,7 +231,7 @@
   return log;
 }
 
-/* Accepts NULL. Writes what is left, as far as the reader takes it. */
+/* Writes the pending lines, as far as the reader accepts them, and frees the log. Accepts NULL. */
 void
 mf_relay_log_free (MfRelayLog *log)
 {
--- a/libmangofork/relay/line.h
+++ b/libmangofork/relay/line.h
@@ -5,8 +5,8 @@
 
 #include <ev.h>
 
-/* Structured lines on standard output: key=value pairs, a bounded number a second, never waiting
- * for the reader. What is left out is counted. */
+/* The relay's log: lines of key=value pairs. It is rate-limited and never blocks on a slow reader;
+ * dropped lines are counted. */
 typedef struct MfRelayLog MfRelayLog;
 
 MfRelayLog *mf_relay_log_new (struct ev_loop *loop, const char *instance, int fd, MfError *error);
--- a/libmangofork/relay/message.c
+++ b/libmangofork/relay/message.c
@@ -35,7 +35,7 @@
   return head_append (message, bytes, n_bytes);
 }
 
-/* Gives the header that has just ended its meaning. */
+/* Ends the current header: trims its value and looks up its id. */
 static void
 field_finish (MfMessage *message)
 {
@@ -152,7 +152,7 @@
   .on_message_complete = on_done,
 };
 
-/* type is HTTP_REQUEST or HTTP_RESPONSE. The dialect and events are borrowed. */
+/* type is HTTP_REQUEST or HTTP_RESPONSE. The dialect and the callbacks are borrowed. */
 void
 mf_message_init (MfMessage *message, enum http_parser_type type, const MfDialect *dialect,
                  const MfMessageCallbacks *callbacks, void *data)
@@ -162,7 +162,7 @@
   message->parser.data = message;
 }
 
-/* Makes it ready for the next message on the same connection. */
+/* Prepares for the next message on the same connection. */
 void
 mf_message_reset (MfMessage *message)
 {
@@ -178,14 +178,14 @@
   message->parser.data = message;
 }
 
-/* Frees what was read of a message. */
+/* Frees the buffers of a message. */
 void
 mf_message_clear (MfMessage *message)
 {
   mf_buffer_clear (&message->head.text);
 }
 
-/* The product's code for what the parser found wrong. */
+/* Maps an error of the parser to a result code. */
 static MfCode
 parser_error_code (enum http_errno fault)
 {
@@ -203,8 +203,8 @@
     }
 }
 
-/* Reads bytes up to the end of the message. Returns how many belong to it; when it is then neither
- * done nor at fault, all were taken. */
+/* Parses bytes up to the end of the message. Returns the number consumed, which is n_bytes unless
+ * the message is done or was rejected. */
 size_t
 mf_message_feed (MfMessage *message, const char *bytes, size_t n_bytes)
 {
@@ -220,13 +220,13 @@
     return n_consumed;
   if (fault != HPE_OK && message->error_code == MF_CODE_OK)
     message->error_code = parser_error_code (fault);
-  /* CONNECT and the like end the parser's work without a message. */
+  /* After CONNECT and the like the parser stops before the end of the input. */
   if (message->parser.upgrade != 0 && message->error_code == MF_CODE_OK && n_consumed < n_bytes)
     message->error_code = MF_CODE_BAD_HEADER;
   return n_consumed;
 }
 
-/* The peer has closed. Returns whether that ends the message whole. */
+/* To be called when the peer has closed the connection. Returns whether the message is complete. */
 bool
 mf_message_finish (MfMessage *message)
 {
@@ -238,14 +238,15 @@
   return message->done;
 }
 
-/* The text that stands at an offset of the head. */
+/* Returns the text of the head from an offset on. */
 const char *
 mf_head_text (const MfHead *head, uint32_t at)
 {
   return mf_buffer_data (&head->text) + at;
 }
 
-/* The value of the first header with this meaning; NULL when there is none. Not NUL-closed. */
+/* Returns the value of the first header with this id, or NULL when there is none. The value is not
+ * NUL-terminated. */
 const char *
 mf_head_value (const MfHead *head, MfHeaderId header, size_t *value_bytes)
 {
@@ -259,7 +260,8 @@
   return NULL;
 }
 
-/* Copies that value as a string. Returns false when there is none or it does not fit. */
+/* Copies the value of the first header with this id as a string. Returns false when there is none
+ * or it does not fit. */
 bool
 mf_head_copy (const MfHead *head, MfHeaderId header, char *dst, size_t dst_bytes)
 {
@@ -273,7 +275,8 @@
   return true;
 }
 
-/* Reads that value as a number without sign; returns false when it is none. */
+/* Parses the value of the first header with this id as an unsigned number; a fraction is cut off.
+ * Returns false when it is missing or not a number. */
 bool
 mf_head_number (const MfHead *head, MfHeaderId header, uint64_t *number)
 {
@@ -286,8 +289,8 @@
   return *end == '\0' || *end == '.';
 }
 
-/* Reads that value as seconds, which may have a fraction. Returns false when it is missing,
- * negative or no number. */
+/* Parses the value of the first header with this id as seconds, which may have a fraction. Returns
+ * false when it is missing, negative or not a number. */
 bool
 mf_head_seconds (const MfHead *head, MfHeaderId header, double *seconds)
 {
@@ -300,7 +303,7 @@
   return *end == '\0' && *seconds <= DBL_MAX;
 }
 
-/* How often a header of this meaning stands in the head. */
+/* Returns the number of headers with this id. */
 uint32_t
 mf_head_count (const MfHead *head, MfHeaderId header)
 {
@@ -311,7 +314,7 @@
   return n_found;
 }
 
-/* Whether a comma-separated list holds a name, in any case. */
+/* Whether a comma-separated list contains a name; case is ignored. */
 static bool
 list_holds (const char *list, size_t list_bytes, const char *name, size_t name_bytes)
 {
@@ -335,7 +338,7 @@
   return false;
 }
 
-/* Whether the Connection header names this header as one that concerns the connection only. */
+/* Whether the Connection header lists this header, which is then hop-by-hop. */
 bool
 mf_head_is_hop_by_hop (const MfHead *head, const MfHeadField *field)
 {
@@ -351,7 +354,7 @@
   return false;
 }
 
-/* Adds "Name: value\r\n". */
+/* Appends a header line. */
 void
 mf_head_write (MfBuffer *out, const char *name, const char *value, size_t value_bytes)
 {
--- a/libmangofork/relay/message.h
+++ b/libmangofork/relay/message.h
@@ -7,10 +7,10 @@
 
 #include <http_parser.h>
 
-/* Headers kept of one message; a request with more is refused. */
+/* Headers of one message at most; a message with more is rejected. */
 #define MF_HEAD_FIELDS_MAX 96
 
-/* One header of a message; places count from the start of the head's text. */
+/* One header of a message. name_at and value_at are offsets into MfHead.text. */
 typedef struct
 {
   uint32_t name_at;
@@ -20,26 +20,27 @@
   MfHeaderId header;
 } MfHeadField;
 
-/* The head of a message. For requests, target is the path with its query. */
+/* The head of a message. The target of a request is its path with the query. */
 typedef struct
 {
   MfBuffer text;
-  uint32_t target_bytes; /* the target stands at the start of text */
+  uint32_t target_bytes; /* of the target, which is at the start of text */
   MfHeadField fields[MF_HEAD_FIELDS_MAX];
   uint32_t n_fields;
 } MfHead;
 
 typedef struct MfMessage MfMessage;
 
-/* What a message tells while it is read. Any may be NULL. */
+/* Callbacks while a message is read. Any may be NULL. */
 typedef struct
 {
-  /* The head is whole. Returns false when the message has no body whatever its head says. */
+  /* The head is complete. Returns false when the message has no body whatever its head says, as the
+   * response to a HEAD request. */
   bool (*head) (MfMessage *message, void *data);
   void (*body) (MfMessage *message, const char *bytes, size_t n_bytes, void *data);
 } MfMessageCallbacks;
 
-/* An HTTP/1.1 message while it is read. */
+/* Reads an HTTP/1.1 message. */
 struct MfMessage
 {
   http_parser parser;
@@ -48,11 +49,11 @@
   void *data;
   MfHead head;
   uint64_t head_bytes_max; /* 0: no limit */
-  bool begun;              /* a byte of it has been read */
+  bool begun;              /* its first byte has been read */
   bool head_done;
   bool done;
   bool in_value;
-  MfCode error_code; /* why it cannot be read; MF_CODE_OK while it can */
+  MfCode error_code; /* MF_CODE_OK unless the message was rejected */
 };
 
 void mf_message_init (MfMessage *message, enum http_parser_type type, const MfDialect *dialect,
--- a/libmangofork/relay/relay.c
+++ b/libmangofork/relay/relay.c
@@ -10,33 +10,34 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-/* Upstreams whose entries lapsed while the platform's store was away are back within two seconds of
- * its return (the users' letter); a little more for the way. */
+/* Upstreams whose entries expired during an outage of the platform's store register again within
+ * two seconds of its end. The rest is for latency. */
 #define REREGISTRATION_US (2300 * MF_US_PER_MS)
-/* A shorter absence of the store lets no entry lapse. */
+/* No entry expires in a shorter outage of the store. */
 #define OUTAGE_MIN_US (1 * MF_US_PER_S)
-/* Housekeeping: expired upstreams, drain, changed settings. */
+/* Interval of periodic work: expired upstreams, drain, changed settings. */
 #define TICK_S 0.1
-/* The settings file is looked at this often. */
 #define SETTINGS_CHECK_INTERVAL_US (1 * MF_US_PER_S)
-/* Descriptors for other than callers: files, listeners, upstreams. */
+/* File descriptors that are not available to callers: files, listeners, upstreams. */
 #define DESCRIPTORS_RESERVED 700
-/* Memory one caller may take: its buffers and its request. */
+/* Memory of one caller: its buffers and its request. */
 #define BYTES_PER_CALLER 100000
-/* Part of the process's memory that the answers kept whole may take together. */
+/* The responses buffered for plain requests may use this part (one in) of the process's memory. */
 #define KEPT_ANSWERS_MEMORY_DIVISOR 4
-/* While shutting down, callers' idle connections are closed once the balancer has had time to learn
- * of it: it asks every second and believes the second miss. */
+/* During shutdown, idle connections are closed when the load balancer has had time to notice it: it
+ * checks readiness every second and acts on the second failure. */
 #define DRAIN_CLOSE_IDLE_US (2500 * MF_US_PER_MS)
-/* Streams are begun until so much of the grace is over, as the longest of them need the rest. */
+/* Part of the grace period after which no stream is started any more: the longest streams need the
+ * rest of it. */
 #define DRAIN_STREAMS_PERCENT 40
-/* New connections are taken until so much of the grace is over. The balancer sends none any more,
- * but for checks of its own; what comes later could be cut by the end. */
+/* Part of the grace period after which no connection is accepted any more. By then the load
+ * balancer opens only connections for its checks, and a later request might be cut off by the end
+ * of the process. */
 #define DRAIN_ACCEPT_PERCENT 70
-/* The process ends by itself this long before it would be killed. */
+/* The process exits this long before it would be killed. */
 #define EXIT_MARGIN_US (250 * MF_US_PER_MS)
 
-/* Limits of a door before a configuration names others. */
+/* Limits of a listener unless the configuration sets others. */
 static const MfListenerLimits default_limits = {
   .header_bytes_max = 16384,
   .body_bytes_max = 4 * 1024 * 1024,
@@ -63,14 +64,14 @@
   ev_timer tick;
   bool is_ready;
   bool source_is_up;
-  bool has_listed;         /* upstreams were listed once */
-  uint64_t source_seen_us; /* when the source last answered */
-  uint64_t keep_until_us;  /* upstreams that are missing are kept until then */
-  uint64_t drain_begun_us; /* 0: not shutting down */
+  bool has_listed;         /* the first list of upstreams is complete */
+  uint64_t source_seen_us; /* last answer of the source */
+  uint64_t keep_until_us;  /* upstreams without an entry are kept until then */
+  uint64_t drain_begun_us; /* 0: no shutdown */
   bool idle_closed;
   MfFollow follow;
-  uint64_t settings_checked_us;   /* when the file was last looked at */
-  struct timespec settings_mtime; /* when it was last written */
+  uint64_t settings_checked_us; /* last check of the settings file */
+  struct timespec settings_mtime;
 };
 
 static void
@@ -145,7 +146,7 @@
   .refused = on_refused,
 };
 
-/* Puts the limits of the configuration in force, as far as memory and descriptors allow. */
+/* Applies the limits of the configuration, as far as memory and file descriptors allow. */
 static void
 limits_apply (MfRelay *relay)
 {
@@ -172,8 +173,8 @@
   mf_listener_set_limits (relay->listener, &limits);
 }
 
-/* For sources. Puts a configuration in force unless it is older than the one that is; takes over
- * the reference. */
+/* Called by sources. Applies a configuration unless it is not newer than the current one. Takes
+ * ownership of the reference. */
 void
 mf_relay_configure (MfRelay *relay, MfRoutes *routes)
 {
@@ -196,7 +197,7 @@
   ready_update (relay);
 }
 
-/* Adds an upstream, or renews what is known of it. */
+/* Called by sources. Adds or updates an upstream. */
 void
 mf_relay_update_upstream (MfRelay *relay, const MfTargetInfo *info)
 {
@@ -210,7 +211,8 @@
   mf_jobs_wake (&relay->jobs);
 }
 
-/* An upstream is listed no longer. While the source has just come back, it is kept for a while. */
+/* Called by sources when an upstream has no entry any more. Shortly after an outage of the source
+ * it is kept for a while, since it may register again. */
 void
 mf_relay_remove_upstream (MfRelay *relay, const char *id, const char *why)
 {
@@ -218,7 +220,7 @@
   bool keep = now_us < relay->keep_until_us;
   char name[MF_TARGET_ID_BYTES];
 
-  /* The id may stand in what is removed. */
+  /* id may point into the upstream that is removed. */
   mf_name_set (name, sizeof name, id);
   if (mf_targets_remove (&relay->jobs.targets, name, !keep, now_us))
     mf_relay_log_state (relay->log, "upstream.gone", "upstream=%s why=\"%s\" kept_ms=%llu", name,
@@ -226,14 +228,14 @@
                         (unsigned long long)(keep ? (relay->keep_until_us - now_us) / 1000 : 0));
 }
 
-/* A full list of upstreams begins; mf_relay_list_end ends it. */
+/* Called by sources before they pass on a complete list of upstreams. */
 void
 mf_relay_list_begin (MfRelay *relay)
 {
   mf_targets_begin_list (&relay->jobs.targets);
 }
 
-/* The full list has ended: upstreams that it did not name are gone. */
+/* Called by sources after a complete list of upstreams. Removes those that were not in it. */
 void
 mf_relay_list_end (MfRelay *relay)
 {
@@ -249,7 +251,7 @@
   ready_update (relay);
 }
 
-/* The source answers. */
+/* Called by sources when their store has answered. */
 void
 mf_relay_source_up (MfRelay *relay)
 {
@@ -268,7 +270,8 @@
   relay->source_seen_us = now_us;
 }
 
-/* Whether this instance reads the source for itself, for others too, or is told. */
+/* Returns whether this instance reads the source for itself, also for others, or receives what
+ * others read. */
 MfFeedRole
 mf_relay_feed_role (MfRelay *relay)
 {
@@ -279,7 +282,8 @@
   return mf_feed_role (&standing);
 }
 
-/* How long the source may be left alone, as others tell what it holds; 0: it is to be read now. */
+/* Returns how long the source need not be read, because other instances send what they read; 0: it
+ * must be read now. */
 uint64_t
 mf_relay_read_delay_us (MfRelay *relay, MfFeedRole role)
 {
@@ -287,15 +291,16 @@
                             mf_jobs_random (&relay->jobs));
 }
 
-/* How long a call to the source waits for changes; alone_us where nobody else depends on it. */
+/* Returns how long a request to the source waits for changes; alone_us where no other instance
+ * depends on it. */
 uint64_t
 mf_relay_watch_timeout_us (const MfRelay *relay, MfFeedRole role, uint64_t alone_us)
 {
   return mf_follow_wait_us (&relay->follow, role, alone_us);
 }
 
-/* The pause after a failed call to the source, when the one before was last_us; is_known tells that
- * a whole picture has been read once. */
+/* Returns the delay after a failed request to the source; last_us is the previous one. is_known
+ * tells that everything has been read once. */
 uint64_t
 mf_relay_retry_delay_us (MfRelay *relay, bool is_known, uint64_t last_us)
 {
@@ -303,15 +308,15 @@
                              last_us, mf_jobs_random (&relay->jobs));
 }
 
-/* A time between none and this, by chance. */
+/* Returns a random time below max_us. */
 uint64_t
 mf_relay_jitter_us (MfRelay *relay, uint64_t max_us)
 {
   return max_us * (uint64_t)mf_jobs_random (&relay->jobs) >> 32;
 }
 
-/* The source has been read, by a call that took so long and could wait for changes for so long;
- * what it brought is passed on where others are told by this instance. */
+/* Called by sources after a watch request that took took_us and waited for changes for wait_us at
+ * most. Sends the changes to the other instances where this one reads for them. */
 void
 mf_relay_source_read (MfRelay *relay, MfFeed *feed, uint64_t took_us, uint64_t wait_us)
 {
@@ -327,11 +332,11 @@
   message->kind = MF_RELAY_MESSAGE_FEED;
   message->feed = *feed;
   mf_peers_send_near (relay->jobs.peers, message);
-  /* The values stay the source's. */
+  /* The values are owned by the source. */
   message->feed.values = (MfBuffer){ 0 };
 }
 
-/* Another instance tells what it has read. */
+/* Handles the changes that another instance has read. */
 static void
 on_feed (void *data, uint64_t peer, const MfFeed *feed)
 {
@@ -350,7 +355,7 @@
   mf_relay_source_up (relay);
 }
 
-/* The source has ceased to answer; what is known stays in force. */
+/* Called by sources when their store does not answer. What is known stays in force. */
 void
 mf_relay_source_down (MfRelay *relay, const char *why)
 {
@@ -363,21 +368,19 @@
   relay->source_is_up = false;
 }
 
-/* Where the process writes its log. */
 MfRelayLog *
 mf_relay_log (MfRelay *relay)
 {
   return relay->log;
 }
 
-/* What the process counts. */
 MfRelayCounters *
 mf_relay_counters (MfRelay *relay)
 {
   return &relay->jobs.counters;
 }
 
-/* Uses what the settings say of retries, and of nothing that needs a restart. */
+/* Applies the settings that can change without a restart. */
 static void
 settings_apply (MfRelay *relay)
 {
@@ -421,7 +424,7 @@
   settings_reread (watcher->data);
 }
 
-/* Settings may change without a signal: looks at the file now and then. */
+/* Reloads the settings file when it has changed without a signal. */
 static void
 settings_watch (MfRelay *relay, uint64_t now_us)
 {
@@ -439,8 +442,8 @@
   relay->settings_mtime = status.st_mtim;
 }
 
-/* One step of the shutdown: first the balancer is told, then idle connections close, then the
- * process ends, at the latest before it would be killed. */
+/* One step of the shutdown. First the readiness check fails, then idle connections are closed, then
+ * the process exits, at the latest shortly before it would be killed. */
 static void
 drain_step (MfRelay *relay)
 {
@@ -481,7 +484,7 @@
     }
   mf_jobs_forget_breaks (&relay->jobs, now_us);
   settings_watch (relay, now_us);
-  /* What a silent peer told ceases to hold with time. */
+  /* Reports of a peer that has become silent expire. */
   relay->jobs.others_stale = true;
   if (relay->drain_begun_us > 0)
     drain_step (relay);
@@ -508,8 +511,8 @@
   ready_update (relay);
 }
 
-/* Holds back, or lets in, the signals that the loop takes. A second SIGTERM must not end the
- * process in another way while it is ending. */
+/* Blocks or unblocks the signals that the event loop handles. A second SIGTERM must not kill the
+ * process while it exits. */
 static void
 signals_block (bool blocked)
 {
@@ -578,7 +581,7 @@
   return true;
 }
 
-/* Lets the process open as many files as it is told it may. */
+/* Raises the limit of open files to the one of the settings. */
 static void
 descriptor_limit_raise (const MfRelaySettings *settings)
 {
@@ -590,8 +593,8 @@
   setrlimit (RLIMIT_NOFILE, &limit);
 }
 
-/* path names the settings, which are read again on SIGHUP. NULL with error set when it cannot
- * start. */
+/* Starts a relay. path names its settings, which are reloaded on SIGHUP. Returns NULL with error
+ * set on failure. */
 MfRelay *
 mf_relay_new (const MfRelayDeployment *deployment, const char *path, MfError *error)
 {
@@ -599,7 +602,7 @@
 
   if (relay == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the relay");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while starting the relay");
       return NULL;
     }
   relay->deployment = deployment;
@@ -640,7 +643,8 @@
   return relay;
 }
 
-/* Serves until SIGTERM or SIGINT, and then until the requests it has are answered. */
+/* Serves until SIGTERM or SIGINT, and then until its requests have ended or the grace period is
+ * over. */
 void
 mf_relay_run (MfRelay *relay)
 {
@@ -649,7 +653,7 @@
                       mf_listener_n_callers (relay->listener));
 }
 
-/* Closes everything at once. Accepts NULL. */
+/* Closes all connections at once and frees the relay. Accepts NULL. */
 void
 mf_relay_free (MfRelay *relay)
 {
--- a/libmangofork/relay/relay.h
+++ b/libmangofork/relay/relay.h
@@ -7,47 +7,47 @@
 /* Bytes of a path, its closing NUL included. */
 #define MF_RELAY_PATH_BYTES 256
 
-/* What a process of the relay is told. Times are bounds that the deployment sets. */
+/* Settings of a relay process. */
 typedef struct
 {
   char name[MF_NAME_BYTES];
   char data_centre[MF_NAME_BYTES];
-  char listen[MF_ADDRESS_BYTES];    /* callers */
-  char readiness[MF_ADDRESS_BYTES]; /* the balancer asks here whether callers may come */
-  char metrics[MF_ADDRESS_BYTES];   /* counters; "" for none */
-  char peers[MF_ADDRESS_BYTES];     /* other instances; empty: they are not talked to */
-  char seeds[256];                  /* addresses of some instances, comma-separated */
+  char listen[MF_ADDRESS_BYTES];    /* for callers */
+  char readiness[MF_ADDRESS_BYTES]; /* for the load balancer's readiness check */
+  char metrics[MF_ADDRESS_BYTES];   /* for metrics; "": none */
+  char peers[MF_ADDRESS_BYTES];     /* for other instances; "": no connections to them */
+  char seeds[256];                  /* comma-separated addresses of some instances */
   char store[MF_ADDRESS_BYTES];     /* the platform's store */
-  uint64_t memory_bytes;            /* the process may use; 0: not told */
-  uint32_t files_max;               /* descriptors; 0: not told */
-  uint64_t change_bound_us;         /* within which a change at the store must be acted on */
-  uint64_t recovery_us;             /* after a fault ends, all must be in order again within this */
+  uint64_t memory_bytes;            /* memory limit of the process; 0: unknown */
+  uint32_t files_max;               /* file descriptors; 0: unknown */
+  uint64_t change_bound_us;         /* a change at the store must take effect within this time */
+  uint64_t recovery_us;             /* normal service must be back within this time after a fault */
   uint64_t grace_us;                /* from SIGTERM to SIGKILL */
-  double retry_ratio;               /* repeats for each request */
-  uint64_t retry_window_us;         /* that they are counted in */
-  uint32_t retry_slack;             /* repeats allowed besides, to all instances together */
+  double retry_ratio;               /* retries per request */
+  uint64_t retry_window_us;         /* over which retry_ratio applies */
+  uint32_t retry_slack;             /* additional retries, for all instances together */
   bool orders_fenced;               /* whether engines check the fences of orders */
-  uint64_t order_interval_us;       /* two instances that order one engine keep this far apart */
+  uint64_t order_interval_us;       /* least time between orders of two instances to one engine */
 } MfRelaySettings;
 
 typedef struct MfRelay MfRelay;
 
-/* Where configurations and upstreams are learnt from. */
+/* The source of configurations and upstreams. */
 typedef struct
 {
-  /* Starts to read; calls mf_relay_configure, mf_relay_update_upstream and the like from the loop.
-   */
+  /* Starts to read. Passes on what it reads with mf_relay_configure, mf_relay_update_upstream and
+   * the other functions below, from the event loop. */
   void *(*start) (MfRelay *relay, struct ev_loop *loop, const MfRelaySettings *settings,
                   MfError *error);
-  /* The settings were read again. */
+  /* The settings have been reloaded. */
   void (*update_settings) (void *source, const MfRelaySettings *settings);
-  /* Applies what another instance has read. Returns whether all up to its last revision is known
-   * now, so that nothing need be read for it. */
+  /* Applies changes that another instance has read. Returns whether everything up to the feed's
+   * last revision is known now, so that nothing needs to be read for it. */
   bool (*apply_feed) (void *source, const MfFeed *feed);
   void (*stop) (void *source);
 } MfRelaySource;
 
-/* What a deployment brings: its wire, its source, and how its settings are read. */
+/* The adapter to a deployment's platform. */
 typedef struct
 {
   const MfDialect *dialect;
--- a/libmangofork/relay/relay_counters.c
+++ b/libmangofork/relay/relay_counters.c
@@ -50,7 +50,7 @@
   mf_buffer_add_text (out, line);
 }
 
-/* Where the ends with each code are rendered from and to. */
+/* Passed to code_render. */
 typedef struct
 {
   const MfRelayCounters *counters;
@@ -72,7 +72,7 @@
   return true;
 }
 
-/* Adds all in the text format of Prometheus. */
+/* Appends all counters and histograms in the Prometheus text format. */
 void
 mf_relay_counters_render (const MfRelayCounters *counters, MfBuffer *out)
 {
