--- a/libmangofork/relay/caller.c
+++ b/libmangofork/relay/caller.c
@@ -14,41 +14,42 @@
 #include <xxhash.h>
 
 #define READ_BYTES 16384
-/* Bytes kept of requests that a caller sends before it has the answer to an earlier one. */
-#define AHEAD_BYTES_MAX 65536
-/* A caller that has so much unread is not sent more until it has read. */
-#define UNREAD_BYTES_MAX 262144
-/* Connections taken in one turn of the loop. */
+/* Pipelined requests are buffered up to this size while an earlier one is being served; a caller
+ * that sends more is disconnected. */
+#define PIPELINED_BYTES_MAX 65536
+/* A streamed response is paused while more than this is buffered for a slow caller. */
+#define UNSENT_BYTES_MAX 262144
+/* Connections accepted in one iteration of the event loop. */
 #define ACCEPTS_MAX 64
-/* After a request that cannot be read, what still comes is read for so long, that the answer is not
- * lost to a reset. */
+/* After the last response on a connection, input is read and discarded for this long. Closing a
+ * socket with unread input sends a reset, and the caller could lose the response to it. */
 #define LINGER_US (500 * MF_US_PER_MS)
 
-struct MfDoor
+struct MfListener
 {
   struct ev_loop *loop;
   const MfDialect *dialect;
-  const MfDoorUser *user;
+  const MfListenerCallbacks *callbacks;
   void *data;
   int fd;
   ev_io acceptor;
-  MfDoorLimits limits;
+  MfListenerLimits limits;
   MfCaller *callers;
   uint32_t n_callers;
-  bool retired;
+  bool keep_alive_ended;
 };
 
 typedef enum
 {
-  CALLER_READING,  /* between requests, or in one */
-  CALLER_WAITING,  /* its request is being served */
-  CALLER_ANSWERED, /* the answer is being written */
-  CALLER_LINGERING,
+  CALLER_READING,    /* idle, or reading a request */
+  CALLER_WAITING,    /* the request is being served */
+  CALLER_RESPONDING, /* the rest of the response is being written */
+  CALLER_LINGERING,  /* the response is written; input is discarded until the connection closes */
 } CallerState;
 
 struct MfCaller
 {
-  MfDoor *door;
+  MfListener *listener;
   MfCaller *next;
   MfCaller *prev;
   int fd;
@@ -58,18 +59,18 @@
   ev_timer timer;
   MfMessage message;
   MfBuffer body;
-  MfBuffer ahead; /* read, and not yet looked at */
+  MfBuffer in; /* received, not parsed yet */
   MfBuffer out;
   void *job;
-  uint64_t host; /* hash of the address it comes from, without the port */
+  uint64_t address_hash; /* of the peer's IP address, without the port */
   uint64_t begun_us;
-  uint64_t timer_us; /* when the timer is due */
+  uint64_t timer_us;
   bool chunked;
-  bool closing; /* the connection ends with the answer */
-  bool told_full;
-  bool lost;  /* a write failed; the loop finds the caller gone */
-  bool freed; /* memory goes once the outermost call returns */
-  uint32_t depth;
+  bool closing; /* the connection closes after the response */
+  bool write_paused;
+  bool write_failed; /* the caller is disconnected from the event loop */
+  bool closed;       /* freed when the outermost function that holds it returns */
+  uint32_t n_holds;
 };
 
 static void caller_advance (MfCaller *caller);
@@ -79,81 +80,82 @@
 {
   if (caller->fd < 0)
     return;
-  ev_io_stop (caller->door->loop, &caller->reader);
-  ev_io_stop (caller->door->loop, &caller->writer);
-  ev_timer_stop (caller->door->loop, &caller->timer);
+  ev_io_stop (caller->listener->loop, &caller->reader);
+  ev_io_stop (caller->listener->loop, &caller->writer);
+  ev_timer_stop (caller->listener->loop, &caller->timer);
   close (caller->fd);
   caller->fd = -1;
-  caller->freed = true;
-  caller->door->n_callers--;
+  caller->closed = true;
+  caller->listener->n_callers--;
   if (caller->prev != NULL)
     caller->prev->next = caller->next;
   else
-    caller->door->callers = caller->next;
+    caller->listener->callers = caller->next;
   if (caller->next != NULL)
     caller->next->prev = caller->prev;
 }
 
 static void
-caller_enter (MfCaller *caller)
+caller_hold (MfCaller *caller)
 {
-  caller->depth++;
+  caller->n_holds++;
 }
 
 static void
-caller_leave (MfCaller *caller)
+caller_release (MfCaller *caller)
 {
-  if (--caller->depth > 0 || !caller->freed)
+  if (--caller->n_holds > 0 || !caller->closed)
     return;
   mf_message_clear (&caller->message);
   mf_buffer_clear (&caller->body);
-  mf_buffer_clear (&caller->ahead);
+  mf_buffer_clear (&caller->in);
   mf_buffer_clear (&caller->out);
   free (caller);
 }
 
-/* The connection is gone while its request was being served. */
+/* Closes the connection, and reports it if a request was being served. */
 static void
-caller_depart (MfCaller *caller)
+caller_disconnect (MfCaller *caller)
 {
   bool was_served = caller->state == CALLER_WAITING;
 
   caller_close (caller);
-  if (was_served && caller->door->user->departed != NULL)
-    caller->door->user->departed (caller->door->data, caller);
+  if (was_served && caller->listener->callbacks->departed != NULL)
+    caller->listener->callbacks->departed (caller->listener->data, caller);
 }
 
 static void
 timer_set (MfCaller *caller, uint64_t after_us)
 {
-  ev_timer_stop (caller->door->loop, &caller->timer);
+  ev_timer_stop (caller->listener->loop, &caller->timer);
   if (after_us == 0)
     return;
   ev_timer_set (&caller->timer, (double)after_us / (double)MF_US_PER_S, 0.);
-  ev_timer_start (caller->door->loop, &caller->timer);
+  ev_timer_start (caller->listener->loop, &caller->timer);
 }
 
-/* The connection has failed under a write. Its user is told from the loop, as it may be calling. */
+/* Handles a failed write. The departed callback is called later, from the event loop, since the
+ * write may have been started by the user of the listener. */
 static void
-caller_lose (MfCaller *caller)
+caller_write_failed (MfCaller *caller)
 {
-  caller->lost = true;
+  caller->write_failed = true;
   mf_buffer_clear (&caller->out);
-  ev_io_stop (caller->door->loop, &caller->reader);
-  ev_io_stop (caller->door->loop, &caller->writer);
-  ev_timer_stop (caller->door->loop, &caller->timer);
+  ev_io_stop (caller->listener->loop, &caller->reader);
+  ev_io_stop (caller->listener->loop, &caller->writer);
+  ev_timer_stop (caller->listener->loop, &caller->timer);
   ev_timer_set (&caller->timer, 0., 0.);
-  ev_timer_start (caller->door->loop, &caller->timer);
+  ev_timer_start (caller->listener->loop, &caller->timer);
 }
 
 static void
 out_flush (MfCaller *caller)
 {
-  if (caller->lost)
+  if (caller->write_failed)
     return;
   if (caller->out.failed)
     {
-      caller_lose (caller);
+      caller_write_failed (caller);
       return;
     }
   while (caller->fd >= 0 && mf_buffer_bytes (&caller->out) > 0)
@@ -165,25 +167,25 @@
         continue;
       if (n_sent < 0 && errno == EAGAIN)
         {
-          ev_io_start (caller->door->loop, &caller->writer);
+          ev_io_start (caller->listener->loop, &caller->writer);
           return;
         }
       if (n_sent < 0)
         {
-          caller_lose (caller);
+          caller_write_failed (caller);
           return;
         }
       mf_buffer_take (&caller->out, (size_t)n_sent);
     }
   if (caller->fd >= 0)
-    ev_io_stop (caller->door->loop, &caller->writer);
+    ev_io_stop (caller->listener->loop, &caller->writer);
 }
 
-/* The answer has been written: goes on to the next request or closes. */
+/* When the response has been written, waits for the next request or closes the connection. */
 static void
-answer_settle (MfCaller *caller)
+response_finish (MfCaller *caller)
 {
-  if (caller->fd < 0 || caller->lost || caller->state != CALLER_ANSWERED
+  if (caller->fd < 0 || caller->write_failed || caller->state != CALLER_RESPONDING
       || mf_buffer_bytes (&caller->out) > 0)
     return;
   if (caller->closing)
@@ -196,7 +198,7 @@
   caller->state = CALLER_READING;
   mf_message_reset (&caller->message);
   mf_buffer_clear (&caller->body);
-  timer_set (caller, caller->door->limits.idle_timeout_us);
+  timer_set (caller, caller->listener->limits.idle_timeout_us);
 }
 
 static const char *
@@ -215,7 +217,7 @@
 }
 
 static void
-answer_head (MfCaller *caller, uint32_t status, const MfBuffer *headers)
+response_head_write (MfCaller *caller, uint32_t status, const MfBuffer *headers)
 {
   char line[96];
 
@@ -223,14 +225,14 @@
   mf_buffer_add_text (&caller->out, line);
   if (headers != NULL)
     mf_buffer_add (&caller->out, mf_buffer_data (headers), mf_buffer_bytes (headers));
-  if (caller->door->retired || !http_should_keep_alive (&caller->message.parser)
-      || caller->message.fault != MF_CODE_OK)
+  if (caller->listener->keep_alive_ended || !http_should_keep_alive (&caller->message.parser)
+      || caller->message.error_code != MF_CODE_OK)
     caller->closing = true;
   if (caller->closing)
     mf_buffer_add_text (&caller->out, "Connection: close\r\n");
 }
 
-/* Answers in one piece. headers holds whole lines, or is NULL. */
+/* Sends a complete response. headers holds complete header lines, or is NULL. */
 void
 mf_caller_reply (MfCaller *caller, uint32_t status, const MfBuffer *headers, const char *body,
                  size_t body_bytes)
@@ -238,9 +240,9 @@
   char line[64];
   bool is_head = caller->message.parser.method == HTTP_HEAD;
 
-  caller_enter (caller);
-  answer_head (caller, status, headers);
-  /* The length of what a HEAD leaves out is not known here. */
+  caller_hold (caller);
+  response_head_write (caller, status, headers);
+  /* The length of the body that a response to HEAD leaves out is not known here. */
   if (!is_head && status != 204 && status != 304)
     {
       snprintf (line, sizeof line, "Content-Length: %zu\r\n", body_bytes);
@@ -249,40 +251,39 @@
   mf_buffer_add_text (&caller->out, "\r\n");
   if (!is_head)
     mf_buffer_add (&caller->out, body, body_bytes);
-  caller->state = CALLER_ANSWERED;
+  caller->state = CALLER_RESPONDING;
   caller->job = NULL;
   out_flush (caller);
-  answer_settle (caller);
+  response_finish (caller);
   caller_advance (caller);
-  caller_leave (caller);
+  caller_release (caller);
 }
 
-/* Answers piece by piece. The answer ends whole with mf_caller_end, or broken with mf_caller_abort.
- */
+/* Begins a streamed response. mf_caller_end completes it; mf_caller_abort cuts it off. */
 void
 mf_caller_begin (MfCaller *caller, uint32_t status, const MfBuffer *headers)
 {
-  caller_enter (caller);
+  caller_hold (caller);
   caller->chunked = caller->message.parser.http_minor > 0;
   if (!caller->chunked)
     caller->closing = true;
-  answer_head (caller, status, headers);
+  response_head_write (caller, status, headers);
   if (caller->chunked)
     mf_buffer_add_text (&caller->out, "Transfer-Encoding: chunked\r\n");
   mf_buffer_add_text (&caller->out, "\r\n");
   out_flush (caller);
-  caller_leave (caller);
+  caller_release (caller);
 }
 
-/* Sends the next bytes of an answer that was begun. */
+/* Sends the next bytes of a streamed response. */
 void
 mf_caller_write (MfCaller *caller, const char *bytes, size_t n_bytes)
 {
   char line[24];
 
-  if (n_bytes == 0 || caller->fd < 0 || caller->lost)
+  if (n_bytes == 0 || caller->fd < 0 || caller->write_failed)
     return;
-  caller_enter (caller);
+  caller_hold (caller);
   if (caller->chunked)
     {
       snprintf (line, sizeof line, "%zx\r\n", n_bytes);
@@ -292,54 +293,55 @@
   if (caller->chunked)
     mf_buffer_add_text (&caller->out, "\r\n");
   out_flush (caller);
-  if (caller->fd >= 0 && mf_buffer_bytes (&caller->out) > UNREAD_BYTES_MAX && !caller->told_full)
+  if (caller->fd >= 0 && mf_buffer_bytes (&caller->out) > UNSENT_BYTES_MAX && !caller->write_paused)
     {
-      caller->told_full = true;
-      if (caller->door->user->writable != NULL)
-        caller->door->user->writable (caller->door->data, caller, false);
+      caller->write_paused = true;
+      if (caller->listener->callbacks->writable != NULL)
+        caller->listener->callbacks->writable (caller->listener->data, caller, false);
     }
-  caller_leave (caller);
+  caller_release (caller);
 }
 
-/* Ends an answer that was begun, whole. */
+/* Completes a streamed response. */
 void
 mf_caller_end (MfCaller *caller)
 {
-  caller_enter (caller);
+  caller_hold (caller);
   if (caller->chunked)
     mf_buffer_add_text (&caller->out, "0\r\n\r\n");
-  caller->state = CALLER_ANSWERED;
+  caller->state = CALLER_RESPONDING;
   caller->job = NULL;
   out_flush (caller);
-  answer_settle (caller);
+  response_finish (caller);
   caller_advance (caller);
-  caller_leave (caller);
+  caller_release (caller);
 }
 
-/* Closes the connection so that the answer cannot look whole. */
+/* Closes the connection in such a way that the caller cannot take the response for complete:
+ * without the last chunk, or with a reset where the response has no chunks. */
 void
 mf_caller_abort (MfCaller *caller)
 {
   struct linger reset = { .l_onoff = 1, .l_linger = 0 };
 
-  caller_enter (caller);
+  caller_hold (caller);
   caller->job = NULL;
-  caller->state = CALLER_ANSWERED;
+  caller->state = CALLER_RESPONDING;
   if (caller->fd >= 0 && !caller->chunked)
     setsockopt (caller->fd, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
   caller_close (caller);
-  caller_leave (caller);
+  caller_release (caller);
 }
 
-/* Refuses what cannot be read; nothing that follows on the connection is looked at. */
+/* Rejects a malformed request. What follows on the connection is discarded. */
 static void
-caller_refuse (MfCaller *caller, MfCode code)
+caller_reject (MfCaller *caller, MfCode code)
 {
   const MfCodeInfo *info = mf_code_info (code);
 
-  caller->door->user->refused (caller->door->data, code);
+  caller->listener->callbacks->refused (caller->listener->data, code);
   caller->closing = true;
-  mf_buffer_clear (&caller->ahead);
+  mf_buffer_clear (&caller->in);
   mf_caller_reply (caller, info->http_status, NULL, info->summary, strlen (info->summary));
 }
 
@@ -347,17 +349,18 @@
 on_head (MfMessage *message, void *data)
 {
   MfCaller *caller = data;
-  static const char go_on[] = "HTTP/1.1 100 Continue\r\n\r\n";
+  static const char continue_line[] = "HTTP/1.1 100 Continue\r\n\r\n";
   uint64_t length = message->parser.content_length;
 
-  if (length != UINT64_MAX && caller->door->limits.body_bytes_max > 0
-      && length > caller->door->limits.body_bytes_max)
+  if (length != UINT64_MAX && caller->listener->limits.body_bytes_max > 0
+      && length > caller->listener->limits.body_bytes_max)
     {
-      message->fault = MF_CODE_BODY_TOO_LARGE;
+      message->error_code = MF_CODE_BODY_TOO_LARGE;
       return true;
     }
-  if (mf_head_count (&message->head, MF_WORD_EXPECT_CONTINUE) > 0 && message->parser.http_minor > 0)
-    mf_buffer_add (&caller->out, go_on, sizeof go_on - 1);
+  if (mf_head_count (&message->head, MF_HEADER_EXPECT_CONTINUE) > 0
+      && message->parser.http_minor > 0)
+    mf_buffer_add (&caller->out, continue_line, sizeof continue_line - 1);
   return true;
 }
 
@@ -368,20 +371,21 @@
 
   mf_buffer_add (&caller->body, bytes, n_bytes);
   if (caller->body.failed)
-    message->fault = MF_CODE_NO_MEMORY;
-  else if (caller->door->limits.body_bytes_max > 0
-           && mf_buffer_bytes (&caller->body) > caller->door->limits.body_bytes_max)
-    message->fault = MF_CODE_BODY_TOO_LARGE;
+    message->error_code = MF_CODE_NO_MEMORY;
+  else if (caller->listener->limits.body_bytes_max > 0
+           && mf_buffer_bytes (&caller->body) > caller->listener->limits.body_bytes_max)
+    message->error_code = MF_CODE_BODY_TOO_LARGE;
 }
 
-static const MfMessageEvents message_events = { .head = on_head, .body = on_body };
+static const MfMessageCallbacks message_events = { .head = on_head, .body = on_body };
 
-/* What is wrong with the head of a request that HTTP's own rules allow to be read. */
+/* Checks the head of a request that the parser has accepted: exactly one Host, and a target that is
+ * a path. */
 static MfCode
 request_check (const MfCaller *caller)
 {
   const MfMessage *message = &caller->message;
-  uint32_t n_hosts = mf_head_count (&message->head, MF_WORD_HOST);
+  uint32_t n_hosts = mf_head_count (&message->head, MF_HEADER_HOST);
 
   if (n_hosts > 1 || (n_hosts == 0 && message->parser.http_minor > 0))
     return MF_CODE_BAD_HEADER;
@@ -390,42 +394,42 @@
   return MF_CODE_OK;
 }
 
-/* Reads requests from what has come, until one is to be served. */
+/* Parses the buffered input until a request is complete or the input is used up. */
 static void
 caller_advance (MfCaller *caller)
 {
-  while (caller->fd >= 0 && caller->state == CALLER_READING && mf_buffer_bytes (&caller->ahead) > 0)
+  while (caller->fd >= 0 && caller->state == CALLER_READING && mf_buffer_bytes (&caller->in) > 0)
     {
       MfMessage *message = &caller->message;
       bool had_begun = message->begun;
       bool had_head = message->head_done;
       size_t taken;
 
-      message->head_bytes_max = caller->door->limits.header_bytes_max;
-      taken = mf_message_feed (message, mf_buffer_data (&caller->ahead),
-                               mf_buffer_bytes (&caller->ahead));
-      mf_buffer_take (&caller->ahead, taken);
+      message->head_bytes_max = caller->listener->limits.header_bytes_max;
+      taken
+          = mf_message_feed (message, mf_buffer_data (&caller->in), mf_buffer_bytes (&caller->in));
+      mf_buffer_take (&caller->in, taken);
       if (!had_begun)
         caller->begun_us = mf_clock_now_us ();
-      if (message->fault == MF_CODE_OK && message->done)
-        message->fault = request_check (caller);
-      if (message->fault != MF_CODE_OK)
+      if (message->error_code == MF_CODE_OK && message->done)
+        message->error_code = request_check (caller);
+      if (message->error_code != MF_CODE_OK)
         {
-          caller_refuse (caller, message->fault);
+          caller_reject (caller, message->error_code);
           return;
         }
       if (!message->done)
         {
           if (!had_begun || (!had_head && message->head_done))
-            timer_set (caller, caller->door->limits.header_timeout_us);
+            timer_set (caller, caller->listener->limits.header_timeout_us);
           out_flush (caller);
           continue;
         }
       timer_set (caller, 0);
       caller->state = CALLER_WAITING;
       caller->chunked = false;
-      caller->told_full = false;
-      caller->door->user->request (caller->door->data, caller);
+      caller->write_paused = false;
+      caller->listener->callbacks->request (caller->listener->data, caller);
     }
 }
 
@@ -440,17 +444,17 @@
   (void)events;
   if (n_read < 0 && (errno == EAGAIN || errno == EINTR))
     return;
-  caller_enter (caller);
+  caller_hold (caller);
   if (n_read <= 0)
-    caller_depart (caller);
+    caller_disconnect (caller);
   else if (caller->state != CALLER_LINGERING && !caller->closing)
     {
-      mf_buffer_add (&caller->ahead, bytes, (size_t)n_read);
-      if (caller->state != CALLER_READING && mf_buffer_bytes (&caller->ahead) > AHEAD_BYTES_MAX)
-        caller_depart (caller);
+      mf_buffer_add (&caller->in, bytes, (size_t)n_read);
+      if (caller->state != CALLER_READING && mf_buffer_bytes (&caller->in) > PIPELINED_BYTES_MAX)
+        caller_disconnect (caller);
       caller_advance (caller);
     }
-  caller_leave (caller);
+  caller_release (caller);
 }
 
 static void
@@ -460,18 +464,18 @@
 
   (void)loop;
   (void)events;
-  caller_enter (caller);
+  caller_hold (caller);
   out_flush (caller);
-  if (caller->fd >= 0 && caller->told_full && mf_buffer_bytes (&caller->out) == 0
+  if (caller->fd >= 0 && caller->write_paused && mf_buffer_bytes (&caller->out) == 0
       && caller->state == CALLER_WAITING)
     {
-      caller->told_full = false;
-      if (caller->door->user->writable != NULL)
-        caller->door->user->writable (caller->door->data, caller, true);
+      caller->write_paused = false;
+      if (caller->listener->callbacks->writable != NULL)
+        caller->listener->callbacks->writable (caller->listener->data, caller, true);
     }
-  answer_settle (caller);
+  response_finish (caller);
   caller_advance (caller);
-  caller_leave (caller);
+  caller_release (caller);
 }
 
 static void
@@ -481,21 +485,21 @@
 
   (void)loop;
   (void)events;
-  caller_enter (caller);
-  if (caller->lost)
-    caller_depart (caller);
+  caller_hold (caller);
+  if (caller->write_failed)
+    caller_disconnect (caller);
   else if (caller->state == CALLER_READING && caller->message.begun)
     {
-      caller->message.fault = MF_CODE_SLOW_SENDER;
-      caller_refuse (caller, MF_CODE_SLOW_SENDER);
+      caller->message.error_code = MF_CODE_SLOW_SENDER;
+      caller_reject (caller, MF_CODE_SLOW_SENDER);
     }
   else
     caller_close (caller);
-  caller_leave (caller);
+  caller_release (caller);
 }
 
 static uint64_t
-host_hash (const struct sockaddr_storage *from)
+hash_address (const struct sockaddr_storage *from)
 {
   const struct sockaddr_in *in4 = (const struct sockaddr_in *)from;
   const struct sockaddr_in6 *in6 = (const struct sockaddr_in6 *)from;
@@ -505,7 +509,7 @@
 }
 
 static void
-caller_open (MfDoor *door, int fd, const struct sockaddr_storage *from)
+caller_open (MfListener *listener, int fd, const struct sockaddr_storage *from)
 {
   MfCaller *caller = calloc (1, sizeof *caller);
   int one = 1;
@@ -516,29 +520,29 @@
       return;
     }
   setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-  caller->door = door;
+  caller->listener = listener;
   caller->fd = fd;
-  caller->host = host_hash (from);
-  caller->next = door->callers;
-  if (door->callers != NULL)
-    door->callers->prev = caller;
-  door->callers = caller;
-  door->n_callers++;
-  mf_message_init (&caller->message, HTTP_REQUEST, door->dialect, &message_events, caller);
+  caller->address_hash = hash_address (from);
+  caller->next = listener->callers;
+  if (listener->callers != NULL)
+    listener->callers->prev = caller;
+  listener->callers = caller;
+  listener->n_callers++;
+  mf_message_init (&caller->message, HTTP_REQUEST, listener->dialect, &message_events, caller);
   ev_io_init (&caller->reader, on_readable, fd, EV_READ);
   ev_io_init (&caller->writer, on_writable, fd, EV_WRITE);
   ev_init (&caller->timer, on_timer);
   caller->reader.data = caller;
   caller->writer.data = caller;
   caller->timer.data = caller;
-  ev_io_start (door->loop, &caller->reader);
-  timer_set (caller, door->limits.idle_timeout_us);
+  ev_io_start (listener->loop, &caller->reader);
+  timer_set (caller, listener->limits.idle_timeout_us);
 }
 
 static void
 on_acceptable (struct ev_loop *loop, ev_io *watcher, int events)
 {
-  MfDoor *door = watcher->data;
+  MfListener *listener = watcher->data;
 
   (void)loop;
   (void)events;
@@ -546,118 +550,119 @@
     {
       struct sockaddr_storage from = { 0 };
       socklen_t from_bytes = sizeof from;
-      int fd
-          = accept4 (door->fd, (struct sockaddr *)&from, &from_bytes, SOCK_NONBLOCK | SOCK_CLOEXEC);
+      int fd = accept4 (listener->fd, (struct sockaddr *)&from, &from_bytes,
+                        SOCK_NONBLOCK | SOCK_CLOEXEC);
 
       if (fd < 0)
         return;
-      if (door->n_callers >= door->limits.callers_max)
+      if (listener->n_callers >= listener->limits.callers_max)
         close (fd);
       else
-        caller_open (door, fd, &from);
+        caller_open (listener, fd, &from);
     }
 }
 
-/* Opens a door at an address. The user and its data are borrowed. */
-MfDoor *
-mf_door_new (struct ev_loop *loop, const char *address, const MfDialect *dialect,
-             const MfDoorUser *user, void *data, MfError *error)
+/* Listens at an address. The callbacks and their data are borrowed. Returns NULL with error set on
+ * failure. */
+MfListener *
+mf_listener_new (struct ev_loop *loop, const char *address, const MfDialect *dialect,
+                 const MfListenerCallbacks *callbacks, void *data, MfError *error)
 {
-  MfDoor *door = calloc (1, sizeof *door);
+  MfListener *listener = calloc (1, sizeof *listener);
 
-  if (door == NULL)
+  if (listener == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for a door");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while opening a listener");
       return NULL;
     }
-  *door = (MfDoor){ .loop = loop, .dialect = dialect, .user = user, .data = data };
-  door->fd = mf_socket_listen (address, error);
-  if (door->fd < 0)
+  *listener
+      = (MfListener){ .loop = loop, .dialect = dialect, .callbacks = callbacks, .data = data };
+  listener->fd = mf_socket_listen (address, error);
+  if (listener->fd < 0)
     {
-      free (door);
+      free (listener);
       return NULL;
     }
-  ev_io_init (&door->acceptor, on_acceptable, door->fd, EV_READ);
-  door->acceptor.data = door;
-  ev_io_start (loop, &door->acceptor);
-  return door;
+  ev_io_init (&listener->acceptor, on_acceptable, listener->fd, EV_READ);
+  listener->acceptor.data = listener;
+  ev_io_start (loop, &listener->acceptor);
+  return listener;
 }
 
-/* Closes the door and all its connections at once. Accepts NULL. */
+/* Closes the listener and all its connections at once. Accepts NULL. */
 void
-mf_door_free (MfDoor *door)
+mf_listener_free (MfListener *listener)
 {
-  if (door == NULL)
+  if (listener == NULL)
     return;
-  mf_door_shut (door);
-  while (door->callers != NULL)
+  mf_listener_stop_accepting (listener);
+  while (listener->callers != NULL)
     {
-      MfCaller *caller = door->callers;
+      MfCaller *caller = listener->callers;
 
-      caller_enter (caller);
+      caller_hold (caller);
       caller_close (caller);
-      caller_leave (caller);
+      caller_release (caller);
     }
-  free (door);
+  free (listener);
 }
 
-/* Puts limits in force, for what is read from now on. */
+/* Sets the limits for requests that are read from now on. */
 void
-mf_door_limit (MfDoor *door, const MfDoorLimits *limits)
+mf_listener_set_limits (MfListener *listener, const MfListenerLimits *limits)
 {
-  door->limits = *limits;
+  listener->limits = *limits;
 }
 
-/* Connections of callers, idle ones included. */
+/* Returns the number of open connections, idle ones included. */
 uint32_t
-mf_door_n_callers (const MfDoor *door)
+mf_listener_n_callers (const MfListener *listener)
 {
-  return door->n_callers;
+  return listener->n_callers;
 }
 
-/* From now on, connections close after the answer that is due on them. */
+/* From now on each connection closes after its next response. */
 void
-mf_door_retire (MfDoor *door)
+mf_listener_end_keep_alive (MfListener *listener)
 {
-  door->retired = true;
+  listener->keep_alive_ended = true;
 }
 
-/* Closes the connections on which nothing is due. */
+/* Closes the connections on which no request has begun. */
 void
-mf_door_close_idle (MfDoor *door)
+mf_listener_close_idle (MfListener *listener)
 {
   MfCaller *next;
 
-  for (MfCaller *caller = door->callers; caller != NULL; caller = next)
+  for (MfCaller *caller = listener->callers; caller != NULL; caller = next)
     {
       next = caller->next;
       if (caller->state != CALLER_READING || caller->message.begun)
         continue;
-      caller_enter (caller);
+      caller_hold (caller);
       caller_close (caller);
-      caller_leave (caller);
+      caller_release (caller);
     }
 }
 
-/* Takes no further connection. */
+/* Closes the listening socket; open connections stay. */
 void
-mf_door_shut (MfDoor *door)
+mf_listener_stop_accepting (MfListener *listener)
 {
-  if (door->fd < 0)
+  if (listener->fd < 0)
     return;
-  ev_io_stop (door->loop, &door->acceptor);
-  close (door->fd);
-  door->fd = -1;
+  ev_io_stop (listener->loop, &listener->acceptor);
+  close (listener->fd);
+  listener->fd = -1;
 }
 
-/* The request that waits for its answer. */
+/* Returns the head of the request that is being served. */
 const MfHead *
 mf_caller_head (const MfCaller *caller)
 {
   return &caller->message.head;
 }
 
-/* The method of the request, as the caller wrote it. */
 const char *
 mf_caller_method (const MfCaller *caller)
 {
@@ -670,23 +675,23 @@
   return &caller->body;
 }
 
-/* When the first byte of the request was read. */
+/* Returns when the first byte of the request was read, on the monotonic clock. */
 uint64_t
 mf_caller_begun_us (const MfCaller *caller)
 {
   return caller->begun_us;
 }
 
-/* Hash of the address that the connection comes from, without its port. */
+/* Returns a hash of the peer's IP address, without the port. */
 uint64_t
-mf_caller_host (const MfCaller *caller)
+mf_caller_address_hash (const MfCaller *caller)
 {
-  return caller->host;
+  return caller->address_hash;
 }
 
-/* What the answer will be given to: the user's own. */
+/* Attaches a pointer of the user to the request; it is cleared when the response ends. */
 void
-mf_caller_attach (MfCaller *caller, void *job)
+mf_caller_set_job (MfCaller *caller, void *job)
 {
   caller->job = job;
 }
--- a/libmangofork/relay/events.h
+++ b/libmangofork/relay/events.h
@@ -3,24 +3,24 @@
 
 #include "libmangofork/buffer.h"
 
-/* The events of a text/event-stream while they arrive: whole ones are let through, each once, and
- * the id of the last one is kept, from which a broken stream goes on. */
+/* Reads a text/event-stream. Complete events are passed on, each once, and the id of the last one
+ * is kept, so that a broken stream can be resumed after it. */
 typedef struct
 {
-  MfBuffer partial; /* an event that is not whole yet */
-  uint64_t last_id; /* of the last event let through */
-  bool has_last;
-  bool has_gap; /* an event came whose id does not follow */
+  MfBuffer partial; /* an incomplete event */
+  uint64_t last_id; /* of the last event passed on */
+  bool has_last_id;
+  bool has_gap; /* an id was not the successor of the one before */
   uint64_t n_events;
-  bool after_newline;  /* while events are only counted */
-  uint64_t open_bytes; /* the same: since the last event ended */
-} MfEvents;
+  bool after_newline;          /* used by mf_event_stream_count only */
+  uint64_t unterminated_bytes; /* likewise: bytes since the last event ended */
+} MfEventStream;
 
-void mf_events_feed (MfEvents *events, const char *bytes, size_t n_bytes, MfBuffer *out);
-void mf_events_count (MfEvents *events, const char *bytes, size_t n_bytes);
-bool mf_events_is_endless (const MfEvents *events);
-void mf_events_cut (MfEvents *events);
-bool mf_events_at_boundary (const MfEvents *events);
-void mf_events_clear (MfEvents *events);
+void mf_event_stream_feed (MfEventStream *stream, const char *bytes, size_t n_bytes, MfBuffer *out);
+void mf_event_stream_count (MfEventStream *stream, const char *bytes, size_t n_bytes);
+bool mf_event_stream_is_too_long (const MfEventStream *stream);
+void mf_event_stream_discard_partial (MfEventStream *stream);
+bool mf_event_stream_at_boundary (const MfEventStream *stream);
+void mf_event_stream_clear (MfEventStream *stream);
 
 #endif
--- a/libmangofork/relay/job.h
+++ b/libmangofork/relay/job.h
@@ -46,7 +46,7 @@
 {
   struct ev_loop *loop;
   const MfDialect *dialect;
-  MfLines *log;
+  MfRelayLog *log;
   MfTargets targets;
   MfSuspects *suspects; /* requests that may end the upstreams that run them */
   MfDispatch *dispatch;
@@ -73,7 +73,7 @@
   MfStageOrder *orders;          /* on their way */
   uint64_t leadership_ticked_us; /* by a clock that counts the time a machine stands still */
   bool orders_fenced;
-  uint64_t order_turn_us;
+  uint64_t order_interval_us;
   char instance[MF_NAME_BYTES]; /* the name under which it gives orders */
   uint64_t started_us;
   MfJob *first;
@@ -89,7 +89,7 @@
   MfRelayCounters counters;
 } MfJobs;
 
-void mf_jobs_init (MfJobs *jobs, struct ev_loop *loop, const MfDialect *dialect, MfLines *log);
+void mf_jobs_init (MfJobs *jobs, struct ev_loop *loop, const MfDialect *dialect, MfRelayLog *log);
 void mf_jobs_clear (MfJobs *jobs);
 void mf_jobs_configure (MfJobs *jobs, MfRoutes *routes);
 void mf_jobs_run_dispatch (MfJobs *jobs);
@@ -110,6 +110,6 @@
 extern const MfPeersUser mf_jobs_peers_callbacks;
 
 /* The doors of callers are opened with this user and the MfJobs as its data. */
-extern const MfDoorUser mf_job_listener_callbacks;
+extern const MfListenerCallbacks mf_job_listener_callbacks;
 
 #endif
--- a/libmangofork/relay/job_retry.c
+++ b/libmangofork/relay/job_retry.c
@@ -56,7 +56,7 @@
                                     mf_clock_now_us ());
 
   job->n_reserved_sends += allowed ? n_sends : 0;
-  job->jobs->counters.counts[allowed ? MF_RELAY_COUNT_REPEATS : MF_RELAY_COUNT_REPEATS_DENIED]++;
+  job->jobs->counters.counts[allowed ? MF_RELAY_COUNT_RETRIES : MF_RELAY_COUNT_RETRIES_DENIED]++;
   return allowed;
 }
 
@@ -171,7 +171,7 @@
   job->retry_request_id = 0;
   job->step_deadline_us = 0;
   job->n_reserved_sends += retry_n_sends (job);
-  job->jobs->counters.counts[MF_RELAY_COUNT_REPEATS_GIVEN]++;
+  job->jobs->counters.counts[MF_RELAY_COUNT_RETRIES_GRANTED]++;
   mf_job_advance (job);
 }
 
--- a/libmangofork/relay/job_room.c
+++ b/libmangofork/relay/job_room.c
@@ -182,8 +182,8 @@
 {
   MfJobs *jobs = job->jobs;
 
-  mf_lines_state (jobs->log, "dispatch.unanswered", "id=%s waited_ms=%.1f", job->id,
-                  (double)(mf_clock_now_us () - job->waiting_since_us) / 1e3);
+  mf_relay_log_state (jobs->log, "dispatch.unanswered", "id=%s waited_ms=%.1f", job->id,
+                      (double)(mf_clock_now_us () - job->waiting_since_us) / 1e3);
   mf_peers_distrust (jobs->peers, job->asked_instance);
   mf_job_cancel_slot_request (job);
   if (++job->n_unanswered_requests < UNANSWERED_MAX)
@@ -200,14 +200,14 @@
   MfTarget *decode = mf_targets_by_hash (targets, grant->decode);
   uint64_t now_us = mf_clock_now_us ();
 
-  mf_lines_add (job->jobs->log, "request.granted",
-                "id=%s decode=%s by=%s waited_ms=%.1f load=%u load_tokens=%llu tokens=%llu",
-                job->id, decode != NULL ? decode->info.id : "unknown",
-                job->asked_instance == MF_DISPATCH_SELF ? "self" : "peer",
-                (double)(now_us - job->waiting_since_us) / 1e3,
-                decode != NULL ? mf_target_load (decode) : 0,
-                (unsigned long long)(decode != NULL ? mf_target_load_tokens (decode) : 0),
-                (unsigned long long)job->kv_tokens);
+  mf_relay_log_event (job->jobs->log, "request.granted",
+                      "id=%s decode=%s by=%s waited_ms=%.1f load=%u load_tokens=%llu tokens=%llu",
+                      job->id, decode != NULL ? decode->info.id : "unknown",
+                      job->asked_instance == MF_DISPATCH_SELF ? "self" : "peer",
+                      (double)(now_us - job->waiting_since_us) / 1e3,
+                      decode != NULL ? mf_target_load (decode) : 0,
+                      (unsigned long long)(decode != NULL ? mf_target_load_tokens (decode) : 0),
+                      (unsigned long long)job->kv_tokens);
   job->slot_request_id = 0;
   job->n_unanswered_requests = 0;
   job->step_deadline_us = 0;
--- a/libmangofork/relay/job_row.h
+++ b/libmangofork/relay/job_row.h
@@ -106,7 +106,7 @@
   uint32_t n_connect_failures;
 
   bool head_sent;
-  MfEvents events;
+  MfEventStream events;
   uint64_t first_event_us;
 };
 
@@ -162,7 +162,7 @@
 void mf_job_release_target (MfJob *job);
 
 /* job_answer.c: what comes back from an upstream, to a prefill and to a run. */
-extern const MfLinkUser mf_job_prefill_callbacks;
-extern const MfLinkUser mf_job_run_callbacks;
+extern const MfLinkCallbacks mf_job_prefill_callbacks;
+extern const MfLinkCallbacks mf_job_run_callbacks;
 
 #endif
--- a/libmangofork/relay/job_stage.c
+++ b/libmangofork/relay/job_stage.c
@@ -183,23 +183,23 @@
   MfStageOrder *order = data;
   MfTarget *target = order->target;
   bool accepted = order->status == 200 || order->status == 202;
-  bool refused = end == MF_LINK_UNREACHED || (end == MF_LINK_WHOLE && !accepted);
+  bool refused = end == MF_LINK_UNREACHED || (end == MF_LINK_COMPLETE && !accepted);
 
   if (refused)
     target->stage_until_us = 0;
   target->n_orders_failed += !accepted;
   order->jobs->counters.counts[MF_RELAY_COUNT_ORDERS_REFUSED] += refused;
-  mf_lines_state (order->jobs->log, "engine.order_ended",
-                  "upstream=%s stage=%s status=%u taken=%s why=\"%s\" away_ms=%llu",
-                  target->info.id, mf_role_name (order->role), order->status,
-                  accepted  ? "yes"
-                  : refused ? "no"
-                            : "unknown",
-                  why, (unsigned long long)(refused ? 0 : order->unavailable_us) / 1000);
+  mf_relay_log_state (order->jobs->log, "engine.order_ended",
+                      "upstream=%s stage=%s status=%u taken=%s why=\"%s\" away_ms=%llu",
+                      target->info.id, mf_role_name (order->role), order->status,
+                      accepted  ? "yes"
+                      : refused ? "no"
+                                : "unknown",
+                      why, (unsigned long long)(refused ? 0 : order->unavailable_us) / 1000);
   order_free (order);
 }
 
-static const MfLinkUser order_callbacks = {
+static const MfLinkCallbacks order_callbacks = {
   .head = on_order_head,
   .end = on_order_end,
 };
@@ -220,8 +220,8 @@
                          "POST %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n"
                          "Content-Type: application/json\r\nContent-Length: %zu\r\n\r\n",
                          jobs->dialect->order_path, target->info.address,
-                         mf_dialect_name (jobs->dialect, MF_WORD_EXPECT_UPSTREAM), target->info.id,
-                         mf_buffer_bytes (&body));
+                         mf_dialect_header_name (jobs->dialect, MF_HEADER_EXPECT_UPSTREAM),
+                         target->info.id, mf_buffer_bytes (&body));
   *order = (MfStageOrder){
     .next = jobs->orders,
     .jobs = jobs,
@@ -235,8 +235,8 @@
   lead->ordered_us = now_us;
   target->stage_ordered = role;
   target->stage_until_us = now_us + order->unavailable_us;
-  order->link = mf_link_start (&target->pool, &(MfLinkCall){
-                                                  .user = &order_callbacks,
+  order->link = mf_link_start (&target->pool, &(MfLinkRequest){
+                                                  .callbacks = &order_callbacks,
                                                   .data = order,
                                                   .head = head,
                                                   .head_bytes = (size_t)head_bytes,
@@ -270,7 +270,7 @@
 static uint64_t
 first_order_delay_us (const MfJobs *jobs)
 {
-  uint64_t wait_us = jobs->order_turn_us + mf_peers_fresh_us (jobs->peers) + HANDOVER_MARGIN_US;
+  uint64_t wait_us = jobs->order_interval_us + mf_peers_fresh_us (jobs->peers) + HANDOVER_MARGIN_US;
 
   return jobs->orders_fenced ? wait_us : wait_us + ORDER_TIMEOUT_US + CONNECT_TIME_US;
 }
@@ -305,11 +305,11 @@
   if (target == NULL)
     return;
   jobs->counters.counts[MF_RELAY_COUNT_ORDERS]++;
-  mf_lines_state (jobs->log, "engine.ordered",
-                  "upstream=%s stage=%s fence=%llu led_ms=%llu prefill=%u decode=%u "
-                  "prefill_busy=%.2f decode_used=%.2f",
-                  target->info.id, mf_role_name (role), (unsigned long long)lead->fence,
-                  (unsigned long long)(now_us - lead->led_since_us) / 1000, snapshot.n_prefill,
-                  snapshot.n_decode, lead->trend.prefill_busy, lead->trend.decode_used);
+  mf_relay_log_state (jobs->log, "engine.ordered",
+                      "upstream=%s stage=%s fence=%llu led_ms=%llu prefill=%u decode=%u "
+                      "prefill_busy=%.2f decode_used=%.2f",
+                      target->info.id, mf_role_name (role), (unsigned long long)lead->fence,
+                      (unsigned long long)(now_us - lead->led_since_us) / 1000, snapshot.n_prefill,
+                      snapshot.n_decode, lead->trend.prefill_busy, lead->trend.decode_used);
   order_send (jobs, lead, service, target, role, now_us);
 }
--- a/libmangofork/relay/job_suspect.c
+++ b/libmangofork/relay/job_suspect.c
@@ -28,7 +28,7 @@
   const char *method = mf_caller_method (caller);
   const MfBuffer *body = mf_caller_body (caller);
   uint64_t parts[] = {
-    mf_caller_host (caller),
+    mf_caller_address_hash (caller),
     XXH3_64bits (method, strlen (method)),
     XXH3_64bits (mf_head_text (head, 0), head->target_bytes),
     XXH3_64bits (mf_buffer_data (body), mf_buffer_bytes (body)),
@@ -176,11 +176,11 @@
 {
   const MfSuspect *suspect = mf_suspects_find (jobs->suspects, digest, mf_clock_now_us ());
 
-  jobs->counters.counts[MF_RELAY_COUNT_CONVICTIONS]++;
-  mf_lines_state (jobs->log, "request.convicted",
-                  "digest=%016llx upstreams_ended=%u by=%s sentence_ms=%u",
-                  (unsigned long long)digest, suspect->n_deaths, by,
-                  age_ms (mf_clock_now_us (), suspect->convicted_until_us));
+  jobs->counters.counts[MF_RELAY_COUNT_QUARANTINES]++;
+  mf_relay_log_state (jobs->log, "request.convicted",
+                      "digest=%016llx upstreams_ended=%u by=%s sentence_ms=%u",
+                      (unsigned long long)digest, suspect->n_deaths, by,
+                      age_ms (mf_clock_now_us (), suspect->convicted_until_us));
 }
 
 static void
@@ -242,10 +242,10 @@
   if (result < MF_SUSPECT_COUNTED || suspect == NULL)
     return;
   jobs->counters.counts[MF_RELAY_COUNT_SUSPICIONS]++;
-  mf_lines_add (jobs->log, "request.suspected",
-                "digest=%016llx upstreams_ended=%u was_suspect=%s break_age_ms=%u",
-                (unsigned long long)failure->digest, suspect->n_deaths,
-                failure->suspect ? "yes" : "no", age_ms (failure->at_us, mf_clock_now_us ()));
+  mf_relay_log_event (jobs->log, "request.suspected",
+                      "digest=%016llx upstreams_ended=%u was_suspect=%s break_age_ms=%u",
+                      (unsigned long long)failure->digest, suspect->n_deaths,
+                      failure->suspect ? "yes" : "no", age_ms (failure->at_us, mf_clock_now_us ()));
   if (result == MF_SUSPECT_CONVICTED)
     record_quarantine (jobs, failure->digest, "self");
   if (suspect->n_deaths >= REPORT_AT_ONCE_DEATHS || !has_job (jobs, failure->digest))
@@ -273,8 +273,8 @@
   MfJobs *jobs = data;
 
   if (mf_suspects_n_breaks (jobs->suspects) > 0)
-    mf_lines_state (jobs->log, "upstream.ended", "upstream=%s why=\"%s\" leaving=%s",
-                    target->info.id, why, mf_target_is_leaving (target) ? "yes" : "no");
+    mf_relay_log_state (jobs->log, "upstream.ended", "upstream=%s why=\"%s\" leaving=%s",
+                        target->info.id, why, mf_target_is_leaving (target) ? "yes" : "no");
   upstream_died (jobs, target);
 }
 
--- a/libmangofork/relay/line.c
+++ b/libmangofork/relay/line.c
@@ -14,24 +14,23 @@
 #include <unistd.h>
 
 #define LINE_BYTES 1024
-/* Lines a second about requests, twice what an instance serves at the sites' heaviest. */
+/* Twice the highest request rate of one instance at the known sites. */
 #define REQUEST_LINES_PER_S 120
-/* Lines a second about changes of state. */
 #define STATE_LINES_PER_S 60
-/* Bytes that wait for a slow reader. */
-#define WAITING_BYTES_MAX 65536
-/* Lines are written together at this interval, to save calls. */
-#define FLUSH_EVERY_S 0.25
+/* Lines are dropped while more than this is waiting for a slow reader. */
+#define PENDING_BYTES_MAX 65536
+/* Lines are written in batches at this interval, to save system calls. */
+#define FLUSH_INTERVAL_S 0.25
 
-/* How many lines of one kind may still be written in this second. */
+/* Limits the lines of one kind per second. */
 typedef struct
 {
   uint32_t per_s;
   uint32_t n_left;
   uint64_t second;
-} Allowance;
+} RateLimit;
 
-struct MfLines
+struct MfRelayLog
 {
   struct ev_loop *loop;
   ev_timer timer;
@@ -39,19 +38,19 @@
   char instance[MF_NAME_BYTES];
   log4c_category_t *category;
   log4c_appender_t *appender;
-  MfBuffer waiting;
-  Allowance requests;
-  Allowance states;
+  MfBuffer pending;
+  RateLimit request_limit;
+  RateLimit state_limit;
   uint64_t n_dropped;
-  uint64_t n_dropped_told;
+  uint64_t n_dropped_reported;
 };
 
 static int
 appender_append (log4c_appender_t *appender, const log4c_logging_event_t *event)
 {
-  MfLines *lines = log4c_appender_get_udata (appender);
+  MfRelayLog *log = log4c_appender_get_udata (appender);
 
-  mf_buffer_add_text (&lines->waiting, event->evt_rendered_msg);
+  mf_buffer_add_text (&log->pending, event->evt_rendered_msg);
   return 0;
 }
 
@@ -72,63 +71,63 @@
   .format = layout_format,
 };
 
-/* Writes what the reader takes at once. */
+/* Writes what the reader accepts without blocking. */
 static void
-lines_flush (MfLines *lines)
+log_flush (MfRelayLog *log)
 {
-  struct pollfd ready = { .fd = lines->fd, .events = POLLOUT };
+  struct pollfd ready = { .fd = log->fd, .events = POLLOUT };
 
-  while (mf_buffer_bytes (&lines->waiting) > 0 && poll (&ready, 1, 0) == 1
+  while (mf_buffer_bytes (&log->pending) > 0 && poll (&ready, 1, 0) == 1
          && (ready.revents & POLLOUT) != 0)
     {
-      size_t n_bytes = mf_buffer_bytes (&lines->waiting);
-      /* A pipe that is ready takes this much without waiting. */
+      size_t n_bytes = mf_buffer_bytes (&log->pending);
+      /* A writable pipe accepts 4096 bytes without blocking. */
       ssize_t n_written
-          = write (lines->fd, mf_buffer_data (&lines->waiting), n_bytes < 4096 ? n_bytes : 4096);
+          = write (log->fd, mf_buffer_data (&log->pending), n_bytes < 4096 ? n_bytes : 4096);
 
       if (n_written <= 0)
         break;
-      mf_buffer_take (&lines->waiting, (size_t)n_written);
+      mf_buffer_take (&log->pending, (size_t)n_written);
     }
-  if (lines->waiting.failed)
-    mf_buffer_clear (&lines->waiting);
+  if (log->pending.failed)
+    mf_buffer_clear (&log->pending);
 }
 
 static void
 on_timer (struct ev_loop *loop, ev_timer *watcher, int events)
 {
-  MfLines *lines = watcher->data;
+  MfRelayLog *log = watcher->data;
 
   (void)events;
-  if (lines->n_dropped != lines->n_dropped_told)
+  if (log->n_dropped != log->n_dropped_reported)
     {
-      uint64_t n_more = lines->n_dropped - lines->n_dropped_told;
+      uint64_t n_new = log->n_dropped - log->n_dropped_reported;
 
-      lines->n_dropped_told = lines->n_dropped;
-      mf_lines_state (lines, "log.dropped", "lines=%llu", (unsigned long long)n_more);
+      log->n_dropped_reported = log->n_dropped;
+      mf_relay_log_state (log, "log.dropped", "lines=%llu", (unsigned long long)n_new);
     }
-  lines_flush (lines);
+  log_flush (log);
   ev_timer_stop (loop, watcher);
 }
 
 static bool
-allowance_take (Allowance *allowance, uint64_t now_us)
+rate_limit_take (RateLimit *limit, uint64_t now_us)
 {
   uint64_t second = now_us / MF_US_PER_S;
 
-  if (allowance->second != second)
+  if (limit->second != second)
     {
-      allowance->second = second;
-      allowance->n_left = allowance->per_s;
+      limit->second = second;
+      limit->n_left = limit->per_s;
     }
-  if (allowance->n_left == 0)
+  if (limit->n_left == 0)
     return false;
-  allowance->n_left--;
+  limit->n_left--;
   return true;
 }
 
 static void
-lines_write (MfLines *lines, const char *event, const char *pairs)
+log_write (MfRelayLog *log, const char *event, const char *pairs)
 {
   char line[LINE_BYTES + 256];
   uint64_t wall_ms = mf_clock_wall_ms ();
@@ -139,108 +138,109 @@
   gmtime_r (&wall_s, &utc);
   strftime (stamp, sizeof stamp, "%Y-%m-%dT%H:%M:%S", &utc);
   snprintf (line, sizeof line, "time=%s.%03uZ instance=%s event=%s %s\n", stamp,
-            (unsigned int)(wall_ms % 1000), lines->instance, event, pairs);
-  log4c_category_log (lines->category, LOG4C_PRIORITY_INFO, "%s", line);
-  if (!ev_is_active (&lines->timer))
+            (unsigned int)(wall_ms % 1000), log->instance, event, pairs);
+  log4c_category_log (log->category, LOG4C_PRIORITY_INFO, "%s", line);
+  if (!ev_is_active (&log->timer))
     {
-      ev_timer_set (&lines->timer, FLUSH_EVERY_S, 0.);
-      ev_timer_start (lines->loop, &lines->timer);
+      ev_timer_set (&log->timer, FLUSH_INTERVAL_S, 0.);
+      ev_timer_start (log->loop, &log->timer);
     }
 }
 
-static void lines_try (MfLines *lines, Allowance *allowance, const char *event, const char *format,
-                       va_list args) __attribute__ ((format (printf, 4, 0)));
+static void log_write_limited (MfRelayLog *log, RateLimit *limit, const char *event,
+                               const char *format, va_list args)
+    __attribute__ ((format (printf, 4, 0)));
 
 static void
-lines_try (MfLines *lines, Allowance *allowance, const char *event, const char *format,
-           va_list args)
+log_write_limited (MfRelayLog *log, RateLimit *limit, const char *event, const char *format,
+                   va_list args)
 {
   char pairs[LINE_BYTES];
 
-  if (!allowance_take (allowance, mf_clock_now_us ())
-      || mf_buffer_bytes (&lines->waiting) > WAITING_BYTES_MAX)
+  if (!rate_limit_take (limit, mf_clock_now_us ())
+      || mf_buffer_bytes (&log->pending) > PENDING_BYTES_MAX)
     {
-      lines->n_dropped++;
+      log->n_dropped++;
       return;
     }
   vsnprintf (pairs, sizeof pairs, format, args);
-  lines_write (lines, event, pairs);
+  log_write (log, event, pairs);
 }
 
-/* Adds one line: what happened, then the pairs. Changes of state are written before requests when
- * there is not room for all. */
+/* Logs an event about a request: its name, then key=value pairs. */
 void
-mf_lines_add (MfLines *lines, const char *event, const char *format, ...)
+mf_relay_log_event (MfRelayLog *log, const char *event, const char *format, ...)
 {
   va_list args;
 
   va_start (args, format);
-  lines_try (lines, &lines->requests, event, format, args);
+  log_write_limited (log, &log->request_limit, event, format, args);
   va_end (args);
 }
 
-/* The same for a change of state, which has an allowance of its own. */
+/* Logs a change of state. It has its own rate limit, so that a burst of requests cannot crowd it
+ * out. */
 void
-mf_lines_state (MfLines *lines, const char *event, const char *format, ...)
+mf_relay_log_state (MfRelayLog *log, const char *event, const char *format, ...)
 {
   va_list args;
 
   va_start (args, format);
-  lines_try (lines, &lines->states, event, format, args);
+  log_write_limited (log, &log->state_limit, event, format, args);
   va_end (args);
 }
 
-/* Lines left out since the start. */
+/* Returns the number of lines dropped since the start. */
 uint64_t
-mf_lines_dropped (const MfLines *lines)
+mf_relay_log_n_dropped (const MfRelayLog *log)
 {
-  return lines->n_dropped;
+  return log->n_dropped;
 }
 
-/* Writes lines to a descriptor, which stays the caller's. NULL with error set. */
-MfLines *
-mf_lines_new (struct ev_loop *loop, const char *instance, int fd, MfError *error)
+/* Logs to a descriptor, which is borrowed. Returns NULL with error set on failure. */
+MfRelayLog *
+mf_relay_log_new (struct ev_loop *loop, const char *instance, int fd, MfError *error)
 {
-  MfLines *lines = calloc (1, sizeof *lines);
+  MfRelayLog *log = calloc (1, sizeof *log);
   log4c_layout_t *layout;
 
-  if (lines == NULL)
+  if (log == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the log");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while opening the log");
       return NULL;
     }
-  *lines = (MfLines){
+  *log = (MfRelayLog){
     .loop = loop,
     .fd = fd,
-    .requests = { .per_s = REQUEST_LINES_PER_S },
-    .states = { .per_s = STATE_LINES_PER_S },
+    .request_limit = { .per_s = REQUEST_LINES_PER_S },
+    .state_limit = { .per_s = STATE_LINES_PER_S },
   };
-  mf_name_set (lines->instance, sizeof lines->instance, instance);
-  ev_timer_init (&lines->timer, on_timer, FLUSH_EVERY_S, 0.);
-  lines->timer.data = lines;
-  lines->category = log4c_category_get ("mangofork-lines");
-  lines->appender = log4c_appender_get ("mangofork-lines");
+  mf_name_set (log->instance, sizeof log->instance, instance);
+  ev_timer_init (&log->timer, on_timer, FLUSH_INTERVAL_S, 0.);
+  log->timer.data = log;
+  log->category = log4c_category_get ("mangofork-lines");
+  log->appender = log4c_appender_get ("mangofork-lines");
   layout = log4c_layout_get ("mangofork-lines");
-  log4c_appender_set_type (lines->appender, &appender_type);
-  log4c_appender_set_udata (lines->appender, lines);
+  log4c_appender_set_type (log->appender, &appender_type);
+  log4c_appender_set_udata (log->appender, log);
   log4c_layout_set_type (layout, &layout_type);
-  log4c_appender_set_layout (lines->appender, layout);
-  log4c_category_set_appender (lines->category, lines->appender);
-  log4c_category_set_additivity (lines->category, 0);
-  log4c_category_set_priority (lines->category, LOG4C_PRIORITY_INFO);
-  return lines;
+  log4c_appender_set_layout (log->appender, layout);
+  log4c_category_set_appender (log->category, log->appender);
+  log4c_category_set_additivity (log->category, 0);
+  log4c_category_set_priority (log->category, LOG4C_PRIORITY_INFO);
+  return log;
 }
 
-/* Accepts NULL. Writes what is left, as far as the reader takes it. */
+/* Writes the pending lines, as far as the reader accepts them, and frees the log. Accepts NULL. */
 void
-mf_lines_free (MfLines *lines)
+mf_relay_log_free (MfRelayLog *log)
 {
-  if (lines == NULL)
+  if (log == NULL)
     return;
-  lines_flush (lines);
-  ev_timer_stop (lines->loop, &lines->timer);
-  log4c_category_set_appender (lines->category, NULL);
-  log4c_appender_set_udata (lines->appender, NULL);
-  mf_buffer_clear (&lines->waiting);
-  free (lines);
+  log_flush (log);
+  ev_timer_stop (log->loop, &log->timer);
+  log4c_category_set_appender (log->category, NULL);
+  log4c_appender_set_udata (log->appender, NULL);
+  mf_buffer_clear (&log->pending);
+  free (log);
 }
--- a/libmangofork/relay/link.c
+++ b/libmangofork/relay/link.c
@@ -10,16 +10,16 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Bytes read from a connection at a time; an event of a stream is below 3 KB. */
+/* Bytes read from a connection at a time; the events of an engine's stream are below 3 KB. */
 #define READ_BYTES 16384
-/* Bytes of a request's id, as in MfLinkCall.echo_id. */
-#define ECHO_BYTES 128
-/* Part of the idle time a peer names that is used: the close must not cross a request. */
-#define IDLE_SHARE_PERCENT 60
-/* Probes of a silent connection: first after, then every second, so many. A peer that is gone is
- * then found within four seconds. */
+/* Size of a request id, its closing NUL included. */
+#define REQUEST_ID_BYTES 128
+/* Part of the peer's Keep-Alive time-out for which an idle connection is reused. The margin keeps a
+ * request from being sent while the peer closes the connection. */
+#define KEEP_ALIVE_PERCENT 60
+/* TCP keep-alive: a peer that has vanished is detected within four seconds. */
 #define PROBE_IDLE_S 1
-#define PROBE_EVERY_S 1
+#define PROBE_INTERVAL_S 1
 #define PROBE_COUNT 3
 
 typedef enum
@@ -27,7 +27,7 @@
   LINK_CONNECTING,
   LINK_BUSY,
   LINK_IDLE,
-  LINK_ENDING, /* its end is reported from the loop */
+  LINK_ENDING, /* has failed; the event loop reports it */
 } LinkState;
 
 struct MfLink
@@ -39,26 +39,26 @@
   LinkState state;
   ev_io reader;
   ev_io writer;
-  ev_timer timer; /* connecting: time-out; idle: close; ending: at once */
+  ev_timer timer; /* connecting and busy: time-out; idle: close; ending: due at once */
   MfMessage message;
   MfBuffer out;
-  const MfLinkUser *user;
+  const MfLinkCallbacks *callbacks;
   void *data;
-  char echo_id[ECHO_BYTES];
+  char echo_id[REQUEST_ID_BYTES];
   bool head_only;
-  bool foreign;     /* the answer being read belongs to another request */
-  bool was_foreign; /* some answer on this connection did */
+  bool id_mismatch;     /* the response being read belongs to another request */
+  bool had_id_mismatch; /* so did an earlier one on this connection, or this one */
   bool has_sent;
-  bool no_request; /* opened to see whether the peer takes it */
-  bool in_event;   /* the user is being called */
-  bool cancelled;  /* by the user, while it was being called */
+  bool no_request;  /* opened by mf_link_open */
+  bool in_callback; /* a callback is running */
+  bool cancelled;   /* from within a callback */
   uint64_t timeout_us;
   uint64_t idle_since_us;
-  uint64_t keep_us; /* how long it may be idle */
+  uint64_t idle_timeout_us; /* since idle_since_us */
   const char *why;
 };
 
-/* Takes the link out of its pool, which may be gone before the link is. */
+/* Removes the link from its pool, which may be freed before the link. */
 static void
 link_detach (MfLink *link)
 {
@@ -98,15 +98,15 @@
   pool->n_idle--;
 }
 
-/* Reports the end and frees the link. */
+/* Frees the link and reports the end of the exchange. */
 static void
 link_end (MfLink *link, MfLinkEnd end, const char *why)
 {
-  const MfLinkUser *user = link->user;
+  const MfLinkCallbacks *callbacks = link->callbacks;
   void *data = link->data;
 
   link_free (link);
-  user->end (data, end, why);
+  callbacks->end (data, end, why);
 }
 
 static void
@@ -115,7 +115,7 @@
   link_end (link, link->has_sent ? MF_LINK_BROKEN : MF_LINK_UNREACHED, why);
 }
 
-/* Reports a failure from the loop, as the user must not be called while it calls. */
+/* Reports a failure from the event loop, since callbacks must not run within mf_link_start. */
 static void
 link_fail_later (MfLink *link, const char *why)
 {
@@ -128,17 +128,17 @@
   ev_timer_start (link->pool->loop, &link->timer);
 }
 
-/* Puts a connection with nothing on it among the idle ones, for so long. */
+/* Adds the connection to the idle ones, for idle_timeout_us at most. */
 static void
-link_rest (MfLink *link, uint64_t keep_us)
+link_make_idle (MfLink *link, uint64_t idle_timeout_us)
 {
   MfLinkPool *pool = link->pool;
 
   mf_message_reset (&link->message);
   mf_buffer_clear (&link->out);
   link->state = LINK_IDLE;
-  link->user = NULL;
-  link->keep_us = keep_us;
+  link->callbacks = NULL;
+  link->idle_timeout_us = idle_timeout_us;
   link->idle_since_us = mf_clock_now_us ();
   link->next_idle = pool->idle;
   if (pool->idle != NULL)
@@ -147,43 +147,44 @@
   pool->n_idle++;
   ev_io_start (pool->loop, &link->reader);
   ev_timer_stop (pool->loop, &link->timer);
-  ev_timer_set (&link->timer, (double)keep_us / (double)MF_US_PER_S, 0.);
+  ev_timer_set (&link->timer, (double)idle_timeout_us / (double)MF_US_PER_S, 0.);
   ev_timer_start (pool->loop, &link->timer);
 }
 
-/* Keeps the connection for the next request, or closes it when that would not be safe. */
+/* Keeps the connection for the next request, or closes it when its reuse would not be safe.
+ * has_surplus tells that bytes have followed the response. */
 static void
-link_keep (MfLink *link, bool surplus)
+link_recycle (MfLink *link, bool has_surplus)
 {
   MfLinkPool *pool = link->pool;
-  char named[64];
-  uint64_t keep_us = pool->idle_default_us;
+  char value[64];
+  uint64_t idle_timeout_us = pool->idle_default_us;
 
-  if (mf_head_copy (&link->message.head, MF_WORD_KEEP_ALIVE, named, sizeof named))
+  if (mf_head_copy (&link->message.head, MF_HEADER_KEEP_ALIVE, value, sizeof value))
     {
-      const char *timeout = strstr (named, "timeout=");
+      const char *timeout = strstr (value, "timeout=");
 
       if (timeout != NULL)
-        keep_us = strtoull (timeout + 8, NULL, 10) * MF_US_PER_S * IDLE_SHARE_PERCENT / 100;
+        idle_timeout_us = strtoull (timeout + 8, NULL, 10) * MF_US_PER_S * KEEP_ALIVE_PERCENT / 100;
     }
-  if (surplus || link->was_foreign || mf_buffer_bytes (&link->out) > 0 || keep_us == 0
-      || !http_should_keep_alive (&link->message.parser) || pool->n_idle >= pool->n_idle_max)
+  if (has_surplus || link->had_id_mismatch || mf_buffer_bytes (&link->out) > 0
+      || idle_timeout_us == 0 || !http_should_keep_alive (&link->message.parser)
+      || pool->n_idle >= pool->n_idle_max)
     {
       link_free (link);
       return;
     }
-  link_rest (link, keep_us);
+  link_make_idle (link, idle_timeout_us);
 }
 
-/* The answer to this request is whole. */
 static void
-link_finish (MfLink *link, bool surplus)
+link_complete (MfLink *link, bool has_surplus)
 {
-  const MfLinkUser *user = link->user;
+  const MfLinkCallbacks *callbacks = link->callbacks;
   void *data = link->data;
 
-  link_keep (link, surplus);
-  user->end (data, MF_LINK_WHOLE, "answered");
+  link_recycle (link, has_surplus);
+  callbacks->end (data, MF_LINK_COMPLETE, "answered");
 }
 
 static bool
@@ -191,21 +192,21 @@
 {
   MfLink *link = data;
   MfLinkPool *pool = link->pool;
-  char id[ECHO_BYTES];
-
-  if (pool->heard != NULL)
-    pool->heard (pool->owner, &message->head, message->parser.status_code);
-  /* An upstream echoes the id that it was sent: what names any other, or names one where none was
-   * sent, answers another request. */
-  link->foreign = mf_head_copy (&message->head, MF_WORD_REQUEST_ID, id, sizeof id) && id[0] != '\0'
-                  && strcmp (id, link->echo_id) != 0;
-  if (link->foreign)
+  char id[REQUEST_ID_BYTES];
+
+  if (pool->on_response != NULL)
+    pool->on_response (pool->owner, &message->head, message->parser.status_code);
+  /* An upstream echoes the request id that it was sent. A response with another id, or with an id
+   * where none was sent, is the late response to another request and is skipped. */
+  link->id_mismatch = mf_head_copy (&message->head, MF_HEADER_REQUEST_ID, id, sizeof id)
+                      && id[0] != '\0' && strcmp (id, link->echo_id) != 0;
+  if (link->id_mismatch)
     {
-      link->was_foreign = true;
+      link->had_id_mismatch = true;
       return true;
     }
-  if (link->user->head != NULL)
-    link->user->head (link->data, &message->head, message->parser.status_code);
+  if (link->callbacks->head != NULL)
+    link->callbacks->head (link->data, &message->head, message->parser.status_code);
   return !link->head_only;
 }
 
@@ -215,60 +216,60 @@
   MfLink *link = data;
 
   (void)message;
-  if (!link->foreign && !link->cancelled && link->user->body != NULL)
-    link->user->body (link->data, bytes, n_bytes);
+  if (!link->id_mismatch && !link->cancelled && link->callbacks->body != NULL)
+    link->callbacks->body (link->data, bytes, n_bytes);
 }
 
-static const MfMessageEvents message_events = { .head = on_head, .body = on_body };
+static const MfMessageCallbacks message_events = { .head = on_head, .body = on_body };
 
-/* Reads the answers in some bytes. Returns false when the link is gone. */
+/* Parses received bytes. Returns false when the link has ended or become idle. */
 static bool
 link_feed (MfLink *link, const char *bytes, size_t n_bytes)
 {
-  size_t at = 0;
+  size_t offset = 0;
 
-  while (at < n_bytes)
+  while (offset < n_bytes)
     {
-      link->in_event = true;
-      at += mf_message_feed (&link->message, bytes + at, n_bytes - at);
-      link->in_event = false;
+      link->in_callback = true;
+      offset += mf_message_feed (&link->message, bytes + offset, n_bytes - offset);
+      link->in_callback = false;
       if (link->cancelled)
         {
           link_free (link);
           return false;
         }
-      if (link->message.fault != MF_CODE_OK)
+      if (link->message.error_code != MF_CODE_OK)
         {
-          link_fail (link, "the answer is not HTTP");
+          link_fail (link, "malformed HTTP response");
           return false;
         }
       if (!link->message.done)
         return true;
-      if (link->foreign)
+      if (link->id_mismatch)
         {
           mf_message_reset (&link->message);
-          link->foreign = false;
+          link->id_mismatch = false;
           continue;
         }
-      link_finish (link, at < n_bytes);
+      link_complete (link, offset < n_bytes);
       return false;
     }
   return true;
 }
 
-/* The peer has closed or the connection has failed. */
+/* Handles a connection that the peer has closed (clean), or that has failed. */
 static void
 link_closed (MfLink *link, bool clean)
 {
-  bool whole;
+  bool complete;
 
-  link->in_event = true;
-  whole = clean && !link->foreign && mf_message_finish (&link->message);
-  link->in_event = false;
+  link->in_callback = true;
+  complete = clean && !link->id_mismatch && mf_message_finish (&link->message);
+  link->in_callback = false;
   if (link->cancelled)
     link_free (link);
-  else if (whole)
-    link_end (link, MF_LINK_WHOLE, "answered");
+  else if (complete)
+    link_end (link, MF_LINK_COMPLETE, "answered");
   else
     link_fail (link, clean ? "the upstream closed the connection" : "the connection was reset");
 }
@@ -286,7 +287,7 @@
     return;
   if (link->state == LINK_IDLE)
     {
-      /* Closed, or an answer that nobody asked for. */
+      /* Closed by the peer, or a response without a request. */
       idle_remove (link);
       link_free (link);
       return;
@@ -299,7 +300,8 @@
   link_feed (link, bytes, (size_t)n_read);
 }
 
-/* Writes what is left of the request. Returns false on a failed connection. */
+/* Sends the rest of the request, as far as the socket takes it. Returns false on a failed
+ * connection. */
 static bool
 link_flush (MfLink *link)
 {
@@ -324,60 +326,60 @@
   return true;
 }
 
-/* Starts the time within which the answer must be whole, if there is one. */
+/* Starts the time-out of the exchange, if it has one. */
 static void
 link_set_timeout (MfLink *link)
 {
   ev_timer_stop (link->pool->loop, &link->timer);
   if (link->timeout_us == 0)
     return;
-  link->why = "no whole answer in time";
+  link->why = "response timed out";
   ev_timer_set (&link->timer, (double)link->timeout_us / (double)MF_US_PER_S, 0.);
   ev_timer_start (link->pool->loop, &link->timer);
 }
 
-/* The connection could not be made. */
 static void
-link_unconnected (MfLink *link, int fault)
+link_connect_failed (MfLink *link, int socket_error)
 {
   MfLinkPool *pool = link->pool;
 
-  if (fault == ECONNREFUSED && pool->refused != NULL)
+  if (socket_error == ECONNREFUSED && pool->refused != NULL)
     pool->refused (pool->owner);
-  link_fail (link, "the connection was refused");
+  link_fail (link, "connect failed");
 }
 
-/* The peer has taken a connection without a request, which waits for the next one. */
+/* A connection without a request has been accepted; it is kept for the next request. */
 static void
 link_opened (MfLink *link)
 {
   MfLinkPool *pool = link->pool;
-  const MfLinkUser *user = link->user;
+  const MfLinkCallbacks *callbacks = link->callbacks;
   void *data = link->data;
 
   ev_io_stop (pool->loop, &link->writer);
   link->no_request = false;
   if (pool->n_idle < pool->n_idle_max && pool->idle_default_us > 0)
-    link_rest (link, pool->idle_default_us);
+    link_make_idle (link, pool->idle_default_us);
   else
     link_free (link);
-  user->end (data, MF_LINK_WHOLE, "connected");
+  callbacks->end (data, MF_LINK_COMPLETE, "connected");
 }
 
 static void
 on_writable (struct ev_loop *loop, ev_io *watcher, int events)
 {
   MfLink *link = watcher->data;
-  int fault = 0;
-  socklen_t fault_bytes = sizeof fault;
+  int socket_error = 0;
+  socklen_t socket_error_bytes = sizeof socket_error;
 
   (void)loop;
   (void)events;
   if (link->state == LINK_CONNECTING)
     {
-      if (getsockopt (link->fd, SOL_SOCKET, SO_ERROR, &fault, &fault_bytes) != 0 || fault != 0)
+      if (getsockopt (link->fd, SOL_SOCKET, SO_ERROR, &socket_error, &socket_error_bytes) != 0
+          || socket_error != 0)
         {
-          link_unconnected (link, fault);
+          link_connect_failed (link, socket_error);
           return;
         }
       if (link->no_request)
@@ -389,7 +391,8 @@
       ev_io_start (link->pool->loop, &link->reader);
       link_set_timeout (link);
     }
-  /* A peer may answer and close before it has read all; its answer is read first. */
+  /* A peer may respond and close before it has read the complete request; its response is read
+   * first. */
   if (!link_flush (link))
     {
       ev_io_stop (link->pool->loop, &link->writer);
@@ -412,7 +415,7 @@
       link_free (link);
       return;
     case LINK_CONNECTING:
-      link_fail (link, "connecting took too long");
+      link_fail (link, "connect timed out");
       return;
     default:
       link_fail (link, link->why);
@@ -420,25 +423,25 @@
     }
 }
 
-/* Makes the kernel find out about a peer that is gone without a word. */
+/* Makes the kernel detect a peer that has vanished without closing the connection. */
 static void
-socket_watch_peer (int fd, uint64_t unacked_timeout_us)
+socket_set_keepalive (int fd, uint64_t unacked_timeout_us)
 {
   int one = 1;
   int idle_s = PROBE_IDLE_S;
-  int every_s = PROBE_EVERY_S;
+  int interval_s = PROBE_INTERVAL_S;
   int count = PROBE_COUNT;
   unsigned int timeout_ms = (unsigned int)(unacked_timeout_us / MF_US_PER_MS);
 
   setsockopt (fd, SOL_SOCKET, SO_KEEPALIVE, &one, sizeof one);
   setsockopt (fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle_s, sizeof idle_s);
-  setsockopt (fd, IPPROTO_TCP, TCP_KEEPINTVL, &every_s, sizeof every_s);
+  setsockopt (fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_s, sizeof interval_s);
   setsockopt (fd, IPPROTO_TCP, TCP_KEEPCNT, &count, sizeof count);
   if (timeout_ms > 0)
     setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms, sizeof timeout_ms);
 }
 
-/* Opens a connection; its failure, if at once, is reported from the loop. */
+/* Opens a connection. An immediate failure is reported from the event loop. */
 static MfLink *
 link_connect (MfLinkPool *pool)
 {
@@ -462,10 +465,10 @@
   link->writer.data = link;
   if (link->fd < 0)
     {
-      link_fail_later (link, "no connection could be opened");
+      link_fail_later (link, "could not open a connection");
       return link;
     }
-  socket_watch_peer (link->fd, pool->unacked_timeout_us);
+  socket_set_keepalive (link->fd, pool->unacked_timeout_us);
   ev_io_set (&link->reader, link->fd, EV_READ);
   ev_io_set (&link->writer, link->fd, EV_WRITE);
   ev_io_start (pool->loop, &link->writer);
@@ -473,7 +476,7 @@
   return link;
 }
 
-/* Takes the connection that was used last, unless it has been idle for too long. */
+/* Returns the most recently used idle connection, or NULL when it has been idle for too long. */
 static MfLink *
 idle_take (MfLinkPool *pool, uint64_t idle_max_us)
 {
@@ -483,7 +486,7 @@
   if (link == NULL)
     return NULL;
   now_us = mf_clock_now_us ();
-  if (now_us - link->idle_since_us > link->keep_us
+  if (now_us - link->idle_since_us > link->idle_timeout_us
       || (idle_max_us > 0 && now_us - link->idle_since_us > idle_max_us))
     return NULL;
   idle_remove (link);
@@ -492,44 +495,45 @@
   return link;
 }
 
-/* Opens a connection without a request, to see whether the peer takes it; it is then kept for the
- * next request. NULL without memory. */
+/* Opens a connection without a request, to see whether the peer accepts it; it is then kept for the
+ * next request. Returns NULL when memory runs out. */
 MfLink *
-mf_link_open (MfLinkPool *pool, const MfLinkUser *user, void *data)
+mf_link_open (MfLinkPool *pool, const MfLinkCallbacks *callbacks, void *data)
 {
   MfLink *link = link_connect (pool);
 
   if (link == NULL)
     return NULL;
-  link->user = user;
+  link->callbacks = callbacks;
   link->data = data;
   link->no_request = true;
   return link;
 }
 
-/* Sends a request on an idle connection or a new one. NULL without memory or descriptors. */
+/* Sends a request on an idle connection or a new one. Returns NULL when memory runs out; all other
+ * failures are reported to the end callback. */
 MfLink *
-mf_link_start (MfLinkPool *pool, const MfLinkCall *call)
+mf_link_start (MfLinkPool *pool, const MfLinkRequest *request)
 {
-  MfLink *link = idle_take (pool, call->idle_max_us);
+  MfLink *link = idle_take (pool, request->idle_max_us);
 
   if (link == NULL)
     link = link_connect (pool);
   if (link == NULL)
     return NULL;
-  link->user = call->user;
-  link->data = call->data;
+  link->callbacks = request->callbacks;
+  link->data = request->data;
   link->has_sent = false;
-  link->foreign = false;
-  link->head_only = call->head_only;
-  link->timeout_us = call->timeout_us;
+  link->id_mismatch = false;
+  link->head_only = request->head_only;
+  link->timeout_us = request->timeout_us;
   link->echo_id[0] = '\0';
-  if (call->echo_id != NULL && strlen (call->echo_id) < sizeof link->echo_id)
-    memcpy (link->echo_id, call->echo_id, strlen (call->echo_id) + 1);
-  mf_buffer_add (&link->out, call->head, call->head_bytes);
-  mf_buffer_add (&link->out, call->body, call->body_bytes);
+  if (request->echo_id != NULL && strlen (request->echo_id) < sizeof link->echo_id)
+    memcpy (link->echo_id, request->echo_id, strlen (request->echo_id) + 1);
+  mf_buffer_add (&link->out, request->head, request->head_bytes);
+  mf_buffer_add (&link->out, request->body, request->body_bytes);
   if (link->out.failed)
-    link_fail_later (link, "memory ran out");
+    link_fail_later (link, "out of memory");
   else if (link->state == LINK_BUSY)
     {
       link_set_timeout (link);
@@ -539,11 +543,11 @@
   return link;
 }
 
-/* Ends the exchange and closes its connection; the user hears nothing more. */
+/* Ends the exchange and closes its connection; no callback is called any more. */
 void
 mf_link_cancel (MfLink *link)
 {
-  if (!link->in_event)
+  if (!link->in_callback)
     {
       link_free (link);
       return;
@@ -552,26 +556,26 @@
   link_detach (link);
 }
 
-/* Stops or goes on reading the answer, for a caller that reads slowly. */
+/* Pauses or resumes reading the response, for a caller that reads slowly. */
 void
-mf_link_hold (MfLink *link, bool held)
+mf_link_pause_reading (MfLink *link, bool paused)
 {
   if (link->state != LINK_BUSY)
     return;
-  if (held)
+  if (paused)
     ev_io_stop (link->pool->loop, &link->reader);
   else
     ev_io_start (link->pool->loop, &link->reader);
 }
 
-/* Whether a byte of the request may have left. */
+/* Whether any byte of the request has been sent. */
 bool
 mf_link_has_sent (const MfLink *link)
 {
   return link->has_sent;
 }
 
-/* Closes the idle connections. */
+/* Closes the idle connections of the pool. */
 void
 mf_link_pool_close (MfLinkPool *pool)
 {
--- a/libmangofork/relay/message.c
+++ b/libmangofork/relay/message.c
@@ -10,8 +10,8 @@
 static int
 message_fail (MfMessage *message, MfCode code)
 {
-  if (message->fault == MF_CODE_OK)
-    message->fault = code;
+  if (message->error_code == MF_CODE_OK)
+    message->error_code = code;
   return -1;
 }
 
@@ -35,9 +35,9 @@
   return head_append (message, bytes, n_bytes);
 }
 
-/* Gives the header that has just ended its meaning. */
+/* Ends the current header: trims its value and looks up its id. */
 static void
-field_close (MfMessage *message)
+field_finish (MfMessage *message)
 {
   MfHead *head = &message->head;
   MfHeadField *field;
@@ -48,8 +48,8 @@
   while (field->value_bytes > 0
          && strchr (" \t", mf_head_text (head, field->value_at)[field->value_bytes - 1]) != NULL)
     field->value_bytes--;
-  field->word
-      = mf_dialect_word (message->dialect, mf_head_text (head, field->name_at), field->name_bytes);
+  field->header = mf_dialect_header_id (message->dialect, mf_head_text (head, field->name_at),
+                                        field->name_bytes);
   message->in_value = false;
 }
 
@@ -63,12 +63,12 @@
     return message_fail (message, MF_CODE_BAD_HEADER);
   if (message->in_value || head->n_fields == 0)
     {
-      field_close (message);
+      field_finish (message);
       if (head->n_fields == MF_HEAD_FIELDS_MAX)
         return message_fail (message, MF_CODE_HEADERS_TOO_LARGE);
       head->fields[head->n_fields++]
           = (MfHeadField){ .name_at = (uint32_t)mf_buffer_bytes (&head->text),
-                           .word = MF_WORD_OTHER };
+                           .header = MF_HEADER_OTHER };
     }
   head->fields[head->n_fields - 1].name_bytes += (uint32_t)n_bytes;
   return head_append (message, bytes, n_bytes);
@@ -98,11 +98,11 @@
 
   if (message->head_done) /* trailers */
     return 0;
-  field_close (message);
+  field_finish (message);
   message->head_done = true;
   if (parser->type == HTTP_RESPONSE && parser->status_code < 200)
     return 0;
-  if (message->events->head != NULL && !message->events->head (message, message->data))
+  if (message->callbacks->head != NULL && !message->callbacks->head (message, message->data))
     return 1;
   return 0;
 }
@@ -112,13 +112,13 @@
 {
   MfMessage *message = parser->data;
 
-  if (message->events->body != NULL)
-    message->events->body (message, bytes, n_bytes, message->data);
+  if (message->callbacks->body != NULL)
+    message->callbacks->body (message, bytes, n_bytes, message->data);
   return 0;
 }
 
 static void
-head_empty (MfHead *head)
+head_reset (MfHead *head)
 {
   head->text.start = 0;
   head->text.end = 0;
@@ -134,7 +134,7 @@
 
   if (parser->type == HTTP_RESPONSE && parser->status_code < 200)
     {
-      head_empty (&message->head);
+      head_reset (&message->head);
       message->head_done = false;
       return 0;
     }
@@ -152,42 +152,42 @@
   .on_message_complete = on_done,
 };
 
-/* type is HTTP_REQUEST or HTTP_RESPONSE. The dialect and events are borrowed. */
+/* type is HTTP_REQUEST or HTTP_RESPONSE. The dialect and the callbacks are borrowed. */
 void
 mf_message_init (MfMessage *message, enum http_parser_type type, const MfDialect *dialect,
-                 const MfMessageEvents *events, void *data)
+                 const MfMessageCallbacks *callbacks, void *data)
 {
-  *message = (MfMessage){ .dialect = dialect, .events = events, .data = data };
+  *message = (MfMessage){ .dialect = dialect, .callbacks = callbacks, .data = data };
   http_parser_init (&message->parser, type);
   message->parser.data = message;
 }
 
-/* Makes it ready for the next message on the same connection. */
+/* Prepares for the next message on the same connection. */
 void
 mf_message_reset (MfMessage *message)
 {
   enum http_parser_type type = message->parser.type;
 
-  head_empty (&message->head);
+  head_reset (&message->head);
   message->begun = false;
   message->head_done = false;
   message->done = false;
   message->in_value = false;
-  message->fault = MF_CODE_OK;
+  message->error_code = MF_CODE_OK;
   http_parser_init (&message->parser, type);
   message->parser.data = message;
 }
 
-/* Frees what was read of a message. */
+/* Frees the buffers of a message. */
 void
 mf_message_clear (MfMessage *message)
 {
   mf_buffer_clear (&message->head.text);
 }
 
-/* The product's code for what the parser found wrong. */
+/* Maps an error of the parser to a result code. */
 static MfCode
-parser_fault (enum http_errno fault)
+parser_error_code (enum http_errno fault)
 {
   switch (fault)
     {
@@ -203,55 +203,56 @@
     }
 }
 
-/* Reads bytes up to the end of the message. Returns how many belong to it; when it is then neither
- * done nor at fault, all were taken. */
+/* Parses bytes up to the end of the message. Returns the number consumed, which is n_bytes unless
+ * the message is done or was rejected. */
 size_t
 mf_message_feed (MfMessage *message, const char *bytes, size_t n_bytes)
 {
-  size_t taken;
+  size_t n_consumed;
   enum http_errno fault;
 
-  if (message->done || message->fault != MF_CODE_OK || n_bytes == 0)
+  if (message->done || message->error_code != MF_CODE_OK || n_bytes == 0)
     return 0;
   message->begun = true;
-  taken = http_parser_execute (&message->parser, &parser_settings, bytes, n_bytes);
+  n_consumed = http_parser_execute (&message->parser, &parser_settings, bytes, n_bytes);
   fault = HTTP_PARSER_ERRNO (&message->parser);
   if (message->done)
-    return taken;
-  if (fault != HPE_OK && message->fault == MF_CODE_OK)
-    message->fault = parser_fault (fault);
-  /* CONNECT and the like end the parser's work without a message. */
-  if (message->parser.upgrade != 0 && message->fault == MF_CODE_OK && taken < n_bytes)
-    message->fault = MF_CODE_BAD_HEADER;
-  return taken;
+    return n_consumed;
+  if (fault != HPE_OK && message->error_code == MF_CODE_OK)
+    message->error_code = parser_error_code (fault);
+  /* After CONNECT and the like the parser stops before the end of the input. */
+  if (message->parser.upgrade != 0 && message->error_code == MF_CODE_OK && n_consumed < n_bytes)
+    message->error_code = MF_CODE_BAD_HEADER;
+  return n_consumed;
 }
 
-/* The peer has closed. Returns whether that ends the message whole. */
+/* To be called when the peer has closed the connection. Returns whether the message is complete. */
 bool
 mf_message_finish (MfMessage *message)
 {
   if (message->done)
     return true;
-  if (message->fault != MF_CODE_OK || !message->head_done)
+  if (message->error_code != MF_CODE_OK || !message->head_done)
     return false;
   http_parser_execute (&message->parser, &parser_settings, "", 0);
   return message->done;
 }
 
-/* The text that stands at an offset of the head. */
+/* Returns the text of the head from an offset on. */
 const char *
 mf_head_text (const MfHead *head, uint32_t at)
 {
   return mf_buffer_data (&head->text) + at;
 }
 
-/* The value of the first header with this meaning; NULL when there is none. Not NUL-closed. */
+/* Returns the value of the first header with this id, or NULL when there is none. The value is not
+ * NUL-terminated. */
 const char *
-mf_head_value (const MfHead *head, MfWord word, size_t *value_bytes)
+mf_head_value (const MfHead *head, MfHeaderId header, size_t *value_bytes)
 {
   for (uint32_t i = 0; i < head->n_fields; i++)
     {
-      if (head->fields[i].word != word)
+      if (head->fields[i].header != header)
         continue;
       *value_bytes = head->fields[i].value_bytes;
       return mf_head_text (head, head->fields[i].value_at);
@@ -259,12 +260,13 @@
   return NULL;
 }
 
-/* Copies that value as a string. Returns false when there is none or it does not fit. */
+/* Copies the value of the first header with this id as a string. Returns false when there is none
+ * or it does not fit. */
 bool
-mf_head_copy (const MfHead *head, MfWord word, char *dst, size_t dst_bytes)
+mf_head_copy (const MfHead *head, MfHeaderId header, char *dst, size_t dst_bytes)
 {
   size_t value_bytes = 0;
-  const char *value = mf_head_value (head, word, &value_bytes);
+  const char *value = mf_head_value (head, header, &value_bytes);
 
   if (value == NULL || value_bytes >= dst_bytes)
     return false;
@@ -273,45 +275,46 @@
   return true;
 }
 
-/* Reads that value as a number without sign; returns false when it is none. */
+/* Parses the value of the first header with this id as an unsigned number; a fraction is cut off.
+ * Returns false when it is missing or not a number. */
 bool
-mf_head_number (const MfHead *head, MfWord word, uint64_t *number)
+mf_head_number (const MfHead *head, MfHeaderId header, uint64_t *number)
 {
   char text[24];
   char *end;
 
-  if (!mf_head_copy (head, word, text, sizeof text) || text[0] < '0' || text[0] > '9')
+  if (!mf_head_copy (head, header, text, sizeof text) || text[0] < '0' || text[0] > '9')
     return false;
   *number = strtoull (text, &end, 10);
   return *end == '\0' || *end == '.';
 }
 
-/* Reads that value as seconds, which may have a fraction. Returns false when it is missing,
- * negative or no number. */
+/* Parses the value of the first header with this id as seconds, which may have a fraction. Returns
+ * false when it is missing, negative or not a number. */
 bool
-mf_head_seconds (const MfHead *head, MfWord word, double *seconds)
+mf_head_seconds (const MfHead *head, MfHeaderId header, double *seconds)
 {
   char text[32];
   char *end;
 
-  if (!mf_head_copy (head, word, text, sizeof text) || text[0] < '0' || text[0] > '9')
+  if (!mf_head_copy (head, header, text, sizeof text) || text[0] < '0' || text[0] > '9')
     return false;
   *seconds = strtod (text, &end);
   return *end == '\0' && *seconds <= DBL_MAX;
 }
 
-/* How often a header of this meaning stands in the head. */
+/* Returns the number of headers with this id. */
 uint32_t
-mf_head_count (const MfHead *head, MfWord word)
+mf_head_count (const MfHead *head, MfHeaderId header)
 {
   uint32_t n_found = 0;
 
   for (uint32_t i = 0; i < head->n_fields; i++)
-    n_found += head->fields[i].word == word;
+    n_found += head->fields[i].header == header;
   return n_found;
 }
 
-/* Whether a comma-separated list holds a name, in any case. */
+/* Whether a comma-separated list contains a name; case is ignored. */
 static bool
 list_holds (const char *list, size_t list_bytes, const char *name, size_t name_bytes)
 {
@@ -335,15 +338,15 @@
   return false;
 }
 
-/* Whether the Connection header names this header as one that concerns the connection only. */
+/* Whether the Connection header lists this header, which is then hop-by-hop. */
 bool
-mf_head_is_hop (const MfHead *head, const MfHeadField *field)
+mf_head_is_hop_by_hop (const MfHead *head, const MfHeadField *field)
 {
   for (uint32_t i = 0; i < head->n_fields; i++)
     {
       const MfHeadField *list = &head->fields[i];
 
-      if (list->word == MF_WORD_CONNECTION
+      if (list->header == MF_HEADER_CONNECTION
           && list_holds (mf_head_text (head, list->value_at), list->value_bytes,
                          mf_head_text (head, field->name_at), field->name_bytes))
         return true;
@@ -351,7 +354,7 @@
   return false;
 }
 
-/* Adds "Name: value\r\n". */
+/* Appends a header line. */
 void
 mf_head_write (MfBuffer *out, const char *name, const char *value, size_t value_bytes)
 {
--- a/libmangofork/relay/relay_counters.c
+++ b/libmangofork/relay/relay_counters.c
@@ -6,17 +6,17 @@
 {
   const char *name;
   const char *help;
-} CounterName;
+} CounterInfo;
 
-static const CounterName counter_names[] = {
-#define COUNTER_NAME(id, name_, help_) { .name = (name_), .help = (help_) },
-  MF_RELAY_COUNTER_TABLE (COUNTER_NAME)
-#undef COUNTER_NAME
+static const CounterInfo counter_infos[] = {
+#define COUNTER_INFO(id, name_, help_) { .name = (name_), .help = (help_) },
+  MF_RELAY_COUNTER_TABLE (COUNTER_INFO)
+#undef COUNTER_INFO
 };
 
 /* Adds a time in microseconds to a histogram. */
 void
-mf_relay_observe (MfRelayHistogram *histogram, uint64_t value_us)
+mf_relay_histogram_observe (MfRelayHistogram *histogram, uint64_t value_us)
 {
   uint32_t bucket = 0;
 
@@ -50,7 +50,7 @@
   mf_buffer_add_text (out, line);
 }
 
-/* Where the ends with each code are rendered from and to. */
+/* Passed to code_render. */
 typedef struct
 {
   const MfRelayCounters *counters;
@@ -72,19 +72,19 @@
   return true;
 }
 
-/* Adds all in the text format of Prometheus. */
+/* Appends all counters and histograms in the Prometheus text format. */
 void
 mf_relay_counters_render (const MfRelayCounters *counters, MfBuffer *out)
 {
   char line[256];
 
-  for (uint32_t i = 0; i < MF_RELAY_COUNT_COUNT; i++)
+  for (uint32_t i = 0; i < MF_RELAY_N_COUNTERS; i++)
     {
       snprintf (line, sizeof line,
                 "# HELP mangofork_relay_%s %s\n# TYPE mangofork_relay_%s counter\n"
                 "mangofork_relay_%s %llu\n",
-                counter_names[i].name, counter_names[i].help, counter_names[i].name,
-                counter_names[i].name, (unsigned long long)counters->counts[i]);
+                counter_infos[i].name, counter_infos[i].help, counter_infos[i].name,
+                counter_infos[i].name, (unsigned long long)counters->counts[i]);
       mf_buffer_add_text (out, line);
     }
   mf_code_foreach (code_render, &(CodeRender){ .counters = counters, .out = out });
--- a/tests/relay_fixture.c
+++ b/tests/relay_fixture.c
@@ -57,7 +57,7 @@
   fixture->port = port;
   snprintf (address, sizeof address, "127.0.0.1:%u", port);
   fixture->log_fd = open ("/dev/null", O_WRONLY);
-  fixture->log = mf_lines_new (fixture->loop, "t", fixture->log_fd, &error);
+  fixture->log = mf_relay_log_new (fixture->loop, "t", fixture->log_fd, &error);
   assert_non_null (fixture->log);
   mf_jobs_init (&fixture->jobs, fixture->loop, &platform_dialect, fixture->log);
   fixture->jobs.budget_window_us = 10 * MF_US_PER_S;
@@ -66,29 +66,29 @@
   /* It has run for longer than the window. */
   fixture->jobs.started_us = 0;
   mf_jobs_configure (&fixture->jobs, make_routes ());
-  fixture->listener = mf_door_new (fixture->loop, address, &platform_dialect,
-                                   &mf_job_listener_callbacks, &fixture->jobs, &error);
+  fixture->listener = mf_listener_new (fixture->loop, address, &platform_dialect,
+                                       &mf_job_listener_callbacks, &fixture->jobs, &error);
   assert_non_null (fixture->listener);
-  mf_door_limit (fixture->listener, &(MfDoorLimits){
-                                        .header_bytes_max = 16384,
-                                        .body_bytes_max = 65536,
-                                        .header_timeout_us = MF_US_PER_S,
-                                        .idle_timeout_us = 5 * MF_US_PER_S,
-                                        .callers_max = 100,
-                                    });
+  mf_listener_set_limits (fixture->listener, &(MfListenerLimits){
+                                                 .header_bytes_max = 16384,
+                                                 .body_bytes_max = 65536,
+                                                 .header_timeout_us = MF_US_PER_S,
+                                                 .idle_timeout_us = 5 * MF_US_PER_S,
+                                                 .callers_max = 100,
+                                             });
 }
 
 void
 relay_fixture_teardown (RelayFixture *fixture)
 {
-  mf_door_free (fixture->listener);
+  mf_listener_free (fixture->listener);
   mf_jobs_clear (&fixture->jobs);
   for (uint32_t i = 0; i < RELAY_FIXTURE_N_UPSTREAMS; i++)
     {
       if (fixture->upstreams[i].wire != NULL)
         fake_wire_free (fixture->upstreams[i].wire);
     }
-  mf_lines_free (fixture->log);
+  mf_relay_log_free (fixture->log);
   close (fixture->log_fd);
 }
 
--- a/tests/relay_fixture.h
+++ b/tests/relay_fixture.h
@@ -24,11 +24,11 @@
 typedef struct
 {
   struct ev_loop *loop;
-  MfLines *log;
+  MfRelayLog *log;
   int log_fd;
   uint16_t port;
   MfJobs jobs;
-  MfDoor *listener;
+  MfListener *listener;
   RelayFixtureUpstream upstreams[RELAY_FIXTURE_N_UPSTREAMS];
   char received[8192];
 } RelayFixture;
--- a/tests/test_message.c
+++ b/tests/test_message.c
@@ -24,13 +24,13 @@
   mf_buffer_add (&reader->body, bytes, n_bytes);
 }
 
-static const MfMessageEvents events = { .body = on_body };
+static const MfMessageCallbacks callbacks = { .body = on_body };
 
 static void
 reader_begin (Reader *reader, enum http_parser_type type)
 {
   *reader = (Reader){ 0 };
-  mf_message_init (&reader->message, type, &platform_dialect, &events, reader);
+  mf_message_init (&reader->message, type, &platform_dialect, &callbacks, reader);
 }
 
 static void
@@ -42,7 +42,7 @@
 
 /* The fault of a request; MF_CODE_OK when it is whole. */
 static MfCode
-fault_of (const char *text, uint64_t head_bytes_max)
+error_of (const char *text, uint64_t head_bytes_max)
 {
   Reader reader;
   MfCode fault;
@@ -50,7 +50,7 @@
   reader_begin (&reader, HTTP_REQUEST);
   reader.message.head_bytes_max = head_bytes_max;
   mf_message_feed (&reader.message, text, strlen (text));
-  fault = reader.message.fault;
+  fault = reader.message.error_code;
   if (fault == MF_CODE_OK)
     assert_true (reader.message.done);
   reader_end (&reader);
@@ -61,35 +61,35 @@
 test_heads_that_hide_a_second_request (void **state)
 {
   (void)state;
-  assert_int_equal (fault_of ("POST / HTTP/1.1\r\nHost: a\r\nContent-Length : 3\r\n\r\nabc", 0),
+  assert_int_equal (error_of ("POST / HTTP/1.1\r\nHost: a\r\nContent-Length : 3\r\n\r\nabc", 0),
                     MF_CODE_BAD_HEADER);
-  assert_int_equal (fault_of ("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n"
+  assert_int_equal (error_of ("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n"
                               "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
                               0),
                     MF_CODE_BAD_LENGTH);
-  assert_int_equal (fault_of ("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n"
+  assert_int_equal (error_of ("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n"
                               "Content-Length: 4\r\n\r\nabcd",
                               0),
                     MF_CODE_BAD_LENGTH);
   assert_int_equal (
-      fault_of ("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\n\r\n", 0),
+      error_of ("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\n\r\n", 0),
       MF_CODE_BAD_LENGTH);
-  assert_int_equal (fault_of ("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1x\r\n\r\n", 0),
+  assert_int_equal (error_of ("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1x\r\n\r\n", 0),
                     MF_CODE_BAD_LENGTH);
-  assert_int_equal (fault_of ("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
+  assert_int_equal (error_of ("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
                               "zz\r\n\r\n",
                               0),
                     MF_CODE_BAD_LENGTH);
-  assert_int_equal (fault_of ("GET / HTTP/1.1\r\nHo st: a\r\n\r\n", 0), MF_CODE_BAD_HEADER);
+  assert_int_equal (error_of ("GET / HTTP/1.1\r\nHo st: a\r\n\r\n", 0), MF_CODE_BAD_HEADER);
 }
 
 static void
 test_head_too_large (void **state)
 {
   (void)state;
-  assert_int_equal (fault_of ("GET / HTTP/1.1\r\nHost: a\r\nX-Long: 0123456789\r\n\r\n", 20),
+  assert_int_equal (error_of ("GET / HTTP/1.1\r\nHost: a\r\nX-Long: 0123456789\r\n\r\n", 20),
                     MF_CODE_HEADERS_TOO_LARGE);
-  assert_int_equal (fault_of ("GET / HTTP/1.1\r\nHost: a\r\n\r\n", 20), MF_CODE_OK);
+  assert_int_equal (error_of ("GET / HTTP/1.1\r\nHost: a\r\n\r\n", 20), MF_CODE_OK);
 }
 
 static void
@@ -112,9 +112,9 @@
       assert_true (reader.message.done);
       assert_int_equal (reader.message.head.target_bytes, 8);
       assert_memory_equal (mf_head_text (&reader.message.head, 0), "/a/b?c=1", 8);
-      assert_true (mf_head_copy (&reader.message.head, MF_WORD_REQUEST_ID, id, sizeof id));
+      assert_true (mf_head_copy (&reader.message.head, MF_HEADER_REQUEST_ID, id, sizeof id));
       assert_string_equal (id, "id7");
-      assert_true (mf_head_number (&reader.message.head, MF_WORD_DEADLINE, &deadline_ms));
+      assert_true (mf_head_number (&reader.message.head, MF_HEADER_DEADLINE, &deadline_ms));
       assert_int_equal (deadline_ms, 600);
       assert_int_equal (mf_buffer_bytes (&reader.body), 5);
       assert_memory_equal (mf_buffer_data (&reader.body), "abcde", 5);
@@ -139,7 +139,7 @@
   assert_int_equal (mf_message_feed (&reader.message, two + taken, sizeof two - 1 - taken),
                     sizeof two - 1 - taken);
   assert_false (reader.message.done);
-  assert_int_equal (reader.message.fault, MF_CODE_OK);
+  assert_int_equal (reader.message.error_code, MF_CODE_OK);
   reader_end (&reader);
 }
 
@@ -158,7 +158,7 @@
   reader_begin (&reader, HTTP_RESPONSE);
   mf_message_feed (&reader.message, interim, sizeof interim - 1);
   assert_true (reader.message.done);
-  assert_true (mf_head_copy (&reader.message.head, MF_WORD_REQUEST_ID, id, sizeof id));
+  assert_true (mf_head_copy (&reader.message.head, MF_HEADER_REQUEST_ID, id, sizeof id));
   assert_string_equal (id, "yes");
   reader_end (&reader);
   reader_begin (&reader, HTTP_RESPONSE);
@@ -178,15 +178,15 @@
   static const char text[] = "GET / HTTP/1.1\r\nHost: a\r\nConnection: keep-alive , "
                              "X-Own\r\nX-Own: 1\r\nX-On: 2\r\n\r\n";
   Reader reader;
-  uint32_t n_hop = 0;
+  uint32_t n_hop_by_hop = 0;
 
   (void)state;
   reader_begin (&reader, HTTP_REQUEST);
   mf_message_feed (&reader.message, text, sizeof text - 1);
   assert_true (reader.message.done);
   for (uint32_t i = 0; i < reader.message.head.n_fields; i++)
-    n_hop += mf_head_is_hop (&reader.message.head, &reader.message.head.fields[i]);
-  assert_int_equal (n_hop, 1);
+    n_hop_by_hop += mf_head_is_hop_by_hop (&reader.message.head, &reader.message.head.fields[i]);
+  assert_int_equal (n_hop_by_hop, 1);
   reader_end (&reader);
 }
 
