--- a/libmangofork/relay/dispatch.c
+++ b/libmangofork/relay/dispatch.c
@@ -5,33 +5,33 @@
 
 /* A grant that its asker's load never showed is taken for lost after this time: a few round trips
  * and turns of its loop. */
-#define PENDING_US (500 * MF_US_PER_MS)
+#define PENDING_GRANT_MAX_US (500 * MF_US_PER_MS)
 /* Services that had no room in one run; further ones are looked at again. */
 #define FULL_SERVICES_MAX 16
 
 /* A request that wants more than this part of an engine's memory waits for it beside the others. */
-#define OVERSIZED_PART 2
+#define OVERSIZED_DIVISOR 2
 
-typedef struct Waiting Waiting;
-struct Waiting
+typedef struct WaitingRequest WaitingRequest;
+struct WaitingRequest
 {
-  Waiting *next;
-  uint64_t asker;
-  MfAsk ask;
-  uint64_t begun_us;       /* of the caller's request, by this instance's clock */
-  uint64_t passed_over_us; /* the run that found no room for it alone */
+  WaitingRequest *next;
+  uint64_t requester;
+  MfAsk request;
+  uint64_t arrived_us;     /* of the caller's request, by this instance's clock */
+  uint64_t skipped_run_us; /* the run that found no room for it alone */
 };
 
 /* A grant to another instance that its load does not show yet. */
-typedef struct Pending Pending;
-struct Pending
+typedef struct PendingGrant PendingGrant;
+struct PendingGrant
 {
-  Pending *next; /* in the order they were given */
-  uint64_t asker;
+  PendingGrant *next; /* in the order they were given */
+  uint64_t requester;
   MfGrant grant;
   uint64_t prompt_tokens;
   uint64_t memory_tokens;
-  uint64_t given_us;
+  uint64_t granted_us;
 };
 
 struct MfDispatch
@@ -39,9 +39,9 @@
   MfTargets *targets;
   const MfDispatchUser *user;
   void *data;
-  Waiting *waiting;
+  WaitingRequest *waiting;
   uint32_t n_waiting;
-  Pending *pending;
+  PendingGrant *pending;
   uint32_t point;
 };
 
@@ -64,72 +64,72 @@
   if (dispatch == NULL)
     return;
   while (dispatch->waiting != NULL)
-    mf_dispatch_drop (dispatch, dispatch->waiting->asker);
+    mf_dispatch_drop (dispatch, dispatch->waiting->requester);
   while (dispatch->pending != NULL)
-    mf_dispatch_drop (dispatch, dispatch->pending->asker);
+    mf_dispatch_drop (dispatch, dispatch->pending->requester);
   free (dispatch);
 }
 
 /* Puts an ask in the queue; nothing is granted before mf_dispatch_run. */
 void
-mf_dispatch_ask (MfDispatch *dispatch, uint64_t asker, const MfAsk *ask, uint64_t now_us)
+mf_dispatch_ask (MfDispatch *dispatch, uint64_t requester, const MfAsk *request, uint64_t now_us)
 {
-  Waiting *waiting;
+  WaitingRequest *waiting;
 
-  mf_dispatch_cancel (dispatch, asker, ask->id);
+  mf_dispatch_cancel (dispatch, requester, request->id);
   waiting = calloc (1, sizeof *waiting);
   if (waiting == NULL)
     return;
-  waiting->asker = asker;
-  waiting->ask = *ask;
-  waiting->begun_us = now_us > ask->age_us ? now_us - ask->age_us : 0;
+  waiting->requester = requester;
+  waiting->request = *request;
+  waiting->arrived_us = now_us > request->age_us ? now_us - request->age_us : 0;
   waiting->next = dispatch->waiting;
   dispatch->waiting = waiting;
   dispatch->n_waiting++;
 }
 
 static void
-waiting_remove (MfDispatch *dispatch, Waiting **place)
+waiting_remove (MfDispatch *dispatch, WaitingRequest **link)
 {
-  Waiting *waiting = *place;
+  WaitingRequest *waiting = *link;
 
-  *place = waiting->next;
+  *link = waiting->next;
   dispatch->n_waiting--;
   free (waiting);
 }
 
 /* Forgets one ask of an asker, if it still waits. */
 void
-mf_dispatch_cancel (MfDispatch *dispatch, uint64_t asker, uint64_t id)
+mf_dispatch_cancel (MfDispatch *dispatch, uint64_t requester, uint64_t id)
 {
-  for (Waiting **place = &dispatch->waiting; *place != NULL; place = &(*place)->next)
+  for (WaitingRequest **link = &dispatch->waiting; *link != NULL; link = &(*link)->next)
     {
-      if ((*place)->asker != asker || (*place)->ask.id != id)
+      if ((*link)->requester != requester || (*link)->request.id != id)
         continue;
-      waiting_remove (dispatch, place);
+      waiting_remove (dispatch, link);
       return;
     }
 }
 
 /* The asker is gone, with what it asked for and was granted. */
 void
-mf_dispatch_drop (MfDispatch *dispatch, uint64_t asker)
+mf_dispatch_drop (MfDispatch *dispatch, uint64_t requester)
 {
-  Waiting **waiting = &dispatch->waiting;
-  Pending **pending = &dispatch->pending;
+  WaitingRequest **waiting = &dispatch->waiting;
+  PendingGrant **pending = &dispatch->pending;
 
   while (*waiting != NULL)
     {
-      if ((*waiting)->asker == asker)
+      if ((*waiting)->requester == requester)
         waiting_remove (dispatch, waiting);
       else
         waiting = &(*waiting)->next;
     }
   while (*pending != NULL)
     {
-      Pending *gone = *pending;
+      PendingGrant *gone = *pending;
 
-      if (gone->asker != asker)
+      if (gone->requester != requester)
         {
           pending = &gone->next;
           continue;
@@ -141,53 +141,53 @@
 
 /* What the asker has told of its load includes this grant and those before it. */
 void
-mf_dispatch_seen (MfDispatch *dispatch, uint64_t asker, uint64_t id)
+mf_dispatch_seen (MfDispatch *dispatch, uint64_t requester, uint64_t id)
 {
   bool known = false;
-  Pending **place = &dispatch->pending;
+  PendingGrant **link = &dispatch->pending;
 
-  for (const Pending *pending = dispatch->pending; pending != NULL && !known;
+  for (const PendingGrant *pending = dispatch->pending; pending != NULL && !known;
        pending = pending->next)
-    known = pending->asker == asker && pending->grant.id == id;
-  while (known && *place != NULL)
+    known = pending->requester == requester && pending->grant.id == id;
+  while (known && *link != NULL)
     {
-      Pending *pending = *place;
+      PendingGrant *pending = *link;
 
-      if (pending->asker != asker)
+      if (pending->requester != requester)
         {
-          place = &pending->next;
+          link = &pending->next;
           continue;
         }
       known = pending->grant.id != id;
-      *place = pending->next;
+      *link = pending->next;
       free (pending);
     }
 }
 
 /* Adds a grant that its asker's load does not show yet. */
 static void
-pending_show (const MfDispatch *dispatch, const Pending *pending)
+pending_add_load (const MfDispatch *dispatch, const PendingGrant *pending)
 {
   mf_load_add (dispatch->targets,
                &(MfLoadEntry){ .upstream = pending->grant.decode,
                                .n_active = 1,
                                .tokens = (uint32_t)pending->memory_tokens },
-               pending->given_us);
+               pending->granted_us);
   mf_load_add (dispatch->targets,
                &(MfLoadEntry){ .upstream = pending->grant.prefill,
                                .n_active = 1,
                                .tokens = (uint32_t)pending->prompt_tokens },
-               pending->given_us);
+               pending->granted_us);
 }
 
 /* Adds the grants that loads do not show yet to the targets; after mf_load_refresh. */
 void
 mf_dispatch_add_pending (const MfDispatch *dispatch, uint64_t now_us)
 {
-  for (const Pending *pending = dispatch->pending; pending != NULL; pending = pending->next)
+  for (const PendingGrant *pending = dispatch->pending; pending != NULL; pending = pending->next)
     {
-      if (now_us - pending->given_us <= PENDING_US)
-        pending_show (dispatch, pending);
+      if (now_us - pending->granted_us <= PENDING_GRANT_MAX_US)
+        pending_add_load (dispatch, pending);
     }
 }
 
@@ -195,53 +195,53 @@
 static void
 pending_expire (MfDispatch *dispatch, uint64_t now_us)
 {
-  Pending **place = &dispatch->pending;
+  PendingGrant **link = &dispatch->pending;
 
-  while (*place != NULL)
+  while (*link != NULL)
     {
-      Pending *pending = *place;
+      PendingGrant *pending = *link;
 
-      if (now_us - pending->given_us <= PENDING_US)
+      if (now_us - pending->granted_us <= PENDING_GRANT_MAX_US)
         {
-          place = &pending->next;
+          link = &pending->next;
           continue;
         }
-      *place = pending->next;
+      *link = pending->next;
       free (pending);
     }
 }
 
 static MfPlaceAsk
-place_ask (MfDispatch *dispatch, const MfAsk *ask, const MfRouteService *traits, MfRole role)
+place_query (MfDispatch *dispatch, const MfAsk *request, const MfRouteService *config, MfRole role)
 {
-  MfPlaceAsk place = {
-    .service = ask->service,
+  MfPlaceAsk query = {
+    .service = request->service,
     .role = role,
-    .tokens = role == MF_ROLE_PREFILL ? ask->prompt_tokens : ask->memory_tokens,
-    .traits = traits,
-    .n_avoid = ask->n_avoid,
-    .data_centre = ask->data_centre,
+    .tokens = role == MF_ROLE_PREFILL ? request->prompt_tokens : request->memory_tokens,
+    .traits = config,
+    .n_avoid = request->n_avoid,
+    .data_centre = request->data_centre,
     .must_fit = role == MF_ROLE_DECODE,
     .point = dispatch->point++,
   };
 
-  memcpy (place.avoid, ask->avoid, sizeof place.avoid);
-  return place;
+  memcpy (query.avoid, request->avoid, sizeof query.avoid);
+  return query;
 }
 
 /* Whether one ask goes before another: first those whose prompt has been read, as an engine keeps
  * it for a moment only; then those that can be in time; then the older. */
 static bool
-goes_before (const Waiting *one, const Waiting *other, uint64_t now_us)
+is_served_before (const WaitingRequest *one, const WaitingRequest *other, uint64_t now_us)
 {
-  bool one_late = now_us > one->begun_us + one->ask.objective_us;
-  bool other_late = now_us > other->begun_us + other->ask.objective_us;
+  bool one_late = now_us > one->arrived_us + one->request.objective_us;
+  bool other_late = now_us > other->arrived_us + other->request.objective_us;
 
-  if (one->ask.has_memory != other->ask.has_memory)
-    return one->ask.has_memory;
+  if (one->request.has_memory != other->request.has_memory)
+    return one->request.has_memory;
   if (one_late != other_late)
     return other_late;
-  return one->begun_us < other->begun_us;
+  return one->arrived_us < other->arrived_us;
 }
 
 typedef struct
@@ -261,42 +261,42 @@
   return false;
 }
 
-static Waiting **
+static WaitingRequest **
 waiting_next (MfDispatch *dispatch, const FullServices *full, uint64_t now_us)
 {
-  Waiting **best = NULL;
+  WaitingRequest **best = NULL;
 
-  for (Waiting **place = &dispatch->waiting; *place != NULL; place = &(*place)->next)
+  for (WaitingRequest **link = &dispatch->waiting; *link != NULL; link = &(*link)->next)
     {
-      if ((*place)->passed_over_us != now_us && !is_full (full, (*place)->ask.service)
-          && (best == NULL || goes_before (*place, *best, now_us)))
-        best = place;
+      if ((*link)->skipped_run_us != now_us && !is_full (full, (*link)->request.service)
+          && (best == NULL || is_served_before (*link, *best, now_us)))
+        best = link;
     }
   return best;
 }
 
 /* Finds places for an ask. Returns false when no engine has room. */
 static bool
-grant_make (MfDispatch *dispatch, const MfAsk *ask, MfGrant *grant, uint64_t now_us)
+choose_engines (MfDispatch *dispatch, const MfAsk *request, MfGrant *grant, uint64_t now_us)
 {
-  const MfRouteService *traits = dispatch->user->traits (dispatch->data, ask->service);
-  MfPlaceAsk place;
+  const MfRouteService *config = dispatch->user->traits (dispatch->data, request->service);
+  MfPlaceAsk query;
   MfTarget *decode;
   MfTarget *prefill;
   bool any_alive = false;
 
-  if (traits == NULL)
+  if (config == NULL)
     return false;
-  place = place_ask (dispatch, ask, traits, MF_ROLE_DECODE);
-  decode = mf_place_choose (dispatch->targets, &place, now_us, &any_alive);
+  query = place_query (dispatch, request, config, MF_ROLE_DECODE);
+  decode = mf_place_choose (dispatch->targets, &query, now_us, &any_alive);
   /* One that could not be reached is not promised to anybody. */
   if (decode == NULL || mf_target_is_suspect (decode, now_us))
     return false;
-  *grant = (MfGrant){ .id = ask->id, .decode = decode->id_hash };
-  if (ask->has_memory)
+  *grant = (MfGrant){ .id = request->id, .decode = decode->id_hash };
+  if (request->has_memory)
     return true;
-  place = place_ask (dispatch, ask, traits, MF_ROLE_PREFILL);
-  prefill = mf_place_choose (dispatch->targets, &place, now_us, &any_alive);
+  query = place_query (dispatch, request, config, MF_ROLE_PREFILL);
+  prefill = mf_place_choose (dispatch->targets, &query, now_us, &any_alive);
   if (prefill != NULL && !mf_target_is_suspect (prefill, now_us))
     grant->prefill = prefill->id_hash;
   return true;
@@ -304,34 +304,35 @@
 
 /* Whether an ask wants so much of an engine that it must not hold up the others. */
 static bool
-is_oversized (const MfDispatch *dispatch, const MfAsk *ask)
+is_oversized (const MfDispatch *dispatch, const MfAsk *request)
 {
-  const MfRouteService *traits = dispatch->user->traits (dispatch->data, ask->service);
+  const MfRouteService *config = dispatch->user->traits (dispatch->data, request->service);
 
-  return traits != NULL && traits->kv_capacity_tokens > 0
-         && ask->memory_tokens * OVERSIZED_PART > traits->kv_capacity_tokens;
+  return config != NULL && config->kv_capacity_tokens > 0
+         && request->memory_tokens * OVERSIZED_DIVISOR > config->kv_capacity_tokens;
 }
 
 /* Notes a grant to another instance; this one's own show in the loads at once. */
 static void
-pending_add (MfDispatch *dispatch, const Waiting *waiting, const MfGrant *grant, uint64_t now_us)
+pending_add (MfDispatch *dispatch, const WaitingRequest *waiting, const MfGrant *grant,
+             uint64_t now_us)
 {
-  Pending **place = &dispatch->pending;
-  Pending *pending;
+  PendingGrant **link = &dispatch->pending;
+  PendingGrant *pending;
 
-  if (waiting->asker == MF_DISPATCH_SELF || (pending = calloc (1, sizeof *pending)) == NULL)
+  if (waiting->requester == MF_DISPATCH_SELF || (pending = calloc (1, sizeof *pending)) == NULL)
     return;
-  *pending = (Pending){
-    .asker = waiting->asker,
+  *pending = (PendingGrant){
+    .requester = waiting->requester,
     .grant = *grant,
-    .prompt_tokens = waiting->ask.prompt_tokens,
-    .memory_tokens = waiting->ask.memory_tokens,
-    .given_us = now_us,
+    .prompt_tokens = waiting->request.prompt_tokens,
+    .memory_tokens = waiting->request.memory_tokens,
+    .granted_us = now_us,
   };
-  while (*place != NULL)
-    place = &(*place)->next;
-  *place = pending;
-  pending_show (dispatch, pending);
+  while (*link != NULL)
+    link = &(*link)->next;
+  *link = pending;
+  pending_add_load (dispatch, pending);
 }
 
 /* Grants what there is room for. Returns how many asks still wait. */
@@ -339,33 +340,33 @@
 mf_dispatch_run (MfDispatch *dispatch, uint64_t now_us)
 {
   FullServices full = { 0 };
-  Waiting **place;
+  WaitingRequest **link;
 
   pending_expire (dispatch, now_us);
   while (full.n_services < FULL_SERVICES_MAX
-         && (place = waiting_next (dispatch, &full, now_us)) != NULL)
+         && (link = waiting_next (dispatch, &full, now_us)) != NULL)
     {
-      Waiting *waiting = *place;
-      uint64_t asker = waiting->asker;
+      WaitingRequest *waiting = *link;
+      uint64_t requester = waiting->requester;
       MfGrant grant;
 
-      if (now_us > waiting->begun_us + waiting->ask.patience_us)
+      if (now_us > waiting->arrived_us + waiting->request.patience_us)
         {
-          waiting_remove (dispatch, place);
+          waiting_remove (dispatch, link);
           continue;
         }
-      if (!grant_make (dispatch, &waiting->ask, &grant, now_us))
+      if (!choose_engines (dispatch, &waiting->request, &grant, now_us))
         {
-          waiting->passed_over_us = now_us;
+          waiting->skipped_run_us = now_us;
           /* There may be room at the engines that this one avoids. */
-          if (waiting->ask.n_avoid > 0 || is_oversized (dispatch, &waiting->ask))
+          if (waiting->request.n_avoid > 0 || is_oversized (dispatch, &waiting->request))
             continue;
-          memcpy (full.services[full.n_services++], waiting->ask.service, MF_NAME_BYTES);
+          memcpy (full.services[full.n_services++], waiting->request.service, MF_NAME_BYTES);
           continue;
         }
       pending_add (dispatch, waiting, &grant, now_us);
-      waiting_remove (dispatch, place);
-      dispatch->user->grant (dispatch->data, asker, &grant);
+      waiting_remove (dispatch, link);
+      dispatch->user->grant (dispatch->data, requester, &grant);
     }
   return dispatch->n_waiting;
 }
--- a/libmangofork/relay/dispatch.h
+++ b/libmangofork/relay/dispatch.h
@@ -42,17 +42,18 @@
 
 typedef struct
 {
-  void (*grant) (void *data, uint64_t asker, const MfGrant *grant);
+  void (*grant) (void *data, uint64_t requester, const MfGrant *grant);
   /* What a service's engines are like in the configuration in force; NULL when not known. */
   const MfRouteService *(*traits) (void *data, const char *service);
 } MfDispatchUser;
 
 MfDispatch *mf_dispatch_new (MfTargets *targets, const MfDispatchUser *user, void *data);
 void mf_dispatch_free (MfDispatch *dispatch);
-void mf_dispatch_ask (MfDispatch *dispatch, uint64_t asker, const MfAsk *ask, uint64_t now_us);
-void mf_dispatch_cancel (MfDispatch *dispatch, uint64_t asker, uint64_t id);
-void mf_dispatch_drop (MfDispatch *dispatch, uint64_t asker);
-void mf_dispatch_seen (MfDispatch *dispatch, uint64_t asker, uint64_t id);
+void mf_dispatch_ask (MfDispatch *dispatch, uint64_t requester, const MfAsk *request,
+                      uint64_t now_us);
+void mf_dispatch_cancel (MfDispatch *dispatch, uint64_t requester, uint64_t id);
+void mf_dispatch_drop (MfDispatch *dispatch, uint64_t requester);
+void mf_dispatch_seen (MfDispatch *dispatch, uint64_t requester, uint64_t id);
 uint32_t mf_dispatch_run (MfDispatch *dispatch, uint64_t now_us);
 uint32_t mf_dispatch_n_waiting (const MfDispatch *dispatch);
 void mf_dispatch_add_pending (const MfDispatch *dispatch, uint64_t now_us);
--- a/libmangofork/relay/feed.c
+++ b/libmangofork/relay/feed.c
@@ -8,18 +8,18 @@
  * delays nobody beyond the bound. */
 
 /* Instances of a data centre that read: one may be cut off or stand still. */
-#define READERS 2
+#define N_READERS 2
 /* With fewer instances in a data centre readers that ask often cost more than all that ask rarely.
  */
-#define FOLLOWED_MIN 8
+#define READERS_INSTANCES_MIN 8
 /* Knowledge older than this part of the bound is renewed at the store; the rest is for that call.
  */
-#define STALE_PERCENT 50
+#define READ_AFTER_PERCENT 50
 /* Followers that are late together call the store spread over this part of that time. */
 #define SPREAD_PERCENT 20
 /* A reader's call waits for changes for this part of the bound: two may be lost before anybody is
  * late. */
-#define READ_WAIT_PERCENT 20
+#define READER_WAIT_PERCENT 20
 /* Pauses between failed calls, doubled from the first to the last. */
 #define RETRY_FIRST_US (50 * MF_US_PER_MS)
 #define RETRY_MAX_US (400 * MF_US_PER_MS)
@@ -27,12 +27,12 @@
  * rules on changes hold again some seconds after that. */
 #define RETRY_FOLLOWER_PERCENT 50
 /* An answer of the store is on its way for this time at most; sixty times what it usually takes. */
-#define ANSWER_WAY_US (250 * MF_US_PER_MS)
+#define ANSWER_TRANSIT_MAX_US (250 * MF_US_PER_MS)
 /* Bytes of the values of one feed; a frame holds them and their keys. */
 #define VALUES_BYTES_MAX 40000
 /* A feed is not on its way for longer: connections between instances are given up sooner. What
  * seems older comes from a clock that has been set anew. */
-#define TRANSIT_MAX_US (3 * MF_US_PER_S)
+#define FEED_TRANSIT_MAX_US (3 * MF_US_PER_S)
 
 /* Empties a feed for whoever knows all up to this revision. */
 void
@@ -83,41 +83,41 @@
 uint64_t
 mf_feed_way_us (uint64_t took_us, uint64_t wait_us)
 {
-  if (took_us > wait_us + ANSWER_WAY_US)
+  if (took_us > wait_us + ANSWER_TRANSIT_MAX_US)
     return took_us;
-  return took_us < ANSWER_WAY_US ? took_us : ANSWER_WAY_US;
+  return took_us < ANSWER_TRANSIT_MAX_US ? took_us : ANSWER_TRANSIT_MAX_US;
 }
 
 /* Whether an instance reads the platform's store for itself, for others too, or is told. */
 MfFeedRole
 mf_feed_role (const MfFeedStanding *standing)
 {
-  if (standing->n_instances < FOLLOWED_MIN)
+  if (standing->n_instances < READERS_INSTANCES_MIN)
     return MF_FEED_ALONE;
-  return standing->rank < READERS ? MF_FEED_READER : MF_FEED_FOLLOWER;
+  return standing->rank < N_READERS ? MF_FEED_READER : MF_FEED_FOLLOWER;
 }
 
 /* All changes made before this moment of the own clock are known. */
 void
-mf_follow_note (MfFollow *follow, uint64_t as_of_us)
+mf_follow_note (MfFollow *freshness, uint64_t as_of_us)
 {
-  if (as_of_us > follow->as_of_us)
-    follow->as_of_us = as_of_us;
+  if (as_of_us > freshness->as_of_us)
+    freshness->as_of_us = as_of_us;
 }
 
 static MfFollowSender *
-sender_find (MfFollow *follow, uint64_t peer, int64_t offset_us)
+sender_find (MfFollow *freshness, uint64_t peer, int64_t offset_us)
 {
   uint32_t n_kept
-      = follow->n_senders < MF_FOLLOW_SENDERS_MAX ? follow->n_senders : MF_FOLLOW_SENDERS_MAX;
+      = freshness->n_senders < MF_FOLLOW_SENDERS_MAX ? freshness->n_senders : MF_FOLLOW_SENDERS_MAX;
   MfFollowSender *sender;
 
   for (uint32_t i = 0; i < n_kept; i++)
     {
-      if (follow->senders[i].peer == peer)
-        return &follow->senders[i];
+      if (freshness->senders[i].peer == peer)
+        return &freshness->senders[i];
     }
-  sender = &follow->senders[follow->n_senders++ % MF_FOLLOW_SENDERS_MAX];
+  sender = &freshness->senders[freshness->n_senders++ % MF_FOLLOW_SENDERS_MAX];
   *sender = (MfFollowSender){ .peer = peer, .offset_us = offset_us };
   return sender;
 }
@@ -125,10 +125,10 @@
 /* The moment of the own clock as of which a feed that has just come tells all; 0 when that is not
  * known. How long it was on its way shows in the least difference between both clocks. */
 uint64_t
-mf_follow_as_of_us (MfFollow *follow, uint64_t peer, const MfFeed *feed, uint64_t now_us)
+mf_follow_as_of_us (MfFollow *freshness, uint64_t peer, const MfFeed *feed, uint64_t now_us)
 {
   int64_t offset_us = (int64_t)(now_us - feed->sent_us);
-  MfFollowSender *sender = sender_find (follow, peer, offset_us);
+  MfFollowSender *sender = sender_find (freshness, peer, offset_us);
   uint64_t age_us;
 
   if (feed->sent_us < feed->as_of_us)
@@ -136,7 +136,7 @@
   if (offset_us < sender->offset_us)
     sender->offset_us = offset_us;
   age_us = (uint64_t)(offset_us - sender->offset_us) + (feed->sent_us - feed->as_of_us);
-  if (offset_us - sender->offset_us > (int64_t)TRANSIT_MAX_US)
+  if (offset_us - sender->offset_us > (int64_t)FEED_TRANSIT_MAX_US)
     {
       sender->offset_us = offset_us;
       return 0;
@@ -147,13 +147,13 @@
 /* How long an instance may leave the store alone; 0 when it has to read now. point spreads those
  * that are late together. */
 uint64_t
-mf_follow_rest_us (const MfFollow *follow, MfFeedRole role, uint64_t now_us, uint32_t point)
+mf_follow_rest_us (const MfFollow *freshness, MfFeedRole role, uint64_t now_us, uint32_t random)
 {
-  uint64_t stale_us = follow->bound_us * STALE_PERCENT / 100;
-  uint64_t spread_us = (stale_us * SPREAD_PERCENT / 100) * (uint64_t)point >> 32;
-  uint64_t age_us = now_us - follow->as_of_us;
+  uint64_t stale_us = freshness->bound_us * READ_AFTER_PERCENT / 100;
+  uint64_t spread_us = (stale_us * SPREAD_PERCENT / 100) * (uint64_t)random >> 32;
+  uint64_t age_us = now_us - freshness->as_of_us;
 
-  if (role != MF_FEED_FOLLOWER || follow->as_of_us == 0 || age_us + spread_us >= stale_us)
+  if (role != MF_FEED_FOLLOWER || freshness->as_of_us == 0 || age_us + spread_us >= stale_us)
     return 0;
   return stale_us - spread_us - age_us;
 }
@@ -161,25 +161,25 @@
 /* The pause after a failed call to the store, when the pause before was last_us, 0 for none.
  * Readers look for its return often, and tell the others of it. */
 uint64_t
-mf_follow_retry_us (const MfFollow *follow, MfFeedRole role, uint64_t last_us, uint32_t point)
+mf_follow_retry_us (const MfFollow *freshness, MfFeedRole role, uint64_t last_us, uint32_t random)
 {
-  uint64_t most_us = RETRY_MAX_US;
+  uint64_t max_us = RETRY_MAX_US;
   uint64_t next_us = last_us == 0 ? RETRY_FIRST_US : last_us * 2;
 
   if (role == MF_FEED_FOLLOWER)
     {
-      most_us = follow->bound_us * RETRY_FOLLOWER_PERCENT / 100;
+      max_us = freshness->bound_us * RETRY_FOLLOWER_PERCENT / 100;
       /* All have failed at once, and none is waited for. */
-      next_us = most_us / 2 + ((most_us / 2) * (uint64_t)point >> 32);
+      next_us = max_us / 2 + ((max_us / 2) * (uint64_t)random >> 32);
     }
-  return next_us < most_us ? next_us : most_us;
+  return next_us < max_us ? next_us : max_us;
 }
 
 /* How long a call to the store waits for changes; alone_us where nobody else depends on it. */
 uint64_t
-mf_follow_wait_us (const MfFollow *follow, MfFeedRole role, uint64_t alone_us)
+mf_follow_wait_us (const MfFollow *freshness, MfFeedRole role, uint64_t default_us)
 {
-  uint64_t wait_us = follow->bound_us * READ_WAIT_PERCENT / 100;
+  uint64_t wait_us = freshness->bound_us * READER_WAIT_PERCENT / 100;
 
-  return role == MF_FEED_READER && wait_us < alone_us ? wait_us : alone_us;
+  return role == MF_FEED_READER && wait_us < default_us ? wait_us : default_us;
 }
--- a/libmangofork/relay/feed.h
+++ b/libmangofork/relay/feed.h
@@ -73,12 +73,13 @@
 } MfFollow;
 
 MfFeedRole mf_feed_role (const MfFeedStanding *standing);
-void mf_follow_note (MfFollow *follow, uint64_t as_of_us);
-uint64_t mf_follow_as_of_us (MfFollow *follow, uint64_t peer, const MfFeed *feed, uint64_t now_us);
-uint64_t mf_follow_rest_us (const MfFollow *follow, MfFeedRole role, uint64_t now_us,
-                            uint32_t point);
-uint64_t mf_follow_retry_us (const MfFollow *follow, MfFeedRole role, uint64_t last_us,
-                             uint32_t point);
-uint64_t mf_follow_wait_us (const MfFollow *follow, MfFeedRole role, uint64_t alone_us);
+void mf_follow_note (MfFollow *freshness, uint64_t as_of_us);
+uint64_t mf_follow_as_of_us (MfFollow *freshness, uint64_t peer, const MfFeed *feed,
+                             uint64_t now_us);
+uint64_t mf_follow_rest_us (const MfFollow *freshness, MfFeedRole role, uint64_t now_us,
+                            uint32_t random);
+uint64_t mf_follow_retry_us (const MfFollow *freshness, MfFeedRole role, uint64_t last_us,
+                             uint32_t random);
+uint64_t mf_follow_wait_us (const MfFollow *freshness, MfFeedRole role, uint64_t default_us);
 
 #endif
--- a/libmangofork/relay/load.c
+++ b/libmangofork/relay/load.c
@@ -6,15 +6,15 @@
 
 /* Part of an answer that is reckoned into a request's memory: on average half of it is there, and a
  * few requests are near their end at once. */
-#define ANSWER_SHARE 0.6
+#define ANSWER_KV_SHARE 0.6
 /* Part of an engine's memory that is filled; the rest is for answers longer than expected. */
-#define FILL_SHARE 0.97
+#define FILL_SHARE_MAX 0.97
 /* Upstreams without requests are told of from this share of failures on. */
-#define FAILURE_TOLD_PERCENT 10
+#define FAILURE_REPORT_MIN_PERCENT 10
 /* A report holds no longer than this for what it says is avoided; a later one renews it. */
 #define AVOIDED_MAX_US (10 * MF_US_PER_S)
 /* An upstream with streams gives events several times within this time; after it, it is silent. */
-#define ANSWERS_US (1 * MF_US_PER_S)
+#define ANSWERING_US (1 * MF_US_PER_S)
 
 /* Tokens an answer is expected to have, between the caller's estimate and what is usual. */
 uint64_t
@@ -39,7 +39,7 @@
 {
   uint64_t answer = mf_load_answer_tokens (hint_tokens, typical_tokens, max_tokens);
 
-  return prompt_tokens + (uint64_t)((double)answer * ANSWER_SHARE);
+  return prompt_tokens + (uint64_t)((double)answer * ANSWER_KV_SHARE);
 }
 
 /* Whether an engine has room for a request of so many tokens, beside what is there. */
@@ -47,7 +47,7 @@
 mf_load_fits (const MfTarget *target, const MfRouteService *traits, uint64_t tokens,
               uint64_t now_us)
 {
-  uint64_t capacity = (uint64_t)((double)traits->kv_capacity_tokens * FILL_SHARE);
+  uint64_t capacity = (uint64_t)((double)traits->kv_capacity_tokens * FILL_SHARE_MAX);
 
   if (target->full_until_us > now_us)
     return false;
@@ -68,11 +68,11 @@
 }
 
 static MfSight
-target_sight (const MfTarget *target, uint64_t now_us)
+target_reachability (const MfTarget *target, uint64_t now_us)
 {
   if (target->suspect_until_us > now_us)
     return target->replaced ? MF_SIGHT_REPLACED : MF_SIGHT_UNREACHED;
-  if (target->alive_us > 0 && now_us - target->alive_us < ANSWERS_US)
+  if (target->alive_us > 0 && now_us - target->alive_us < ANSWERING_US)
     return MF_SIGHT_ANSWERS;
   return MF_SIGHT_NONE;
 }
@@ -92,7 +92,7 @@
         avoided_us = AVOIDED_MAX_US;
 
       if (target->info.role == MF_ROLE_PLAIN
-          || (n_own == 0 && failure_percent < FAILURE_TOLD_PERCENT && avoided_us == 0)
+          || (n_own == 0 && failure_percent < FAILURE_REPORT_MIN_PERCENT && avoided_us == 0)
           || report->n_entries == MF_LOAD_ENTRIES_MAX)
         continue;
       report->entries[report->n_entries++] = (MfLoadEntry){
@@ -100,7 +100,7 @@
         .n_active = n_own,
         .tokens = (uint32_t)(target->active_tokens + target->reserved_tokens),
         .failure_percent = failure_percent,
-        .sight = target_sight (target, now_us),
+        .sight = target_reachability (target, now_us),
         .avoided_ms = (uint32_t)((avoided_us + MF_US_PER_MS - 1) / MF_US_PER_MS),
       };
     }
@@ -124,7 +124,7 @@
 
 /* Adds what another instance told of one upstream at a moment; data is the MfTargets. */
 void
-mf_load_add (void *data, const MfLoadEntry *entry, uint64_t told_us)
+mf_load_add (void *data, const MfLoadEntry *entry, uint64_t received_us)
 {
   MfTarget *target = mf_targets_by_hash (data, entry->upstream);
   double failure_share = entry->failure_percent < 100 ? entry->failure_percent / 100. : 1.;
@@ -138,6 +138,6 @@
   target->n_others_answered += entry->sight == MF_SIGHT_ANSWERS;
   target->n_others_unreached += entry->sight == MF_SIGHT_UNREACHED;
   target->n_others_replaced += entry->sight == MF_SIGHT_REPLACED;
-  if (told_us + entry->avoided_ms * MF_US_PER_MS > target->others_avoid_until_us)
-    target->others_avoid_until_us = told_us + entry->avoided_ms * MF_US_PER_MS;
+  if (received_us + entry->avoided_ms * MF_US_PER_MS > target->others_avoid_until_us)
+    target->others_avoid_until_us = received_us + entry->avoided_ms * MF_US_PER_MS;
 }
--- a/libmangofork/relay/load.h
+++ b/libmangofork/relay/load.h
@@ -16,6 +16,6 @@
                    uint64_t now_us);
 void mf_load_fill (const MfTargets *targets, MfLoadReport *report, uint64_t now_us);
 void mf_load_reset (MfTargets *targets);
-void mf_load_add (void *data, const MfLoadEntry *entry, uint64_t told_us);
+void mf_load_add (void *data, const MfLoadEntry *entry, uint64_t received_us);
 
 #endif
--- a/libmangofork/relay/peers.c
+++ b/libmangofork/relay/peers.c
@@ -15,16 +15,16 @@
 #define READ_BYTES 8192
 /* What a peer told is reckoned with for so long after it fell silent: while it is only cut off, its
  * streams go on at the engines, and they last about as long. */
-#define KEEP_US (5 * MF_US_PER_S)
+#define LOAD_KEEP_US (5 * MF_US_PER_S)
 /* A peer that cannot be reached is tried again after this time, doubled to the last. */
-#define REDIAL_FIRST_US (100 * MF_US_PER_MS)
-#define REDIAL_MAX_US (2 * MF_US_PER_S)
+#define RECONNECT_FIRST_US (100 * MF_US_PER_MS)
+#define RECONNECT_MAX_US (2 * MF_US_PER_S)
 /* A peer that was neither reached nor heard for this long is forgotten, unless it is a seed. */
-#define FORGET_US (30 * MF_US_PER_S)
+#define FORGET_AFTER_US (30 * MF_US_PER_S)
 /* A peer acknowledges what it is sent within this time, or the connection is made anew. */
-#define UNACKED_US (1500 * MF_US_PER_MS)
+#define UNACKED_TIMEOUT_US (1500 * MF_US_PER_MS)
 /* Connecting takes no longer. */
-#define CONNECT_US (1 * MF_US_PER_S)
+#define CONNECT_TIMEOUT_US (1 * MF_US_PER_S)
 #define TICK_S 0.05
 
 static MfPeer *
@@ -63,9 +63,9 @@
   peer->lost = peer->lost || peer->connected;
   peer->connected = false;
   mf_buffer_clear (&peer->out);
-  peer->redial_us = peer->redial_us == 0 ? REDIAL_FIRST_US : peer->redial_us * 2;
-  if (peer->redial_us > REDIAL_MAX_US)
-    peer->redial_us = REDIAL_MAX_US;
+  peer->redial_us = peer->redial_us == 0 ? RECONNECT_FIRST_US : peer->redial_us * 2;
+  if (peer->redial_us > RECONNECT_MAX_US)
+    peer->redial_us = RECONNECT_MAX_US;
   peer->redial_at_us = mf_clock_now_us () + peer->redial_us;
 }
 
@@ -109,14 +109,15 @@
 {
   MfPeer *peer = watcher->data;
   MfPeers *peers = peer->peers;
-  int fault = 0;
-  socklen_t fault_bytes = sizeof fault;
+  int socket_error = 0;
+  socklen_t socket_error_bytes = sizeof socket_error;
 
   (void)loop;
   (void)events;
   if (!peer->connected)
     {
-      if (getsockopt (peer->fd, SOL_SOCKET, SO_ERROR, &fault, &fault_bytes) != 0 || fault != 0)
+      if (getsockopt (peer->fd, SOL_SOCKET, SO_ERROR, &socket_error, &socket_error_bytes) != 0
+          || socket_error != 0)
         {
           mf_peer_hang_up (peers, peer);
           return;
@@ -134,16 +135,16 @@
 }
 
 static void
-peer_dial (MfPeers *peers, MfPeer *peer)
+peer_connect (MfPeers *peers, MfPeer *peer)
 {
   MfError error = { 0 };
-  unsigned int unacked_ms = (unsigned int)(UNACKED_US / MF_US_PER_MS);
+  unsigned int unacked_ms = (unsigned int)(UNACKED_TIMEOUT_US / MF_US_PER_MS);
 
   peer->dialled_us = mf_clock_now_us ();
   peer->fd = mf_socket_connect (peer->address, &error);
   if (peer->fd < 0)
     {
-      peer->redial_at_us = mf_clock_now_us () + REDIAL_MAX_US;
+      peer->redial_at_us = mf_clock_now_us () + RECONNECT_MAX_US;
       return;
     }
   setsockopt (peer->fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacked_ms, sizeof unacked_ms);
@@ -201,7 +202,7 @@
 
 /* Tells the user once that a peer is gone, until it is heard again. */
 static void
-peer_gone (MfPeers *peers, MfPeer *peer)
+peer_notify_gone (MfPeers *peers, MfPeer *peer)
 {
   peer->lost = false;
   if (peer->told_gone || peers->closing)
@@ -212,7 +213,7 @@
 
 /* Takes a report in place of the peer's last one. */
 static void
-report_take (MfPeers *peers, const MfLoadReport *report)
+report_apply (MfPeers *peers, const MfLoadReport *report)
 {
   uint64_t now_us = mf_clock_now_us ();
   MfPeer *peer = peer_add (peers, report->address, false);
@@ -231,7 +232,7 @@
   peer->seen_us = now_us;
   peer->fresh_us = (uint64_t)report->heartbeat_ms * MF_US_PER_MS * MF_PEERS_FRESH_PERCENT / 100;
   /* It lives, so it is worth dialling at once. */
-  if (peer->fd < 0 && peer->redial_at_us > now_us + REDIAL_FIRST_US)
+  if (peer->fd < 0 && peer->redial_at_us > now_us + RECONNECT_FIRST_US)
     peer->redial_at_us = now_us;
   if (report->n_entries > peer->n_entries || peer->entries == NULL)
     {
@@ -254,7 +255,7 @@
 
 /* Whether the same peer speaks on another connection as well. */
 static bool
-has_successor (const MfPeerIncoming *incoming)
+has_other_connection (const MfPeerIncoming *incoming)
 {
   for (const MfPeerIncoming *other = incoming->peers->incoming; other != NULL; other = other->next)
     {
@@ -268,7 +269,7 @@
 incoming_close (MfPeerIncoming *incoming)
 {
   MfPeers *peers = incoming->peers;
-  MfPeer *peer = has_successor (incoming) ? NULL : peer_find (peers, incoming->address);
+  MfPeer *peer = has_other_connection (incoming) ? NULL : peer_find (peers, incoming->address);
 
   /* A process that ends drops its requests at the engines with it. */
   if (peer != NULL && peer->heard_us > 0 && !peers->closing)
@@ -277,13 +278,13 @@
                       peer->n_entries);
       peer->n_entries = 0;
       peer->heard_us = 0;
-      peer_gone (peers, peer);
+      peer_notify_gone (peers, peer);
     }
-  for (MfPeerIncoming **place = &peers->incoming; *place != NULL; place = &(*place)->next)
+  for (MfPeerIncoming **link = &peers->incoming; *link != NULL; link = &(*link)->next)
     {
-      if (*place != incoming)
+      if (*link != incoming)
         continue;
-      *place = incoming->next;
+      *link = incoming->next;
       break;
     }
   ev_io_stop (peers->loop, &incoming->reader);
@@ -294,14 +295,14 @@
 
 /* Whether what a message tells is acted on, not only weighed. */
 static bool
-is_acted_on (MfRelayMessageKind kind)
+needs_sender_check (MfRelayMessageKind kind)
 {
   return kind == MF_RELAY_MESSAGE_FEED || kind == MF_RELAY_MESSAGE_SUSPECTS;
 }
 
 /* Whether a connection comes from the host that its reports name. */
 static bool
-incoming_is_from_its_address (const MfPeerIncoming *incoming)
+incoming_matches_address (const MfPeerIncoming *incoming)
 {
   struct sockaddr_in from = { 0 };
   socklen_t from_bytes = sizeof from;
@@ -317,7 +318,7 @@
 
 /* Takes the frames that are whole. Returns false when what came is no frame. */
 static bool
-incoming_take (MfPeerIncoming *incoming)
+incoming_read_frames (MfPeerIncoming *incoming)
 {
   MfPeers *peers = incoming->peers;
 
@@ -337,10 +338,10 @@
       if (peers->in.kind == MF_RELAY_MESSAGE_REPORT)
         {
           memcpy (incoming->address, peers->in.report.address, sizeof incoming->address);
-          report_take (peers, &peers->in.report);
+          report_apply (peers, &peers->in.report);
         }
       else if (incoming->address[0] != '\0'
-               && (!is_acted_on (peers->in.kind) || incoming_is_from_its_address (incoming)))
+               && (!needs_sender_check (peers->in.kind) || incoming_matches_address (incoming)))
         peers->user->message (peers->data, mf_load_hash (incoming->address), &peers->in);
     }
   return !incoming->in.failed;
@@ -363,7 +364,7 @@
       return;
     }
   mf_buffer_add (&incoming->in, bytes, (size_t)n_read);
-  if (incoming_take (incoming))
+  if (incoming_read_frames (incoming))
     return;
   mf_lines_state (incoming->peers->lines, "peer.faulty", "peer=%s", incoming->address);
   incoming_close (incoming);
@@ -408,16 +409,16 @@
       MfPeer *peer = peers->list[i];
 
       if (peer->lost)
-        peer_gone (peers, peer);
-      if (!peer->is_seed && peer->fd < 0 && now_us - peer->seen_us > FORGET_US
-          && peer->redial_us >= REDIAL_MAX_US)
+        peer_notify_gone (peers, peer);
+      if (!peer->is_seed && peer->fd < 0 && now_us - peer->seen_us > FORGET_AFTER_US
+          && peer->redial_us >= RECONNECT_MAX_US)
         {
           peer_free (peers, peer);
           peers->list[i--] = peers->list[--peers->n_peers];
         }
       else if (peer->fd < 0 && now_us >= peer->redial_at_us)
-        peer_dial (peers, peer);
-      else if (peer->fd >= 0 && !peer->connected && now_us - peer->dialled_us > CONNECT_US)
+        peer_connect (peers, peer);
+      else if (peer->fd >= 0 && !peer->connected && now_us - peer->dialled_us > CONNECT_TIMEOUT_US)
         mf_peer_hang_up (peers, peer);
     }
   mf_peers_tell (peers, false);
@@ -480,13 +481,14 @@
 /* Calls func for each entry that another instance has told and that still holds. */
 void
 mf_peers_foreach (const MfPeers *peers, uint64_t now_us,
-                  void (*func) (void *data, const MfLoadEntry *entry, uint64_t told_us), void *data)
+                  void (*func) (void *data, const MfLoadEntry *entry, uint64_t received_us),
+                  void *data)
 {
   for (uint32_t i = 0; i < peers->n_peers; i++)
     {
       const MfPeer *peer = peers->list[i];
 
-      if (peer->heard_us == 0 || now_us - peer->heard_us > KEEP_US)
+      if (peer->heard_us == 0 || now_us - peer->heard_us > LOAD_KEEP_US)
         continue;
       for (uint32_t j = 0; j < peer->n_entries; j++)
         func (data, &peer->entries[j], peer->heard_us);
@@ -497,11 +499,11 @@
 uint32_t
 mf_peers_count (const MfPeers *peers, uint64_t now_us)
 {
-  uint32_t n_heard = 1;
+  uint32_t n_alive = 1;
 
   for (uint32_t i = 0; i < peers->n_peers; i++)
-    n_heard += mf_peer_is_heard (peers->list[i], now_us);
-  return n_heard;
+    n_alive += mf_peer_is_heard (peers->list[i], now_us);
+  return n_alive;
 }
 
 /* Instances that are known, heard of lately or not, this one included. */
--- a/libmangofork/relay/peers.h
+++ b/libmangofork/relay/peers.h
@@ -33,7 +33,7 @@
 void mf_peers_seed (MfPeers *peers, const char *addresses);
 void mf_peers_touch (MfPeers *peers);
 void mf_peers_foreach (const MfPeers *peers, uint64_t now_us,
-                       void (*func) (void *data, const MfLoadEntry *entry, uint64_t told_us),
+                       void (*func) (void *data, const MfLoadEntry *entry, uint64_t received_us),
                        void *data);
 bool mf_peers_send (MfPeers *peers, uint64_t peer, const MfRelayMessage *message);
 uint64_t mf_peers_leader (MfPeers *peers, const char *service, uint64_t now_us);
--- a/libmangofork/relay/peers_lead.c
+++ b/libmangofork/relay/peers_lead.c
@@ -3,9 +3,9 @@
 #include "libmangofork/clock.h"
 
 /* A peer that did not answer is not asked for so long. */
-#define DISTRUST_US (2 * MF_US_PER_S)
+#define LEADER_EXCLUDE_US (2 * MF_US_PER_S)
 /* Machines' times of day differ by less, also when they jump. */
-#define FENCE_AHEAD_MS (UINT64_C (3600) * 1000)
+#define FENCE_AHEAD_MAX_MS (UINT64_C (3600) * 1000)
 /* Odd number that spreads the ranks of instances (2^64 divided by the golden ratio). */
 #define RANK_FACTOR UINT64_C (0x9e3779b97f4a7c15)
 
@@ -39,7 +39,7 @@
 
 /* From now on reports name the leader of this service. */
 static void
-service_note (MfPeers *peers, uint64_t service_hash)
+service_add (MfPeers *peers, uint64_t service_hash)
 {
   for (uint32_t i = 0; i < peers->n_services; i++)
     {
@@ -54,7 +54,7 @@
 void
 mf_peers_hear_fence (MfPeers *peers, uint64_t service_hash, uint64_t fence)
 {
-  if (fence >> MF_FENCE_OWN_BITS > mf_clock_wall_ms () + FENCE_AHEAD_MS)
+  if (fence >> MF_FENCE_OWN_BITS > mf_clock_wall_ms () + FENCE_AHEAD_MAX_MS)
     return;
   for (uint32_t i = 0; i < peers->n_services; i++)
     {
@@ -69,7 +69,7 @@
 {
   uint64_t service_hash = mf_load_hash (service);
 
-  service_note (peers, service_hash);
+  service_add (peers, service_hash);
   mf_peers_hear_fence (peers, service_hash, fence);
 }
 
@@ -94,7 +94,7 @@
   uint64_t service_hash = mf_load_hash (service);
   MfPeer *best = mf_peers_find_leader (peers, service_hash, now_us);
 
-  service_note (peers, service_hash);
+  service_add (peers, service_hash);
   if (best == NULL)
     return MF_DISPATCH_SELF;
   /* One that begins to decide knows what it was told at the last heartbeat only. */
@@ -106,7 +106,7 @@
 
 /* Whether a peer names this instance as the leader of a service. */
 static bool
-votes_for_own (const MfPeers *peers, const MfPeer *peer, uint64_t service_hash)
+votes_for_self (const MfPeers *peers, const MfPeer *peer, uint64_t service_hash)
 {
   for (uint32_t i = 0; i < peer->n_votes; i++)
     {
@@ -124,12 +124,12 @@
   uint64_t service_hash = mf_load_hash (service);
   uint32_t n_votes = 1;
 
-  service_note (peers, service_hash);
+  service_add (peers, service_hash);
   if (mf_peers_find_leader (peers, service_hash, now_us) != NULL)
     return false;
   for (uint32_t i = 0; i < peers->n_peers; i++)
     n_votes += mf_peer_is_heard (peers->list[i], now_us)
-               && votes_for_own (peers, peers->list[i], service_hash);
+               && votes_for_self (peers, peers->list[i], service_hash);
   return n_votes * 2 > peers->n_peers + 1;
 }
 
@@ -140,7 +140,7 @@
   MfPeer *peer = mf_peers_by_hash (peers, hash);
 
   if (peer != NULL)
-    peer->distrusted_us = mf_clock_now_us () + DISTRUST_US;
+    peer->distrusted_us = mf_clock_now_us () + LEADER_EXCLUDE_US;
 }
 
 /* The data centre that this instance stands in. */
--- a/libmangofork/relay/peers_tell.c
+++ b/libmangofork/relay/peers_tell.c
@@ -5,18 +5,18 @@
 #include <string.h>
 
 /* Changes are told together, this often at most. */
-#define TELL_EVERY_US (4 * MF_US_PER_MS)
+#define REPORT_INTERVAL_MIN_US (4 * MF_US_PER_MS)
 /* Up to so many peers are all told of each change. */
-#define SMALL_FLEET 12
+#define SMALL_FLEET_PEERS_MAX 12
 /* A report that changes nothing still goes out this often, a little less so in large fleets. */
 #define HEARTBEAT_MIN_US (400 * MF_US_PER_MS)
 #define HEARTBEAT_PER_PEER_US (12 * MF_US_PER_MS)
 /* In fleets of up to so many every instance tells the members, in larger ones the seeds and one of
  * so many others. */
-#define MEMBERS_TOLD_BY_ALL 24
-#define MEMBERS_TOLD_BY_PART 16
+#define MEMBERS_SENT_BY_ALL_MAX 24
+#define MEMBERS_SENDERS_DIVISOR 16
 /* Bytes that may wait for a peer that does not read; its connection is then made anew. */
-#define WAITING_BYTES_MAX 65536
+#define UNSENT_BYTES_MAX 65536
 
 static uint64_t
 heartbeat_us (const MfPeers *peers)
@@ -34,11 +34,11 @@
 }
 
 static void
-peer_put (MfPeers *peers, MfPeer *peer, const MfBuffer *frames)
+peer_queue_frames (MfPeers *peers, MfPeer *peer, const MfBuffer *frames)
 {
   if (!peer->connected)
     return;
-  if (mf_buffer_bytes (&peer->out) > WAITING_BYTES_MAX)
+  if (mf_buffer_bytes (&peer->out) > UNSENT_BYTES_MAX)
     {
       mf_peer_hang_up (peers, peer);
       return;
@@ -49,7 +49,7 @@
 
 /* Writes a report of what this instance has now. */
 static void
-report_write (MfPeers *peers, bool with_members, MfBuffer *frame)
+report_encode (MfPeers *peers, bool with_members, MfBuffer *frame)
 {
   MfLoadReport *report = &peers->out.report;
   uint64_t now_us = mf_clock_now_us ();
@@ -83,7 +83,7 @@
 
 /* Tells a peer that the report after this includes a grant of its. */
 static void
-seen_put (MfPeers *peers, MfPeer *peer)
+grant_ack_send (MfPeers *peers, MfPeer *peer)
 {
   MfBuffer frame = { 0 };
 
@@ -93,21 +93,22 @@
   peers->out.kind = MF_RELAY_MESSAGE_SEEN;
   peers->out.grant.id = peer->grant_id;
   mf_relay_message_encode (&peers->out, &frame);
-  peer_put (peers, peer, &frame);
+  peer_queue_frames (peers, peer, &frame);
   mf_buffer_clear (&frame);
 }
 
 /* Whether a peer is to be told now: at its heartbeat, and of changes when it decides for this
  * instance or the fleet is small. */
 static bool
-is_due (const MfPeers *peers, const MfPeer *peer, bool changed, uint64_t now_us)
+is_report_due (const MfPeers *peers, const MfPeer *peer, bool changed, uint64_t now_us)
 {
   if (!peer->connected)
     return false;
   if (now_us - peer->told_us >= heartbeat_us (peers))
     return true;
   return changed
-         && (peers->n_peers <= SMALL_FLEET || now_us - peer->leader_us < MF_PEERS_LEADER_US);
+         && (peers->n_peers <= SMALL_FLEET_PEERS_MAX
+             || now_us - peer->leader_us < MF_PEERS_LEADER_US);
 }
 
 /* Whether a peer is told the members, and what all were told before, when it is reached. Who starts
@@ -116,8 +117,8 @@
 bool
 mf_peers_introduces (const MfPeers *peers, const MfPeer *peer)
 {
-  return peers->is_seed || peers->n_peers <= MEMBERS_TOLD_BY_ALL
-         || (peer->hash ^ peers->hash) % MEMBERS_TOLD_BY_PART == 0;
+  return peers->is_seed || peers->n_peers <= MEMBERS_SENT_BY_ALL_MAX
+         || (peer->hash ^ peers->hash) % MEMBERS_SENDERS_DIVISOR == 0;
 }
 
 /* Tells the peers that are due; with its first report on a connection, a peer is told the members.
@@ -133,17 +134,17 @@
   for (uint32_t i = 0; i < peers->n_peers; i++)
     {
       MfPeer *peer = peers->list[i];
-      bool wants = !peer->members_told && mf_peers_introduces (peers, peer);
-      MfBuffer *frame = wants ? &full : &plain;
+      bool with_members = !peer->members_told && mf_peers_introduces (peers, peer);
+      MfBuffer *frame = with_members ? &full : &plain;
 
-      if (!is_due (peers, peer, changed, now_us))
+      if (!is_report_due (peers, peer, changed, now_us))
         continue;
       if (mf_buffer_bytes (frame) == 0)
-        report_write (peers, wants, frame);
+        report_encode (peers, with_members, frame);
       peer->members_told = true;
       peer->told_us = now_us;
-      seen_put (peers, peer);
-      peer_put (peers, peer, frame);
+      grant_ack_send (peers, peer);
+      peer_queue_frames (peers, peer, frame);
     }
   mf_buffer_clear (&plain);
   mf_buffer_clear (&full);
@@ -162,7 +163,7 @@
 mf_peers_touch (MfPeers *peers)
 {
   uint64_t now_us = mf_clock_now_us ();
-  uint64_t due_us = peers->told_us + TELL_EVERY_US;
+  uint64_t due_us = peers->told_us + REPORT_INTERVAL_MIN_US;
 
   if (peers->n_peers == 0 || ev_is_active (&peers->tell))
     return;
@@ -181,13 +182,13 @@
   if (peer == NULL || !peer->connected)
     return false;
   mf_relay_message_encode (message, &frame);
-  peer_put (peers, peer, &frame);
+  peer_queue_frames (peers, peer, &frame);
   mf_buffer_clear (&frame);
   return peer->connected;
 }
 
 static void
-send_some (MfPeers *peers, const MfRelayMessage *message, bool near_only)
+send_to_peers (MfPeers *peers, const MfRelayMessage *message, bool local_only)
 {
   MfBuffer frame = { 0 };
 
@@ -196,8 +197,8 @@
     {
       MfPeer *peer = peers->list[i];
 
-      if (!near_only || (peer->heard_us > 0 && peer->data_centre == peers->data_centre))
-        peer_put (peers, peer, &frame);
+      if (!local_only || (peer->heard_us > 0 && peer->data_centre == peers->data_centre))
+        peer_queue_frames (peers, peer, &frame);
     }
   mf_buffer_clear (&frame);
 }
@@ -206,14 +207,14 @@
 void
 mf_peers_send_all (MfPeers *peers, const MfRelayMessage *message)
 {
-  send_some (peers, message, false);
+  send_to_peers (peers, message, false);
 }
 
 /* Sends a message to all peers of the same data centre. */
 void
 mf_peers_send_near (MfPeers *peers, const MfRelayMessage *message)
 {
-  send_some (peers, message, true);
+  send_to_peers (peers, message, true);
 }
 
 /* Tells one peer what this instance has now. */
@@ -222,10 +223,10 @@
 {
   MfBuffer frame = { 0 };
 
-  report_write (peers, false, &frame);
+  report_encode (peers, false, &frame);
   peer->told_us = mf_clock_now_us ();
-  seen_put (peers, peer);
-  peer_put (peers, peer, &frame);
+  grant_ack_send (peers, peer);
+  peer_queue_frames (peers, peer, &frame);
   mf_buffer_clear (&frame);
 }
 
--- a/libmangofork/relay/place.c
+++ b/libmangofork/relay/place.c
@@ -5,20 +5,20 @@
 #include <string.h>
 
 /* What a plain answer takes where nothing has been seen yet: the work of the sites' services. */
-#define PLAIN_FALLBACK_US 15000.
+#define DEFAULT_ANSWER_US 15000.
 /* What reading one prompt token takes where nothing has been seen yet. */
-#define TOKEN_FALLBACK_US 18.
+#define DEFAULT_US_PER_TOKEN 18.
 /* What an answer from another data centre costs beside its time: bytes between data centres are
  * priced at about two per cent of a plain request's worth. */
-#define FAR_COST_US 4000.
+#define CROSS_DATA_CENTRE_COST_US 4000.
 /* Engine memory takes twice the link between data centres; a decode is worth this much waiting. */
-#define FAR_MEMORY_SHARE 0.08
+#define CROSS_DATA_CENTRE_KV_SHARE 0.08
 /* Requests at one upstream that this instance sees stand for more that it does not. */
-#define UNSEEN_FACTOR 2.
+#define OTHER_INSTANCES_FACTOR 2.
 /* A request under which an upstream has ended waits so long rather than run beside another. */
-#define APART_COST_US 1e6
+#define SUSPECT_COST_US 1e6
 /* An upstream that fails every time is this much worse than its time says. */
-#define FAILURE_FACTOR 12.
+#define FAILURE_COST_FACTOR 12.
 
 /* Whether an upstream is among those that a request keeps away from. */
 bool
@@ -33,17 +33,17 @@
 }
 
 static bool
-is_candidate (const MfTarget *target, const MfPlaceAsk *ask, uint64_t now_us)
+is_candidate (const MfTarget *target, const MfPlaceAsk *query, uint64_t now_us)
 {
-  return !mf_target_is_leaving (target) && target->info.role == ask->role
-         && target->stage_until_us <= now_us && strcmp (target->info.service, ask->service) == 0;
+  return !mf_target_is_leaving (target) && target->info.role == query->role
+         && target->stage_until_us <= now_us && strcmp (target->info.service, query->service) == 0;
 }
 
 /* Whether it is in the data centre of the instance that sends. */
 static bool
-is_near (const MfTarget *target, const MfPlaceAsk *ask)
+is_same_data_centre (const MfTarget *target, const MfPlaceAsk *query)
 {
-  return strcmp (target->info.data_centre, ask->data_centre) == 0;
+  return strcmp (target->info.data_centre, query->data_centre) == 0;
 }
 
 /* Time since the last sign of life of an upstream that owes an answer. */
@@ -54,48 +54,49 @@
 }
 
 static double
-plain_cost_us (const MfTarget *target, const MfPlaceAsk *ask, uint64_t now_us)
+plain_cost_us (const MfTarget *target, const MfPlaceAsk *query, uint64_t now_us)
 {
-  double answer_us = mf_target_answer_us (target, PLAIN_FALLBACK_US, now_us);
+  double answer_us = mf_target_answer_us (target, DEFAULT_ANSWER_US, now_us);
   double silent_us = silence_us (target, now_us);
   uint32_t slots = target->info.slots > 0 ? target->info.slots : 1;
 
   if (silent_us > answer_us)
     answer_us = silent_us;
-  return answer_us * (1. + UNSEEN_FACTOR * target->n_active / slots)
-         + (is_near (target, ask) ? 0. : FAR_COST_US);
+  return answer_us * (1. + OTHER_INSTANCES_FACTOR * target->n_active / slots)
+         + (is_same_data_centre (target, query) ? 0. : CROSS_DATA_CENTRE_COST_US);
 }
 
 static double
-prefill_cost_us (const MfTarget *target, const MfPlaceAsk *ask, uint64_t now_us)
+prefill_cost_us (const MfTarget *target, const MfPlaceAsk *query, uint64_t now_us)
 {
-  double us_per_token = target->us_per_token > 0. ? target->us_per_token : TOKEN_FALLBACK_US;
+  double us_per_token = target->us_per_token > 0. ? target->us_per_token : DEFAULT_US_PER_TOKEN;
   double silent_us = silence_us (target, now_us);
-  double cost_us = us_per_token * (double)(mf_target_load_tokens (target) + ask->tokens);
+  double cost_us = us_per_token * (double)(mf_target_load_tokens (target) + query->tokens);
 
   /* It takes no prompt now; where all are so, the one that may take one first is asked. */
   if (target->full_until_us > now_us)
     cost_us += (double)MF_US_PER_S + (double)(target->full_until_us - now_us);
-  return (silent_us > cost_us ? silent_us : cost_us) + (is_near (target, ask) ? 0. : FAR_COST_US);
+  return (silent_us > cost_us ? silent_us : cost_us)
+         + (is_same_data_centre (target, query) ? 0. : CROSS_DATA_CENTRE_COST_US);
 }
 
 /* Decodes are compared by how full the upstream is, as a share of its slots or its memory. */
 static double
-decode_cost (const MfTarget *target, const MfPlaceAsk *ask, uint64_t now_us)
+decode_cost (const MfTarget *target, const MfPlaceAsk *query, uint64_t now_us)
 {
   uint32_t slots = target->info.slots > 0 ? target->info.slots : 1;
   double slot_share = (double)(mf_target_load (target) + 1) / slots;
   double memory_share = 0.;
   double share;
 
-  if (ask->traits != NULL && ask->traits->kv_capacity_tokens > 0)
-    memory_share = (double)(mf_target_load_tokens (target) + ask->tokens)
-                   / (double)ask->traits->kv_capacity_tokens;
+  if (query->traits != NULL && query->traits->kv_capacity_tokens > 0)
+    memory_share = (double)(mf_target_load_tokens (target) + query->tokens)
+                   / (double)query->traits->kv_capacity_tokens;
   share = slot_share > memory_share ? slot_share : memory_share;
-  if (ask->memory_data_centre != NULL
-          ? strcmp (ask->memory_data_centre, target->info.data_centre) != 0
-          : !is_near (target, ask))
-    share += FAR_MEMORY_SHARE;
+  if (query->memory_data_centre != NULL
+          ? strcmp (query->memory_data_centre, target->info.data_centre) != 0
+          : !is_same_data_centre (target, query))
+    share += CROSS_DATA_CENTRE_KV_SHARE;
   if (target->full_until_us > now_us)
     share += 1.;
   /* A second without an event from streams that run there is no pause any more. */
@@ -106,51 +107,53 @@
 
 /* How long the answer is expected to take there, in microseconds. */
 double
-mf_place_cost_us (const MfTarget *target, const MfPlaceAsk *ask, uint64_t now_us)
+mf_place_cost_us (const MfTarget *target, const MfPlaceAsk *query, uint64_t now_us)
 {
   double cost_us;
   double failure_share;
 
-  switch (ask->role)
+  switch (query->role)
     {
     case MF_ROLE_PREFILL:
-      cost_us = prefill_cost_us (target, ask, now_us);
+      cost_us = prefill_cost_us (target, query, now_us);
       break;
     case MF_ROLE_DECODE:
-      cost_us = decode_cost (target, ask, now_us);
+      cost_us = decode_cost (target, query, now_us);
       break;
     default:
-      cost_us = plain_cost_us (target, ask, now_us);
+      cost_us = plain_cost_us (target, query, now_us);
       break;
     }
-  if (ask->apart && target->n_suspects > 0)
-    cost_us += APART_COST_US;
+  if (query->apart && target->n_suspects > 0)
+    cost_us += SUSPECT_COST_US;
   failure_share = mf_target_failure_share (target, now_us);
   if (target->others_failure_share > failure_share)
     failure_share = target->others_failure_share;
-  return cost_us * (1. + FAILURE_FACTOR * failure_share);
+  return cost_us * (1. + FAILURE_COST_FACTOR * failure_share);
 }
 
 /* Chooses the upstream that is expected to answer first. NULL when none is usable; any_alive then
  * tells whether one of the role is known at all that is not leaving. */
 MfTarget *
-mf_place_choose (const MfTargets *targets, const MfPlaceAsk *ask, uint64_t now_us, bool *any_alive)
+mf_place_choose (const MfTargets *targets, const MfPlaceAsk *query, uint64_t now_us,
+                 bool *any_available)
 {
   MfTarget *best = NULL;
   MfTarget *suspect = NULL;
   double best_us = 0.;
   uint32_t n_equal = 0;
 
-  *any_alive = false;
+  *any_available = false;
   for (MfTarget *target = targets->first; target != NULL; target = target->next)
     {
       double cost_us;
 
-      if (!is_candidate (target, ask, now_us))
+      if (!is_candidate (target, query, now_us))
         continue;
-      *any_alive = true;
-      if (!mf_target_takes (target, now_us) || mf_place_avoids (ask->avoid, ask->n_avoid, target)
-          || (ask->must_fit && !mf_load_fits (target, ask->traits, ask->tokens, now_us)))
+      *any_available = true;
+      if (!mf_target_takes (target, now_us)
+          || mf_place_avoids (query->avoid, query->n_avoid, target)
+          || (query->must_fit && !mf_load_fits (target, query->traits, query->tokens, now_us)))
         continue;
       if (mf_target_is_suspect (target, now_us))
         {
@@ -158,14 +161,14 @@
             suspect = target;
           continue;
         }
-      cost_us = mf_place_cost_us (target, ask, now_us);
+      cost_us = mf_place_cost_us (target, query, now_us);
       if (best == NULL || cost_us < best_us * 0.999)
         {
           best = target;
           best_us = cost_us;
           n_equal = 1;
         }
-      else if (cost_us <= best_us * 1.001 && ask->point % ++n_equal == 0)
+      else if (cost_us <= best_us * 1.001 && query->point % ++n_equal == 0)
         best = target;
     }
   return best != NULL ? best : suspect;
@@ -191,7 +194,7 @@
 uint64_t
 mf_place_opens_us (const MfTargets *targets, const char *service, MfRole role, uint64_t now_us)
 {
-  uint64_t opens_us = 0;
+  uint64_t pause_end_us = 0;
 
   for (const MfTarget *target = targets->first; target != NULL; target = target->next)
     {
@@ -200,8 +203,8 @@
         continue;
       if (target->paused_until_us <= now_us)
         return 0;
-      if (opens_us == 0 || target->paused_until_us < opens_us)
-        opens_us = target->paused_until_us;
+      if (pause_end_us == 0 || target->paused_until_us < pause_end_us)
+        pause_end_us = target->paused_until_us;
     }
-  return opens_us;
+  return pause_end_us;
 }
--- a/libmangofork/relay/place.h
+++ b/libmangofork/relay/place.h
@@ -24,9 +24,9 @@
 } MfPlaceAsk;
 
 bool mf_place_avoids (const uint64_t *avoid, uint32_t n_avoid, const MfTarget *target);
-MfTarget *mf_place_choose (const MfTargets *targets, const MfPlaceAsk *ask, uint64_t now_us,
-                           bool *any_alive);
-double mf_place_cost_us (const MfTarget *target, const MfPlaceAsk *ask, uint64_t now_us);
+MfTarget *mf_place_choose (const MfTargets *targets, const MfPlaceAsk *query, uint64_t now_us,
+                           bool *any_available);
+double mf_place_cost_us (const MfTarget *target, const MfPlaceAsk *query, uint64_t now_us);
 bool mf_place_has_role (const MfTargets *targets, const char *service, MfRole role,
                         const uint64_t *avoid, uint32_t n_avoid);
 uint64_t mf_place_opens_us (const MfTargets *targets, const char *service, MfRole role,
--- a/libmangofork/relay/relay_message.c
+++ b/libmangofork/relay/relay_message.c
@@ -9,15 +9,15 @@
 #define REPORT_MEMBERS 7
 #define VOTE_MEMBERS 3
 #define ENTRY_MEMBERS 6
-#define ASK_MEMBERS 11
+#define SLOT_REQUEST_MEMBERS 11
 #define GRANT_MEMBERS 4
 #define ID_MEMBERS 2
 #define REPEAT_MEMBERS 5
-#define ALLOW_MEMBERS 3
+#define REPEAT_REPLY_MEMBERS 3
 #define FEED_MEMBERS 7
 #define FEED_ITEM_MEMBERS 4
 #define SUSPECTS_MEMBERS 2
-#define SUSPECT_ROW_MEMBERS 4
+#define SUSPECT_ENTRY_MEMBERS 4
 #define SUSPECT_DEATH_MEMBERS 3
 /* A repeat is a prompt that is read again and a run. */
 #define REPEAT_SENDS_MAX 2
@@ -72,24 +72,24 @@
 }
 
 static void
-ask_pack (msgpack_packer *packer, const MfRelayMessage *message)
+slot_request_pack (msgpack_packer *packer, const MfRelayMessage *message)
 {
-  const MfAsk *ask = &message->ask;
+  const MfAsk *request = &message->ask;
 
-  msgpack_pack_array (packer, ASK_MEMBERS);
+  msgpack_pack_array (packer, SLOT_REQUEST_MEMBERS);
   msgpack_pack_uint32 (packer, message->kind);
-  msgpack_pack_uint64 (packer, ask->id);
-  pack_text (packer, ask->service);
-  pack_text (packer, ask->data_centre);
-  msgpack_pack_uint64 (packer, ask->prompt_tokens);
-  msgpack_pack_uint64 (packer, ask->memory_tokens);
-  msgpack_pack_uint32 (packer, ask->has_memory);
-  msgpack_pack_uint64 (packer, ask->age_us);
-  msgpack_pack_uint64 (packer, ask->objective_us);
-  msgpack_pack_uint64 (packer, ask->patience_us);
-  msgpack_pack_array (packer, ask->n_avoid);
-  for (uint32_t i = 0; i < ask->n_avoid; i++)
-    msgpack_pack_uint64 (packer, ask->avoid[i]);
+  msgpack_pack_uint64 (packer, request->id);
+  pack_text (packer, request->service);
+  pack_text (packer, request->data_centre);
+  msgpack_pack_uint64 (packer, request->prompt_tokens);
+  msgpack_pack_uint64 (packer, request->memory_tokens);
+  msgpack_pack_uint32 (packer, request->has_memory);
+  msgpack_pack_uint64 (packer, request->age_us);
+  msgpack_pack_uint64 (packer, request->objective_us);
+  msgpack_pack_uint64 (packer, request->patience_us);
+  msgpack_pack_array (packer, request->n_avoid);
+  for (uint32_t i = 0; i < request->n_avoid; i++)
+    msgpack_pack_uint64 (packer, request->avoid[i]);
 }
 
 static void
@@ -122,9 +122,9 @@
 }
 
 static void
-allow_pack (msgpack_packer *packer, const MfRelayMessage *message)
+repeat_reply_pack (msgpack_packer *packer, const MfRelayMessage *message)
 {
-  msgpack_pack_array (packer, ALLOW_MEMBERS);
+  msgpack_pack_array (packer, REPEAT_REPLY_MEMBERS);
   msgpack_pack_uint32 (packer, message->kind);
   msgpack_pack_uint64 (packer, message->repeat.id);
   msgpack_pack_uint32 (packer, message->repeat.allowed);
@@ -159,26 +159,26 @@
 static void
 suspects_pack (msgpack_packer *packer, const MfRelayMessage *message)
 {
-  const MfSuspectNews *news = &message->suspects;
+  const MfSuspectNews *update = &message->suspects;
 
   msgpack_pack_array (packer, SUSPECTS_MEMBERS);
   msgpack_pack_uint32 (packer, message->kind);
-  msgpack_pack_array (packer, news->n_rows);
-  for (uint32_t i = 0; i < news->n_rows; i++)
+  msgpack_pack_array (packer, update->n_rows);
+  for (uint32_t i = 0; i < update->n_rows; i++)
     {
-      const MfSuspectRow *row = &news->rows[i];
-
-      msgpack_pack_array (packer, SUSPECT_ROW_MEMBERS);
-      msgpack_pack_uint64 (packer, row->digest);
-      msgpack_pack_uint32 (packer, row->cleared);
-      msgpack_pack_uint32 (packer, row->sentence_ms);
-      msgpack_pack_array (packer, row->n_deaths);
-      for (uint32_t j = 0; j < row->n_deaths; j++)
+      const MfSuspectRow *entry = &update->rows[i];
+
+      msgpack_pack_array (packer, SUSPECT_ENTRY_MEMBERS);
+      msgpack_pack_uint64 (packer, entry->digest);
+      msgpack_pack_uint32 (packer, entry->cleared);
+      msgpack_pack_uint32 (packer, entry->sentence_ms);
+      msgpack_pack_array (packer, entry->n_deaths);
+      for (uint32_t j = 0; j < entry->n_deaths; j++)
         {
           msgpack_pack_array (packer, SUSPECT_DEATH_MEMBERS);
-          msgpack_pack_uint64 (packer, row->deaths[j].process);
-          msgpack_pack_uint32 (packer, row->deaths[j].sent_age_ms);
-          msgpack_pack_uint32 (packer, row->deaths[j].age_ms);
+          msgpack_pack_uint64 (packer, entry->deaths[j].process);
+          msgpack_pack_uint32 (packer, entry->deaths[j].sent_age_ms);
+          msgpack_pack_uint32 (packer, entry->deaths[j].age_ms);
         }
     }
 }
@@ -231,29 +231,29 @@
 }
 
 static bool
-entry_read (const msgpack_object *row, MfLoadEntry *entry)
+entry_read (const msgpack_object *object, MfLoadEntry *entry)
 {
   uint64_t sight = 0;
 
-  if (row->type != MSGPACK_OBJECT_ARRAY || row->via.array.size < ENTRY_MEMBERS
-      || !read_number (&row->via.array.ptr[0], UINT64_MAX, &entry->upstream)
-      || !read_u32 (&row->via.array.ptr[1], &entry->n_active)
-      || !read_u32 (&row->via.array.ptr[2], &entry->tokens)
-      || !read_u32 (&row->via.array.ptr[3], &entry->failure_percent)
-      || !read_number (&row->via.array.ptr[4], MF_SIGHT_LAST, &sight)
-      || !read_u32 (&row->via.array.ptr[5], &entry->avoided_ms))
+  if (object->type != MSGPACK_OBJECT_ARRAY || object->via.array.size < ENTRY_MEMBERS
+      || !read_number (&object->via.array.ptr[0], UINT64_MAX, &entry->upstream)
+      || !read_u32 (&object->via.array.ptr[1], &entry->n_active)
+      || !read_u32 (&object->via.array.ptr[2], &entry->tokens)
+      || !read_u32 (&object->via.array.ptr[3], &entry->failure_percent)
+      || !read_number (&object->via.array.ptr[4], MF_SIGHT_LAST, &sight)
+      || !read_u32 (&object->via.array.ptr[5], &entry->avoided_ms))
     return false;
   entry->sight = (MfSight)sight;
   return true;
 }
 
 static bool
-vote_read (const msgpack_object *row, MfLeaderVote *vote)
+vote_read (const msgpack_object *object, MfLeaderVote *vote)
 {
-  return row->type == MSGPACK_OBJECT_ARRAY && row->via.array.size >= VOTE_MEMBERS
-         && read_number (&row->via.array.ptr[0], UINT64_MAX, &vote->service)
-         && read_number (&row->via.array.ptr[1], UINT64_MAX, &vote->leader)
-         && read_number (&row->via.array.ptr[2], UINT64_MAX, &vote->fence);
+  return object->type == MSGPACK_OBJECT_ARRAY && object->via.array.size >= VOTE_MEMBERS
+         && read_number (&object->via.array.ptr[0], UINT64_MAX, &vote->service)
+         && read_number (&object->via.array.ptr[1], UINT64_MAX, &vote->leader)
+         && read_number (&object->via.array.ptr[2], UINT64_MAX, &vote->fence);
 }
 
 static bool
@@ -261,7 +261,7 @@
 {
   MfLoadReport *report = &message->report;
   const msgpack_object *entries = &members[3];
-  const msgpack_object *others = &members[4];
+  const msgpack_object *member_list = &members[4];
   const msgpack_object *votes = &members[5];
   uint64_t data_centre = 0;
 
@@ -270,8 +270,8 @@
   report->n_votes = 0;
   if (!read_text (&members[1], report->address, sizeof report->address)
       || !read_u32 (&members[2], &report->heartbeat_ms)
-      || !read_array (entries, MF_LOAD_ENTRIES_MAX) || !read_array (others, MF_LOAD_MEMBERS_MAX)
-      || !read_array (votes, MF_LOAD_VOTES_MAX)
+      || !read_array (entries, MF_LOAD_ENTRIES_MAX)
+      || !read_array (member_list, MF_LOAD_MEMBERS_MAX) || !read_array (votes, MF_LOAD_VOTES_MAX)
       || !read_number (&members[6], UINT16_MAX, &data_centre))
     return false;
   report->data_centre = (uint16_t)data_centre;
@@ -281,9 +281,9 @@
         return false;
       report->n_entries++;
     }
-  for (uint32_t i = 0; i < others->via.array.size; i++)
+  for (uint32_t i = 0; i < member_list->via.array.size; i++)
     {
-      if (!read_text (&others->via.array.ptr[i], report->members[i], MF_ADDRESS_BYTES))
+      if (!read_text (&member_list->via.array.ptr[i], report->members[i], MF_ADDRESS_BYTES))
         return false;
       report->n_members++;
     }
@@ -297,28 +297,28 @@
 }
 
 static bool
-ask_read (const msgpack_object *members, MfRelayMessage *message)
+slot_request_read (const msgpack_object *members, MfRelayMessage *message)
 {
-  MfAsk *ask = &message->ask;
+  MfAsk *request = &message->ask;
   const msgpack_object *avoid = &members[10];
 
-  ask->n_avoid = 0;
-  if (!read_number (&members[1], UINT64_MAX, &ask->id)
-      || !read_text (&members[2], ask->service, sizeof ask->service)
-      || !read_text (&members[3], ask->data_centre, sizeof ask->data_centre)
-      || !read_number (&members[4], UINT32_MAX, &ask->prompt_tokens)
-      || !read_number (&members[5], UINT32_MAX, &ask->memory_tokens)
-      || !read_flag (&members[6], &ask->has_memory)
-      || !read_number (&members[7], UINT64_MAX / 2, &ask->age_us)
-      || !read_number (&members[8], UINT64_MAX / 4, &ask->objective_us)
-      || !read_number (&members[9], UINT64_MAX / 4, &ask->patience_us)
+  request->n_avoid = 0;
+  if (!read_number (&members[1], UINT64_MAX, &request->id)
+      || !read_text (&members[2], request->service, sizeof request->service)
+      || !read_text (&members[3], request->data_centre, sizeof request->data_centre)
+      || !read_number (&members[4], UINT32_MAX, &request->prompt_tokens)
+      || !read_number (&members[5], UINT32_MAX, &request->memory_tokens)
+      || !read_flag (&members[6], &request->has_memory)
+      || !read_number (&members[7], UINT64_MAX / 2, &request->age_us)
+      || !read_number (&members[8], UINT64_MAX / 4, &request->objective_us)
+      || !read_number (&members[9], UINT64_MAX / 4, &request->patience_us)
       || !read_array (avoid, MF_PLACE_AVOID_MAX))
     return false;
   for (uint32_t i = 0; i < avoid->via.array.size; i++)
     {
-      if (!read_number (&avoid->via.array.ptr[i], UINT64_MAX, &ask->avoid[i]))
+      if (!read_number (&avoid->via.array.ptr[i], UINT64_MAX, &request->avoid[i]))
         return false;
-      ask->n_avoid++;
+      request->n_avoid++;
     }
   return true;
 }
@@ -349,7 +349,7 @@
 }
 
 static bool
-allow_read (const msgpack_object *members, MfRelayMessage *message)
+repeat_reply_read (const msgpack_object *members, MfRelayMessage *message)
 {
   return read_number (&members[1], UINT64_MAX, &message->repeat.id)
          && read_flag (&members[2], &message->repeat.allowed);
@@ -371,18 +371,18 @@
     return false;
   for (uint32_t i = 0; i < items->via.array.size; i++)
     {
-      const msgpack_object *row = &items->via.array.ptr[i];
+      const msgpack_object *object = &items->via.array.ptr[i];
       char key[MF_FEED_KEY_BYTES];
       uint64_t revision = 0;
       bool removed = false;
 
-      if (row->type != MSGPACK_OBJECT_ARRAY || row->via.array.size < FEED_ITEM_MEMBERS
-          || !read_text (&row->via.array.ptr[0], key, sizeof key)
-          || !read_number (&row->via.array.ptr[1], UINT64_MAX, &revision)
-          || !read_flag (&row->via.array.ptr[2], &removed)
-          || row->via.array.ptr[3].type != MSGPACK_OBJECT_BIN
-          || !mf_feed_add (feed, key, revision, removed, row->via.array.ptr[3].via.bin.ptr,
-                           row->via.array.ptr[3].via.bin.size))
+      if (object->type != MSGPACK_OBJECT_ARRAY || object->via.array.size < FEED_ITEM_MEMBERS
+          || !read_text (&object->via.array.ptr[0], key, sizeof key)
+          || !read_number (&object->via.array.ptr[1], UINT64_MAX, &revision)
+          || !read_flag (&object->via.array.ptr[2], &removed)
+          || object->via.array.ptr[3].type != MSGPACK_OBJECT_BIN
+          || !mf_feed_add (feed, key, revision, removed, object->via.array.ptr[3].via.bin.ptr,
+                           object->via.array.ptr[3].via.bin.size))
         return false;
     }
   return true;
@@ -398,24 +398,25 @@
 }
 
 static bool
-suspect_row_read (const msgpack_object *members, MfSuspectRow *row)
+suspect_entry_read (const msgpack_object *members, MfSuspectRow *entry)
 {
   const msgpack_object *deaths;
 
-  if (members->type != MSGPACK_OBJECT_ARRAY || members->via.array.size < SUSPECT_ROW_MEMBERS)
+  if (members->type != MSGPACK_OBJECT_ARRAY || members->via.array.size < SUSPECT_ENTRY_MEMBERS)
     return false;
   deaths = &members->via.array.ptr[3];
-  row->n_deaths = 0;
-  if (!read_number (&members->via.array.ptr[0], UINT64_MAX, &row->digest)
-      || !read_flag (&members->via.array.ptr[1], &row->cleared)
-      || !read_u32 (&members->via.array.ptr[2], &row->sentence_ms)
+  entry->n_deaths = 0;
+  if (!read_number (&members->via.array.ptr[0], UINT64_MAX, &entry->digest)
+      || !read_flag (&members->via.array.ptr[1], &entry->cleared)
+      || !read_u32 (&members->via.array.ptr[2], &entry->sentence_ms)
       || !read_array (deaths, MF_SUSPECT_DEATHS_MAX))
     return false;
-  while (row->n_deaths < deaths->via.array.size)
+  while (entry->n_deaths < deaths->via.array.size)
     {
-      if (!suspect_death_read (&deaths->via.array.ptr[row->n_deaths], &row->deaths[row->n_deaths]))
+      if (!suspect_death_read (&deaths->via.array.ptr[entry->n_deaths],
+                               &entry->deaths[entry->n_deaths]))
         return false;
-      row->n_deaths++;
+      entry->n_deaths++;
     }
   return true;
 }
@@ -423,17 +424,17 @@
 static bool
 suspects_read (const msgpack_object *members, MfRelayMessage *message)
 {
-  MfSuspectNews *news = &message->suspects;
+  MfSuspectNews *update = &message->suspects;
   const msgpack_object *rows = &members[1];
 
-  news->n_rows = 0;
+  update->n_rows = 0;
   if (!read_array (rows, MF_SUSPECT_ROWS_MAX))
     return false;
-  while (news->n_rows < rows->via.array.size)
+  while (update->n_rows < rows->via.array.size)
     {
-      if (!suspect_row_read (&rows->via.array.ptr[news->n_rows], &news->rows[news->n_rows]))
+      if (!suspect_entry_read (&rows->via.array.ptr[update->n_rows], &update->rows[update->n_rows]))
         return false;
-      news->n_rows++;
+      update->n_rows++;
     }
   return true;
 }
@@ -444,17 +445,17 @@
   uint32_t n_members;
   void (*pack) (msgpack_packer *packer, const MfRelayMessage *message);
   bool (*read) (const msgpack_object *members, MfRelayMessage *message);
-} KindCodec;
+} MessageCodec;
 
-static const KindCodec codecs[] = {
+static const MessageCodec codecs[] = {
   [MF_RELAY_MESSAGE_REPORT] = { REPORT_MEMBERS, report_pack, report_read },
-  [MF_RELAY_MESSAGE_ASK] = { ASK_MEMBERS, ask_pack, ask_read },
+  [MF_RELAY_MESSAGE_ASK] = { SLOT_REQUEST_MEMBERS, slot_request_pack, slot_request_read },
   [MF_RELAY_MESSAGE_GRANT] = { GRANT_MEMBERS, grant_pack, grant_read },
   [MF_RELAY_MESSAGE_QUEUED] = { ID_MEMBERS, id_pack, id_read },
   [MF_RELAY_MESSAGE_CANCEL] = { ID_MEMBERS, id_pack, id_read },
   [MF_RELAY_MESSAGE_SEEN] = { ID_MEMBERS, id_pack, id_read },
   [MF_RELAY_MESSAGE_REPEAT] = { REPEAT_MEMBERS, repeat_pack, repeat_read },
-  [MF_RELAY_MESSAGE_ALLOW] = { ALLOW_MEMBERS, allow_pack, allow_read },
+  [MF_RELAY_MESSAGE_ALLOW] = { REPEAT_REPLY_MEMBERS, repeat_reply_pack, repeat_reply_read },
   [MF_RELAY_MESSAGE_FEED] = { FEED_MEMBERS, feed_pack, feed_read },
   [MF_RELAY_MESSAGE_SUSPECTS] = { SUSPECTS_MEMBERS, suspects_pack, suspects_read },
 };
--- a/libmangofork/relay/route.c
+++ b/libmangofork/relay/route.c
@@ -92,7 +92,7 @@
 
 /* The service for one request; point is a uniform number that decides among weights. */
 uint32_t
-mf_route_choose (const MfRoute *route, uint32_t point)
+mf_route_choose (const MfRoute *route, uint32_t random)
 {
   uint64_t total = 0;
 
@@ -100,7 +100,7 @@
     total += route->shares[i].weight;
   if (total == 0)
     return route->n_shares > 0 ? route->shares[0].service : MF_NONE;
-  total = (uint64_t)point * total >> 32;
+  total = (uint64_t)random * total >> 32;
   for (uint32_t i = 0; i < route->n_shares; i++)
     {
       if (total < route->shares[i].weight)
--- a/libmangofork/relay/route.h
+++ b/libmangofork/relay/route.h
@@ -76,6 +76,6 @@
 uint32_t mf_routes_service (const MfRoutes *routes, const char *name);
 const MfRoute *mf_routes_find (const MfRoutes *routes, const char *host, size_t host_bytes,
                                const char *path, size_t path_bytes);
-uint32_t mf_route_choose (const MfRoute *route, uint32_t point);
+uint32_t mf_route_choose (const MfRoute *route, uint32_t random);
 
 #endif
--- a/libmangofork/relay/target.c
+++ b/libmangofork/relay/target.c
@@ -13,7 +13,7 @@
 #define AVERAGE_WEIGHT 0.15
 /* What was seen of an upstream counts half after this time, as slow and failing ones recover within
  * seconds. */
-#define MEMORY_HALF_US (3. * (double)MF_US_PER_S)
+#define AVERAGE_HALF_LIFE_US (3. * (double)MF_US_PER_S)
 /* An upstream that cannot be reached is left alone for this long, doubled with each failure. */
 #define SUSPECT_FIRST_US (300 * MF_US_PER_MS)
 #define SUSPECT_MAX_US (2400 * MF_US_PER_MS)
@@ -34,8 +34,8 @@
 /* An upstream that declined for want of room is not asked by others for so long; doubled each time,
  * up to the last, while it declines with nothing there: an engine that changes its stage does so
  * for seconds, and who has just started does not know of the order. */
-#define FULL_US (120 * MF_US_PER_MS)
-#define FULL_DOUBLINGS 4
+#define DECLINED_US (120 * MF_US_PER_MS)
+#define DECLINED_DOUBLINGS 4
 
 static void
 target_free (MfTarget *target)
@@ -95,7 +95,7 @@
 }
 
 static void
-target_note_end (MfTarget *target, const char *why)
+target_record_end (MfTarget *target, const char *why)
 {
   MfTargets *targets = target->targets;
 
@@ -107,11 +107,11 @@
 static void
 on_refused (void *owner)
 {
-  target_note_end (owner, "nothing listens at its address");
+  target_record_end (owner, "nothing listens at its address");
 }
 
 static void
-on_look_end (void *data, MfLinkEnd end, const char *why)
+on_probe_end (void *data, MfLinkEnd end, const char *why)
 {
   MfTarget *target = data;
 
@@ -124,8 +124,8 @@
   mf_target_unref (target);
 }
 
-static const MfLinkUser look_user = {
-  .end = on_look_end,
+static const MfLinkUser probe_user = {
+  .end = on_probe_end,
 };
 
 /* Opens a connection to see whether the process is there. */
@@ -134,13 +134,13 @@
 {
   if (target->look != NULL || !target->listed)
     return;
-  target->look = mf_link_open (&target->pool, &look_user, target);
+  target->look = mf_link_open (&target->pool, &probe_user, target);
   if (target->look != NULL)
     mf_target_ref (target);
 }
 
 static void
-look_cancel (MfTarget *target)
+probe_cancel (MfTarget *target)
 {
   if (target->look == NULL)
     return;
@@ -152,13 +152,13 @@
 static void
 target_drop (MfTargets *targets, MfTarget *dropped)
 {
-  for (MfTarget **place = &targets->first; *place != NULL; place = &(*place)->next)
+  for (MfTarget **link = &targets->first; *link != NULL; link = &(*link)->next)
     {
-      if (*place != dropped)
+      if (*link != dropped)
         continue;
-      *place = dropped->next;
+      *link = dropped->next;
       targets->n_targets--;
-      look_cancel (dropped);
+      probe_cancel (dropped);
       mf_link_pool_close (&dropped->pool);
       dropped->pool.n_idle_max = 0;
       dropped->listed = false;
@@ -169,7 +169,7 @@
 
 /* Takes from the head of an answer what its upstream says of itself. */
 static void
-on_heard (void *owner, const MfHead *head, uint32_t status)
+on_answer_head (void *owner, const MfHead *head, uint32_t status)
 {
   MfTarget *target = owner;
   char value[32] = "";
@@ -226,7 +226,7 @@
     .idle_default_us = IDLE_DEFAULT_US,
     .connect_timeout_us = CONNECT_TIMEOUT_US,
     .unacked_timeout_us = targets->unacked_timeout_us,
-    .heard = on_heard,
+    .heard = on_answer_head,
     .refused = on_refused,
     .owner = target,
   };
@@ -270,7 +270,7 @@
       && (strcmp (target->info.address, info->address) != 0 || target->info.born_ms != info->born_ms
           || strcmp (target->info.service, info->service) != 0))
     {
-      target_note_end (target, "it was started anew");
+      target_record_end (target, "it was started anew");
       target_drop (targets, target);
       target = NULL;
     }
@@ -476,14 +476,14 @@
   target->suspect_until_us = until_us;
   target->replaced = true;
   target->alive_us = 0;
-  target_note_end (target, "another process answers at its address");
+  target_record_end (target, "another process answers at its address");
 }
 
 /* How much an observation of this time still counts, 0 to 1. */
 static double
-memory_weight (uint64_t seen_us, uint64_t now_us)
+age_weight (uint64_t seen_us, uint64_t now_us)
 {
-  return exp2 (-(double)(now_us - seen_us) / MEMORY_HALF_US);
+  return exp2 (-(double)(now_us - seen_us) / AVERAGE_HALF_LIFE_US);
 }
 
 static void
@@ -496,10 +496,12 @@
 void
 mf_target_declined (MfTarget *target, uint64_t now_us)
 {
-  uint32_t doublings = target->n_declined < FULL_DOUBLINGS ? target->n_declined : FULL_DOUBLINGS;
+  uint32_t doublings
+      = target->n_declined < DECLINED_DOUBLINGS ? target->n_declined : DECLINED_DOUBLINGS;
 
   target->n_declined = mf_target_load (target) == 0 ? target->n_declined + 1 : 0;
-  target->full_until_us = now_us + (target->n_declined > 0 ? FULL_US << doublings : FULL_US);
+  target->full_until_us
+      = now_us + (target->n_declined > 0 ? DECLINED_US << doublings : DECLINED_US);
 }
 
 /* It answered in good order after so long. */
@@ -516,11 +518,11 @@
 
 /* It read a prompt of so many tokens, queueing included. */
 void
-mf_target_read (MfTarget *target, uint64_t tokens, uint64_t read_us, uint64_t now_us)
+mf_target_read (MfTarget *target, uint64_t tokens, uint64_t prefill_us, uint64_t now_us)
 {
   if (tokens > 0)
-    average_add (&target->us_per_token, (double)read_us / (double)tokens);
-  mf_target_answered (target, read_us, now_us);
+    average_add (&target->us_per_token, (double)prefill_us / (double)tokens);
+  mf_target_answered (target, prefill_us, now_us);
 }
 
 /* It answered with a failure, or not at all. */
@@ -550,7 +552,7 @@
 double
 mf_target_failure_share (const MfTarget *target, uint64_t now_us)
 {
-  return target->failure_share * memory_weight (target->failed_us, now_us);
+  return target->failure_share * age_weight (target->failed_us, now_us);
 }
 
 /* What an answer takes there by all that was seen; unseen targets are given fallback_us. */
@@ -561,6 +563,6 @@
 
   if (target->answer_us <= 0.)
     return fallback_us;
-  weight = memory_weight (target->answered_us, now_us);
+  weight = age_weight (target->answered_us, now_us);
   return target->answer_us * weight + fallback_us * (1. - weight);
 }
--- a/libmangofork/relay/target.h
+++ b/libmangofork/relay/target.h
@@ -131,7 +131,7 @@
 bool mf_target_is_suspect (const MfTarget *target, uint64_t now_us);
 void mf_target_alive (MfTarget *target, uint64_t now_us);
 void mf_target_answered (MfTarget *target, uint64_t answer_us, uint64_t now_us);
-void mf_target_read (MfTarget *target, uint64_t tokens, uint64_t read_us, uint64_t now_us);
+void mf_target_read (MfTarget *target, uint64_t tokens, uint64_t prefill_us, uint64_t now_us);
 void mf_target_failed (MfTarget *target, bool unreachable, uint64_t now_us);
 void mf_target_says_leaving (MfTarget *target);
 void mf_target_pause (MfTarget *target, double pause_s, uint64_t now_us);
--- a/tests/test_dispatch.c
+++ b/tests/test_dispatch.c
@@ -12,7 +12,7 @@
 #define N_ENGINES 4
 #define CAPACITY_TOKENS 60000
 #define OBJECTIVE_US (900 * MF_US_PER_MS)
-#define PATIENCE_US (3300 * MF_US_PER_MS)
+#define MAX_AGE_US (3300 * MF_US_PER_MS)
 
 static const MfRouteService engine = {
   .name = "llm",
@@ -23,30 +23,30 @@
 
 typedef struct
 {
-  uint64_t asker;
+  uint64_t requester;
   MfGrant grant;
-} Given;
+} GivenGrant;
 
 typedef struct
 {
   MfTargets targets;
   MfTarget engines[N_ENGINES];
   MfDispatch *dispatch;
-  Given given[256];
+  GivenGrant given[256];
   uint32_t n_given;
-} Room;
+} Fixture;
 
 static void
-on_grant (void *data, uint64_t asker, const MfGrant *grant)
+on_grant (void *data, uint64_t requester, const MfGrant *grant)
 {
-  Room *room = data;
+  Fixture *fixture = data;
 
   /* This instance's own grants show in its loads at once. */
-  if (asker == MF_DISPATCH_SELF)
-    mf_target_begin (&room->engines[grant->decode - 1], 8000, NOW_US);
+  if (requester == MF_DISPATCH_SELF)
+    mf_target_begin (&fixture->engines[grant->decode - 1], 8000, NOW_US);
 
-  assert_in_range (room->n_given, 0, MF_ARRAY_LEN (room->given) - 1);
-  room->given[room->n_given++] = (Given){ .asker = asker, .grant = *grant };
+  assert_in_range (fixture->n_given, 0, MF_ARRAY_LEN (fixture->given) - 1);
+  fixture->given[fixture->n_given++] = (GivenGrant){ .requester = requester, .grant = *grant };
 }
 
 static const MfRouteService *
@@ -59,32 +59,32 @@
 static const MfDispatchUser user = { .grant = on_grant, .traits = on_traits };
 
 static void
-room_begin (Room *room)
+fixture_setup (Fixture *fixture)
 {
-  memset (room, 0, sizeof *room);
+  memset (fixture, 0, sizeof *fixture);
   for (uint32_t i = 0; i < N_ENGINES; i++)
     {
-      MfTarget *target = &room->engines[i];
+      MfTarget *target = &fixture->engines[i];
 
       target->info.role = MF_ROLE_DECODE;
       target->info.slots = 16;
       mf_name_set (target->info.service, sizeof target->info.service, "llm");
       target->id_hash = i + 1;
-      target->next = room->targets.first;
-      room->targets.first = target;
+      target->next = fixture->targets.first;
+      fixture->targets.first = target;
     }
-  room->dispatch = mf_dispatch_new (&room->targets, &user, room);
-  assert_non_null (room->dispatch);
+  fixture->dispatch = mf_dispatch_new (&fixture->targets, &user, fixture);
+  assert_non_null (fixture->dispatch);
 }
 
 static void
-room_end (Room *room)
+fixture_teardown (Fixture *fixture)
 {
-  mf_dispatch_free (room->dispatch);
+  mf_dispatch_free (fixture->dispatch);
 }
 
 static MfAsk
-ask_make (uint64_t id, uint64_t age_us, uint64_t tokens)
+request_make (uint64_t id, uint64_t age_us, uint64_t tokens)
 {
   return (MfAsk){
     .id = id,
@@ -93,39 +93,39 @@
     .memory_tokens = tokens,
     .age_us = age_us,
     .objective_us = OBJECTIVE_US,
-    .patience_us = PATIENCE_US,
+    .patience_us = MAX_AGE_US,
   };
 }
 
 static void
-ask (Room *room, uint64_t asker, const MfAsk *wanted)
+enqueue (Fixture *fixture, uint64_t requester, const MfAsk *request)
 {
-  mf_dispatch_ask (room->dispatch, asker, wanted, NOW_US);
+  mf_dispatch_ask (fixture->dispatch, requester, request, NOW_US);
 }
 
 static void
 test_those_in_time_go_first_then_the_oldest (void **state)
 {
-  Room room;
-  MfAsk late = ask_make (1, 2 * OBJECTIVE_US, 8000);
-  MfAsk old = ask_make (2, OBJECTIVE_US / 2, 8000);
-  MfAsk young = ask_make (3, 0, 8000);
-  MfAsk read = ask_make (4, 2 * OBJECTIVE_US, 8000);
+  Fixture fixture;
+  MfAsk late = request_make (1, 2 * OBJECTIVE_US, 8000);
+  MfAsk old = request_make (2, OBJECTIVE_US / 2, 8000);
+  MfAsk young = request_make (3, 0, 8000);
+  MfAsk read = request_make (4, 2 * OBJECTIVE_US, 8000);
 
   (void)state;
-  room_begin (&room);
+  fixture_setup (&fixture);
   read.has_memory = true;
-  ask (&room, 7, &late);
-  ask (&room, 7, &young);
-  ask (&room, 7, &old);
-  ask (&room, 7, &read);
-  assert_int_equal (mf_dispatch_run (room.dispatch, NOW_US), 0);
-  assert_int_equal (room.n_given, 4);
-  assert_int_equal (room.given[0].grant.id, 4);
-  assert_int_equal (room.given[1].grant.id, 2);
-  assert_int_equal (room.given[2].grant.id, 3);
-  assert_int_equal (room.given[3].grant.id, 1);
-  room_end (&room);
+  enqueue (&fixture, 7, &late);
+  enqueue (&fixture, 7, &young);
+  enqueue (&fixture, 7, &old);
+  enqueue (&fixture, 7, &read);
+  assert_int_equal (mf_dispatch_run (fixture.dispatch, NOW_US), 0);
+  assert_int_equal (fixture.n_given, 4);
+  assert_int_equal (fixture.given[0].grant.id, 4);
+  assert_int_equal (fixture.given[1].grant.id, 2);
+  assert_int_equal (fixture.given[2].grant.id, 3);
+  assert_int_equal (fixture.given[3].grant.id, 1);
+  fixture_teardown (&fixture);
 }
 
 /* The load is a burst of twice what the engines hold, from twenty instances at once. Every engine
@@ -133,161 +133,161 @@
 static void
 test_burst_fills_no_engine_beyond_its_memory (void **state)
 {
-  Room room;
+  Fixture fixture;
   uint64_t tokens[N_ENGINES + 1] = { 0 };
 
   (void)state;
-  room_begin (&room);
+  fixture_setup (&fixture);
   for (uint64_t i = 0; i < 60; i++)
     {
-      MfAsk wanted = ask_make (i + 1, 0, 8000);
+      MfAsk request = request_make (i + 1, 0, 8000);
 
-      ask (&room, i % 20 + 1, &wanted);
-      mf_dispatch_run (room.dispatch, NOW_US);
+      enqueue (&fixture, i % 20 + 1, &request);
+      mf_dispatch_run (fixture.dispatch, NOW_US);
     }
-  for (uint32_t i = 0; i < room.n_given; i++)
-    tokens[room.given[i].grant.decode] += 8000;
-  assert_int_equal (room.n_given, N_ENGINES * (CAPACITY_TOKENS / 8000));
+  for (uint32_t i = 0; i < fixture.n_given; i++)
+    tokens[fixture.given[i].grant.decode] += 8000;
+  assert_int_equal (fixture.n_given, N_ENGINES * (CAPACITY_TOKENS / 8000));
   for (uint32_t i = 1; i <= N_ENGINES; i++)
     assert_true (tokens[i] <= CAPACITY_TOKENS);
-  assert_int_equal (mf_dispatch_n_waiting (room.dispatch), 60 - room.n_given);
-  room_end (&room);
+  assert_int_equal (mf_dispatch_n_waiting (fixture.dispatch), 60 - fixture.n_given);
+  fixture_teardown (&fixture);
 }
 
 /* A place that comes free is given once, however many wait for it. */
 static void
 test_free_place_goes_to_one (void **state)
 {
-  Room room;
+  Fixture fixture;
 
   (void)state;
-  room_begin (&room);
+  fixture_setup (&fixture);
   for (uint32_t i = 0; i < N_ENGINES; i++)
-    mf_target_begin (&room.engines[i], CAPACITY_TOKENS, NOW_US);
+    mf_target_begin (&fixture.engines[i], CAPACITY_TOKENS, NOW_US);
   for (uint64_t i = 0; i < 20; i++)
     {
-      MfAsk wanted = ask_make (i + 1, 0, 28000);
+      MfAsk request = request_make (i + 1, 0, 28000);
 
-      ask (&room, i + 1, &wanted);
+      enqueue (&fixture, i + 1, &request);
     }
-  assert_int_equal (mf_dispatch_run (room.dispatch, NOW_US), 20);
-  room.engines[2].active_tokens -= 30000;
-  assert_int_equal (mf_dispatch_run (room.dispatch, NOW_US), 19);
-  assert_int_equal (mf_dispatch_run (room.dispatch, NOW_US), 19);
-  assert_int_equal (room.n_given, 1);
-  assert_int_equal (room.given[0].grant.decode, 3);
-  room_end (&room);
+  assert_int_equal (mf_dispatch_run (fixture.dispatch, NOW_US), 20);
+  fixture.engines[2].active_tokens -= 30000;
+  assert_int_equal (mf_dispatch_run (fixture.dispatch, NOW_US), 19);
+  assert_int_equal (mf_dispatch_run (fixture.dispatch, NOW_US), 19);
+  assert_int_equal (fixture.n_given, 1);
+  assert_int_equal (fixture.given[0].grant.decode, 3);
+  fixture_teardown (&fixture);
 }
 
 static void
 test_grants_count_until_the_askers_load_shows_them (void **state)
 {
-  Room room;
-  MfAsk wanted = ask_make (1, 0, 8000);
+  Fixture fixture;
+  MfAsk request = request_make (1, 0, 8000);
 
   (void)state;
-  room_begin (&room);
-  ask (&room, 7, &wanted);
-  mf_dispatch_run (room.dispatch, NOW_US);
-  mf_load_reset (&room.targets);
-  mf_dispatch_add_pending (room.dispatch, NOW_US);
-  assert_int_equal (room.engines[room.given[0].grant.decode - 1].others_tokens, 8000);
+  fixture_setup (&fixture);
+  enqueue (&fixture, 7, &request);
+  mf_dispatch_run (fixture.dispatch, NOW_US);
+  mf_load_reset (&fixture.targets);
+  mf_dispatch_add_pending (fixture.dispatch, NOW_US);
+  assert_int_equal (fixture.engines[fixture.given[0].grant.decode - 1].others_tokens, 8000);
   /* Another asker's word says nothing of it. */
-  mf_dispatch_seen (room.dispatch, 8, 1);
-  mf_load_reset (&room.targets);
-  mf_dispatch_add_pending (room.dispatch, NOW_US);
-  assert_int_equal (room.engines[room.given[0].grant.decode - 1].others_tokens, 8000);
-  mf_dispatch_seen (room.dispatch, 7, 1);
-  mf_load_reset (&room.targets);
-  mf_dispatch_add_pending (room.dispatch, NOW_US);
-  assert_int_equal (room.engines[room.given[0].grant.decode - 1].others_tokens, 0);
-  room_end (&room);
+  mf_dispatch_seen (fixture.dispatch, 8, 1);
+  mf_load_reset (&fixture.targets);
+  mf_dispatch_add_pending (fixture.dispatch, NOW_US);
+  assert_int_equal (fixture.engines[fixture.given[0].grant.decode - 1].others_tokens, 8000);
+  mf_dispatch_seen (fixture.dispatch, 7, 1);
+  mf_load_reset (&fixture.targets);
+  mf_dispatch_add_pending (fixture.dispatch, NOW_US);
+  assert_int_equal (fixture.engines[fixture.given[0].grant.decode - 1].others_tokens, 0);
+  fixture_teardown (&fixture);
 }
 
 static void
 test_lost_grants_and_gone_askers_free_their_places (void **state)
 {
-  Room room;
-  MfAsk one = ask_make (1, 0, 8000);
-  MfAsk two = ask_make (2, 0, 90000);
+  Fixture fixture;
+  MfAsk one = request_make (1, 0, 8000);
+  MfAsk two = request_make (2, 0, 90000);
 
   (void)state;
-  room_begin (&room);
-  mf_target_begin (&room.engines[0], 1, NOW_US);
-  mf_target_begin (&room.engines[1], 1, NOW_US);
-  mf_target_begin (&room.engines[2], 1, NOW_US);
-  mf_target_begin (&room.engines[3], 1, NOW_US);
-  ask (&room, 7, &one);
-  ask (&room, 7, &two);
-  assert_int_equal (mf_dispatch_run (room.dispatch, NOW_US), 1);
-  mf_dispatch_drop (room.dispatch, 7);
-  assert_int_equal (mf_dispatch_n_waiting (room.dispatch), 0);
-  mf_load_reset (&room.targets);
-  mf_dispatch_add_pending (room.dispatch, NOW_US);
+  fixture_setup (&fixture);
+  mf_target_begin (&fixture.engines[0], 1, NOW_US);
+  mf_target_begin (&fixture.engines[1], 1, NOW_US);
+  mf_target_begin (&fixture.engines[2], 1, NOW_US);
+  mf_target_begin (&fixture.engines[3], 1, NOW_US);
+  enqueue (&fixture, 7, &one);
+  enqueue (&fixture, 7, &two);
+  assert_int_equal (mf_dispatch_run (fixture.dispatch, NOW_US), 1);
+  mf_dispatch_drop (fixture.dispatch, 7);
+  assert_int_equal (mf_dispatch_n_waiting (fixture.dispatch), 0);
+  mf_load_reset (&fixture.targets);
+  mf_dispatch_add_pending (fixture.dispatch, NOW_US);
   for (uint32_t i = 0; i < N_ENGINES; i++)
-    assert_int_equal (room.engines[i].others_tokens, 0);
-  ask (&room, 8, &one);
-  mf_dispatch_run (room.dispatch, NOW_US);
-  mf_load_reset (&room.targets);
-  mf_dispatch_add_pending (room.dispatch, NOW_US + MF_US_PER_S);
+    assert_int_equal (fixture.engines[i].others_tokens, 0);
+  enqueue (&fixture, 8, &one);
+  mf_dispatch_run (fixture.dispatch, NOW_US);
+  mf_load_reset (&fixture.targets);
+  mf_dispatch_add_pending (fixture.dispatch, NOW_US + MF_US_PER_S);
   for (uint32_t i = 0; i < N_ENGINES; i++)
-    assert_int_equal (room.engines[i].others_tokens, 0);
-  room_end (&room);
+    assert_int_equal (fixture.engines[i].others_tokens, 0);
+  fixture_teardown (&fixture);
 }
 
 /* A request larger than what ever comes free holds up none of the others. */
 static void
 test_oversized_request_holds_up_nobody (void **state)
 {
-  Room room;
-  MfAsk huge = ask_make (1, OBJECTIVE_US / 2, 90000);
-  MfAsk usual = ask_make (2, 0, 8000);
+  Fixture fixture;
+  MfAsk huge = request_make (1, OBJECTIVE_US / 2, 90000);
+  MfAsk typical = request_make (2, 0, 8000);
 
   (void)state;
-  room_begin (&room);
+  fixture_setup (&fixture);
   for (uint32_t i = 0; i < N_ENGINES; i++)
-    mf_target_begin (&room.engines[i], 1, NOW_US);
-  ask (&room, 7, &huge);
-  ask (&room, 7, &usual);
-  assert_int_equal (mf_dispatch_run (room.dispatch, NOW_US), 1);
-  assert_int_equal (room.n_given, 1);
-  assert_int_equal (room.given[0].grant.id, 2);
+    mf_target_begin (&fixture.engines[i], 1, NOW_US);
+  enqueue (&fixture, 7, &huge);
+  enqueue (&fixture, 7, &typical);
+  assert_int_equal (mf_dispatch_run (fixture.dispatch, NOW_US), 1);
+  assert_int_equal (fixture.n_given, 1);
+  assert_int_equal (fixture.given[0].grant.id, 2);
   /* An engine on which nothing runs takes it. */
-  mf_target_end (&room.engines[3], 1);
-  mf_load_reset (&room.targets);
-  assert_int_equal (mf_dispatch_run (room.dispatch, NOW_US + 1), 0);
-  assert_int_equal (room.given[1].grant.decode, 4);
-  room_end (&room);
+  mf_target_end (&fixture.engines[3], 1);
+  mf_load_reset (&fixture.targets);
+  assert_int_equal (mf_dispatch_run (fixture.dispatch, NOW_US + 1), 0);
+  assert_int_equal (fixture.given[1].grant.decode, 4);
+  fixture_teardown (&fixture);
 }
 
 /* Nobody is sent to an engine that could not be reached, however much room it seems to have. */
 static void
 test_unreachable_engines_are_not_promised (void **state)
 {
-  Room room;
-  MfAsk wanted = ask_make (1, 0, 8000);
+  Fixture fixture;
+  MfAsk request = request_make (1, 0, 8000);
 
   (void)state;
-  room_begin (&room);
+  fixture_setup (&fixture);
   for (uint32_t i = 0; i < N_ENGINES; i++)
-    mf_target_begin (&room.engines[i], CAPACITY_TOKENS, NOW_US);
-  mf_target_end (&room.engines[1], CAPACITY_TOKENS);
-  room.engines[1].suspect_until_us = NOW_US + MF_US_PER_S;
-  ask (&room, 7, &wanted);
-  assert_int_equal (mf_dispatch_run (room.dispatch, NOW_US), 1);
-  assert_int_equal (room.n_given, 0);
-  room_end (&room);
+    mf_target_begin (&fixture.engines[i], CAPACITY_TOKENS, NOW_US);
+  mf_target_end (&fixture.engines[1], CAPACITY_TOKENS);
+  fixture.engines[1].suspect_until_us = NOW_US + MF_US_PER_S;
+  enqueue (&fixture, 7, &request);
+  assert_int_equal (mf_dispatch_run (fixture.dispatch, NOW_US), 1);
+  assert_int_equal (fixture.n_given, 0);
+  fixture_teardown (&fixture);
 }
 
 /* What another instance tells of an engine. */
 static void
-tell (Room *room, uint64_t engine_hash, MfSight sight, uint32_t avoided_ms)
+report_reachability (Fixture *fixture, uint64_t upstream_hash, MfSight sight, uint32_t avoided_ms)
 {
   bool answers = sight == MF_SIGHT_ANSWERS;
 
-  mf_load_add (&room->targets,
+  mf_load_add (&fixture->targets,
                &(MfLoadEntry){
-                   .upstream = engine_hash,
+                   .upstream = upstream_hash,
                    .n_active = answers,
                    .tokens = answers ? 8000 : 0,
                    .sight = sight,
@@ -301,48 +301,48 @@
 static void
 test_engines_out_of_reach_of_others_are_not_promised (void **state)
 {
-  Room room;
+  Fixture fixture;
 
   (void)state;
-  room_begin (&room);
+  fixture_setup (&fixture);
   for (uint64_t hash = 1; hash <= 2; hash++)
     {
-      tell (&room, hash, MF_SIGHT_UNREACHED, 300);
-      tell (&room, hash, MF_SIGHT_UNREACHED, 600);
-      tell (&room, hash + 2, MF_SIGHT_ANSWERS, 0);
+      report_reachability (&fixture, hash, MF_SIGHT_UNREACHED, 300);
+      report_reachability (&fixture, hash, MF_SIGHT_UNREACHED, 600);
+      report_reachability (&fixture, hash + 2, MF_SIGHT_ANSWERS, 0);
     }
   for (uint64_t id = 1; id <= 4; id++)
     {
-      MfAsk wanted = ask_make (id, 0, 8000);
+      MfAsk request = request_make (id, 0, 8000);
 
-      ask (&room, 7, &wanted);
+      enqueue (&fixture, 7, &request);
     }
-  mf_dispatch_run (room.dispatch, NOW_US);
-  assert_int_equal (room.n_given, 4);
-  for (uint32_t i = 0; i < room.n_given; i++)
-    assert_in_range (room.given[i].grant.decode, 3, 4);
+  mf_dispatch_run (fixture.dispatch, NOW_US);
+  assert_int_equal (fixture.n_given, 4);
+  for (uint32_t i = 0; i < fixture.n_given; i++)
+    assert_in_range (fixture.given[i].grant.decode, 3, 4);
   /* They are tried again after the longest that an instance leaves them alone. */
-  assert_true (mf_target_is_suspect (&room.engines[0], NOW_US + 599 * MF_US_PER_MS));
-  assert_false (mf_target_is_suspect (&room.engines[0], NOW_US + 600 * MF_US_PER_MS));
-  room_end (&room);
+  assert_true (mf_target_is_suspect (&fixture.engines[0], NOW_US + 599 * MF_US_PER_MS));
+  assert_false (mf_target_is_suspect (&fixture.engines[0], NOW_US + 600 * MF_US_PER_MS));
+  fixture_teardown (&fixture);
 }
 
 /* Instances that are cut off from engines do not take these from all others. */
 static void
 test_instances_that_are_cut_off_do_not_speak_for_others (void **state)
 {
-  Room room;
+  Fixture fixture;
 
   (void)state;
-  room_begin (&room);
-  tell (&room, 1, MF_SIGHT_UNREACHED, 300);
+  fixture_setup (&fixture);
+  report_reachability (&fixture, 1, MF_SIGHT_UNREACHED, 300);
   for (uint32_t i = 0; i < 3; i++)
-    tell (&room, 2, MF_SIGHT_UNREACHED, 300);
+    report_reachability (&fixture, 2, MF_SIGHT_UNREACHED, 300);
   for (uint32_t i = 0; i < 3; i++)
-    tell (&room, 2, MF_SIGHT_ANSWERS, 0);
-  assert_false (mf_target_is_suspect (&room.engines[0], NOW_US));
-  assert_false (mf_target_is_suspect (&room.engines[1], NOW_US));
-  room_end (&room);
+    report_reachability (&fixture, 2, MF_SIGHT_ANSWERS, 0);
+  assert_false (mf_target_is_suspect (&fixture.engines[0], NOW_US));
+  assert_false (mf_target_is_suspect (&fixture.engines[1], NOW_US));
+  fixture_teardown (&fixture);
 }
 
 /* A different process that answers in its place is no matter of the way there: one instance that
@@ -350,15 +350,15 @@
 static void
 test_engine_that_was_replaced_is_not_promised (void **state)
 {
-  Room room;
+  Fixture fixture;
 
   (void)state;
-  room_begin (&room);
-  tell (&room, 1, MF_SIGHT_REPLACED, 3000);
-  tell (&room, 1, MF_SIGHT_ANSWERS, 0);
-  assert_true (mf_target_is_suspect (&room.engines[0], NOW_US + 2 * MF_US_PER_S));
-  assert_false (mf_target_is_suspect (&room.engines[0], NOW_US + 3 * MF_US_PER_S));
-  room_end (&room);
+  fixture_setup (&fixture);
+  report_reachability (&fixture, 1, MF_SIGHT_REPLACED, 3000);
+  report_reachability (&fixture, 1, MF_SIGHT_ANSWERS, 0);
+  assert_true (mf_target_is_suspect (&fixture.engines[0], NOW_US + 2 * MF_US_PER_S));
+  assert_false (mf_target_is_suspect (&fixture.engines[0], NOW_US + 3 * MF_US_PER_S));
+  fixture_teardown (&fixture);
 }
 
 /* A request that every engine has declined or failed waits for another one, and the others do not
@@ -366,63 +366,63 @@
 static void
 test_request_that_avoids_all_engines_holds_up_nobody (void **state)
 {
-  Room room;
-  MfAsk choosy = ask_make (1, OBJECTIVE_US / 2, 8000);
-  MfAsk other = ask_make (2, 0, 8000);
+  Fixture fixture;
+  MfAsk avoiding = request_make (1, OBJECTIVE_US / 2, 8000);
+  MfAsk other = request_make (2, 0, 8000);
 
   (void)state;
-  room_begin (&room);
-  choosy.has_memory = true;
+  fixture_setup (&fixture);
+  avoiding.has_memory = true;
   for (uint32_t i = 0; i < N_ENGINES; i++)
-    choosy.avoid[choosy.n_avoid++] = i + 1;
-  ask (&room, 7, &choosy);
-  ask (&room, 8, &other);
-  assert_int_equal (mf_dispatch_run (room.dispatch, NOW_US), 1);
-  assert_int_equal (room.n_given, 1);
-  assert_int_equal (room.given[0].asker, 8);
-  room_end (&room);
+    avoiding.avoid[avoiding.n_avoid++] = i + 1;
+  enqueue (&fixture, 7, &avoiding);
+  enqueue (&fixture, 8, &other);
+  assert_int_equal (mf_dispatch_run (fixture.dispatch, NOW_US), 1);
+  assert_int_equal (fixture.n_given, 1);
+  assert_int_equal (fixture.given[0].requester, 8);
+  fixture_teardown (&fixture);
 }
 
 static void
 test_callers_that_have_left_are_not_served (void **state)
 {
-  Room room;
-  MfAsk wanted = ask_make (1, PATIENCE_US + 1, 8000);
+  Fixture fixture;
+  MfAsk request = request_make (1, MAX_AGE_US + 1, 8000);
 
   (void)state;
-  room_begin (&room);
-  ask (&room, 7, &wanted);
-  assert_int_equal (mf_dispatch_run (room.dispatch, NOW_US), 0);
-  assert_int_equal (room.n_given, 0);
-  wanted = ask_make (2, 0, 8000);
-  ask (&room, 7, &wanted);
-  mf_dispatch_cancel (room.dispatch, 7, 2);
-  assert_int_equal (mf_dispatch_run (room.dispatch, NOW_US), 0);
-  assert_int_equal (room.n_given, 0);
-  room_end (&room);
+  fixture_setup (&fixture);
+  enqueue (&fixture, 7, &request);
+  assert_int_equal (mf_dispatch_run (fixture.dispatch, NOW_US), 0);
+  assert_int_equal (fixture.n_given, 0);
+  request = request_make (2, 0, 8000);
+  enqueue (&fixture, 7, &request);
+  mf_dispatch_cancel (fixture.dispatch, 7, 2);
+  assert_int_equal (mf_dispatch_run (fixture.dispatch, NOW_US), 0);
+  assert_int_equal (fixture.n_given, 0);
+  fixture_teardown (&fixture);
 }
 
 /* A service that is full does not hold up another; one that nobody knows holds up none. */
 static void
 test_services_do_not_hold_up_each_other (void **state)
 {
-  Room room;
-  MfAsk unknown = ask_make (1, 0, 8000);
-  MfAsk known = ask_make (2, 0, 8000);
+  Fixture fixture;
+  MfAsk unknown = request_make (1, 0, 8000);
+  MfAsk known = request_make (2, 0, 8000);
 
   (void)state;
-  room_begin (&room);
+  fixture_setup (&fixture);
   mf_name_set (unknown.service, sizeof unknown.service, "nobody");
-  ask (&room, 7, &unknown);
-  ask (&room, 7, &known);
-  assert_int_equal (mf_dispatch_run (room.dispatch, NOW_US), 1);
-  assert_int_equal (room.n_given, 1);
-  assert_int_equal (room.given[0].grant.id, 2);
-  room_end (&room);
+  enqueue (&fixture, 7, &unknown);
+  enqueue (&fixture, 7, &known);
+  assert_int_equal (mf_dispatch_run (fixture.dispatch, NOW_US), 1);
+  assert_int_equal (fixture.n_given, 1);
+  assert_int_equal (fixture.given[0].grant.id, 2);
+  fixture_teardown (&fixture);
 }
 
 #define STEP_US (10 * MF_US_PER_MS)
-#define N_CALLS 400
+#define N_STREAMS_MAX 400
 
 /* One stream of a burst. */
 typedef struct
@@ -430,49 +430,49 @@
   uint64_t begun_us;
   uint64_t granted_us; /* 0: waits */
   uint32_t engine;
-} Call;
+} Stream;
 
 /* Plays a burst of twice what the engines can take, for five seconds: each stream needs 8,000
  * tokens for three seconds, and its first event comes first_us after its place. Returns how many
  * callers get it within the objective when asks name this latest age for a place. */
 static uint32_t
-burst_in_time (uint64_t first_us, uint64_t latest_age_us)
+simulate_burst (uint64_t first_event_us, uint64_t latest_age_us)
 {
-  static Call calls[N_CALLS];
-  Room room;
-  uint32_t n_calls = 0;
-  uint32_t n_taken = 0;
+  static Stream streams[N_STREAMS_MAX];
+  Fixture fixture;
+  uint32_t n_streams = 0;
+  uint32_t n_applied = 0;
   uint32_t n_in_time = 0;
 
-  room_begin (&room);
-  memset (calls, 0, sizeof calls);
+  fixture_setup (&fixture);
+  memset (streams, 0, sizeof streams);
   for (uint64_t now_us = NOW_US; now_us < NOW_US + 9 * MF_US_PER_S; now_us += STEP_US)
     {
       /* Nine streams a second fill four engines of seven places; twice that come. */
-      if (now_us < NOW_US + 5 * MF_US_PER_S && (now_us - NOW_US) * 18 / MF_US_PER_S >= n_calls)
+      if (now_us < NOW_US + 5 * MF_US_PER_S && (now_us - NOW_US) * 18 / MF_US_PER_S >= n_streams)
         {
-          MfAsk wanted = ask_make (++n_calls, 0, 8000);
+          MfAsk request = request_make (++n_streams, 0, 8000);
 
-          wanted.objective_us = latest_age_us;
-          calls[n_calls - 1].begun_us = now_us;
-          mf_dispatch_ask (room.dispatch, MF_DISPATCH_SELF, &wanted, now_us);
+          request.objective_us = latest_age_us;
+          streams[n_streams - 1].begun_us = now_us;
+          mf_dispatch_ask (fixture.dispatch, MF_DISPATCH_SELF, &request, now_us);
         }
-      for (uint32_t i = 0; i < n_calls; i++)
+      for (uint32_t i = 0; i < n_streams; i++)
         {
-          if (calls[i].granted_us > 0 && calls[i].granted_us + 3 * MF_US_PER_S == now_us)
-            mf_target_end (&room.engines[calls[i].engine], 8000);
+          if (streams[i].granted_us > 0 && streams[i].granted_us + 3 * MF_US_PER_S == now_us)
+            mf_target_end (&fixture.engines[streams[i].engine], 8000);
         }
-      mf_dispatch_run (room.dispatch, now_us);
-      for (; n_taken < room.n_given; n_taken++)
+      mf_dispatch_run (fixture.dispatch, now_us);
+      for (; n_applied < fixture.n_given; n_applied++)
         {
-          Call *call = &calls[room.given[n_taken].grant.id - 1];
+          Stream *stream = &streams[fixture.given[n_applied].grant.id - 1];
 
-          call->granted_us = now_us;
-          call->engine = (uint32_t)room.given[n_taken].grant.decode - 1;
-          n_in_time += now_us + first_us <= call->begun_us + OBJECTIVE_US;
+          stream->granted_us = now_us;
+          stream->engine = (uint32_t)fixture.given[n_applied].grant.decode - 1;
+          n_in_time += now_us + first_event_us <= stream->begun_us + OBJECTIVE_US;
         }
     }
-  room_end (&room);
+  fixture_teardown (&fixture);
   return n_in_time;
 }
 
@@ -481,9 +481,9 @@
 static void
 test_burst_serves_more_in_time_when_reading_is_reckoned_with (void **state)
 {
-  uint64_t first_us = 250 * MF_US_PER_MS;
-  uint32_t before = burst_in_time (first_us, OBJECTIVE_US);
-  uint32_t after = burst_in_time (first_us, OBJECTIVE_US - first_us);
+  uint64_t first_event_us = 250 * MF_US_PER_MS;
+  uint32_t before = simulate_burst (first_event_us, OBJECTIVE_US);
+  uint32_t after = simulate_burst (first_event_us, OBJECTIVE_US - first_event_us);
 
   (void)state;
   assert_true (after > before + before / 5);
@@ -492,12 +492,12 @@
 static void
 test_memory_is_reckoned_between_hint_and_usual (void **state)
 {
-  uint64_t usual = mf_load_memory_tokens (5000, 0, 4000, 7540);
+  uint64_t typical = mf_load_memory_tokens (5000, 0, 4000, 7540);
 
   (void)state;
-  assert_true (usual > 5000 && usual < 9000);
-  assert_true (mf_load_memory_tokens (5000, 1000, 4000, 7540) < usual);
-  assert_true (mf_load_memory_tokens (5000, 16000, 4000, 7540) > usual);
+  assert_true (typical > 5000 && typical < 9000);
+  assert_true (mf_load_memory_tokens (5000, 1000, 4000, 7540) < typical);
+  assert_true (mf_load_memory_tokens (5000, 16000, 4000, 7540) > typical);
   assert_true (mf_load_memory_tokens (5000, 1000000, 4000, 7540) <= 5000 + 7540);
   assert_int_equal (mf_load_memory_tokens (5000, 0, 0, 0), 5000);
 }
--- a/tests/test_feed.c
+++ b/tests/test_feed.c
@@ -9,16 +9,16 @@
 #include <cmocka.h>
 
 #define NOW_US (100 * MF_US_PER_S)
-#define BOUND_US (4 * MF_US_PER_S)
-#define ALONE_US (3750 * MF_US_PER_MS)
+#define STALENESS_MAX_US (4 * MF_US_PER_S)
+#define STANDALONE_WAIT_US (3750 * MF_US_PER_MS)
 
 /* A data centre of a large fleet, its readers first. */
 #define N_INSTANCES 59
 #define STEP_US (10 * MF_US_PER_MS)
-#define WAY_US (2 * MF_US_PER_MS)
-#define PLAYED_US (60 * MF_US_PER_S)
+#define TRANSIT_US (2 * MF_US_PER_MS)
+#define SIMULATED_US (60 * MF_US_PER_S)
 /* The store changes this often on a day of releases. */
-#define CHANGE_US (700 * MF_US_PER_MS)
+#define CHANGE_INTERVAL_US (700 * MF_US_PER_MS)
 
 static void
 test_items_come_back_as_they_were_added (void **state)
@@ -75,25 +75,25 @@
 static void
 test_time_on_the_way_counts (void **state)
 {
-  MfFollow follow = { .bound_us = BOUND_US };
+  MfFollow freshness = { .bound_us = STALENESS_MAX_US };
   MfFeed feed = { .sent_us = 5000000, .as_of_us = 4900000 };
 
   (void)state;
-  assert_int_equal (mf_follow_as_of_us (&follow, 1, &feed, NOW_US), NOW_US - 100000);
+  assert_int_equal (mf_follow_as_of_us (&freshness, 1, &feed, NOW_US), NOW_US - 100000);
   feed = (MfFeed){ .sent_us = 6000000, .as_of_us = 6000000 };
-  assert_int_equal (mf_follow_as_of_us (&follow, 1, &feed, NOW_US + 1800000), NOW_US + 1000000);
+  assert_int_equal (mf_follow_as_of_us (&freshness, 1, &feed, NOW_US + 1800000), NOW_US + 1000000);
   /* Another sender has a clock of its own. */
   feed.sent_us = 77;
   feed.as_of_us = 70;
-  assert_int_equal (mf_follow_as_of_us (&follow, 2, &feed, NOW_US), NOW_US - 7);
+  assert_int_equal (mf_follow_as_of_us (&freshness, 2, &feed, NOW_US), NOW_US - 7);
   /* A sender whose clock begins anew is believed from its second feed on. */
   feed = (MfFeed){ .sent_us = 1000, .as_of_us = 1000 };
-  assert_int_equal (mf_follow_as_of_us (&follow, 1, &feed, NOW_US + 3000000), 0);
+  assert_int_equal (mf_follow_as_of_us (&freshness, 1, &feed, NOW_US + 3000000), 0);
   feed = (MfFeed){ .sent_us = 2000, .as_of_us = 2000 };
-  assert_int_equal (mf_follow_as_of_us (&follow, 1, &feed, NOW_US + 3001000), NOW_US + 3001000);
+  assert_int_equal (mf_follow_as_of_us (&freshness, 1, &feed, NOW_US + 3001000), NOW_US + 3001000);
   /* What lies in the sender's future is nonsense. */
   feed = (MfFeed){ .sent_us = 2000, .as_of_us = 3000 };
-  assert_int_equal (mf_follow_as_of_us (&follow, 1, &feed, NOW_US + 3001000), 0);
+  assert_int_equal (mf_follow_as_of_us (&freshness, 1, &feed, NOW_US + 3001000), 0);
 }
 
 /* Answers that a process finds after it stood still are as old as its call may be. */
@@ -109,60 +109,63 @@
 static void
 test_followers_rest_while_they_are_told (void **state)
 {
-  MfFollow follow = { .bound_us = BOUND_US };
+  MfFollow freshness = { .bound_us = STALENESS_MAX_US };
   uint64_t rest_us;
 
   (void)state;
-  assert_int_equal (mf_follow_rest_us (&follow, MF_FEED_FOLLOWER, NOW_US, 0), 0);
-  mf_follow_note (&follow, NOW_US);
-  mf_follow_note (&follow, NOW_US - 500);
-  assert_int_equal (follow.as_of_us, NOW_US);
-  rest_us = mf_follow_rest_us (&follow, MF_FEED_FOLLOWER, NOW_US, 0);
-  assert_in_range (rest_us, BOUND_US / 4, BOUND_US * 6 / 10);
-  assert_true (mf_follow_rest_us (&follow, MF_FEED_FOLLOWER, NOW_US, UINT32_MAX) < rest_us);
-  assert_int_equal (mf_follow_rest_us (&follow, MF_FEED_FOLLOWER, NOW_US + rest_us, 0), 0);
-  assert_int_equal (mf_follow_rest_us (&follow, MF_FEED_READER, NOW_US, 0), 0);
-  assert_int_equal (mf_follow_rest_us (&follow, MF_FEED_ALONE, NOW_US, 0), 0);
+  assert_int_equal (mf_follow_rest_us (&freshness, MF_FEED_FOLLOWER, NOW_US, 0), 0);
+  mf_follow_note (&freshness, NOW_US);
+  mf_follow_note (&freshness, NOW_US - 500);
+  assert_int_equal (freshness.as_of_us, NOW_US);
+  rest_us = mf_follow_rest_us (&freshness, MF_FEED_FOLLOWER, NOW_US, 0);
+  assert_in_range (rest_us, STALENESS_MAX_US / 4, STALENESS_MAX_US * 6 / 10);
+  assert_true (mf_follow_rest_us (&freshness, MF_FEED_FOLLOWER, NOW_US, UINT32_MAX) < rest_us);
+  assert_int_equal (mf_follow_rest_us (&freshness, MF_FEED_FOLLOWER, NOW_US + rest_us, 0), 0);
+  assert_int_equal (mf_follow_rest_us (&freshness, MF_FEED_READER, NOW_US, 0), 0);
+  assert_int_equal (mf_follow_rest_us (&freshness, MF_FEED_ALONE, NOW_US, 0), 0);
 }
 
 static void
 test_readers_ask_more_often (void **state)
 {
-  MfFollow follow = { .bound_us = BOUND_US };
+  MfFollow freshness = { .bound_us = STALENESS_MAX_US };
 
   (void)state;
-  assert_int_equal (mf_follow_wait_us (&follow, MF_FEED_ALONE, ALONE_US), ALONE_US);
-  assert_int_equal (mf_follow_wait_us (&follow, MF_FEED_FOLLOWER, ALONE_US), ALONE_US);
-  assert_in_range (mf_follow_wait_us (&follow, MF_FEED_READER, ALONE_US), 1, BOUND_US / 4);
+  assert_int_equal (mf_follow_wait_us (&freshness, MF_FEED_ALONE, STANDALONE_WAIT_US),
+                    STANDALONE_WAIT_US);
+  assert_int_equal (mf_follow_wait_us (&freshness, MF_FEED_FOLLOWER, STANDALONE_WAIT_US),
+                    STANDALONE_WAIT_US);
+  assert_in_range (mf_follow_wait_us (&freshness, MF_FEED_READER, STANDALONE_WAIT_US), 1,
+                   STALENESS_MAX_US / 4);
 }
 
 /* Who is told of the store's return need not look for it often; who tells must. */
 static void
 test_followers_look_for_the_store_seldom (void **state)
 {
-  MfFollow follow = { .bound_us = BOUND_US };
+  MfFollow freshness = { .bound_us = STALENESS_MAX_US };
   uint64_t pause_us = 0;
 
   (void)state;
   for (uint32_t i = 0; i < 10; i++)
     {
-      uint64_t next_us = mf_follow_retry_us (&follow, MF_FEED_READER, pause_us, 0);
+      uint64_t next_us = mf_follow_retry_us (&freshness, MF_FEED_READER, pause_us, 0);
 
       assert_in_range (next_us, pause_us, 400 * MF_US_PER_MS);
       pause_us = next_us;
     }
-  assert_int_equal (mf_follow_retry_us (&follow, MF_FEED_ALONE, 0, 0), 50 * MF_US_PER_MS);
+  assert_int_equal (mf_follow_retry_us (&freshness, MF_FEED_ALONE, 0, 0), 50 * MF_US_PER_MS);
   for (uint32_t point = 0; point < 4; point++)
-    assert_in_range (mf_follow_retry_us (&follow, MF_FEED_FOLLOWER, 0, point * (UINT32_MAX / 4)),
-                     BOUND_US / 8, BOUND_US / 2);
-  assert_true (mf_follow_retry_us (&follow, MF_FEED_FOLLOWER, 0, UINT32_MAX)
-               > mf_follow_retry_us (&follow, MF_FEED_FOLLOWER, 0, 0));
+    assert_in_range (mf_follow_retry_us (&freshness, MF_FEED_FOLLOWER, 0, point * (UINT32_MAX / 4)),
+                     STALENESS_MAX_US / 8, STALENESS_MAX_US / 2);
+  assert_true (mf_follow_retry_us (&freshness, MF_FEED_FOLLOWER, 0, UINT32_MAX)
+               > mf_follow_retry_us (&freshness, MF_FEED_FOLLOWER, 0, 0));
 }
 
 /* One instance of the played data centre. */
 typedef struct
 {
-  MfFollow follow;
+  MfFollow freshness;
   MfFeedRole role;
   bool down;            /* reads nothing, tells nothing */
   uint64_t call_due_us; /* a call under way is answered then; 0: none is */
@@ -176,38 +179,39 @@
   Instance instances[N_INSTANCES];
   uint32_t n_calls;
   uint64_t oldest_us; /* the worst age of what a sound instance knew */
-} Centre;
+} DataCentre;
 
 static void
-instance_answered (Centre *centre, Instance *reader, uint64_t now_us)
+instance_answered (DataCentre *data_centre, Instance *reader, uint64_t now_us)
 {
   MfFeed feed = { .sent_us = now_us,
                   .as_of_us = now_us
-                              - mf_feed_way_us (
-                                  now_us - reader->called_us,
-                                  mf_follow_wait_us (&reader->follow, reader->role, ALONE_US)) };
+                              - mf_feed_way_us (now_us - reader->called_us,
+                                                mf_follow_wait_us (&reader->freshness, reader->role,
+                                                                   STANDALONE_WAIT_US)) };
 
   reader->call_due_us = 0;
-  reader->known_us = now_us - WAY_US;
-  mf_follow_note (&reader->follow, feed.as_of_us);
+  reader->known_us = now_us - TRANSIT_US;
+  mf_follow_note (&reader->freshness, feed.as_of_us);
   for (uint32_t i = 0; reader->role == MF_FEED_READER && i < N_INSTANCES; i++)
     {
-      Instance *other = &centre->instances[i];
+      Instance *other = &data_centre->instances[i];
 
       if (other->role != MF_FEED_FOLLOWER || other->down)
         continue;
       other->known_us = reader->known_us > other->known_us ? reader->known_us : other->known_us;
-      mf_follow_note (&other->follow,
-                      mf_follow_as_of_us (&other->follow, (uint64_t)(reader - centre->instances),
-                                          &feed, now_us + WAY_US));
+      mf_follow_note (&other->freshness,
+                      mf_follow_as_of_us (&other->freshness,
+                                          (uint64_t)(reader - data_centre->instances), &feed,
+                                          now_us + TRANSIT_US));
     }
 }
 
 static void
-instance_step (Centre *centre, Instance *instance, uint64_t now_us)
+instance_step (DataCentre *data_centre, Instance *instance, uint64_t now_us)
 {
-  uint64_t wait_us = mf_follow_wait_us (&instance->follow, instance->role, ALONE_US);
-  uint64_t change_us = (now_us / CHANGE_US + 1) * CHANGE_US;
+  uint64_t wait_us = mf_follow_wait_us (&instance->freshness, instance->role, STANDALONE_WAIT_US);
+  uint64_t change_us = (now_us / CHANGE_INTERVAL_US + 1) * CHANGE_INTERVAL_US;
   uint64_t rest_us;
 
   if (instance->down)
@@ -215,55 +219,55 @@
   if (instance->call_due_us > 0)
     {
       if (now_us >= instance->call_due_us)
-        instance_answered (centre, instance, now_us);
+        instance_answered (data_centre, instance, now_us);
       return;
     }
   if (now_us < instance->wake_us)
     return;
-  rest_us = mf_follow_rest_us (&instance->follow, instance->role, now_us,
-                               (uint32_t)(instance - centre->instances) * 72000000U);
+  rest_us = mf_follow_rest_us (&instance->freshness, instance->role, now_us,
+                               (uint32_t)(instance - data_centre->instances) * 72000000U);
   if (rest_us > 0)
     {
       instance->wake_us = now_us + rest_us;
       return;
     }
-  centre->n_calls++;
+  data_centre->n_calls++;
   instance->called_us = now_us;
   /* What changed since the last answer is told at once. */
-  if (now_us / CHANGE_US > instance->known_us / CHANGE_US)
+  if (now_us / CHANGE_INTERVAL_US > instance->known_us / CHANGE_INTERVAL_US)
     change_us = now_us;
   instance->call_due_us
-      = (change_us < now_us + wait_us ? change_us : now_us + wait_us) + 2 * WAY_US;
+      = (change_us < now_us + wait_us ? change_us : now_us + wait_us) + 2 * TRANSIT_US;
 }
 
 /* Plays the data centre; its first n_down readers fall silent after a third of the time. */
 static void
-centre_play (Centre *centre, bool with_readers, uint32_t n_down)
+data_centre_simulate (DataCentre *data_centre, bool with_readers, uint32_t n_down)
 {
-  memset (centre, 0, sizeof *centre);
+  memset (data_centre, 0, sizeof *data_centre);
   for (uint32_t i = 0; i < N_INSTANCES; i++)
     {
       MfFeedStanding standing = { .n_instances = with_readers ? N_INSTANCES : 1, .rank = i };
 
-      centre->instances[i].follow.bound_us = BOUND_US;
-      centre->instances[i].role = mf_feed_role (&standing);
-      centre->instances[i].known_us = NOW_US;
+      data_centre->instances[i].freshness.bound_us = STALENESS_MAX_US;
+      data_centre->instances[i].role = mf_feed_role (&standing);
+      data_centre->instances[i].known_us = NOW_US;
     }
-  for (uint64_t now_us = NOW_US; now_us < NOW_US + PLAYED_US; now_us += STEP_US)
+  for (uint64_t now_us = NOW_US; now_us < NOW_US + SIMULATED_US; now_us += STEP_US)
     {
       for (uint32_t i = 0; i < N_INSTANCES; i++)
         {
-          Instance *instance = &centre->instances[i];
+          Instance *instance = &data_centre->instances[i];
           uint64_t age_us = now_us - instance->known_us;
-          uint64_t missed_us = now_us / CHANGE_US * CHANGE_US;
+          uint64_t missed_us = now_us / CHANGE_INTERVAL_US * CHANGE_INTERVAL_US;
 
-          instance->down = i < n_down && now_us > NOW_US + PLAYED_US / 3;
-          instance_step (centre, instance, now_us);
+          instance->down = i < n_down && now_us > NOW_US + SIMULATED_US / 3;
+          instance_step (data_centre, instance, now_us);
           /* Only a change that was missed makes knowledge old. */
           if (instance->down || instance->known_us >= missed_us)
             continue;
-          if (age_us > centre->oldest_us)
-            centre->oldest_us = age_us;
+          if (age_us > data_centre->oldest_us)
+            data_centre->oldest_us = age_us;
         }
     }
 }
@@ -273,20 +277,20 @@
 static void
 test_readers_spare_the_store (void **state)
 {
-  static Centre centre;
-  uint32_t n_alone;
+  static DataCentre data_centre;
+  uint32_t n_standalone;
 
   (void)state;
-  centre_play (&centre, false, 0);
-  n_alone = centre.n_calls;
-  centre_play (&centre, true, 0);
-  assert_true (centre.n_calls * 10 < n_alone);
-  assert_true (centre.oldest_us < BOUND_US);
-  centre_play (&centre, true, 1);
-  assert_true (centre.n_calls * 10 < n_alone);
-  assert_true (centre.oldest_us < BOUND_US);
-  centre_play (&centre, true, 2);
-  assert_true (centre.oldest_us < BOUND_US);
+  data_centre_simulate (&data_centre, false, 0);
+  n_standalone = data_centre.n_calls;
+  data_centre_simulate (&data_centre, true, 0);
+  assert_true (data_centre.n_calls * 10 < n_standalone);
+  assert_true (data_centre.oldest_us < STALENESS_MAX_US);
+  data_centre_simulate (&data_centre, true, 1);
+  assert_true (data_centre.n_calls * 10 < n_standalone);
+  assert_true (data_centre.oldest_us < STALENESS_MAX_US);
+  data_centre_simulate (&data_centre, true, 2);
+  assert_true (data_centre.oldest_us < STALENESS_MAX_US);
 }
 
 int
--- a/tests/test_peers.c
+++ b/tests/test_peers.c
@@ -116,15 +116,15 @@
 }
 
 static void
-entry_sum (void *data, const MfLoadEntry *entry, uint64_t told_us)
+entry_sum (void *data, const MfLoadEntry *entry, uint64_t received_us)
 {
-  (void)told_us;
+  (void)received_us;
   *(uint32_t *)data += entry->n_active;
 }
 
 /* Whether each instance that runs has heard what all others have. */
 static bool
-all_have_heard (void *data)
+all_have_reports (void *data)
 {
   Fleet *fleet = data;
   uint32_t total = 0;
@@ -151,12 +151,12 @@
 
   (void)state;
   fleet_begin (&fleet);
-  assert_true (loop_pump (fleet.loop, all_have_heard, &fleet));
+  assert_true (loop_pump (fleet.loop, all_have_reports, &fleet));
   for (uint32_t i = 0; i < N; i++)
     assert_int_equal (mf_peers_count (fleet.nodes[i].peers, mf_clock_now_us ()), N);
   fleet.nodes[2].n_active = 50;
   mf_peers_touch (fleet.nodes[2].peers);
-  assert_true (loop_pump (fleet.loop, all_have_heard, &fleet));
+  assert_true (loop_pump (fleet.loop, all_have_reports, &fleet));
   fleet_end (&fleet);
 }
 
@@ -167,11 +167,11 @@
   Fleet fleet;
   uint64_t leader = 0;
   uint32_t n_self = 0;
-  uint32_t asker = 0;
+  uint32_t requester = 0;
 
   (void)state;
   fleet_begin (&fleet);
-  assert_true (loop_pump (fleet.loop, all_have_heard, &fleet));
+  assert_true (loop_pump (fleet.loop, all_have_reports, &fleet));
   for (uint32_t i = 0; i < N; i++)
     {
       uint64_t named = mf_peers_leader (fleet.nodes[i].peers, "llm", mf_clock_now_us ());
@@ -181,12 +181,12 @@
         continue;
       assert_true (leader == 0 || leader == named);
       leader = named;
-      asker = i;
+      requester = i;
     }
   assert_int_equal (n_self, 1);
   /* One that does not answer is passed over by whom it left waiting. */
-  mf_peers_distrust (fleet.nodes[asker].peers, leader);
-  assert_int_not_equal (mf_peers_leader (fleet.nodes[asker].peers, "llm", mf_clock_now_us ()),
+  mf_peers_distrust (fleet.nodes[requester].peers, leader);
+  assert_int_not_equal (mf_peers_leader (fleet.nodes[requester].peers, "llm", mf_clock_now_us ()),
                         leader);
   fleet_end (&fleet);
 }
@@ -217,7 +217,7 @@
 
   (void)state;
   fleet_begin (&fleet);
-  assert_true (loop_pump (fleet.loop, all_have_heard, &fleet));
+  assert_true (loop_pump (fleet.loop, all_have_reports, &fleet));
   assert_int_equal (n_leading (&fleet), 0);
   assert_true (loop_pump (fleet.loop, one_leads, &fleet));
   for (uint32_t i = 0; i < N && n_ended < N / 2; i++)
@@ -254,7 +254,7 @@
 
   (void)state;
   fleet_begin (&fleet);
-  assert_true (loop_pump (fleet.loop, all_have_heard, &fleet));
+  assert_true (loop_pump (fleet.loop, all_have_reports, &fleet));
   n_leading (&fleet);
   mf_peers_note_fence (fleet.nodes[0].peers, "llm", FENCE);
   mf_peers_note_fence (fleet.nodes[0].peers, "llm", FENCE - 1);
@@ -277,7 +277,7 @@
 
   (void)state;
   fleet_begin (&fleet);
-  assert_true (loop_pump (fleet.loop, all_have_heard, &fleet));
+  assert_true (loop_pump (fleet.loop, all_have_reports, &fleet));
   assert_true (
       mf_peers_send (fleet.nodes[1].peers, mf_load_hash (fleet.nodes[3].address), &message));
   assert_true (loop_pump (fleet.loop, has_message, &fleet.nodes[3]));
@@ -303,13 +303,13 @@
 
   (void)state;
   fleet_begin (&fleet);
-  assert_true (loop_pump (fleet.loop, all_have_heard, &fleet));
+  assert_true (loop_pump (fleet.loop, all_have_reports, &fleet));
   mf_peers_free (fleet.nodes[1].peers);
   fleet.nodes[1].peers = NULL;
   assert_true (loop_pump (fleet.loop, is_gone_everywhere, &fleet));
-  assert_true (loop_pump (fleet.loop, all_have_heard, &fleet));
+  assert_true (loop_pump (fleet.loop, all_have_reports, &fleet));
   node_begin (&fleet, 1);
-  assert_true (loop_pump (fleet.loop, all_have_heard, &fleet));
+  assert_true (loop_pump (fleet.loop, all_have_reports, &fleet));
   fleet_end (&fleet);
 }
 
@@ -323,12 +323,12 @@
 
   (void)state;
   fleet_begin (&fleet);
-  assert_true (loop_pump (fleet.loop, all_have_heard, &fleet));
+  assert_true (loop_pump (fleet.loop, all_have_reports, &fleet));
   fd = loop_connect (FIRST_PORT);
   loop_send (fd, "GET / HTTP/1.1\r\n\r\n", 18);
   assert_int_equal (loop_receive (fleet.loop, fd, NULL, got, sizeof got), 0);
   close (fd);
-  assert_true (all_have_heard (&fleet));
+  assert_true (all_have_reports (&fleet));
   fleet_end (&fleet);
 }
 
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -21,7 +21,7 @@
 typedef struct
 {
   MfTargets targets;
-  MfTarget rows[3];
+  MfTarget upstreams[3];
 } Fleet;
 
 static void
@@ -32,7 +32,7 @@
   memset (fleet, 0, sizeof *fleet);
   for (uint32_t i = 0; i < 3; i++)
     {
-      MfTarget *target = &fleet->rows[i];
+      MfTarget *target = &fleet->upstreams[i];
 
       target->info.role = role;
       target->info.slots = 6;
@@ -47,17 +47,17 @@
 
 /* Which of the three is chosen; -1 for none. */
 static int
-choose (const Fleet *fleet, MfPlaceAsk ask)
+choose (const Fleet *fleet, MfPlaceAsk query)
 {
-  bool any_alive = false;
+  bool any_available = false;
   const MfTarget *target;
 
-  ask.service = "llm";
-  ask.role = fleet->rows[0].info.role;
-  ask.traits = &engine;
-  ask.data_centre = "b";
-  target = mf_place_choose (&fleet->targets, &ask, NOW_US, &any_alive);
-  return target == NULL ? -1 : (int)(target - fleet->rows);
+  query.service = "llm";
+  query.role = fleet->upstreams[0].info.role;
+  query.traits = &engine;
+  query.data_centre = "b";
+  target = mf_place_choose (&fleet->targets, &query, NOW_US, &any_available);
+  return target == NULL ? -1 : (int)(target - fleet->upstreams);
 }
 
 static void
@@ -68,7 +68,7 @@
   (void)state;
   fleet_make (&fleet, MF_ROLE_PLAIN);
   assert_int_equal (choose (&fleet, (MfPlaceAsk){ 0 }), 1);
-  mf_target_begin (&fleet.rows[1], 0, NOW_US);
+  mf_target_begin (&fleet.upstreams[1], 0, NOW_US);
   assert_int_not_equal (choose (&fleet, (MfPlaceAsk){ 0 }), 1);
 }
 
@@ -80,17 +80,17 @@
   (void)state;
   fleet_make (&fleet, MF_ROLE_PLAIN);
   for (uint32_t i = 0; i < 10; i++)
-    mf_target_answered (&fleet.rows[1], 80 * MF_US_PER_MS, NOW_US);
+    mf_target_answered (&fleet.upstreams[1], 80 * MF_US_PER_MS, NOW_US);
   assert_int_not_equal (choose (&fleet, (MfPlaceAsk){ 0 }), 1);
   fleet_make (&fleet, MF_ROLE_PLAIN);
-  mf_target_failed (&fleet.rows[1], false, NOW_US);
+  mf_target_failed (&fleet.upstreams[1], false, NOW_US);
   assert_int_not_equal (choose (&fleet, (MfPlaceAsk){ 0 }), 1);
   fleet_make (&fleet, MF_ROLE_DECODE);
-  mf_target_begin (&fleet.rows[1], 100, NOW_US - 2 * MF_US_PER_S);
+  mf_target_begin (&fleet.upstreams[1], 100, NOW_US - 2 * MF_US_PER_S);
   assert_int_not_equal (choose (&fleet, (MfPlaceAsk){ 0 }), 1);
   /* What another instance has seen counts as well. */
   fleet_make (&fleet, MF_ROLE_DECODE);
-  fleet.rows[1].others_failure_share = 0.5;
+  fleet.upstreams[1].others_failure_share = 0.5;
   assert_int_not_equal (choose (&fleet, (MfPlaceAsk){ 0 }), 1);
 }
 
@@ -98,15 +98,15 @@
 test_leaving_and_tried_upstreams_are_not_chosen (void **state)
 {
   Fleet fleet;
-  MfPlaceAsk ask = { .n_avoid = 1 };
+  MfPlaceAsk query = { .n_avoid = 1 };
 
   (void)state;
   fleet_make (&fleet, MF_ROLE_PLAIN);
-  fleet.rows[1].info.leaving = true;
-  ask.avoid[0] = fleet.rows[0].id_hash;
-  assert_int_equal (choose (&fleet, ask), 2);
-  fleet.rows[2].info.leaving = true;
-  assert_int_equal (choose (&fleet, ask), -1);
+  fleet.upstreams[1].info.leaving = true;
+  query.avoid[0] = fleet.upstreams[0].id_hash;
+  assert_int_equal (choose (&fleet, query), 2);
+  fleet.upstreams[2].info.leaving = true;
+  assert_int_equal (choose (&fleet, query), -1);
 }
 
 /* Not even as the last one left: the pause is asked for by an upstream that cannot take more. */
@@ -117,15 +117,15 @@
 
   (void)state;
   fleet_make (&fleet, MF_ROLE_PLAIN);
-  fleet.rows[1].paused_until_us = NOW_US + 2000;
+  fleet.upstreams[1].paused_until_us = NOW_US + 2000;
   assert_int_not_equal (choose (&fleet, (MfPlaceAsk){ 0 }), 1);
   assert_int_equal (mf_place_opens_us (&fleet.targets, "llm", MF_ROLE_PLAIN, NOW_US), 0);
-  fleet.rows[0].paused_until_us = NOW_US + 1000;
-  fleet.rows[2].paused_until_us = NOW_US + 3000;
+  fleet.upstreams[0].paused_until_us = NOW_US + 1000;
+  fleet.upstreams[2].paused_until_us = NOW_US + 3000;
   assert_int_equal (choose (&fleet, (MfPlaceAsk){ 0 }), -1);
   assert_int_equal (mf_place_opens_us (&fleet.targets, "llm", MF_ROLE_PLAIN, NOW_US),
                     NOW_US + 1000);
-  fleet.rows[0].said_leaving = true;
+  fleet.upstreams[0].said_leaving = true;
   assert_int_equal (mf_place_opens_us (&fleet.targets, "llm", MF_ROLE_PLAIN, NOW_US),
                     NOW_US + 2000);
   assert_int_equal (mf_place_opens_us (&fleet.targets, "none", MF_ROLE_PLAIN, NOW_US), 0);
@@ -138,10 +138,10 @@
 
   (void)state;
   fleet_make (&fleet, MF_ROLE_PLAIN);
-  fleet.rows[1].suspect_until_us = NOW_US + 1;
+  fleet.upstreams[1].suspect_until_us = NOW_US + 1;
   assert_int_not_equal (choose (&fleet, (MfPlaceAsk){ 0 }), 1);
-  fleet.rows[0].suspect_until_us = NOW_US + 3;
-  fleet.rows[2].suspect_until_us = NOW_US + 2;
+  fleet.upstreams[0].suspect_until_us = NOW_US + 3;
+  fleet.upstreams[2].suspect_until_us = NOW_US + 2;
   assert_int_equal (choose (&fleet, (MfPlaceAsk){ 0 }), 1);
 }
 
@@ -152,9 +152,9 @@
 
   (void)state;
   fleet_make (&fleet, MF_ROLE_DECODE);
-  mf_target_begin (&fleet.rows[0], 60000, NOW_US);
-  fleet.rows[1].n_others = 1;
-  fleet.rows[1].others_tokens = 70000;
+  mf_target_begin (&fleet.upstreams[0], 60000, NOW_US);
+  fleet.upstreams[1].n_others = 1;
+  fleet.upstreams[1].others_tokens = 70000;
   assert_int_equal (choose (&fleet, (MfPlaceAsk){ .tokens = 8000 }), 2);
 }
 
@@ -175,8 +175,8 @@
 
   (void)state;
   fleet_make (&fleet, MF_ROLE_PREFILL);
-  mf_target_begin (&fleet.rows[1], 20000, NOW_US);
-  mf_target_reserve (&fleet.rows[0], 3000);
+  mf_target_begin (&fleet.upstreams[1], 20000, NOW_US);
+  mf_target_reserve (&fleet.upstreams[0], 3000);
   assert_int_equal (choose (&fleet, (MfPlaceAsk){ .tokens = 5000 }), 2);
 }
 
@@ -188,12 +188,12 @@
 
   (void)state;
   fleet_make (&fleet, MF_ROLE_PREFILL);
-  fleet.rows[1].full_until_us = NOW_US + 1;
-  mf_target_begin (&fleet.rows[0], 20000, NOW_US);
-  mf_target_begin (&fleet.rows[2], 20000, NOW_US);
+  fleet.upstreams[1].full_until_us = NOW_US + 1;
+  mf_target_begin (&fleet.upstreams[0], 20000, NOW_US);
+  mf_target_begin (&fleet.upstreams[2], 20000, NOW_US);
   assert_int_not_equal (choose (&fleet, (MfPlaceAsk){ .tokens = 5000 }), 1);
-  fleet.rows[0].full_until_us = NOW_US + 2000;
-  fleet.rows[2].full_until_us = NOW_US + 2000;
+  fleet.upstreams[0].full_until_us = NOW_US + 2000;
+  fleet.upstreams[2].full_until_us = NOW_US + 2000;
   assert_int_equal (choose (&fleet, (MfPlaceAsk){ .tokens = 5000 }), 1);
 }
 
--- a/tests/test_relay_message.c
+++ b/tests/test_relay_message.c
@@ -12,7 +12,7 @@
 
 /* Sends the message in sent through its frame into got. */
 static void
-pass (void)
+round_trip (void)
 {
   MfBuffer frame = { 0 };
   const uint8_t *bytes;
@@ -53,7 +53,7 @@
   sent.report.votes[0] = (MfLeaderVote){ 7, UINT64_MAX, 99 };
   sent.report.n_members = 1;
   mf_name_set (sent.report.members[0], MF_ADDRESS_BYTES, "10.0.0.2:99");
-  pass ();
+  round_trip ();
   assert_string_equal (got.report.address, "10.0.0.1:99");
   assert_int_equal (got.report.n_entries, 2);
   assert_int_equal (got.report.n_votes, 1);
@@ -87,7 +87,7 @@
     .n_deaths = 2,
   };
   sent.suspects.rows[1] = (MfSuspectRow){ .digest = 3, .cleared = true };
-  pass ();
+  round_trip ();
   assert_int_equal (got.suspects.n_rows, 2);
   assert_true (got.suspects.rows[0].digest == UINT64_MAX);
   assert_int_equal (got.suspects.rows[0].sentence_ms, 29000);
@@ -112,7 +112,7 @@
       .avoid = { 5, 6 }, .n_avoid = 2,
     },
   };
-  pass ();
+  round_trip ();
   assert_memory_equal (&got.ask.avoid, &sent.ask.avoid, 2 * sizeof sent.ask.avoid[0]);
   assert_string_equal (got.ask.service, "llm");
   assert_true (got.ask.has_memory);
@@ -128,12 +128,12 @@
 
   (void)state;
   sent = (MfRelayMessage){ .kind = MF_RELAY_MESSAGE_GRANT, .grant = { 9, 8, 7 } };
-  pass ();
+  round_trip ();
   assert_memory_equal (&got.grant, &sent.grant, sizeof sent.grant);
   for (size_t i = 0; i < MF_ARRAY_LEN (kinds); i++)
     {
       sent = (MfRelayMessage){ .kind = kinds[i], .grant = { .id = 3 } };
-      pass ();
+      round_trip ();
       assert_int_equal (got.grant.id, 3);
     }
 }
@@ -171,13 +171,13 @@
   (void)state;
   sent
       = (MfRelayMessage){ .kind = MF_RELAY_MESSAGE_REPEAT, .repeat = { 9, "llm", 2, true, false } };
-  pass ();
+  round_trip ();
   assert_int_equal (got.repeat.id, 9);
   assert_string_equal (got.repeat.service, "llm");
   assert_int_equal (got.repeat.n_sends, 2);
   assert_true (got.repeat.is_done);
   sent = (MfRelayMessage){ .kind = MF_RELAY_MESSAGE_ALLOW, .repeat = { 9, "", 0, false, true } };
-  pass ();
+  round_trip ();
   assert_int_equal (got.repeat.id, 9);
   assert_true (got.repeat.allowed);
 }
@@ -194,7 +194,7 @@
   sent.feed.keep_us = 2300000;
   assert_true (mf_feed_add (&sent.feed, "a/b", 18, false, "v\0w", 3));
   assert_true (mf_feed_add (&sent.feed, "a/c", 19, true, "", 0));
-  pass ();
+  round_trip ();
   assert_int_equal (got.feed.from_revision, 17);
   assert_int_equal (got.feed.to_revision, 19);
   assert_int_equal (got.feed.sent_us, 5000);
