--- a/libmangofork/relay/peers.c
+++ b/libmangofork/relay/peers.c
@@ -13,17 +13,16 @@
 #include <unistd.h>
 
 #define READ_BYTES 8192
-/* What a peer told is reckoned with for so long after it fell silent: while it is only cut off, its
- * streams go on at the engines, and they last about as long. */
+/* The load of a silent peer is counted for this long after its last report. If it is only
+ * partitioned, its streams continue at the engines, and they last about this long. */
 #define LOAD_KEEP_US (5 * MF_US_PER_S)
-/* A peer that cannot be reached is tried again after this time, doubled to the last. */
+/* Delay before a reconnect; doubled after each failure up to the maximum. */
 #define RECONNECT_FIRST_US (100 * MF_US_PER_MS)
 #define RECONNECT_MAX_US (2 * MF_US_PER_S)
-/* A peer that was neither reached nor heard for this long is forgotten, unless it is a seed. */
+/* A peer that is no seed is removed after this long without a connection or a report. */
 #define FORGET_AFTER_US (30 * MF_US_PER_S)
-/* A peer acknowledges what it is sent within this time, or the connection is made anew. */
+/* The connection is closed when sent data stays unacknowledged for this long. */
 #define UNACKED_TIMEOUT_US (1500 * MF_US_PER_MS)
-/* Connecting takes no longer. */
 #define CONNECT_TIMEOUT_US (1 * MF_US_PER_S)
 #define TICK_S 0.05
 
@@ -38,7 +37,7 @@
   return NULL;
 }
 
-/* The peer of a hash; NULL when there is none. */
+/* Returns the peer with this hash of its address, or NULL. */
 MfPeer *
 mf_peers_by_hash (const MfPeers *peers, uint64_t hash)
 {
@@ -50,7 +49,7 @@
   return NULL;
 }
 
-/* Closes the connection to a peer, to be made anew later. */
+/* Closes the connection to a peer and schedules a reconnect. */
 void
 mf_peer_hang_up (MfPeers *peers, MfPeer *peer)
 {
@@ -59,7 +58,7 @@
   ev_io_stop (peers->loop, &peer->writer);
   close (peer->fd);
   peer->fd = -1;
-  /* What it was asked on this connection may not have come to it. */
+  /* Requests sent on this connection may not have arrived. */
   peer->lost = peer->lost || peer->connected;
   peer->connected = false;
   mf_buffer_clear (&peer->out);
@@ -77,7 +76,7 @@
   free (peer);
 }
 
-/* Sends what waits for a peer, as far as it takes it. */
+/* Sends buffered data to a peer until its socket would block. */
 void
 mf_peer_flush (MfPeers *peers, MfPeer *peer)
 {
@@ -177,7 +176,7 @@
   return peer;
 }
 
-/* Addresses at which some instances may be found; comma-separated. */
+/* Adds the instances that are contacted first, from a comma-separated list of addresses. */
 void
 mf_peers_seed (MfPeers *peers, const char *addresses)
 {
@@ -200,7 +199,7 @@
     }
 }
 
-/* Tells the user once that a peer is gone, until it is heard again. */
+/* Calls the gone callback, once until the next report of the peer. */
 static void
 peer_notify_gone (MfPeers *peers, MfPeer *peer)
 {
@@ -211,7 +210,7 @@
   peers->user->gone (peers->data, peer->hash);
 }
 
-/* Takes a report in place of the peer's last one. */
+/* Replaces the last report of the peer. */
 static void
 report_apply (MfPeers *peers, const MfLoadReport *report)
 {
@@ -231,7 +230,7 @@
   peer->told_gone = false;
   peer->seen_us = now_us;
   peer->fresh_us = (uint64_t)report->heartbeat_ms * MF_US_PER_MS * MF_PEERS_FRESH_PERCENT / 100;
-  /* It lives, so it is worth dialling at once. */
+  /* The peer is alive, so reconnect without waiting for the backoff to end. */
   if (peer->fd < 0 && peer->redial_at_us > now_us + RECONNECT_FIRST_US)
     peer->redial_at_us = now_us;
   if (report->n_entries > peer->n_entries || peer->entries == NULL)
@@ -253,7 +252,7 @@
   peers->user->changed (peers->data);
 }
 
-/* Whether the same peer speaks on another connection as well. */
+/* Whether the same peer has another incoming connection. */
 static bool
 has_other_connection (const MfPeerIncoming *incoming)
 {
@@ -271,7 +270,7 @@
   MfPeers *peers = incoming->peers;
   MfPeer *peer = has_other_connection (incoming) ? NULL : peer_find (peers, incoming->address);
 
-  /* A process that ends drops its requests at the engines with it. */
+  /* When a process exits, its requests at the engines end with it. */
   if (peer != NULL && peer->heard_us > 0 && !peers->closing)
     {
       mf_lines_state (peers->lines, "peer.closed", "peer=%s entries=%u", peer->address,
@@ -293,7 +292,8 @@
   free (incoming);
 }
 
-/* Whether what a message tells is acted on, not only weighed. */
+/* Whether the receiver acts on messages of this kind, instead of using them as hints. Their sender
+ * is checked. */
 static bool
 needs_sender_check (MfRelayMessageKind kind)
 {
@@ -316,7 +316,7 @@
   return strncmp (incoming->address, host, host_bytes) == 0 && incoming->address[host_bytes] == ':';
 }
 
-/* Takes the frames that are whole. Returns false when what came is no frame. */
+/* Handles all complete frames. Returns false when the data is malformed. */
 static bool
 incoming_read_frames (MfPeerIncoming *incoming)
 {
@@ -424,7 +424,8 @@
   mf_peers_tell (peers, false);
 }
 
-/* Listens at an address, which is also the one others are told. NULL with error set. */
+/* Listens at an address, which is also announced to the peers. Returns NULL with error set on
+ * failure. */
 MfPeers *
 mf_peers_new (struct ev_loop *loop, const char *address, const MfPeersUser *user, void *data,
               MfLines *lines, MfError *error)
@@ -433,7 +434,7 @@
 
   if (peers == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the peers");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory allocating the peer list");
       return NULL;
     }
   peers->loop = loop;
@@ -478,7 +479,8 @@
   free (peers);
 }
 
-/* Calls func for each entry that another instance has told and that still holds. */
+/* Calls func for each load entry of other instances, except those of reports older than
+ * LOAD_KEEP_US. */
 void
 mf_peers_foreach (const MfPeers *peers, uint64_t now_us,
                   void (*func) (void *data, const MfLoadEntry *entry, uint64_t received_us),
@@ -495,7 +497,7 @@
     }
 }
 
-/* Instances heard of lately, this one included. */
+/* Returns the number of instances with a valid report, including this one. */
 uint32_t
 mf_peers_count (const MfPeers *peers, uint64_t now_us)
 {
@@ -506,7 +508,7 @@
   return n_alive;
 }
 
-/* Instances that are known, heard of lately or not, this one included. */
+/* Returns the number of known instances, alive or not, including this one. */
 uint32_t
 mf_peers_known (const MfPeers *peers)
 {
--- a/libmangofork/relay/peers.h
+++ b/libmangofork/relay/peers.h
@@ -4,25 +4,28 @@
 #include "line.h"
 #include "relay_message.h"
 
-/* The other instances: each tells all others what it has at the engines. What they tell is advice
- * for placing only; nothing that must hold depends on it. */
+/* Connections to the other instances. Each instance reports its load at the engines to the others.
+ * Reports are advisory: they influence placement only, and no correctness guarantee depends on
+ * them. */
 typedef struct MfPeers MfPeers;
 
-/* A fence of orders is the time of day at which their sender began to lead, in milliseconds, above
- * so many bits that tell instances apart. */
+/* A fencing token of engine orders is the wall-clock time in milliseconds at which the sender
+ * became leader, followed by this number of low bits that identify the instance. */
 #define MF_FENCE_OWN_BITS 10
 
 typedef struct
 {
-  /* Fills the entries of a report with what this instance has now. */
+  /* Fills the entries of a report with the current load of this instance. */
   void (*fill) (void *data, MfLoadReport *report);
-  /* What the others have has changed. */
+  /* The load reported by another instance has changed. */
   void (*changed) (void *data);
-  /* A message other than a report has come; peers are named by the hash of their address. */
+  /* A message other than a report was received. Peers are identified by the hash of their address.
+   */
   void (*message) (void *data, uint64_t peer, const MfRelayMessage *message);
-  /* A peer has been reached that may know nothing yet of what all were told; may be NULL. */
+  /* A connection to a peer was established. The peer may have missed earlier broadcasts. May be
+   * NULL. */
   void (*reached) (void *data, uint64_t peer);
-  /* A peer has closed its connection or has not been heard for long. */
+  /* A peer closed its connection, or the connection to it broke. */
   void (*gone) (void *data, uint64_t peer);
 } MfPeersUser;
 
--- a/libmangofork/relay/peers_lead.c
+++ b/libmangofork/relay/peers_lead.c
@@ -2,21 +2,23 @@
 
 #include "libmangofork/clock.h"
 
-/* A peer that did not answer is not asked for so long. */
+/* A leader that did not answer is not chosen again for this long. */
 #define LEADER_EXCLUDE_US (2 * MF_US_PER_S)
-/* Machines' times of day differ by less, also when they jump. */
+/* Upper bound of the difference between the wall clocks of two machines, clock steps included. */
 #define FENCE_AHEAD_MAX_MS (UINT64_C (3600) * 1000)
-/* Odd number that spreads the ranks of instances (2^64 divided by the golden ratio). */
+/* Multiplier of the rank hash: an odd number, 2^64 divided by the golden ratio (Fibonacci hashing).
+ */
 #define RANK_FACTOR UINT64_C (0x9e3779b97f4a7c15)
 
-/* Whether a peer has reported within the time it promised. */
+/* Whether the last report of a peer is still valid. */
 bool
 mf_peer_is_heard (const MfPeer *peer, uint64_t now_us)
 {
   return peer->heard_us > 0 && now_us - peer->heard_us <= peer->fresh_us;
 }
 
-/* The instance of the highest rank for a service among those that can be asked; NULL: this one. */
+/* Returns the reachable peer with the highest rank for a service (rendezvous hashing), or NULL when
+ * this instance ranks highest. */
 MfPeer *
 mf_peers_find_leader (const MfPeers *peers, uint64_t service_hash, uint64_t now_us)
 {
@@ -37,7 +39,7 @@
   return best;
 }
 
-/* From now on reports name the leader of this service. */
+/* Adds a service to those whose leader is named in reports. */
 static void
 service_add (MfPeers *peers, uint64_t service_hash)
 {
@@ -50,7 +52,8 @@
     peers->services[peers->n_services++] = service_hash;
 }
 
-/* Somebody has given an order with this fence. One far ahead of the time of day is nobody's. */
+/* Raises the highest known fencing token of a service. A token far ahead of the wall clock is
+ * invalid and ignored. */
 void
 mf_peers_hear_fence (MfPeers *peers, uint64_t service_hash, uint64_t fence)
 {
@@ -63,7 +66,7 @@
     }
 }
 
-/* This instance gives an order with this fence; the others are told. */
+/* Records the fencing token of an order by this instance; the next reports carry it. */
 void
 mf_peers_note_fence (MfPeers *peers, const char *service, uint64_t fence)
 {
@@ -73,7 +76,7 @@
   mf_peers_hear_fence (peers, service_hash, fence);
 }
 
-/* The highest fence of an order for a service that is known here; 0: none is. */
+/* Returns the highest known fencing token of orders for a service; 0 when none is known. */
 uint64_t
 mf_peers_fence (const MfPeers *peers, const char *service)
 {
@@ -87,7 +90,7 @@
   return 0;
 }
 
-/* The instance that decides for all about a service: a peer, or 0 for this one. */
+/* Returns the leader of a service: the hash of a peer, or MF_DISPATCH_SELF. */
 uint64_t
 mf_peers_leader (MfPeers *peers, const char *service, uint64_t now_us)
 {
@@ -97,14 +100,14 @@
   service_add (peers, service_hash);
   if (best == NULL)
     return MF_DISPATCH_SELF;
-  /* One that begins to decide knows what it was told at the last heartbeat only. */
+  /* A peer that was not used as leader lately knows only the load of the last heartbeat. */
   if (now_us - best->leader_us >= MF_PEERS_LEADER_US)
     mf_peer_tell (peers, best);
   best->leader_us = now_us;
   return best->hash;
 }
 
-/* Whether a peer names this instance as the leader of a service. */
+/* Whether a peer votes for this instance as leader of a service. */
 static bool
 votes_for_self (const MfPeers *peers, const MfPeer *peer, uint64_t service_hash)
 {
@@ -116,8 +119,8 @@
   return false;
 }
 
-/* Whether this instance decides about a service and more than half of all that are known say so;
- * two instances that cannot hear each other are not both told yes. */
+/* Whether this instance is the leader of a service by the votes of more than half of all known
+ * instances. The majority ensures that a network partition cannot produce two leaders. */
 bool
 mf_peers_leads (MfPeers *peers, const char *service, uint64_t now_us)
 {
@@ -133,7 +136,7 @@
   return n_votes * 2 > peers->n_peers + 1;
 }
 
-/* The peer did not answer: it decides for nobody here for a while. */
+/* Keeps a peer that did not answer from being chosen as leader for LEADER_EXCLUDE_US. */
 void
 mf_peers_distrust (MfPeers *peers, uint64_t hash)
 {
@@ -143,14 +146,14 @@
     peer->distrusted_us = mf_clock_now_us () + LEADER_EXCLUDE_US;
 }
 
-/* The data centre that this instance stands in. */
+/* Sets the data centre of this instance. */
 void
 mf_peers_set_data_centre (MfPeers *peers, const char *data_centre)
 {
   peers->data_centre = (uint16_t)mf_load_hash (data_centre);
 }
 
-/* Where this instance stands among those of its data centre that are in touch. */
+/* Returns the rank of this instance among the reachable instances of its data centre. */
 MfFeedStanding
 mf_peers_standing (const MfPeers *peers, uint64_t now_us)
 {
--- a/libmangofork/relay/peers_row.h
+++ b/libmangofork/relay/peers_row.h
@@ -1,51 +1,52 @@
 #ifndef MF_RELAY_PEERS_ROW_H
 #define MF_RELAY_PEERS_ROW_H
 
-/* Shared by the files peers*.c only. */
+/* Internal to peers*.c. */
 
 #include "peers.h"
 
-/* Other instances that are kept in touch with. */
+/* Maximum number of known peers. */
 #define MF_PEERS_MAX 512
-/* A peer that was asked to decide is told of each change for so long. */
+/* For this long after a peer was used as leader, each load change is reported to it. */
 #define MF_PEERS_LEADER_US (5 * MF_US_PER_S)
 
-/* A peer that is not heard after this part of its heartbeat is not asked to decide. */
+/* A report is valid for this percentage of its sender's heartbeat interval. A peer without a valid
+ * report is not chosen as leader. */
 #define MF_PEERS_FRESH_PERCENT 180
 
-/* Another instance, and the connection on which it is told things. */
+/* Another instance and the outgoing connection to it. */
 typedef struct
 {
   MfPeers *peers;
   char address[MF_ADDRESS_BYTES];
   uint64_t hash;
   bool is_seed;
-  int fd; /* the connection reports go out on; -1: none */
+  int fd; /* outgoing connection; -1: none */
   bool connected;
   ev_io writer;
   MfBuffer out;
   uint64_t redial_at_us;
   uint64_t redial_us;
-  uint64_t seen_us; /* reached or heard */
+  uint64_t seen_us; /* last connection or report */
   bool members_told;
   uint64_t dialled_us;
   uint64_t told_us;
-  uint64_t leader_us;     /* when it was last asked to decide */
-  uint64_t distrusted_us; /* until then it is not asked */
-  uint64_t grant_id;      /* the last grant of its that was taken */
+  uint64_t leader_us;     /* when it was last used as leader */
+  uint64_t distrusted_us; /* not chosen as leader before this time */
+  uint64_t grant_id;      /* latest grant accepted from it */
   bool grant_told;
-  bool lost;      /* the connection to it broke; its user is told from the loop */
-  bool told_gone; /* its user has been told, and nothing was heard since */
+  bool lost;      /* the connection broke; the gone callback runs from the next tick */
+  bool told_gone; /* the gone callback has run, and no report has come since */
   uint64_t heard_us;
-  uint64_t fresh_us; /* it is due to be heard within this time */
+  uint64_t fresh_us; /* how long its last report is valid */
   MfLoadEntry *entries;
   uint32_t n_entries;
   MfLeaderVote votes[MF_LOAD_VOTES_MAX];
   uint32_t n_votes;
-  uint16_t data_centre; /* hash of its name, as it told */
+  uint16_t data_centre; /* hash of the name, from its last report */
 } MfPeer;
 
-/* A connection that another instance has made to tell its reports. */
+/* An incoming connection, on which another instance sends its messages. */
 typedef struct MfPeerIncoming MfPeerIncoming;
 struct MfPeerIncoming
 {
@@ -54,7 +55,7 @@
   int fd;
   ev_io reader;
   MfBuffer in;
-  char address[MF_ADDRESS_BYTES]; /* of who speaks on it; "" until it has */
+  char address[MF_ADDRESS_BYTES]; /* of the sender; "" until its first report */
 };
 
 struct MfPeers
@@ -72,14 +73,14 @@
   uint32_t n_peers;
   MfPeerIncoming *incoming;
   uint64_t told_us;
-  bool is_seed;      /* this instance is one */
-  MfRelayMessage in; /* room for one that came and one that goes; too large for the stack */
+  bool is_seed;      /* this instance is a seed */
+  MfRelayMessage in; /* buffers for one received and one sent message; too large for the stack */
   MfRelayMessage out;
   bool closing;
-  uint64_t hash;                        /* of the own address */
-  uint16_t data_centre;                 /* hash of the own one's name */
-  uint64_t services[MF_LOAD_VOTES_MAX]; /* hashes of those that a leader was asked for */
-  uint64_t fences[MF_LOAD_VOTES_MAX];   /* the highest of orders for these, by anybody */
+  uint64_t hash;                        /* of the address of this instance */
+  uint16_t data_centre;                 /* hash of the name of this instance's data centre */
+  uint64_t services[MF_LOAD_VOTES_MAX]; /* hashes of the services whose leader is reported */
+  uint64_t fences[MF_LOAD_VOTES_MAX];   /* highest known fencing token of each of these */
   uint32_t n_services;
 };
 
@@ -88,13 +89,13 @@
 void mf_peer_hang_up (MfPeers *peers, MfPeer *peer);
 void mf_peer_flush (MfPeers *peers, MfPeer *peer);
 
-/* peers_tell.c: what peers are told, and when. */
+/* peers_tell.c: sending of reports and messages. */
 void mf_peers_tell (MfPeers *peers, bool changed);
 void mf_peer_tell (MfPeers *peers, MfPeer *peer);
 bool mf_peers_introduces (const MfPeers *peers, const MfPeer *peer);
 void mf_peers_on_tell (struct ev_loop *loop, ev_timer *watcher, int events);
 
-/* peers_lead.c: who decides for all. */
+/* peers_lead.c: choice of leaders, and fencing tokens. */
 bool mf_peer_is_heard (const MfPeer *peer, uint64_t now_us);
 MfPeer *mf_peers_find_leader (const MfPeers *peers, uint64_t service_hash, uint64_t now_us);
 void mf_peers_hear_fence (MfPeers *peers, uint64_t service_hash, uint64_t fence);
--- a/libmangofork/relay/peers_tell.c
+++ b/libmangofork/relay/peers_tell.c
@@ -4,18 +4,19 @@
 
 #include <string.h>
 
-/* Changes are told together, this often at most. */
+/* Minimum interval between reports of changes; changes within it are combined. */
 #define REPORT_INTERVAL_MIN_US (4 * MF_US_PER_MS)
-/* Up to so many peers are all told of each change. */
+/* With at most this many peers, each change is reported to all of them. */
 #define SMALL_FLEET_PEERS_MAX 12
-/* A report that changes nothing still goes out this often, a little less so in large fleets. */
+/* Heartbeat: a report is sent at this interval even without changes. The interval grows with the
+ * number of peers. */
 #define HEARTBEAT_MIN_US (400 * MF_US_PER_MS)
 #define HEARTBEAT_PER_PEER_US (12 * MF_US_PER_MS)
-/* In fleets of up to so many every instance tells the members, in larger ones the seeds and one of
- * so many others. */
+/* With at most this many peers, every instance sends the member list to new connections. With more,
+ * only the seeds and one of MEMBERS_SENDERS_DIVISOR other instances do. */
 #define MEMBERS_SENT_BY_ALL_MAX 24
 #define MEMBERS_SENDERS_DIVISOR 16
-/* Bytes that may wait for a peer that does not read; its connection is then made anew. */
+/* Maximum unsent bytes for a peer that does not read; beyond it, the connection is reopened. */
 #define UNSENT_BYTES_MAX 65536
 
 static uint64_t
@@ -26,7 +27,7 @@
   return scaled > HEARTBEAT_MIN_US ? scaled : HEARTBEAT_MIN_US;
 }
 
-/* How long what an instance last told of itself is taken to hold, in a fleet of this size. */
+/* Returns how long a report is valid in a fleet of this size. */
 uint64_t
 mf_peers_fresh_us (const MfPeers *peers)
 {
@@ -47,7 +48,7 @@
   mf_peer_flush (peers, peer);
 }
 
-/* Writes a report of what this instance has now. */
+/* Encodes a report of the current load of this instance. */
 static void
 report_encode (MfPeers *peers, bool with_members, MfBuffer *frame)
 {
@@ -81,7 +82,7 @@
   mf_relay_message_encode (&peers->out, frame);
 }
 
-/* Tells a peer that the report after this includes a grant of its. */
+/* Sends the pending acknowledgement of a grant: the report that follows includes the grant. */
 static void
 grant_ack_send (MfPeers *peers, MfPeer *peer)
 {
@@ -97,8 +98,8 @@
   mf_buffer_clear (&frame);
 }
 
-/* Whether a peer is to be told now: at its heartbeat, and of changes when it decides for this
- * instance or the fleet is small. */
+/* Whether a report to a peer is due: at each heartbeat, and on changes when the peer is used as
+ * leader or the fleet is small. */
 static bool
 is_report_due (const MfPeers *peers, const MfPeer *peer, bool changed, uint64_t now_us)
 {
@@ -111,9 +112,9 @@
              || now_us - peer->leader_us < MF_PEERS_LEADER_US);
 }
 
-/* Whether a peer is told the members, and what all were told before, when it is reached. Who starts
- * anew learns them from a seed, and is then known to all whom it reaches; a few others tell them as
- * well, as seeds may be away. */
+/* Whether this instance sends the member list and earlier broadcasts to a newly connected peer. A
+ * new instance learns the members from a seed and becomes known to all that it connects to. A few
+ * instances that are no seeds send the list too, because the seeds may be down. */
 bool
 mf_peers_introduces (const MfPeers *peers, const MfPeer *peer)
 {
@@ -121,8 +122,8 @@
          || (peer->hash ^ peers->hash) % MEMBERS_SENDERS_DIVISOR == 0;
 }
 
-/* Tells the peers that are due; with its first report on a connection, a peer is told the members.
- */
+/* Sends a report to each peer for which one is due. The first report on a connection includes the
+ * member list if this instance sends it to the peer. */
 void
 mf_peers_tell (MfPeers *peers, bool changed)
 {
@@ -158,7 +159,7 @@
   mf_peers_tell (watcher->data, true);
 }
 
-/* What this instance has has changed: the others are told soon. */
+/* Schedules a report after a change in the load of this instance. */
 void
 mf_peers_touch (MfPeers *peers)
 {
@@ -167,12 +168,12 @@
 
   if (peers->n_peers == 0 || ev_is_active (&peers->tell))
     return;
-  /* What happens in one turn of the loop is told together. */
+  /* Changes within one iteration of the event loop are reported together. */
   ev_timer_set (&peers->tell, due_us > now_us ? (double)(due_us - now_us) / 1e6 : 0.0005, 0.);
   ev_timer_start (peers->loop, &peers->tell);
 }
 
-/* Sends a message; false when the peer is not connected. */
+/* Sends a message to one peer. Returns false when the peer is not connected. */
 bool
 mf_peers_send (MfPeers *peers, uint64_t hash, const MfRelayMessage *message)
 {
@@ -203,21 +204,21 @@
   mf_buffer_clear (&frame);
 }
 
-/* Sends a message to all peers that are connected. */
+/* Sends a message to all connected peers. */
 void
 mf_peers_send_all (MfPeers *peers, const MfRelayMessage *message)
 {
   send_to_peers (peers, message, false);
 }
 
-/* Sends a message to all peers of the same data centre. */
+/* Sends a message to all connected peers in the data centre of this instance. */
 void
 mf_peers_send_near (MfPeers *peers, const MfRelayMessage *message)
 {
   send_to_peers (peers, message, true);
 }
 
-/* Tells one peer what this instance has now. */
+/* Sends a report to one peer. */
 void
 mf_peer_tell (MfPeers *peers, MfPeer *peer)
 {
@@ -230,7 +231,7 @@
   mf_buffer_clear (&frame);
 }
 
-/* The next report to this peer will show this grant of its. */
+/* Acknowledges a grant by a peer with the next report to it. */
 void
 mf_peers_note_grant (MfPeers *peers, uint64_t hash, uint64_t grant_id)
 {
