--- a/libmangofork/relay/dispatch.c
+++ b/libmangofork/relay/dispatch.c
@@ -17,7 +17,7 @@
 {
   WaitingRequest *next;
   uint64_t requester;
-  MfAsk request;
+  MfSlotRequest request;
   uint64_t arrived_us;     /* of the caller's request, by this instance's clock */
   uint64_t skipped_run_us; /* the run that found no room for it alone */
 };
@@ -37,7 +37,7 @@
 struct MfDispatch
 {
   MfTargets *targets;
-  const MfDispatchUser *user;
+  const MfDispatchCallbacks *callbacks;
   void *data;
   WaitingRequest *waiting;
   uint32_t n_waiting;
@@ -47,13 +47,13 @@
 
 /* The targets, the user and its data are borrowed. NULL without memory. */
 MfDispatch *
-mf_dispatch_new (MfTargets *targets, const MfDispatchUser *user, void *data)
+mf_dispatch_new (MfTargets *targets, const MfDispatchCallbacks *callbacks, void *data)
 {
   MfDispatch *dispatch = calloc (1, sizeof *dispatch);
 
   if (dispatch == NULL)
     return NULL;
-  *dispatch = (MfDispatch){ .targets = targets, .user = user, .data = data };
+  *dispatch = (MfDispatch){ .targets = targets, .callbacks = callbacks, .data = data };
   return dispatch;
 }
 
@@ -64,15 +64,16 @@
   if (dispatch == NULL)
     return;
   while (dispatch->waiting != NULL)
-    mf_dispatch_drop (dispatch, dispatch->waiting->requester);
+    mf_dispatch_drop_requester (dispatch, dispatch->waiting->requester);
   while (dispatch->pending != NULL)
-    mf_dispatch_drop (dispatch, dispatch->pending->requester);
+    mf_dispatch_drop_requester (dispatch, dispatch->pending->requester);
   free (dispatch);
 }
 
 /* Puts an ask in the queue; nothing is granted before mf_dispatch_run. */
 void
-mf_dispatch_ask (MfDispatch *dispatch, uint64_t requester, const MfAsk *request, uint64_t now_us)
+mf_dispatch_enqueue (MfDispatch *dispatch, uint64_t requester, const MfSlotRequest *request,
+                     uint64_t now_us)
 {
   WaitingRequest *waiting;
 
@@ -113,7 +114,7 @@
 
 /* The asker is gone, with what it asked for and was granted. */
 void
-mf_dispatch_drop (MfDispatch *dispatch, uint64_t requester)
+mf_dispatch_drop_requester (MfDispatch *dispatch, uint64_t requester)
 {
   WaitingRequest **waiting = &dispatch->waiting;
   PendingGrant **pending = &dispatch->pending;
@@ -141,7 +142,7 @@
 
 /* What the asker has told of its load includes this grant and those before it. */
 void
-mf_dispatch_seen (MfDispatch *dispatch, uint64_t requester, uint64_t id)
+mf_dispatch_ack_grants (MfDispatch *dispatch, uint64_t requester, uint64_t id)
 {
   bool known = false;
   PendingGrant **link = &dispatch->pending;
@@ -168,16 +169,16 @@
 static void
 pending_add_load (const MfDispatch *dispatch, const PendingGrant *pending)
 {
-  mf_load_add (dispatch->targets,
-               &(MfLoadEntry){ .upstream = pending->grant.decode,
-                               .n_active = 1,
-                               .tokens = (uint32_t)pending->memory_tokens },
-               pending->granted_us);
-  mf_load_add (dispatch->targets,
-               &(MfLoadEntry){ .upstream = pending->grant.prefill,
-                               .n_active = 1,
-                               .tokens = (uint32_t)pending->prompt_tokens },
-               pending->granted_us);
+  mf_load_add_remote (dispatch->targets,
+                      &(MfLoadEntry){ .upstream = pending->grant.decode,
+                                      .n_active = 1,
+                                      .tokens = (uint32_t)pending->memory_tokens },
+                      pending->granted_us);
+  mf_load_add_remote (dispatch->targets,
+                      &(MfLoadEntry){ .upstream = pending->grant.prefill,
+                                      .n_active = 1,
+                                      .tokens = (uint32_t)pending->prompt_tokens },
+                      pending->granted_us);
 }
 
 /* Adds the grants that loads do not show yet to the targets; after mf_load_refresh. */
@@ -211,18 +212,19 @@
     }
 }
 
-static MfPlaceAsk
-place_query (MfDispatch *dispatch, const MfAsk *request, const MfRouteService *config, MfRole role)
+static MfPlaceQuery
+place_query (MfDispatch *dispatch, const MfSlotRequest *request, const MfRouteService *config,
+             MfRole role)
 {
-  MfPlaceAsk query = {
+  MfPlaceQuery query = {
     .service = request->service,
     .role = role,
-    .tokens = role == MF_ROLE_PREFILL ? request->prompt_tokens : request->memory_tokens,
-    .traits = config,
+    .tokens = role == MF_ROLE_PREFILL ? request->prompt_tokens : request->kv_tokens,
+    .service_config = config,
     .n_avoid = request->n_avoid,
     .data_centre = request->data_centre,
     .must_fit = role == MF_ROLE_DECODE,
-    .point = dispatch->point++,
+    .tie_break = dispatch->point++,
   };
 
   memcpy (query.avoid, request->avoid, sizeof query.avoid);
@@ -237,8 +239,8 @@
   bool one_late = now_us > one->arrived_us + one->request.objective_us;
   bool other_late = now_us > other->arrived_us + other->request.objective_us;
 
-  if (one->request.has_memory != other->request.has_memory)
-    return one->request.has_memory;
+  if (one->request.is_prefilled != other->request.is_prefilled)
+    return one->request.is_prefilled;
   if (one_late != other_late)
     return other_late;
   return one->arrived_us < other->arrived_us;
@@ -277,10 +279,11 @@
 
 /* Finds places for an ask. Returns false when no engine has room. */
 static bool
-choose_engines (MfDispatch *dispatch, const MfAsk *request, MfGrant *grant, uint64_t now_us)
+choose_engines (MfDispatch *dispatch, const MfSlotRequest *request, MfGrant *grant, uint64_t now_us)
 {
-  const MfRouteService *config = dispatch->user->traits (dispatch->data, request->service);
-  MfPlaceAsk query;
+  const MfRouteService *config
+      = dispatch->callbacks->service_config (dispatch->data, request->service);
+  MfPlaceQuery query;
   MfTarget *decode;
   MfTarget *prefill;
   bool any_alive = false;
@@ -293,7 +296,7 @@
   if (decode == NULL || mf_target_is_suspect (decode, now_us))
     return false;
   *grant = (MfGrant){ .id = request->id, .decode = decode->id_hash };
-  if (request->has_memory)
+  if (request->is_prefilled)
     return true;
   query = place_query (dispatch, request, config, MF_ROLE_PREFILL);
   prefill = mf_place_choose (dispatch->targets, &query, now_us, &any_alive);
@@ -304,12 +307,13 @@
 
 /* Whether an ask wants so much of an engine that it must not hold up the others. */
 static bool
-is_oversized (const MfDispatch *dispatch, const MfAsk *request)
+is_oversized (const MfDispatch *dispatch, const MfSlotRequest *request)
 {
-  const MfRouteService *config = dispatch->user->traits (dispatch->data, request->service);
+  const MfRouteService *config
+      = dispatch->callbacks->service_config (dispatch->data, request->service);
 
   return config != NULL && config->kv_capacity_tokens > 0
-         && request->memory_tokens * OVERSIZED_DIVISOR > config->kv_capacity_tokens;
+         && request->kv_tokens * OVERSIZED_DIVISOR > config->kv_capacity_tokens;
 }
 
 /* Notes a grant to another instance; this one's own show in the loads at once. */
@@ -326,7 +330,7 @@
     .requester = waiting->requester,
     .grant = *grant,
     .prompt_tokens = waiting->request.prompt_tokens,
-    .memory_tokens = waiting->request.memory_tokens,
+    .memory_tokens = waiting->request.kv_tokens,
     .granted_us = now_us,
   };
   while (*link != NULL)
@@ -350,7 +354,7 @@
       uint64_t requester = waiting->requester;
       MfGrant grant;
 
-      if (now_us > waiting->arrived_us + waiting->request.patience_us)
+      if (now_us > waiting->arrived_us + waiting->request.max_age_us)
         {
           waiting_remove (dispatch, link);
           continue;
@@ -366,7 +370,7 @@
         }
       pending_add (dispatch, waiting, &grant, now_us);
       waiting_remove (dispatch, link);
-      dispatch->user->grant (dispatch->data, requester, &grant);
+      dispatch->callbacks->grant (dispatch->data, requester, &grant);
     }
   return dispatch->n_waiting;
 }
--- a/libmangofork/relay/dispatch.h
+++ b/libmangofork/relay/dispatch.h
@@ -23,14 +23,14 @@
   char service[MF_NAME_BYTES];
   char data_centre[MF_NAME_BYTES]; /* of the asker */
   uint64_t prompt_tokens;
-  uint64_t memory_tokens;
-  bool has_memory;                    /* its prompt has been read already */
+  uint64_t kv_tokens;
+  bool is_prefilled;                  /* its prompt has been read already */
   uint64_t age_us;                    /* since the caller's request came */
   uint64_t objective_us;              /* it is in time if served before this age */
-  uint64_t patience_us;               /* it is of no use after this age */
+  uint64_t max_age_us;                /* it is of no use after this age */
   uint64_t avoid[MF_PLACE_AVOID_MAX]; /* hashes of upstreams that have declined or failed */
   uint32_t n_avoid;
-} MfAsk;
+} MfSlotRequest;
 
 /* Where it is to go. */
 typedef struct
@@ -44,16 +44,16 @@
 {
   void (*grant) (void *data, uint64_t requester, const MfGrant *grant);
   /* What a service's engines are like in the configuration in force; NULL when not known. */
-  const MfRouteService *(*traits) (void *data, const char *service);
-} MfDispatchUser;
+  const MfRouteService *(*service_config) (void *data, const char *service);
+} MfDispatchCallbacks;
 
-MfDispatch *mf_dispatch_new (MfTargets *targets, const MfDispatchUser *user, void *data);
+MfDispatch *mf_dispatch_new (MfTargets *targets, const MfDispatchCallbacks *callbacks, void *data);
 void mf_dispatch_free (MfDispatch *dispatch);
-void mf_dispatch_ask (MfDispatch *dispatch, uint64_t requester, const MfAsk *request,
-                      uint64_t now_us);
+void mf_dispatch_enqueue (MfDispatch *dispatch, uint64_t requester, const MfSlotRequest *request,
+                          uint64_t now_us);
 void mf_dispatch_cancel (MfDispatch *dispatch, uint64_t requester, uint64_t id);
-void mf_dispatch_drop (MfDispatch *dispatch, uint64_t requester);
-void mf_dispatch_seen (MfDispatch *dispatch, uint64_t requester, uint64_t id);
+void mf_dispatch_drop_requester (MfDispatch *dispatch, uint64_t requester);
+void mf_dispatch_ack_grants (MfDispatch *dispatch, uint64_t requester, uint64_t id);
 uint32_t mf_dispatch_run (MfDispatch *dispatch, uint64_t now_us);
 uint32_t mf_dispatch_n_waiting (const MfDispatch *dispatch);
 void mf_dispatch_add_pending (const MfDispatch *dispatch, uint64_t now_us);
--- a/libmangofork/relay/feed.c
+++ b/libmangofork/relay/feed.c
@@ -81,7 +81,7 @@
  * for so long. One that took longer may have been made when the call began: the process stood
  * still. */
 uint64_t
-mf_feed_way_us (uint64_t took_us, uint64_t wait_us)
+mf_feed_answer_age_us (uint64_t took_us, uint64_t wait_us)
 {
   if (took_us > wait_us + ANSWER_TRANSIT_MAX_US)
     return took_us;
@@ -90,45 +90,46 @@
 
 /* Whether an instance reads the platform's store for itself, for others too, or is told. */
 MfFeedRole
-mf_feed_role (const MfFeedStanding *standing)
+mf_feed_role (const MfFeedRank *rank)
 {
-  if (standing->n_instances < READERS_INSTANCES_MIN)
-    return MF_FEED_ALONE;
-  return standing->rank < N_READERS ? MF_FEED_READER : MF_FEED_FOLLOWER;
+  if (rank->n_instances < READERS_INSTANCES_MIN)
+    return MF_FEED_STANDALONE;
+  return rank->rank < N_READERS ? MF_FEED_READER : MF_FEED_FOLLOWER;
 }
 
 /* All changes made before this moment of the own clock are known. */
 void
-mf_follow_note (MfFollow *freshness, uint64_t as_of_us)
+mf_feed_freshness_advance (MfFeedFreshness *freshness, uint64_t as_of_us)
 {
   if (as_of_us > freshness->as_of_us)
     freshness->as_of_us = as_of_us;
 }
 
-static MfFollowSender *
-sender_find (MfFollow *freshness, uint64_t peer, int64_t offset_us)
+static MfFeedSender *
+sender_find (MfFeedFreshness *freshness, uint64_t peer, int64_t offset_us)
 {
   uint32_t n_kept
-      = freshness->n_senders < MF_FOLLOW_SENDERS_MAX ? freshness->n_senders : MF_FOLLOW_SENDERS_MAX;
-  MfFollowSender *sender;
+      = freshness->n_senders < MF_FEED_SENDERS_MAX ? freshness->n_senders : MF_FEED_SENDERS_MAX;
+  MfFeedSender *sender;
 
   for (uint32_t i = 0; i < n_kept; i++)
     {
       if (freshness->senders[i].peer == peer)
         return &freshness->senders[i];
     }
-  sender = &freshness->senders[freshness->n_senders++ % MF_FOLLOW_SENDERS_MAX];
-  *sender = (MfFollowSender){ .peer = peer, .offset_us = offset_us };
+  sender = &freshness->senders[freshness->n_senders++ % MF_FEED_SENDERS_MAX];
+  *sender = (MfFeedSender){ .peer = peer, .offset_us = offset_us };
   return sender;
 }
 
 /* The moment of the own clock as of which a feed that has just come tells all; 0 when that is not
  * known. How long it was on its way shows in the least difference between both clocks. */
 uint64_t
-mf_follow_as_of_us (MfFollow *freshness, uint64_t peer, const MfFeed *feed, uint64_t now_us)
+mf_feed_freshness_as_of_us (MfFeedFreshness *freshness, uint64_t peer, const MfFeed *feed,
+                            uint64_t now_us)
 {
   int64_t offset_us = (int64_t)(now_us - feed->sent_us);
-  MfFollowSender *sender = sender_find (freshness, peer, offset_us);
+  MfFeedSender *sender = sender_find (freshness, peer, offset_us);
   uint64_t age_us;
 
   if (feed->sent_us < feed->as_of_us)
@@ -147,9 +148,10 @@
 /* How long an instance may leave the store alone; 0 when it has to read now. point spreads those
  * that are late together. */
 uint64_t
-mf_follow_rest_us (const MfFollow *freshness, MfFeedRole role, uint64_t now_us, uint32_t random)
+mf_feed_freshness_read_delay_us (const MfFeedFreshness *freshness, MfFeedRole role, uint64_t now_us,
+                                 uint32_t random)
 {
-  uint64_t stale_us = freshness->bound_us * READ_AFTER_PERCENT / 100;
+  uint64_t stale_us = freshness->staleness_max_us * READ_AFTER_PERCENT / 100;
   uint64_t spread_us = (stale_us * SPREAD_PERCENT / 100) * (uint64_t)random >> 32;
   uint64_t age_us = now_us - freshness->as_of_us;
 
@@ -161,14 +163,15 @@
 /* The pause after a failed call to the store, when the pause before was last_us, 0 for none.
  * Readers look for its return often, and tell the others of it. */
 uint64_t
-mf_follow_retry_us (const MfFollow *freshness, MfFeedRole role, uint64_t last_us, uint32_t random)
+mf_feed_freshness_retry_delay_us (const MfFeedFreshness *freshness, MfFeedRole role,
+                                  uint64_t last_us, uint32_t random)
 {
   uint64_t max_us = RETRY_MAX_US;
   uint64_t next_us = last_us == 0 ? RETRY_FIRST_US : last_us * 2;
 
   if (role == MF_FEED_FOLLOWER)
     {
-      max_us = freshness->bound_us * RETRY_FOLLOWER_PERCENT / 100;
+      max_us = freshness->staleness_max_us * RETRY_FOLLOWER_PERCENT / 100;
       /* All have failed at once, and none is waited for. */
       next_us = max_us / 2 + ((max_us / 2) * (uint64_t)random >> 32);
     }
@@ -177,9 +180,10 @@
 
 /* How long a call to the store waits for changes; alone_us where nobody else depends on it. */
 uint64_t
-mf_follow_wait_us (const MfFollow *freshness, MfFeedRole role, uint64_t default_us)
+mf_feed_freshness_watch_timeout_us (const MfFeedFreshness *freshness, MfFeedRole role,
+                                    uint64_t default_us)
 {
-  uint64_t wait_us = freshness->bound_us * READER_WAIT_PERCENT / 100;
+  uint64_t wait_us = freshness->staleness_max_us * READER_WAIT_PERCENT / 100;
 
   return role == MF_FEED_READER && wait_us < default_us ? wait_us : default_us;
 }
--- a/libmangofork/relay/feed.h
+++ b/libmangofork/relay/feed.h
@@ -38,48 +38,49 @@
 bool mf_feed_add (MfFeed *feed, const char *key, uint64_t revision, bool removed, const char *value,
                   size_t value_bytes);
 void mf_feed_clear (MfFeed *feed);
-uint64_t mf_feed_way_us (uint64_t took_us, uint64_t wait_us);
+uint64_t mf_feed_answer_age_us (uint64_t took_us, uint64_t wait_us);
 
 /* Where an instance stands among those of its data centre. */
 typedef struct
 {
   uint32_t n_instances; /* in touch, this one included */
   uint32_t rank;        /* of this one among them; 0 is the first */
-} MfFeedStanding;
+} MfFeedRank;
 
 typedef enum
 {
-  MF_FEED_ALONE,    /* reads for itself */
-  MF_FEED_READER,   /* reads, and passes on what it has read */
-  MF_FEED_FOLLOWER, /* is told by readers, and reads for itself when they are late */
+  MF_FEED_STANDALONE, /* reads for itself */
+  MF_FEED_READER,     /* reads, and passes on what it has read */
+  MF_FEED_FOLLOWER,   /* is told by readers, and reads for itself when they are late */
 } MfFeedRole;
 
 /* Senders of feeds whose clocks are compared. */
-#define MF_FOLLOW_SENDERS_MAX 8
+#define MF_FEED_SENDERS_MAX 8
 
 typedef struct
 {
   uint64_t peer;
   int64_t offset_us; /* least difference seen between the receiver's clock and the sender's */
-} MfFollowSender;
+} MfFeedSender;
 
 /* How recent an instance's knowledge of the platform's store is. */
 typedef struct
 {
-  uint64_t bound_us; /* within which a change must be acted on */
-  uint64_t as_of_us; /* all changes made before then are known; 0: nothing is */
-  MfFollowSender senders[MF_FOLLOW_SENDERS_MAX];
+  uint64_t staleness_max_us; /* within which a change must be acted on */
+  uint64_t as_of_us;         /* all changes made before then are known; 0: nothing is */
+  MfFeedSender senders[MF_FEED_SENDERS_MAX];
   uint32_t n_senders; /* ever seen; the oldest is overwritten */
-} MfFollow;
+} MfFeedFreshness;
 
-MfFeedRole mf_feed_role (const MfFeedStanding *standing);
-void mf_follow_note (MfFollow *freshness, uint64_t as_of_us);
-uint64_t mf_follow_as_of_us (MfFollow *freshness, uint64_t peer, const MfFeed *feed,
-                             uint64_t now_us);
-uint64_t mf_follow_rest_us (const MfFollow *freshness, MfFeedRole role, uint64_t now_us,
-                            uint32_t random);
-uint64_t mf_follow_retry_us (const MfFollow *freshness, MfFeedRole role, uint64_t last_us,
-                             uint32_t random);
-uint64_t mf_follow_wait_us (const MfFollow *freshness, MfFeedRole role, uint64_t default_us);
+MfFeedRole mf_feed_role (const MfFeedRank *rank);
+void mf_feed_freshness_advance (MfFeedFreshness *freshness, uint64_t as_of_us);
+uint64_t mf_feed_freshness_as_of_us (MfFeedFreshness *freshness, uint64_t peer, const MfFeed *feed,
+                                     uint64_t now_us);
+uint64_t mf_feed_freshness_read_delay_us (const MfFeedFreshness *freshness, MfFeedRole role,
+                                          uint64_t now_us, uint32_t random);
+uint64_t mf_feed_freshness_retry_delay_us (const MfFeedFreshness *freshness, MfFeedRole role,
+                                           uint64_t last_us, uint32_t random);
+uint64_t mf_feed_freshness_watch_timeout_us (const MfFeedFreshness *freshness, MfFeedRole role,
+                                             uint64_t default_us);
 
 #endif
--- a/libmangofork/relay/job.c
+++ b/libmangofork/relay/job.c
@@ -331,8 +331,8 @@
   mf_head_number (head, MF_WORD_ANSWER_HINT, &hint_tokens);
   job->answer_tokens
       = mf_load_answer_tokens (hint_tokens, (uint64_t)job->jobs->answer_tokens, job->output_tokens);
-  job->memory_tokens = mf_load_memory_tokens (
-      job->prompt_tokens, hint_tokens, (uint64_t)job->jobs->answer_tokens, job->output_tokens);
+  job->memory_tokens = mf_load_kv_tokens (job->prompt_tokens, hint_tokens,
+                                          (uint64_t)job->jobs->answer_tokens, job->output_tokens);
 }
 
 /* The least time a whole answer is reckoned to take; 0 before any has been seen. */
@@ -585,7 +585,7 @@
 mf_jobs_load_changed (MfJobs *jobs)
 {
   if (jobs->peers != NULL)
-    mf_peers_touch (jobs->peers);
+    mf_peers_schedule_report (jobs->peers);
 }
 
 /* Looks at what the other instances have at the engines, if that has changed. */
@@ -594,9 +594,9 @@
 {
   if (!jobs->others_stale)
     return;
-  mf_load_reset (&jobs->targets);
+  mf_load_reset_remote (&jobs->targets);
   if (jobs->peers != NULL)
-    mf_peers_foreach (jobs->peers, now_us, mf_load_add, &jobs->targets);
+    mf_peers_foreach_entry (jobs->peers, now_us, mf_load_add_remote, &jobs->targets);
   mf_dispatch_add_pending (jobs->dispatch, now_us);
   jobs->others_stale = false;
 }
@@ -647,7 +647,7 @@
   jobs->jobs_max = JOBS_MAX;
   jobs->answer_bytes_max = ANSWERS_BYTES_MAX;
   jobs->targets.loop = loop;
-  jobs->targets.user = &mf_job_targets_user;
+  jobs->targets.callbacks = &mf_job_targets_user;
   jobs->targets.user_data = jobs;
   jobs->targets.dialect = dialect;
   if (getrandom (&jobs->random, sizeof jobs->random, 0) != sizeof jobs->random)
--- a/libmangofork/relay/job.h
+++ b/libmangofork/relay/job.h
@@ -103,10 +103,10 @@
 void mf_jobs_load_changed (MfJobs *jobs);
 void mf_jobs_wake_later (MfJobs *jobs);
 
-extern const MfDispatchUser mf_job_dispatch_user;
+extern const MfDispatchCallbacks mf_job_dispatch_user;
 
 /* Peers are made with this user and the MfJobs as its data. */
-extern const MfPeersUser mf_jobs_peers_user;
+extern const MfPeersCallbacks mf_jobs_peers_user;
 
 /* The doors of callers are opened with this user and the MfJobs as its data. */
 extern const MfDoorUser mf_job_door_user;
--- a/libmangofork/relay/job_answer.c
+++ b/libmangofork/relay/job_answer.c
@@ -54,7 +54,7 @@
 {
   MfJob *job = data;
 
-  mf_target_alive (job->target, mf_clock_now_us ());
+  mf_target_record_alive (job->target, mf_clock_now_us ());
   if (status != 421)
     mf_job_note_alive (job);
   mf_job_answer_clear (&job->answer);
@@ -134,7 +134,7 @@
 
   if (tokens <= job->target_tokens)
     return;
-  mf_target_grow (job->target, tokens - job->target_tokens);
+  mf_target_add_tokens (job->target, tokens - job->target_tokens);
   job->target_tokens = tokens;
 }
 
@@ -151,7 +151,7 @@
       on_answer_body (data, bytes, n_bytes);
       return;
     }
-  mf_target_alive (job->target, now_us);
+  mf_target_record_alive (job->target, now_us);
   if (job->first_event_us == 0)
     {
       job->first_event_us = now_us;
@@ -187,11 +187,11 @@
   if (job->answer.status == 421)
     {
       job->jobs->counters.counts[MF_RELAY_COUNT_MISDIRECTED]++;
-      mf_target_replaced (target, now_us + MISDIRECTED_US);
+      mf_target_mark_replaced (target, now_us + MISDIRECTED_US);
       mf_jobs_load_changed (job->jobs);
     }
   else
-    mf_target_declined (target, now_us);
+    mf_target_record_decline (target, now_us);
   mf_lines_add (job->jobs->lines, "request.declined",
                 "id=%s upstream=%s status=%u in_flight=%u tokens=%llu memory_age_ms=%.1f", job->id,
                 target->info.id, job->answer.status, target->n_active,
@@ -214,7 +214,7 @@
 job_broke (MfJob *job, MfTarget *target, const char *why)
 {
   job->jobs->counters.counts[MF_RELAY_COUNT_BROKEN]++;
-  mf_target_failed (target, false, mf_clock_now_us ());
+  mf_target_record_failure (target, false, mf_clock_now_us ());
   mf_lines_add (job->jobs->lines, "request.broken",
                 "id=%s digest=%016llx upstream=%s why=\"%s\" events=%llu", job->id,
                 (unsigned long long)job->digest, target->info.id, why,
@@ -257,7 +257,7 @@
     job->n_prefill_sends--;
   else
     job->n_run_sends--;
-  mf_target_failed (target, true, mf_clock_now_us ());
+  mf_target_record_failure (target, true, mf_clock_now_us ());
   mf_lines_state (job->jobs->lines, "upstream.unreached",
                   "upstream=%s address=%s id=%s why=\"%s\" failures=%u suspect_ms=%llu",
                   target->info.id, target->info.address, job->id, why, target->n_failures,
@@ -294,7 +294,7 @@
     }
   if (answer_is_good (answer))
     {
-      mf_target_answered (target, now_us - job->sent_us, now_us);
+      mf_target_record_answer (target, now_us - job->sent_us, now_us);
       mf_job_reply (job, answer);
       return;
     }
@@ -304,7 +304,7 @@
       return;
     }
   if (answer->status >= 500)
-    mf_target_failed (target, false, now_us);
+    mf_target_record_failure (target, false, now_us);
   if (answer->status >= 500 && job->caller != NULL && !job->head_sent && mf_job_may_repeat (job)
       && job->n_runs < job->route->attempts_max && mf_job_take_repeat (job))
     {
@@ -340,7 +340,7 @@
       job->n_runs++;
       job->memory_used = true;
       mf_job_note_break (job, target);
-      mf_target_look (target);
+      mf_target_probe (target);
       job_broke (job, target, why);
     }
   else if (job->phase == MF_JOB_STREAMING && answer_is_good (&job->answer))
@@ -351,7 +351,7 @@
         job_broke (job, target, "the stream ended within an event");
       else
         {
-          mf_target_answered (target, job->first_event_us - job->sent_us, mf_clock_now_us ());
+          mf_target_record_answer (target, job->first_event_us - job->sent_us, mf_clock_now_us ());
           mf_jobs_note_answer (jobs, job->events.n_events * job->service->event_tokens,
                                mf_clock_now_us () - job->sent_us);
           mf_job_finish (job, MF_CODE_OK, "answered");
@@ -378,7 +378,7 @@
 {
   uint64_t now_us = mf_clock_now_us ();
 
-  mf_target_read (target, job->prompt_tokens, now_us - job->sent_us, now_us);
+  mf_target_record_prefill (target, job->prompt_tokens, now_us - job->sent_us, now_us);
   job->memory_target = mf_target_ref (target);
   job->memory_us = now_us;
   job->memory_used = false;
@@ -410,7 +410,7 @@
     job_declined (job, target);
   else
     {
-      mf_target_failed (target, false, mf_clock_now_us ());
+      mf_target_record_failure (target, false, mf_clock_now_us ());
       mf_lines_add (job->jobs->lines, "request.broken",
                     "id=%s digest=%016llx upstream=%s stage=prefill status=%u why=\"%s\"", job->id,
                     (unsigned long long)job->digest, target->info.id, answer->status, why);
@@ -418,7 +418,7 @@
       if (end == MF_LINK_BROKEN)
         {
           mf_job_note_break (job, target);
-          mf_target_look (target);
+          mf_target_probe (target);
         }
       mf_job_repeat_after_break (job, target,
                                  &(MfJobDenied){
--- a/libmangofork/relay/job_lead.c
+++ b/libmangofork/relay/job_lead.c
@@ -67,7 +67,7 @@
 
       if (!service->is_engine || (lead == NULL && (lead = lead_add (jobs, service->name)) == NULL))
         continue;
-      if (late || !mf_peers_leads (jobs->peers, service->name, now_us))
+      if (late || !mf_peers_is_leader (jobs->peers, service->name, now_us))
         {
           lead->led_since_us = 0;
           continue;
--- a/libmangofork/relay/job_place.c
+++ b/libmangofork/relay/job_place.c
@@ -8,21 +8,21 @@
 #define MEMORY_USE_PERCENT 80
 
 /* What is asked of the placing for this request. */
-static MfPlaceAsk
+static MfPlaceQuery
 job_ask (const MfJob *job, MfRole role)
 {
-  MfPlaceAsk ask = {
+  MfPlaceQuery ask = {
     .service = job->service->name,
     .role = role,
     .tokens = role == MF_ROLE_PREFILL ? job->prompt_tokens : job->memory_tokens,
-    .traits = job->service,
+    .service_config = job->service,
     .n_avoid = job->n_avoid,
-    .apart = mf_job_is_suspect (job),
-    .memory_data_centre = role == MF_ROLE_DECODE && job->memory_target != NULL
-                              ? job->memory_target->info.data_centre
-                              : NULL,
+    .avoid_suspects = mf_job_is_suspect (job),
+    .kv_data_centre = role == MF_ROLE_DECODE && job->memory_target != NULL
+                          ? job->memory_target->info.data_centre
+                          : NULL,
     .data_centre = job->jobs->targets.data_centre,
-    .point = mf_jobs_random (job->jobs),
+    .tie_break = mf_jobs_random (job->jobs),
   };
 
   for (uint32_t i = 0; i < job->n_avoid; i++)
@@ -47,13 +47,13 @@
 static void
 job_note_pauses (MfJob *job, MfRole role, uint64_t now_us)
 {
-  job->opens_us = mf_place_opens_us (&job->jobs->targets, job->service->name, role, now_us);
+  job->opens_us = mf_place_pause_end_us (&job->jobs->targets, job->service->name, role, now_us);
 }
 
 static void
 job_place_plain (MfJob *job)
 {
-  MfPlaceAsk ask = job_ask (job, MF_ROLE_PLAIN);
+  MfPlaceQuery ask = job_ask (job, MF_ROLE_PLAIN);
   bool any_alive = false;
   uint64_t now_us = mf_clock_now_us ();
   MfTarget *target = mf_place_choose (&job->jobs->targets, &ask, now_us, &any_alive);
@@ -86,7 +86,7 @@
 {
   MfTarget *room = job->room;
 
-  if (room != NULL && room->listed && mf_target_takes (room, now_us)
+  if (room != NULL && room->listed && mf_target_accepts (room, now_us)
       && !mf_place_avoids (job->avoid, job->n_avoid, room))
     return room;
   /* The instance that decides may not know yet; the same engine is not asked for again. */
@@ -102,13 +102,13 @@
 job_choose_prefill (MfJob *job, uint64_t now_us)
 {
   MfTargets *targets = &job->jobs->targets;
-  MfPlaceAsk ask = job_ask (job, MF_ROLE_PREFILL);
+  MfPlaceQuery ask = job_ask (job, MF_ROLE_PREFILL);
   bool any_alive = false;
   MfTarget *prefill;
 
   prefill = mf_targets_by_hash (targets, job->granted_prefill);
-  if (prefill != NULL && prefill->info.role == MF_ROLE_PREFILL && mf_target_takes (prefill, now_us)
-      && prefill->suspect_until_us <= now_us
+  if (prefill != NULL && prefill->info.role == MF_ROLE_PREFILL
+      && mf_target_accepts (prefill, now_us) && prefill->suspect_until_us <= now_us
       && !mf_place_avoids (job->avoid, job->n_avoid, prefill))
     return prefill;
   prefill = mf_place_choose (targets, &ask, now_us, &any_alive);
@@ -197,7 +197,7 @@
 {
   MfTarget *target = job->target;
   bool any_alive = false;
-  MfPlaceAsk ask;
+  MfPlaceQuery ask;
 
   if (job->phase == MF_JOB_WAITING)
     {
@@ -230,7 +230,7 @@
                 "id=%s from=%s why=\"no answer in time\" waited_ms=%.1f in_flight=%u", job->id,
                 target->info.id, (double)(mf_clock_now_us () - job->sent_us) / 1e3,
                 target->n_active);
-  mf_target_failed (target, false, mf_clock_now_us ());
+  mf_target_record_failure (target, false, mf_clock_now_us ());
   mf_job_note_break (job, target);
   mf_job_avoid (job, target->id_hash);
   /* What was sent and is given up may have run. */
--- a/libmangofork/relay/job_repeat.c
+++ b/libmangofork/relay/job_repeat.c
@@ -31,7 +31,7 @@
 static uint32_t
 jobs_floor (const MfJobs *jobs)
 {
-  uint32_t n_instances = jobs->peers == NULL ? 1 : mf_peers_known (jobs->peers);
+  uint32_t n_instances = jobs->peers == NULL ? 1 : mf_peers_n_known (jobs->peers);
 
   return mf_budget_floor (jobs->budget_slack, n_instances, mf_clock_now_us () - jobs->began_us,
                           jobs->budget_window_us);
@@ -80,7 +80,7 @@
 /* Asks the instance that leads for the repeats of a request, or tells it of them. Returns who was
  * asked; MF_DISPATCH_SELF when there is nobody to ask. */
 static uint64_t
-leader_tell (MfJobs *jobs, const char *service, const MfRepeatAsk *repeat)
+leader_tell (MfJobs *jobs, const char *service, const MfRetryRequest *repeat)
 {
   uint64_t leader;
 
@@ -89,9 +89,9 @@
   leader = mf_peers_leader (jobs->peers, service, mf_clock_now_us ());
   if (leader == MF_DISPATCH_SELF)
     return MF_DISPATCH_SELF;
-  jobs->message.kind = MF_RELAY_MESSAGE_REPEAT;
-  jobs->message.repeat = *repeat;
-  mf_name_set (jobs->message.repeat.service, MF_NAME_BYTES, service);
+  jobs->message.kind = MF_RELAY_MESSAGE_RETRY;
+  jobs->message.retry = *repeat;
+  mf_name_set (jobs->message.retry.service, MF_NAME_BYTES, service);
   return mf_peers_send (jobs->peers, leader, &jobs->message) ? leader : MF_DISPATCH_SELF;
 }
 
@@ -127,7 +127,7 @@
   mf_budget_charge (budget, 1, now_us);
   if (!job->is_engine || mf_budget_has_room (budget, jobs_floor (jobs), 0, now_us))
     return;
-  if (leader_tell (jobs, job->service->name, &(MfRepeatAsk){ .n_sends = 1, .is_done = true })
+  if (leader_tell (jobs, job->service->name, &(MfRetryRequest){ .n_sends = 1, .is_done = true })
       == MF_DISPATCH_SELF)
     pool_charge (jobs, job->service->name, 1);
 }
@@ -144,7 +144,8 @@
   if (lead == NULL || lead->led_since_us == 0 || jobs->peers == NULL
       || now_us - lead->led_since_us < jobs->budget_window_us)
     return false;
-  pool = mf_budget_pool (jobs->budget_slack, mf_peers_known (jobs->peers), jobs->budget_window_us);
+  pool
+      = mf_budget_pool (jobs->budget_slack, mf_peers_n_known (jobs->peers), jobs->budget_window_us);
   if (!mf_budget_has_room (&lead->pool, pool, n_sends, now_us))
     return false;
   pool_charge (jobs, service, n_sends);
@@ -182,7 +183,7 @@
   MfJobs *jobs = job->jobs;
   uint64_t id = ++jobs->last_ask_id;
   uint64_t leader = leader_tell (jobs, job->service->name,
-                                 &(MfRepeatAsk){ .id = id, .n_sends = repeat_sends (job) });
+                                 &(MfRetryRequest){ .id = id, .n_sends = repeat_sends (job) });
 
   if (leader == MF_DISPATCH_SELF)
     return false;
@@ -212,19 +213,19 @@
 void
 mf_jobs_take_repeat_message (MfJobs *jobs, uint64_t peer, const MfRelayMessage *message)
 {
-  MfRepeatAsk repeat = message->repeat;
+  MfRetryRequest repeat = message->retry;
 
-  if (message->kind == MF_RELAY_MESSAGE_REPEAT && repeat.is_done)
+  if (message->kind == MF_RELAY_MESSAGE_RETRY && repeat.is_done)
     {
       pool_charge (jobs, repeat.service, repeat.n_sends);
       return;
     }
-  if (message->kind == MF_RELAY_MESSAGE_REPEAT)
+  if (message->kind == MF_RELAY_MESSAGE_RETRY)
     {
-      jobs->message.kind = MF_RELAY_MESSAGE_ALLOW;
-      jobs->message.repeat
-          = (MfRepeatAsk){ .id = repeat.id,
-                           .allowed = pool_take (jobs, repeat.service, repeat.n_sends) };
+      jobs->message.kind = MF_RELAY_MESSAGE_RETRY_REPLY;
+      jobs->message.retry
+          = (MfRetryRequest){ .id = repeat.id,
+                              .allowed = pool_take (jobs, repeat.service, repeat.n_sends) };
       mf_peers_send (jobs->peers, peer, &jobs->message);
       return;
     }
--- a/libmangofork/relay/job_room.c
+++ b/libmangofork/relay/job_room.c
@@ -37,13 +37,13 @@
 /* Adds the engines that take nothing of this instance, as far as they fit: the instance that
  * decides does not know what they have told this one. */
 static void
-ask_avoid_unusable (const MfJob *job, MfAsk *ask, uint64_t now_us)
+ask_avoid_unusable (const MfJob *job, MfSlotRequest *ask, uint64_t now_us)
 {
   for (const MfTarget *target = job->jobs->targets.first;
        target != NULL && ask->n_avoid < MF_PLACE_AVOID_MAX; target = target->next)
     {
       if (target->info.role == MF_ROLE_DECODE && !target->info.leaving
-          && !mf_target_takes (target, now_us)
+          && !mf_target_accepts (target, now_us)
           && strcmp (target->info.service, job->service->name) == 0
           && !mf_place_avoids (ask->avoid, ask->n_avoid, target))
         ask->avoid[ask->n_avoid++] = target->id_hash;
@@ -52,7 +52,7 @@
 
 /* Decode engines of the service that the ask does not name. */
 static uint32_t
-ask_n_open (const MfJob *job, const MfAsk *ask)
+ask_n_open (const MfJob *job, const MfSlotRequest *ask)
 {
   uint32_t n_open = 0;
 
@@ -65,7 +65,7 @@
 
 /* Adds the engines where requests run under which another has ended, while one is left without. */
 static void
-ask_avoid_suspects (const MfJob *job, MfAsk *ask)
+ask_avoid_suspects (const MfJob *job, MfSlotRequest *ask)
 {
   uint32_t n_open = ask_n_open (job, ask);
 
@@ -83,18 +83,18 @@
 
 /* What is asked for this request. A stream that broke off goes before those that have not begun:
  * its caller has been promised the rest. */
-static MfAsk
+static MfSlotRequest
 ask_make (MfJob *job, uint64_t now_us)
 {
   uint64_t patience_us = job->give_up_us - job->asked_us;
-  MfAsk ask = {
+  MfSlotRequest ask = {
     .id = ++job->jobs->last_ask_id,
     .prompt_tokens = job->prompt_tokens,
-    .memory_tokens = job->memory_tokens,
-    .has_memory = job->memory_target != NULL,
+    .kv_tokens = job->memory_tokens,
+    .is_prefilled = job->memory_target != NULL,
     .age_us = now_us - job->asked_us,
     .objective_us = job->head_sent ? patience_us : start_objective_us (job),
-    .patience_us = patience_us,
+    .max_age_us = patience_us,
     .n_avoid = job->n_avoid,
   };
 
@@ -113,12 +113,12 @@
 {
   MfJobs *jobs = job->jobs;
   uint64_t now_us = mf_clock_now_us ();
-  MfAsk ask = ask_make (job, now_us);
+  MfSlotRequest ask = ask_make (job, now_us);
 
   job->ask_id = ask.id;
   job->asked = MF_DISPATCH_SELF;
   job->try_due_us = 0;
-  mf_dispatch_ask (jobs->dispatch, MF_DISPATCH_SELF, &ask, now_us);
+  mf_dispatch_enqueue (jobs->dispatch, MF_DISPATCH_SELF, &ask, now_us);
   mf_job_set_timer (job);
   mf_jobs_wake_later (jobs);
 }
@@ -162,9 +162,9 @@
       ask_here (job);
       return;
     }
-  jobs->message.kind = MF_RELAY_MESSAGE_ASK;
-  jobs->message.ask = ask_make (job, now_us);
-  job->ask_id = jobs->message.ask.id;
+  jobs->message.kind = MF_RELAY_MESSAGE_SLOT_REQUEST;
+  jobs->message.slot_request = ask_make (job, now_us);
+  job->ask_id = jobs->message.slot_request.id;
   job->asked = leader;
   job->try_due_us = now_us + ANSWER_US;
   if (mf_peers_send (jobs->peers, leader, &jobs->message))
@@ -182,7 +182,7 @@
 
   mf_lines_state (jobs->lines, "dispatch.unanswered", "id=%s waited_ms=%.1f", job->id,
                   (double)(mf_clock_now_us () - job->waiting_since_us) / 1e3);
-  mf_peers_distrust (jobs->peers, job->asked);
+  mf_peers_exclude_leader (jobs->peers, job->asked);
   mf_job_unask (job);
   if (++job->n_unanswered < UNANSWERED_MAX)
     mf_job_ask_room (job);
@@ -213,7 +213,7 @@
   job->waiting_since_us = now_us;
   job->granted_prefill = grant->prefill;
   job->granted_us = now_us;
-  if (decode != NULL && mf_target_takes (decode, now_us))
+  if (decode != NULL && mf_target_accepts (decode, now_us))
     mf_job_reserve (job, decode);
   else
     mf_job_avoid (job, grant->decode);
@@ -247,19 +247,19 @@
   return index == MF_NONE ? NULL : &jobs->routes->services[index];
 }
 
-const MfDispatchUser mf_job_dispatch_user = {
+const MfDispatchCallbacks mf_job_dispatch_user = {
   .grant = on_grant,
-  .traits = on_traits,
+  .service_config = on_traits,
 };
 
 /* Tells an asker whose ask could not be granted at once that it is kept. */
 static void
-ask_take (MfJobs *jobs, uint64_t peer, const MfAsk *ask)
+ask_take (MfJobs *jobs, uint64_t peer, const MfSlotRequest *ask)
 {
   uint64_t id = ask->id;
   uint32_t n_before = mf_dispatch_n_waiting (jobs->dispatch);
 
-  mf_dispatch_ask (jobs->dispatch, peer, ask, mf_clock_now_us ());
+  mf_dispatch_enqueue (jobs->dispatch, peer, ask, mf_clock_now_us ());
   mf_jobs_wake (jobs);
   if (mf_dispatch_n_waiting (jobs->dispatch) <= n_before)
     return;
@@ -277,14 +277,14 @@
 
   switch (message->kind)
     {
-    case MF_RELAY_MESSAGE_ASK:
-      ask_take (jobs, peer, &message->ask);
+    case MF_RELAY_MESSAGE_SLOT_REQUEST:
+      ask_take (jobs, peer, &message->slot_request);
       return;
     case MF_RELAY_MESSAGE_CANCEL:
       mf_dispatch_cancel (jobs->dispatch, peer, message->grant.id);
       return;
-    case MF_RELAY_MESSAGE_SEEN:
-      mf_dispatch_seen (jobs->dispatch, peer, message->grant.id);
+    case MF_RELAY_MESSAGE_GRANT_ACK:
+      mf_dispatch_ack_grants (jobs->dispatch, peer, message->grant.id);
       jobs->others_stale = true;
       return;
     case MF_RELAY_MESSAGE_QUEUED:
@@ -295,7 +295,7 @@
       mf_job_set_timer (job);
       return;
     case MF_RELAY_MESSAGE_GRANT:
-      mf_peers_note_grant (jobs->peers, peer, message->grant.id);
+      mf_peers_ack_grant (jobs->peers, peer, message->grant.id);
       job = job_by_ask (jobs, message->grant.id);
       if (job != NULL && job->asked == peer)
         job_granted (job, &message->grant);
@@ -309,8 +309,8 @@
     case MF_RELAY_MESSAGE_SUSPECTS:
       mf_jobs_take_suspects (jobs, &message->suspects);
       return;
-    case MF_RELAY_MESSAGE_REPEAT:
-    case MF_RELAY_MESSAGE_ALLOW:
+    case MF_RELAY_MESSAGE_RETRY:
+    case MF_RELAY_MESSAGE_RETRY_REPLY:
       mf_jobs_take_repeat_message (jobs, peer, message);
       return;
     default:
@@ -332,7 +332,7 @@
   MfJobs *jobs = data;
   uint64_t now_us = mf_clock_now_us ();
 
-  mf_dispatch_drop (jobs->dispatch, peer);
+  mf_dispatch_drop_requester (jobs->dispatch, peer);
   jobs->others_stale = true;
   /* Whoever decides now is to know what this instance has before the asks reach it. */
   for (uint32_t i = 0; jobs->peers != NULL && jobs->routes != NULL && i < jobs->routes->n_services;
@@ -355,7 +355,7 @@
 {
   MfJobs *jobs = data;
 
-  mf_load_fill (&jobs->targets, report, mf_clock_now_us ());
+  mf_load_fill_report (&jobs->targets, report, mf_clock_now_us ());
 }
 
 static void
@@ -367,9 +367,9 @@
   mf_jobs_wake (jobs);
 }
 
-const MfPeersUser mf_jobs_peers_user = {
-  .fill = on_fill,
-  .changed = on_changed,
+const MfPeersCallbacks mf_jobs_peers_user = {
+  .fill_report = on_fill,
+  .loads_changed = on_changed,
   .message = on_message,
   .reached = on_peer_reached,
   .gone = on_peer_gone,
--- a/libmangofork/relay/job_row.h
+++ b/libmangofork/relay/job_row.h
@@ -121,7 +121,7 @@
 void mf_jobs_note_answer (MfJobs *jobs, uint64_t tokens, uint64_t took_us);
 
 /* job_suspect.c: requests that may end the upstreams that run them. */
-extern const MfTargetsUser mf_job_targets_user;
+extern const MfTargetsCallbacks mf_job_targets_user;
 bool mf_jobs_init_suspects (MfJobs *jobs);
 uint64_t mf_job_digest (const MfCaller *caller);
 bool mf_job_is_suspect (const MfJob *job);
@@ -132,7 +132,7 @@
 void mf_job_repeat_after_break (MfJob *job, MfTarget *target, const MfJobDenied *denied);
 void mf_job_verdict_due (MfJob *job);
 void mf_jobs_tell_suspects (MfJobs *jobs, uint64_t peer);
-void mf_jobs_take_suspects (MfJobs *jobs, const MfSuspectNews *news);
+void mf_jobs_take_suspects (MfJobs *jobs, const MfSuspectUpdate *news);
 
 /* job_repeat.c: the budget for repeats. */
 MfServiceBudget *mf_jobs_budget (MfJobs *jobs, const char *service);
--- a/libmangofork/relay/job_send.c
+++ b/libmangofork/relay/job_send.c
@@ -54,7 +54,7 @@
 {
   if (job->target == NULL)
     return;
-  mf_target_end (job->target, job->target_tokens);
+  mf_target_end_request (job->target, job->target_tokens);
   job->target->n_suspects -= job->was_suspect;
   mf_target_unref (job->target);
   job->target = NULL;
@@ -250,7 +250,7 @@
   job->target_tokens = prefill ? job->prompt_tokens : job->memory_tokens;
   if (!prefill)
     mf_job_reserve (job, NULL);
-  mf_target_begin (target, job->target_tokens, now_us);
+  mf_target_begin_request (target, job->target_tokens, now_us);
   if (job->is_engine)
     mf_jobs_load_changed (jobs);
   job->phase = prefill ? MF_JOB_PREFILL : job->head_sent ? MF_JOB_STREAMING : MF_JOB_RUNNING;
--- a/libmangofork/relay/job_stage.c
+++ b/libmangofork/relay/job_stage.c
@@ -125,7 +125,7 @@
       uint32_t n_engines;
 
       if (!is_engine_of (target, service) || target->info.role != from
-          || target->stage_until_us > now_us || !mf_target_takes (target, now_us)
+          || target->stage_until_us > now_us || !mf_target_accepts (target, now_us)
           || mf_target_is_suspect (target, now_us) || target->n_orders_failed >= ORDERS_FAILED_MAX)
         continue;
       n_engines = n_of_stage (jobs, service, from, target->info.data_centre, now_us);
@@ -229,7 +229,7 @@
     = service->stage_change_us + (role == MF_ROLE_DECODE ? PREFILL_ENDS_US : DECODE_ENDS_US),
   };
   jobs->orders = order;
-  mf_peers_note_fence (jobs->peers, service->name, lead->fence);
+  mf_peers_record_fence (jobs->peers, service->name, lead->fence);
   lead->ordered_us = now_us;
   target->stage_ordered = role;
   target->stage_until_us = now_us + order->away_us;
@@ -268,7 +268,7 @@
 static uint64_t
 first_order_us (const MfJobs *jobs)
 {
-  uint64_t wait_us = jobs->order_turn_us + mf_peers_fresh_us (jobs->peers) + YIELD_US;
+  uint64_t wait_us = jobs->order_turn_us + mf_peers_report_lifetime_us (jobs->peers) + YIELD_US;
 
   return jobs->orders_fenced ? wait_us : wait_us + ORDER_US + CONNECT_US;
 }
--- a/libmangofork/relay/job_suspect.c
+++ b/libmangofork/relay/job_suspect.c
@@ -89,17 +89,17 @@
   return now_us > ms * MF_US_PER_MS ? now_us - ms * MF_US_PER_MS : 0;
 }
 
-static MfSuspectRow
+static MfSuspectEntry
 row_make (const MfSuspect *suspect, uint64_t now_us)
 {
-  MfSuspectRow row = {
+  MfSuspectEntry row = {
     .digest = suspect->digest,
-    .sentence_ms = age_ms (now_us, suspect->convicted_until_us),
+    .quarantine_ms = age_ms (now_us, suspect->convicted_until_us),
     .n_deaths = suspect->n_deaths,
   };
 
   for (uint32_t i = 0; i < suspect->n_deaths; i++)
-    row.deaths[i] = (MfSuspectRowDeath){
+    row.deaths[i] = (MfSuspectEntryDeath){
       .process = suspect->deaths[i].process,
       .sent_age_ms = age_ms (suspect->deaths[i].sent_us, now_us),
       .age_ms = age_ms (suspect->deaths[i].at_us, now_us),
@@ -108,13 +108,13 @@
 }
 
 static void
-row_tell (MfJobs *jobs, const MfSuspectRow *row)
+row_tell (MfJobs *jobs, const MfSuspectEntry *row)
 {
   if (jobs->peers == NULL)
     return;
   jobs->message.kind = MF_RELAY_MESSAGE_SUSPECTS;
-  jobs->message.suspects.n_rows = 1;
-  jobs->message.suspects.rows[0] = *row;
+  jobs->message.suspects.n_entries = 1;
+  jobs->message.suspects.entries[0] = *row;
   mf_peers_send_all (jobs->peers, &jobs->message);
 }
 
@@ -124,7 +124,7 @@
 {
   uint64_t now_us = mf_clock_now_us ();
   MfSuspect *suspect = mf_suspects_find (jobs->suspects, digest, now_us);
-  MfSuspectRow row;
+  MfSuspectEntry row;
 
   if (suspect == NULL || suspect->n_told >= suspect->n_deaths)
     return;
@@ -136,7 +136,7 @@
 /* The rows of one message, of those that are convicted or of the others. */
 typedef struct
 {
-  MfSuspectNews *news;
+  MfSuspectUpdate *news;
   uint64_t now_us;
   bool convicted;
 } RowList;
@@ -146,10 +146,10 @@
 {
   RowList *list = data;
 
-  if (list->news->n_rows == MF_SUSPECT_ROWS_MAX)
+  if (list->news->n_entries == MF_SUSPECT_ENTRIES_MAX)
     return false;
   if (suspect->n_told > 0 && list->convicted == (suspect->convicted_until_us > list->now_us))
-    list->news->rows[list->news->n_rows++] = row_make (suspect, list->now_us);
+    list->news->entries[list->news->n_entries++] = row_make (suspect, list->now_us);
   return true;
 }
 
@@ -160,12 +160,12 @@
   RowList list
       = { .news = &jobs->message.suspects, .now_us = mf_clock_now_us (), .convicted = true };
 
-  list.news->n_rows = 0;
+  list.news->n_entries = 0;
   mf_suspects_foreach (jobs->suspects, list.now_us, row_add, &list);
   list.convicted = false;
   mf_suspects_foreach (jobs->suspects, list.now_us, row_add, &list);
   jobs->message.kind = MF_RELAY_MESSAGE_SUSPECTS;
-  if (list.news->n_rows > 0)
+  if (list.news->n_entries > 0)
     mf_peers_send (jobs->peers, peer, &jobs->message);
 }
 
@@ -182,7 +182,7 @@
 }
 
 static void
-row_take (MfJobs *jobs, const MfSuspectRow *row)
+row_take (MfJobs *jobs, const MfSuspectEntry *row)
 {
   uint64_t now_us = mf_clock_now_us ();
   bool was_convicted = mf_suspects_is_convicted (jobs->suspects, row->digest, now_us);
@@ -201,8 +201,8 @@
                                .at_us = moment_us (row->deaths[i].age_ms, now_us),
                            },
                            false, now_us);
-  if (row->sentence_ms > 0)
-    mf_suspects_convict (jobs->suspects, row->digest, now_us + row->sentence_ms * MF_US_PER_MS,
+  if (row->quarantine_ms > 0)
+    mf_suspects_convict (jobs->suspects, row->digest, now_us + row->quarantine_ms * MF_US_PER_MS,
                          now_us);
   suspect = mf_suspects_find (jobs->suspects, row->digest, now_us);
   if (suspect != NULL && suspect->n_told < row->n_deaths)
@@ -213,10 +213,10 @@
 
 /* Takes what another instance tells of requests under which upstreams have ended. */
 void
-mf_jobs_take_suspects (MfJobs *jobs, const MfSuspectNews *news)
+mf_jobs_take_suspects (MfJobs *jobs, const MfSuspectUpdate *news)
 {
-  for (uint32_t i = 0; i < news->n_rows; i++)
-    row_take (jobs, &news->rows[i]);
+  for (uint32_t i = 0; i < news->n_entries; i++)
+    row_take (jobs, &news->entries[i]);
 }
 
 /* Whether a try of the request is still being served here. */
@@ -254,7 +254,7 @@
 static void
 upstream_ended (MfJobs *jobs, MfTarget *target)
 {
-  uint64_t process = mf_target_process (target);
+  uint64_t process = mf_target_process_id (target);
   uint64_t now_us = mf_clock_now_us ();
 
   if (mf_suspects_n_breaks (jobs->suspects) == 0)
@@ -285,7 +285,7 @@
 
   if (mf_suspects_n_breaks (jobs->suspects) > 0)
     mf_suspects_end_place (jobs->suspects, mf_load_hash (target->info.address),
-                           mf_target_process (target), mf_clock_now_us (), on_verdict, jobs);
+                           mf_target_process_id (target), mf_clock_now_us (), on_verdict, jobs);
 }
 
 /* A request that waited for the verdict goes on. */
@@ -314,17 +314,17 @@
 on_looked (void *data, MfTarget *target)
 {
   MfJobs *jobs = data;
-  uint64_t process = mf_target_process (target);
+  uint64_t process = mf_target_process_id (target);
   MfJob *job;
 
   while ((job = find_awaiting (jobs, process)) != NULL)
     mf_job_verdict_due (job);
 }
 
-const MfTargetsUser mf_job_targets_user = {
+const MfTargetsCallbacks mf_job_targets_user = {
   .ended = on_ended,
   .added = on_added,
-  .looked = on_looked,
+  .probed = on_looked,
 };
 
 /* A run at an upstream broke, or was given up: it may have ended that, unless that leaves in order.
@@ -340,7 +340,7 @@
   mf_suspects_add_break (jobs->suspects, &(MfSuspectBreak){
                                              .digest = job->digest,
                                              .request = job->number,
-                                             .upstream = mf_target_process (target),
+                                             .upstream = mf_target_process_id (target),
                                              .place = mf_load_hash (target->info.address),
                                              .suspect = job->was_suspect,
                                              .sent_us = job->sent_us,
@@ -357,14 +357,14 @@
 void
 mf_job_repeat_after_break (MfJob *job, MfTarget *target, const MfJobDenied *denied)
 {
-  if (!job->was_suspect || target->look == NULL)
+  if (!job->was_suspect || target->probe == NULL)
     {
       mf_job_repeat_or_end (job, denied);
       return;
     }
   job->denied = *denied;
   job->phase = MF_JOB_WAITING;
-  job->awaited = mf_target_process (target);
+  job->awaited = mf_target_process_id (target);
   job->try_due_us = mf_clock_now_us () + VERDICT_US;
   mf_job_set_timer (job);
 }
@@ -376,7 +376,7 @@
   MfJobs *jobs = job->jobs;
 
   if (mf_suspects_n_breaks (jobs->suspects) > 0)
-    mf_suspects_release_upstream (jobs->suspects, mf_target_process (job->target), job->sent_us,
+    mf_suspects_release_upstream (jobs->suspects, mf_target_process_id (job->target), job->sent_us,
                                   on_verdict, jobs);
 }
 
@@ -399,7 +399,7 @@
   was_told = suspect->n_told > 0;
   mf_suspects_clear (jobs->suspects, job->digest);
   if (was_told)
-    row_tell (jobs, &(MfSuspectRow){ .digest = job->digest, .cleared = true });
+    row_tell (jobs, &(MfSuspectEntry){ .digest = job->digest, .cleared = true });
 }
 
 /* Lets go of breaks whose upstreams nobody has heard of since. */
--- a/libmangofork/relay/load.c
+++ b/libmangofork/relay/load.c
@@ -34,8 +34,8 @@
  * requests of an engine do not end together. hint_tokens is the caller's estimate of the answer, 0
  * for none; typical_tokens is what answers were lately; max_tokens is the most it may be. */
 uint64_t
-mf_load_memory_tokens (uint64_t prompt_tokens, uint64_t hint_tokens, uint64_t typical_tokens,
-                       uint64_t max_tokens)
+mf_load_kv_tokens (uint64_t prompt_tokens, uint64_t hint_tokens, uint64_t typical_tokens,
+                   uint64_t max_tokens)
 {
   uint64_t answer = mf_load_answer_tokens (hint_tokens, typical_tokens, max_tokens);
 
@@ -44,10 +44,10 @@
 
 /* Whether an engine has room for a request of so many tokens, beside what is there. */
 bool
-mf_load_fits (const MfTarget *target, const MfRouteService *traits, uint64_t tokens,
+mf_load_fits (const MfTarget *target, const MfRouteService *config, uint64_t tokens,
               uint64_t now_us)
 {
-  uint64_t capacity = (uint64_t)((double)traits->kv_capacity_tokens * FILL_SHARE_MAX);
+  uint64_t capacity = (uint64_t)((double)config->kv_capacity_tokens * FILL_SHARE_MAX);
 
   if (target->full_until_us > now_us)
     return false;
@@ -67,19 +67,19 @@
   return hash != 0 ? hash : 1;
 }
 
-static MfSight
+static MfReachability
 target_reachability (const MfTarget *target, uint64_t now_us)
 {
   if (target->suspect_until_us > now_us)
-    return target->replaced ? MF_SIGHT_REPLACED : MF_SIGHT_UNREACHED;
+    return target->replaced ? MF_REACHABILITY_REPLACED : MF_REACHABILITY_UNREACHABLE;
   if (target->alive_us > 0 && now_us - target->alive_us < ANSWERING_US)
-    return MF_SIGHT_ANSWERS;
-  return MF_SIGHT_NONE;
+    return MF_REACHABILITY_ANSWERING;
+  return MF_REACHABILITY_UNKNOWN;
 }
 
 /* Fills a report with what this instance has at the engines. */
 void
-mf_load_fill (const MfTargets *targets, MfLoadReport *report, uint64_t now_us)
+mf_load_fill_report (const MfTargets *targets, MfLoadReport *report, uint64_t now_us)
 {
   for (const MfTarget *target = targets->first; target != NULL; target = target->next)
     {
@@ -100,7 +100,7 @@
         .n_active = n_own,
         .tokens = (uint32_t)(target->active_tokens + target->reserved_tokens),
         .failure_percent = failure_percent,
-        .sight = target_reachability (target, now_us),
+        .reachability = target_reachability (target, now_us),
         .avoided_ms = (uint32_t)((avoided_us + MF_US_PER_MS - 1) / MF_US_PER_MS),
       };
     }
@@ -108,36 +108,36 @@
 
 /* Forgets what the other instances have at each upstream, before it is added anew. */
 void
-mf_load_reset (MfTargets *targets)
+mf_load_reset_remote (MfTargets *targets)
 {
   for (MfTarget *target = targets->first; target != NULL; target = target->next)
     {
-      target->n_others = 0;
-      target->others_tokens = 0;
-      target->others_failure_share = 0.;
-      target->n_others_unreached = 0;
-      target->n_others_replaced = 0;
-      target->n_others_answered = 0;
-      target->others_avoid_until_us = 0;
+      target->n_remote = 0;
+      target->remote_tokens = 0;
+      target->remote_failure_share = 0.;
+      target->n_remote_unreachable = 0;
+      target->n_remote_replaced = 0;
+      target->n_remote_answering = 0;
+      target->remote_avoid_until_us = 0;
     }
 }
 
 /* Adds what another instance told of one upstream at a moment; data is the MfTargets. */
 void
-mf_load_add (void *data, const MfLoadEntry *entry, uint64_t received_us)
+mf_load_add_remote (void *data, const MfLoadEntry *entry, uint64_t received_us)
 {
   MfTarget *target = mf_targets_by_hash (data, entry->upstream);
   double failure_share = entry->failure_percent < 100 ? entry->failure_percent / 100. : 1.;
 
   if (target == NULL)
     return;
-  target->n_others += entry->n_active;
-  target->others_tokens += entry->tokens;
-  if (failure_share > target->others_failure_share)
-    target->others_failure_share = failure_share;
-  target->n_others_answered += entry->sight == MF_SIGHT_ANSWERS;
-  target->n_others_unreached += entry->sight == MF_SIGHT_UNREACHED;
-  target->n_others_replaced += entry->sight == MF_SIGHT_REPLACED;
-  if (received_us + entry->avoided_ms * MF_US_PER_MS > target->others_avoid_until_us)
-    target->others_avoid_until_us = received_us + entry->avoided_ms * MF_US_PER_MS;
+  target->n_remote += entry->n_active;
+  target->remote_tokens += entry->tokens;
+  if (failure_share > target->remote_failure_share)
+    target->remote_failure_share = failure_share;
+  target->n_remote_answering += entry->reachability == MF_REACHABILITY_ANSWERING;
+  target->n_remote_unreachable += entry->reachability == MF_REACHABILITY_UNREACHABLE;
+  target->n_remote_replaced += entry->reachability == MF_REACHABILITY_REPLACED;
+  if (received_us + entry->avoided_ms * MF_US_PER_MS > target->remote_avoid_until_us)
+    target->remote_avoid_until_us = received_us + entry->avoided_ms * MF_US_PER_MS;
 }
--- a/libmangofork/relay/load_report.h
+++ b/libmangofork/relay/load_report.h
@@ -11,12 +11,12 @@
 /* What an instance has lately met with at an upstream. */
 typedef enum
 {
-  MF_SIGHT_NONE,      /* nothing that others need to know */
-  MF_SIGHT_ANSWERS,   /* signs of life */
-  MF_SIGHT_UNREACHED, /* no connection: the upstream, or the way to it, is down */
-  MF_SIGHT_REPLACED,  /* another process answered at its address */
-} MfSight;
-#define MF_SIGHT_LAST MF_SIGHT_REPLACED
+  MF_REACHABILITY_UNKNOWN,     /* nothing that others need to know */
+  MF_REACHABILITY_ANSWERING,   /* signs of life */
+  MF_REACHABILITY_UNREACHABLE, /* no connection: the upstream, or the way to it, is down */
+  MF_REACHABILITY_REPLACED,    /* another process answered at its address */
+} MfReachability;
+#define MF_REACHABILITY_LAST MF_REACHABILITY_REPLACED
 
 /* What one instance has at one upstream, and what it thinks of it. */
 typedef struct
@@ -25,7 +25,7 @@
   uint32_t n_active;        /* requests there or about to be */
   uint32_t tokens;          /* the engine memory they are reckoned to need */
   uint32_t failure_percent; /* of the requests sent there lately */
-  MfSight sight;
+  MfReachability reachability;
   uint32_t avoided_ms; /* unreached or replaced: the sender uses it again after this time */
 } MfLoadEntry;
 
--- a/libmangofork/relay/peers.c
+++ b/libmangofork/relay/peers.c
@@ -51,7 +51,7 @@
 
 /* Closes the connection to a peer and schedules a reconnect. */
 void
-mf_peer_hang_up (MfPeers *peers, MfPeer *peer)
+mf_peer_disconnect (MfPeers *peers, MfPeer *peer)
 {
   if (peer->fd < 0)
     return;
@@ -59,19 +59,20 @@
   close (peer->fd);
   peer->fd = -1;
   /* Requests sent on this connection may not have arrived. */
-  peer->lost = peer->lost || peer->connected;
+  peer->connection_lost = peer->connection_lost || peer->connected;
   peer->connected = false;
   mf_buffer_clear (&peer->out);
-  peer->redial_us = peer->redial_us == 0 ? RECONNECT_FIRST_US : peer->redial_us * 2;
-  if (peer->redial_us > RECONNECT_MAX_US)
-    peer->redial_us = RECONNECT_MAX_US;
-  peer->redial_at_us = mf_clock_now_us () + peer->redial_us;
+  peer->reconnect_delay_us
+      = peer->reconnect_delay_us == 0 ? RECONNECT_FIRST_US : peer->reconnect_delay_us * 2;
+  if (peer->reconnect_delay_us > RECONNECT_MAX_US)
+    peer->reconnect_delay_us = RECONNECT_MAX_US;
+  peer->reconnect_at_us = mf_clock_now_us () + peer->reconnect_delay_us;
 }
 
 static void
 peer_free (MfPeers *peers, MfPeer *peer)
 {
-  mf_peer_hang_up (peers, peer);
+  mf_peer_disconnect (peers, peer);
   free (peer->entries);
   free (peer);
 }
@@ -94,7 +95,7 @@
         }
       if (n_sent < 0)
         {
-          mf_peer_hang_up (peers, peer);
+          mf_peer_disconnect (peers, peer);
           return;
         }
       mf_buffer_take (&peer->out, (size_t)n_sent);
@@ -118,17 +119,17 @@
       if (getsockopt (peer->fd, SOL_SOCKET, SO_ERROR, &socket_error, &socket_error_bytes) != 0
           || socket_error != 0)
         {
-          mf_peer_hang_up (peers, peer);
+          mf_peer_disconnect (peers, peer);
           return;
         }
       peer->connected = true;
-      peer->redial_us = 0;
+      peer->reconnect_delay_us = 0;
       peer->seen_us = mf_clock_now_us ();
-      peer->members_told = false;
-      peer->told_us = 0;
-      mf_peers_tell (peers, false);
-      if (peers->user->reached != NULL && mf_peers_introduces (peers, peer))
-        peers->user->reached (peers->data, peer->hash);
+      peer->members_sent = false;
+      peer->reported_us = 0;
+      mf_peers_send_reports (peers, false);
+      if (peers->callbacks->reached != NULL && mf_peers_shares_members (peers, peer))
+        peers->callbacks->reached (peers->data, peer->hash);
     }
   mf_peer_flush (peers, peer);
 }
@@ -139,11 +140,11 @@
   MfError error = { 0 };
   unsigned int unacked_ms = (unsigned int)(UNACKED_TIMEOUT_US / MF_US_PER_MS);
 
-  peer->dialled_us = mf_clock_now_us ();
+  peer->connect_started_us = mf_clock_now_us ();
   peer->fd = mf_socket_connect (peer->address, &error);
   if (peer->fd < 0)
     {
-      peer->redial_at_us = mf_clock_now_us () + RECONNECT_MAX_US;
+      peer->reconnect_at_us = mf_clock_now_us () + RECONNECT_MAX_US;
       return;
     }
   setsockopt (peer->fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacked_ms, sizeof unacked_ms);
@@ -168,7 +169,7 @@
     return NULL;
   peer->peers = peers;
   peer->hash = mf_load_hash (address);
-  peer->grant_told = true;
+  peer->grant_acked = true;
   mf_name_set (peer->address, sizeof peer->address, address);
   peer->is_seed = is_seed;
   peer->fd = -1;
@@ -178,7 +179,7 @@
 
 /* Adds the instances that are contacted first, from a comma-separated list of addresses. */
 void
-mf_peers_seed (MfPeers *peers, const char *addresses)
+mf_peers_add_seeds (MfPeers *peers, const char *addresses)
 {
   const char *at = addresses;
 
@@ -203,11 +204,11 @@
 static void
 peer_notify_gone (MfPeers *peers, MfPeer *peer)
 {
-  peer->lost = false;
-  if (peer->told_gone || peers->closing)
+  peer->connection_lost = false;
+  if (peer->gone_notified || peers->closing)
     return;
-  peer->told_gone = true;
-  peers->user->gone (peers->data, peer->hash);
+  peer->gone_notified = true;
+  peers->callbacks->gone (peers->data, peer->hash);
 }
 
 /* Replaces the last report of the peer. */
@@ -221,18 +222,18 @@
     peer_add (peers, report->members[i], false);
   if (peer == NULL)
     return;
-  if (peer->heard_us == 0)
+  if (peer->last_report_us == 0)
     {
-      mf_lines_state (peers->lines, "peer.heard", "peer=%s peers=%u", peer->address,
-                      peers->n_peers);
+      mf_lines_state (peers->log, "peer.heard", "peer=%s peers=%u", peer->address, peers->n_peers);
     }
-  peer->heard_us = now_us;
-  peer->told_gone = false;
+  peer->last_report_us = now_us;
+  peer->gone_notified = false;
   peer->seen_us = now_us;
-  peer->fresh_us = (uint64_t)report->heartbeat_ms * MF_US_PER_MS * MF_PEERS_FRESH_PERCENT / 100;
+  peer->report_lifetime_us
+      = (uint64_t)report->heartbeat_ms * MF_US_PER_MS * MF_PEERS_REPORT_LIFETIME_PERCENT / 100;
   /* The peer is alive, so reconnect without waiting for the backoff to end. */
-  if (peer->fd < 0 && peer->redial_at_us > now_us + RECONNECT_FIRST_US)
-    peer->redial_at_us = now_us;
+  if (peer->fd < 0 && peer->reconnect_at_us > now_us + RECONNECT_FIRST_US)
+    peer->reconnect_at_us = now_us;
   if (report->n_entries > peer->n_entries || peer->entries == NULL)
     {
       MfLoadEntry *entries
@@ -248,8 +249,8 @@
   memcpy (peer->votes, report->votes, sizeof peer->votes);
   peer->n_votes = report->n_votes;
   for (uint32_t i = 0; i < report->n_votes; i++)
-    mf_peers_hear_fence (peers, report->votes[i].service, report->votes[i].fence);
-  peers->user->changed (peers->data);
+    mf_peers_raise_fence (peers, report->votes[i].service, report->votes[i].fence);
+  peers->callbacks->loads_changed (peers->data);
 }
 
 /* Whether the same peer has another incoming connection. */
@@ -271,12 +272,12 @@
   MfPeer *peer = has_other_connection (incoming) ? NULL : peer_find (peers, incoming->address);
 
   /* When a process exits, its requests at the engines end with it. */
-  if (peer != NULL && peer->heard_us > 0 && !peers->closing)
+  if (peer != NULL && peer->last_report_us > 0 && !peers->closing)
     {
-      mf_lines_state (peers->lines, "peer.closed", "peer=%s entries=%u", peer->address,
+      mf_lines_state (peers->log, "peer.closed", "peer=%s entries=%u", peer->address,
                       peer->n_entries);
       peer->n_entries = 0;
-      peer->heard_us = 0;
+      peer->last_report_us = 0;
       peer_notify_gone (peers, peer);
     }
   for (MfPeerIncoming **link = &peers->incoming; *link != NULL; link = &(*link)->next)
@@ -342,7 +343,7 @@
         }
       else if (incoming->address[0] != '\0'
                && (!needs_sender_check (peers->in.kind) || incoming_matches_address (incoming)))
-        peers->user->message (peers->data, mf_load_hash (incoming->address), &peers->in);
+        peers->callbacks->message (peers->data, mf_load_hash (incoming->address), &peers->in);
     }
   return !incoming->in.failed;
 }
@@ -366,7 +367,7 @@
   mf_buffer_add (&incoming->in, bytes, (size_t)n_read);
   if (incoming_read_frames (incoming))
     return;
-  mf_lines_state (incoming->peers->lines, "peer.faulty", "peer=%s", incoming->address);
+  mf_lines_state (incoming->peers->log, "peer.faulty", "peer=%s", incoming->address);
   incoming_close (incoming);
 }
 
@@ -408,27 +409,28 @@
     {
       MfPeer *peer = peers->list[i];
 
-      if (peer->lost)
+      if (peer->connection_lost)
         peer_notify_gone (peers, peer);
       if (!peer->is_seed && peer->fd < 0 && now_us - peer->seen_us > FORGET_AFTER_US
-          && peer->redial_us >= RECONNECT_MAX_US)
+          && peer->reconnect_delay_us >= RECONNECT_MAX_US)
         {
           peer_free (peers, peer);
           peers->list[i--] = peers->list[--peers->n_peers];
         }
-      else if (peer->fd < 0 && now_us >= peer->redial_at_us)
+      else if (peer->fd < 0 && now_us >= peer->reconnect_at_us)
         peer_connect (peers, peer);
-      else if (peer->fd >= 0 && !peer->connected && now_us - peer->dialled_us > CONNECT_TIMEOUT_US)
-        mf_peer_hang_up (peers, peer);
+      else if (peer->fd >= 0 && !peer->connected
+               && now_us - peer->connect_started_us > CONNECT_TIMEOUT_US)
+        mf_peer_disconnect (peers, peer);
     }
-  mf_peers_tell (peers, false);
+  mf_peers_send_reports (peers, false);
 }
 
 /* Listens at an address, which is also announced to the peers. Returns NULL with error set on
  * failure. */
 MfPeers *
-mf_peers_new (struct ev_loop *loop, const char *address, const MfPeersUser *user, void *data,
-              MfLines *lines, MfError *error)
+mf_peers_new (struct ev_loop *loop, const char *address, const MfPeersCallbacks *callbacks,
+              void *data, MfLines *log, MfError *error)
 {
   MfPeers *peers = calloc (1, sizeof *peers);
 
@@ -438,9 +440,9 @@
       return NULL;
     }
   peers->loop = loop;
-  peers->user = user;
+  peers->callbacks = callbacks;
   peers->data = data;
-  peers->lines = lines;
+  peers->log = log;
   mf_name_set (peers->address, sizeof peers->address, address);
   peers->hash = mf_load_hash (address);
   peers->fd = mf_socket_listen (address, error);
@@ -455,8 +457,8 @@
   ev_timer_init (&peers->tick, on_tick, TICK_S, TICK_S);
   peers->tick.data = peers;
   ev_timer_start (loop, &peers->tick);
-  ev_init (&peers->tell, mf_peers_on_tell);
-  peers->tell.data = peers;
+  ev_init (&peers->report_timer, mf_peers_on_report_timer);
+  peers->report_timer.data = peers;
   return peers;
 }
 
@@ -468,7 +470,7 @@
     return;
   peers->closing = true;
   ev_timer_stop (peers->loop, &peers->tick);
-  ev_timer_stop (peers->loop, &peers->tell);
+  ev_timer_stop (peers->loop, &peers->report_timer);
   ev_io_stop (peers->loop, &peers->acceptor);
   close (peers->fd);
   while (peers->incoming != NULL)
@@ -482,35 +484,35 @@
 /* Calls func for each load entry of other instances, except those of reports older than
  * LOAD_KEEP_US. */
 void
-mf_peers_foreach (const MfPeers *peers, uint64_t now_us,
-                  void (*func) (void *data, const MfLoadEntry *entry, uint64_t received_us),
-                  void *data)
+mf_peers_foreach_entry (const MfPeers *peers, uint64_t now_us,
+                        void (*func) (void *data, const MfLoadEntry *entry, uint64_t received_us),
+                        void *data)
 {
   for (uint32_t i = 0; i < peers->n_peers; i++)
     {
       const MfPeer *peer = peers->list[i];
 
-      if (peer->heard_us == 0 || now_us - peer->heard_us > LOAD_KEEP_US)
+      if (peer->last_report_us == 0 || now_us - peer->last_report_us > LOAD_KEEP_US)
         continue;
       for (uint32_t j = 0; j < peer->n_entries; j++)
-        func (data, &peer->entries[j], peer->heard_us);
+        func (data, &peer->entries[j], peer->last_report_us);
     }
 }
 
 /* Returns the number of instances with a valid report, including this one. */
 uint32_t
-mf_peers_count (const MfPeers *peers, uint64_t now_us)
+mf_peers_n_alive (const MfPeers *peers, uint64_t now_us)
 {
   uint32_t n_alive = 1;
 
   for (uint32_t i = 0; i < peers->n_peers; i++)
-    n_alive += mf_peer_is_heard (peers->list[i], now_us);
+    n_alive += mf_peer_is_alive (peers->list[i], now_us);
   return n_alive;
 }
 
 /* Returns the number of known instances, alive or not, including this one. */
 uint32_t
-mf_peers_known (const MfPeers *peers)
+mf_peers_n_known (const MfPeers *peers)
 {
   return peers->n_peers + 1;
 }
--- a/libmangofork/relay/peers.h
+++ b/libmangofork/relay/peers.h
@@ -16,9 +16,9 @@
 typedef struct
 {
   /* Fills the entries of a report with the current load of this instance. */
-  void (*fill) (void *data, MfLoadReport *report);
+  void (*fill_report) (void *data, MfLoadReport *report);
   /* The load reported by another instance has changed. */
-  void (*changed) (void *data);
+  void (*loads_changed) (void *data);
   /* A message other than a report was received. Peers are identified by the hash of their address.
    */
   void (*message) (void *data, uint64_t peer, const MfRelayMessage *message);
@@ -27,29 +27,30 @@
   void (*reached) (void *data, uint64_t peer);
   /* A peer closed its connection, or the connection to it broke. */
   void (*gone) (void *data, uint64_t peer);
-} MfPeersUser;
+} MfPeersCallbacks;
 
-MfPeers *mf_peers_new (struct ev_loop *loop, const char *address, const MfPeersUser *user,
-                       void *data, MfLines *lines, MfError *error);
+MfPeers *mf_peers_new (struct ev_loop *loop, const char *address, const MfPeersCallbacks *callbacks,
+                       void *data, MfLines *log, MfError *error);
 void mf_peers_set_data_centre (MfPeers *peers, const char *data_centre);
 void mf_peers_free (MfPeers *peers);
-void mf_peers_seed (MfPeers *peers, const char *addresses);
-void mf_peers_touch (MfPeers *peers);
-void mf_peers_foreach (const MfPeers *peers, uint64_t now_us,
-                       void (*func) (void *data, const MfLoadEntry *entry, uint64_t received_us),
-                       void *data);
+void mf_peers_add_seeds (MfPeers *peers, const char *addresses);
+void mf_peers_schedule_report (MfPeers *peers);
+void mf_peers_foreach_entry (const MfPeers *peers, uint64_t now_us,
+                             void (*func) (void *data, const MfLoadEntry *entry,
+                                           uint64_t received_us),
+                             void *data);
 bool mf_peers_send (MfPeers *peers, uint64_t peer, const MfRelayMessage *message);
 uint64_t mf_peers_leader (MfPeers *peers, const char *service, uint64_t now_us);
-uint64_t mf_peers_fresh_us (const MfPeers *peers);
-bool mf_peers_leads (MfPeers *peers, const char *service, uint64_t now_us);
+uint64_t mf_peers_report_lifetime_us (const MfPeers *peers);
+bool mf_peers_is_leader (MfPeers *peers, const char *service, uint64_t now_us);
 uint64_t mf_peers_fence (const MfPeers *peers, const char *service);
-void mf_peers_note_fence (MfPeers *peers, const char *service, uint64_t fence);
-void mf_peers_distrust (MfPeers *peers, uint64_t peer);
-void mf_peers_note_grant (MfPeers *peers, uint64_t peer, uint64_t grant_id);
+void mf_peers_record_fence (MfPeers *peers, const char *service, uint64_t fence);
+void mf_peers_exclude_leader (MfPeers *peers, uint64_t peer);
+void mf_peers_ack_grant (MfPeers *peers, uint64_t peer, uint64_t grant_id);
 void mf_peers_send_all (MfPeers *peers, const MfRelayMessage *message);
-void mf_peers_send_near (MfPeers *peers, const MfRelayMessage *message);
-MfFeedStanding mf_peers_standing (const MfPeers *peers, uint64_t now_us);
-uint32_t mf_peers_known (const MfPeers *peers);
-uint32_t mf_peers_count (const MfPeers *peers, uint64_t now_us);
+void mf_peers_send_local (MfPeers *peers, const MfRelayMessage *message);
+MfFeedRank mf_peers_feed_rank (const MfPeers *peers, uint64_t now_us);
+uint32_t mf_peers_n_known (const MfPeers *peers);
+uint32_t mf_peers_n_alive (const MfPeers *peers, uint64_t now_us);
 
 #endif
--- a/libmangofork/relay/peers_lead.c
+++ b/libmangofork/relay/peers_lead.c
@@ -12,9 +12,9 @@
 
 /* Whether the last report of a peer is still valid. */
 bool
-mf_peer_is_heard (const MfPeer *peer, uint64_t now_us)
+mf_peer_is_alive (const MfPeer *peer, uint64_t now_us)
 {
-  return peer->heard_us > 0 && now_us - peer->heard_us <= peer->fresh_us;
+  return peer->last_report_us > 0 && now_us - peer->last_report_us <= peer->report_lifetime_us;
 }
 
 /* Returns the reachable peer with the highest rank for a service (rendezvous hashing), or NULL when
@@ -30,8 +30,8 @@
       MfPeer *peer = peers->list[i];
       uint64_t rank = (peer->hash ^ service_hash) * RANK_FACTOR;
 
-      if (rank <= best_rank || !peer->connected || !mf_peer_is_heard (peer, now_us)
-          || peer->distrusted_us > now_us)
+      if (rank <= best_rank || !peer->connected || !mf_peer_is_alive (peer, now_us)
+          || peer->leader_excluded_until_us > now_us)
         continue;
       best = peer;
       best_rank = rank;
@@ -55,7 +55,7 @@
 /* Raises the highest known fencing token of a service. A token far ahead of the wall clock is
  * invalid and ignored. */
 void
-mf_peers_hear_fence (MfPeers *peers, uint64_t service_hash, uint64_t fence)
+mf_peers_raise_fence (MfPeers *peers, uint64_t service_hash, uint64_t fence)
 {
   if (fence >> MF_FENCE_OWN_BITS > mf_clock_wall_ms () + FENCE_AHEAD_MAX_MS)
     return;
@@ -68,12 +68,12 @@
 
 /* Records the fencing token of an order by this instance; the next reports carry it. */
 void
-mf_peers_note_fence (MfPeers *peers, const char *service, uint64_t fence)
+mf_peers_record_fence (MfPeers *peers, const char *service, uint64_t fence)
 {
   uint64_t service_hash = mf_load_hash (service);
 
   service_add (peers, service_hash);
-  mf_peers_hear_fence (peers, service_hash, fence);
+  mf_peers_raise_fence (peers, service_hash, fence);
 }
 
 /* Returns the highest known fencing token of orders for a service; 0 when none is known. */
@@ -101,9 +101,9 @@
   if (best == NULL)
     return MF_DISPATCH_SELF;
   /* A peer that was not used as leader lately knows only the load of the last heartbeat. */
-  if (now_us - best->leader_us >= MF_PEERS_LEADER_US)
-    mf_peer_tell (peers, best);
-  best->leader_us = now_us;
+  if (now_us - best->leader_used_us >= MF_PEERS_LEADER_REPORT_US)
+    mf_peer_send_report (peers, best);
+  best->leader_used_us = now_us;
   return best->hash;
 }
 
@@ -122,7 +122,7 @@
 /* Whether this instance is the leader of a service by the votes of more than half of all known
  * instances. The majority ensures that a network partition cannot produce two leaders. */
 bool
-mf_peers_leads (MfPeers *peers, const char *service, uint64_t now_us)
+mf_peers_is_leader (MfPeers *peers, const char *service, uint64_t now_us)
 {
   uint64_t service_hash = mf_load_hash (service);
   uint32_t n_votes = 1;
@@ -131,19 +131,19 @@
   if (mf_peers_find_leader (peers, service_hash, now_us) != NULL)
     return false;
   for (uint32_t i = 0; i < peers->n_peers; i++)
-    n_votes += mf_peer_is_heard (peers->list[i], now_us)
+    n_votes += mf_peer_is_alive (peers->list[i], now_us)
                && votes_for_self (peers, peers->list[i], service_hash);
   return n_votes * 2 > peers->n_peers + 1;
 }
 
 /* Keeps a peer that did not answer from being chosen as leader for LEADER_EXCLUDE_US. */
 void
-mf_peers_distrust (MfPeers *peers, uint64_t hash)
+mf_peers_exclude_leader (MfPeers *peers, uint64_t hash)
 {
   MfPeer *peer = mf_peers_by_hash (peers, hash);
 
   if (peer != NULL)
-    peer->distrusted_us = mf_clock_now_us () + LEADER_EXCLUDE_US;
+    peer->leader_excluded_until_us = mf_clock_now_us () + LEADER_EXCLUDE_US;
 }
 
 /* Sets the data centre of this instance. */
@@ -154,10 +154,10 @@
 }
 
 /* Returns the rank of this instance among the reachable instances of its data centre. */
-MfFeedStanding
-mf_peers_standing (const MfPeers *peers, uint64_t now_us)
+MfFeedRank
+mf_peers_feed_rank (const MfPeers *peers, uint64_t now_us)
 {
-  MfFeedStanding standing = { .n_instances = 1 };
+  MfFeedRank rank = { .n_instances = 1 };
   uint64_t own_rank = peers->hash * RANK_FACTOR;
 
   for (uint32_t i = 0; i < peers->n_peers; i++)
@@ -165,10 +165,10 @@
       const MfPeer *peer = peers->list[i];
 
       if (peer->data_centre != peers->data_centre || !peer->connected
-          || !mf_peer_is_heard (peer, now_us))
+          || !mf_peer_is_alive (peer, now_us))
         continue;
-      standing.n_instances++;
-      standing.rank += peer->hash * RANK_FACTOR > own_rank;
+      rank.n_instances++;
+      rank.rank += peer->hash * RANK_FACTOR > own_rank;
     }
-  return standing;
+  return rank;
 }
--- a/libmangofork/relay/peers_row.h
+++ b/libmangofork/relay/peers_row.h
@@ -8,11 +8,11 @@
 /* Maximum number of known peers. */
 #define MF_PEERS_MAX 512
 /* For this long after a peer was used as leader, each load change is reported to it. */
-#define MF_PEERS_LEADER_US (5 * MF_US_PER_S)
+#define MF_PEERS_LEADER_REPORT_US (5 * MF_US_PER_S)
 
 /* A report is valid for this percentage of its sender's heartbeat interval. A peer without a valid
  * report is not chosen as leader. */
-#define MF_PEERS_FRESH_PERCENT 180
+#define MF_PEERS_REPORT_LIFETIME_PERCENT 180
 
 /* Another instance and the outgoing connection to it. */
 typedef struct
@@ -25,20 +25,20 @@
   bool connected;
   ev_io writer;
   MfBuffer out;
-  uint64_t redial_at_us;
-  uint64_t redial_us;
+  uint64_t reconnect_at_us;
+  uint64_t reconnect_delay_us;
   uint64_t seen_us; /* last connection or report */
-  bool members_told;
-  uint64_t dialled_us;
-  uint64_t told_us;
-  uint64_t leader_us;     /* when it was last used as leader */
-  uint64_t distrusted_us; /* not chosen as leader before this time */
-  uint64_t grant_id;      /* latest grant accepted from it */
-  bool grant_told;
-  bool lost;      /* the connection broke; the gone callback runs from the next tick */
-  bool told_gone; /* the gone callback has run, and no report has come since */
-  uint64_t heard_us;
-  uint64_t fresh_us; /* how long its last report is valid */
+  bool members_sent;
+  uint64_t connect_started_us;
+  uint64_t reported_us;
+  uint64_t leader_used_us;           /* when it was last used as leader */
+  uint64_t leader_excluded_until_us; /* not chosen as leader before this time */
+  uint64_t grant_id;                 /* latest grant accepted from it */
+  bool grant_acked;
+  bool connection_lost; /* the connection broke; the gone callback runs from the next tick */
+  bool gone_notified;   /* the gone callback has run, and no report has come since */
+  uint64_t last_report_us;
+  uint64_t report_lifetime_us; /* how long its last report is valid */
   MfLoadEntry *entries;
   uint32_t n_entries;
   MfLeaderVote votes[MF_LOAD_VOTES_MAX];
@@ -62,17 +62,17 @@
 {
   struct ev_loop *loop;
   char address[MF_ADDRESS_BYTES];
-  const MfPeersUser *user;
+  const MfPeersCallbacks *callbacks;
   void *data;
-  MfLines *lines;
+  MfLines *log;
   int fd;
   ev_io acceptor;
   ev_timer tick;
-  ev_timer tell;
+  ev_timer report_timer;
   MfPeer *list[MF_PEERS_MAX];
   uint32_t n_peers;
   MfPeerIncoming *incoming;
-  uint64_t told_us;
+  uint64_t reported_us;
   bool is_seed;      /* this instance is a seed */
   MfRelayMessage in; /* buffers for one received and one sent message; too large for the stack */
   MfRelayMessage out;
@@ -86,18 +86,18 @@
 
 /* peers.c: the list of peers and their connections. */
 MfPeer *mf_peers_by_hash (const MfPeers *peers, uint64_t hash);
-void mf_peer_hang_up (MfPeers *peers, MfPeer *peer);
+void mf_peer_disconnect (MfPeers *peers, MfPeer *peer);
 void mf_peer_flush (MfPeers *peers, MfPeer *peer);
 
 /* peers_tell.c: sending of reports and messages. */
-void mf_peers_tell (MfPeers *peers, bool changed);
-void mf_peer_tell (MfPeers *peers, MfPeer *peer);
-bool mf_peers_introduces (const MfPeers *peers, const MfPeer *peer);
-void mf_peers_on_tell (struct ev_loop *loop, ev_timer *watcher, int events);
+void mf_peers_send_reports (MfPeers *peers, bool changed);
+void mf_peer_send_report (MfPeers *peers, MfPeer *peer);
+bool mf_peers_shares_members (const MfPeers *peers, const MfPeer *peer);
+void mf_peers_on_report_timer (struct ev_loop *loop, ev_timer *watcher, int events);
 
 /* peers_lead.c: choice of leaders, and fencing tokens. */
-bool mf_peer_is_heard (const MfPeer *peer, uint64_t now_us);
+bool mf_peer_is_alive (const MfPeer *peer, uint64_t now_us);
 MfPeer *mf_peers_find_leader (const MfPeers *peers, uint64_t service_hash, uint64_t now_us);
-void mf_peers_hear_fence (MfPeers *peers, uint64_t service_hash, uint64_t fence);
+void mf_peers_raise_fence (MfPeers *peers, uint64_t service_hash, uint64_t fence);
 
 #endif
--- a/libmangofork/relay/peers_tell.c
+++ b/libmangofork/relay/peers_tell.c
@@ -29,9 +29,9 @@
 
 /* Returns how long a report is valid in a fleet of this size. */
 uint64_t
-mf_peers_fresh_us (const MfPeers *peers)
+mf_peers_report_lifetime_us (const MfPeers *peers)
 {
-  return heartbeat_us (peers) * MF_PEERS_FRESH_PERCENT / 100;
+  return heartbeat_us (peers) * MF_PEERS_REPORT_LIFETIME_PERCENT / 100;
 }
 
 static void
@@ -41,7 +41,7 @@
     return;
   if (mf_buffer_bytes (&peer->out) > UNSENT_BYTES_MAX)
     {
-      mf_peer_hang_up (peers, peer);
+      mf_peer_disconnect (peers, peer);
       return;
     }
   mf_buffer_add (&peer->out, mf_buffer_data (frames), mf_buffer_bytes (frames));
@@ -62,7 +62,7 @@
   report->n_entries = 0;
   report->n_members = 0;
   report->n_votes = 0;
-  peers->user->fill (peers->data, report);
+  peers->callbacks->fill_report (peers->data, report);
   for (uint32_t i = 0; i < peers->n_services; i++)
     {
       const MfPeer *leader = mf_peers_find_leader (peers, peers->services[i], now_us);
@@ -88,10 +88,10 @@
 {
   MfBuffer frame = { 0 };
 
-  if (peer->grant_told)
+  if (peer->grant_acked)
     return;
-  peer->grant_told = true;
-  peers->out.kind = MF_RELAY_MESSAGE_SEEN;
+  peer->grant_acked = true;
+  peers->out.kind = MF_RELAY_MESSAGE_GRANT_ACK;
   peers->out.grant.id = peer->grant_id;
   mf_relay_message_encode (&peers->out, &frame);
   peer_queue_frames (peers, peer, &frame);
@@ -105,18 +105,18 @@
 {
   if (!peer->connected)
     return false;
-  if (now_us - peer->told_us >= heartbeat_us (peers))
+  if (now_us - peer->reported_us >= heartbeat_us (peers))
     return true;
   return changed
          && (peers->n_peers <= SMALL_FLEET_PEERS_MAX
-             || now_us - peer->leader_us < MF_PEERS_LEADER_US);
+             || now_us - peer->leader_used_us < MF_PEERS_LEADER_REPORT_US);
 }
 
 /* Whether this instance sends the member list and earlier broadcasts to a newly connected peer. A
  * new instance learns the members from a seed and becomes known to all that it connects to. A few
  * instances that are no seeds send the list too, because the seeds may be down. */
 bool
-mf_peers_introduces (const MfPeers *peers, const MfPeer *peer)
+mf_peers_shares_members (const MfPeers *peers, const MfPeer *peer)
 {
   return peers->is_seed || peers->n_peers <= MEMBERS_SENT_BY_ALL_MAX
          || (peer->hash ^ peers->hash) % MEMBERS_SENDERS_DIVISOR == 0;
@@ -125,25 +125,25 @@
 /* Sends a report to each peer for which one is due. The first report on a connection includes the
  * member list if this instance sends it to the peer. */
 void
-mf_peers_tell (MfPeers *peers, bool changed)
+mf_peers_send_reports (MfPeers *peers, bool changed)
 {
   uint64_t now_us = mf_clock_now_us ();
   MfBuffer plain = { 0 };
   MfBuffer full = { 0 };
 
-  peers->told_us = now_us;
+  peers->reported_us = now_us;
   for (uint32_t i = 0; i < peers->n_peers; i++)
     {
       MfPeer *peer = peers->list[i];
-      bool with_members = !peer->members_told && mf_peers_introduces (peers, peer);
+      bool with_members = !peer->members_sent && mf_peers_shares_members (peers, peer);
       MfBuffer *frame = with_members ? &full : &plain;
 
       if (!is_report_due (peers, peer, changed, now_us))
         continue;
       if (mf_buffer_bytes (frame) == 0)
         report_encode (peers, with_members, frame);
-      peer->members_told = true;
-      peer->told_us = now_us;
+      peer->members_sent = true;
+      peer->reported_us = now_us;
       grant_ack_send (peers, peer);
       peer_queue_frames (peers, peer, frame);
     }
@@ -152,25 +152,26 @@
 }
 
 void
-mf_peers_on_tell (struct ev_loop *loop, ev_timer *watcher, int events)
+mf_peers_on_report_timer (struct ev_loop *loop, ev_timer *watcher, int events)
 {
   (void)events;
   ev_timer_stop (loop, watcher);
-  mf_peers_tell (watcher->data, true);
+  mf_peers_send_reports (watcher->data, true);
 }
 
 /* Schedules a report after a change in the load of this instance. */
 void
-mf_peers_touch (MfPeers *peers)
+mf_peers_schedule_report (MfPeers *peers)
 {
   uint64_t now_us = mf_clock_now_us ();
-  uint64_t due_us = peers->told_us + REPORT_INTERVAL_MIN_US;
+  uint64_t due_us = peers->reported_us + REPORT_INTERVAL_MIN_US;
 
-  if (peers->n_peers == 0 || ev_is_active (&peers->tell))
+  if (peers->n_peers == 0 || ev_is_active (&peers->report_timer))
     return;
   /* Changes within one iteration of the event loop are reported together. */
-  ev_timer_set (&peers->tell, due_us > now_us ? (double)(due_us - now_us) / 1e6 : 0.0005, 0.);
-  ev_timer_start (peers->loop, &peers->tell);
+  ev_timer_set (&peers->report_timer, due_us > now_us ? (double)(due_us - now_us) / 1e6 : 0.0005,
+                0.);
+  ev_timer_start (peers->loop, &peers->report_timer);
 }
 
 /* Sends a message to one peer. Returns false when the peer is not connected. */
@@ -198,7 +199,7 @@
     {
       MfPeer *peer = peers->list[i];
 
-      if (!local_only || (peer->heard_us > 0 && peer->data_centre == peers->data_centre))
+      if (!local_only || (peer->last_report_us > 0 && peer->data_centre == peers->data_centre))
         peer_queue_frames (peers, peer, &frame);
     }
   mf_buffer_clear (&frame);
@@ -213,19 +214,19 @@
 
 /* Sends a message to all connected peers in the data centre of this instance. */
 void
-mf_peers_send_near (MfPeers *peers, const MfRelayMessage *message)
+mf_peers_send_local (MfPeers *peers, const MfRelayMessage *message)
 {
   send_to_peers (peers, message, true);
 }
 
 /* Sends a report to one peer. */
 void
-mf_peer_tell (MfPeers *peers, MfPeer *peer)
+mf_peer_send_report (MfPeers *peers, MfPeer *peer)
 {
   MfBuffer frame = { 0 };
 
   report_encode (peers, false, &frame);
-  peer->told_us = mf_clock_now_us ();
+  peer->reported_us = mf_clock_now_us ();
   grant_ack_send (peers, peer);
   peer_queue_frames (peers, peer, &frame);
   mf_buffer_clear (&frame);
@@ -233,12 +234,12 @@
 
 /* Acknowledges a grant by a peer with the next report to it. */
 void
-mf_peers_note_grant (MfPeers *peers, uint64_t hash, uint64_t grant_id)
+mf_peers_ack_grant (MfPeers *peers, uint64_t hash, uint64_t grant_id)
 {
   MfPeer *peer = mf_peers_by_hash (peers, hash);
 
   if (peer == NULL)
     return;
   peer->grant_id = grant_id;
-  peer->grant_told = false;
+  peer->grant_acked = false;
 }
--- a/libmangofork/relay/place.c
+++ b/libmangofork/relay/place.c
@@ -33,7 +33,7 @@
 }
 
 static bool
-is_candidate (const MfTarget *target, const MfPlaceAsk *query, uint64_t now_us)
+is_candidate (const MfTarget *target, const MfPlaceQuery *query, uint64_t now_us)
 {
   return !mf_target_is_leaving (target) && target->info.role == query->role
          && target->stage_until_us <= now_us && strcmp (target->info.service, query->service) == 0;
@@ -41,7 +41,7 @@
 
 /* Whether it is in the data centre of the instance that sends. */
 static bool
-is_same_data_centre (const MfTarget *target, const MfPlaceAsk *query)
+is_same_data_centre (const MfTarget *target, const MfPlaceQuery *query)
 {
   return strcmp (target->info.data_centre, query->data_centre) == 0;
 }
@@ -54,7 +54,7 @@
 }
 
 static double
-plain_cost_us (const MfTarget *target, const MfPlaceAsk *query, uint64_t now_us)
+plain_cost_us (const MfTarget *target, const MfPlaceQuery *query, uint64_t now_us)
 {
   double answer_us = mf_target_answer_us (target, DEFAULT_ANSWER_US, now_us);
   double silent_us = silence_us (target, now_us);
@@ -67,7 +67,7 @@
 }
 
 static double
-prefill_cost_us (const MfTarget *target, const MfPlaceAsk *query, uint64_t now_us)
+prefill_cost_us (const MfTarget *target, const MfPlaceQuery *query, uint64_t now_us)
 {
   double us_per_token = target->us_per_token > 0. ? target->us_per_token : DEFAULT_US_PER_TOKEN;
   double silent_us = silence_us (target, now_us);
@@ -82,20 +82,19 @@
 
 /* Decodes are compared by how full the upstream is, as a share of its slots or its memory. */
 static double
-decode_cost (const MfTarget *target, const MfPlaceAsk *query, uint64_t now_us)
+decode_cost (const MfTarget *target, const MfPlaceQuery *query, uint64_t now_us)
 {
   uint32_t slots = target->info.slots > 0 ? target->info.slots : 1;
   double slot_share = (double)(mf_target_load (target) + 1) / slots;
   double memory_share = 0.;
   double share;
 
-  if (query->traits != NULL && query->traits->kv_capacity_tokens > 0)
+  if (query->service_config != NULL && query->service_config->kv_capacity_tokens > 0)
     memory_share = (double)(mf_target_load_tokens (target) + query->tokens)
-                   / (double)query->traits->kv_capacity_tokens;
+                   / (double)query->service_config->kv_capacity_tokens;
   share = slot_share > memory_share ? slot_share : memory_share;
-  if (query->memory_data_centre != NULL
-          ? strcmp (query->memory_data_centre, target->info.data_centre) != 0
-          : !is_same_data_centre (target, query))
+  if (query->kv_data_centre != NULL ? strcmp (query->kv_data_centre, target->info.data_centre) != 0
+                                    : !is_same_data_centre (target, query))
     share += CROSS_DATA_CENTRE_KV_SHARE;
   if (target->full_until_us > now_us)
     share += 1.;
@@ -107,7 +106,7 @@
 
 /* How long the answer is expected to take there, in microseconds. */
 double
-mf_place_cost_us (const MfTarget *target, const MfPlaceAsk *query, uint64_t now_us)
+mf_place_cost_us (const MfTarget *target, const MfPlaceQuery *query, uint64_t now_us)
 {
   double cost_us;
   double failure_share;
@@ -124,18 +123,18 @@
       cost_us = plain_cost_us (target, query, now_us);
       break;
     }
-  if (query->apart && target->n_suspects > 0)
+  if (query->avoid_suspects && target->n_suspects > 0)
     cost_us += SUSPECT_COST_US;
   failure_share = mf_target_failure_share (target, now_us);
-  if (target->others_failure_share > failure_share)
-    failure_share = target->others_failure_share;
+  if (target->remote_failure_share > failure_share)
+    failure_share = target->remote_failure_share;
   return cost_us * (1. + FAILURE_COST_FACTOR * failure_share);
 }
 
 /* Chooses the upstream that is expected to answer first. NULL when none is usable; any_alive then
  * tells whether one of the role is known at all that is not leaving. */
 MfTarget *
-mf_place_choose (const MfTargets *targets, const MfPlaceAsk *query, uint64_t now_us,
+mf_place_choose (const MfTargets *targets, const MfPlaceQuery *query, uint64_t now_us,
                  bool *any_available)
 {
   MfTarget *best = NULL;
@@ -151,9 +150,10 @@
       if (!is_candidate (target, query, now_us))
         continue;
       *any_available = true;
-      if (!mf_target_takes (target, now_us)
+      if (!mf_target_accepts (target, now_us)
           || mf_place_avoids (query->avoid, query->n_avoid, target)
-          || (query->must_fit && !mf_load_fits (target, query->traits, query->tokens, now_us)))
+          || (query->must_fit
+              && !mf_load_fits (target, query->service_config, query->tokens, now_us)))
         continue;
       if (mf_target_is_suspect (target, now_us))
         {
@@ -168,7 +168,7 @@
           best_us = cost_us;
           n_equal = 1;
         }
-      else if (cost_us <= best_us * 1.001 && query->point % ++n_equal == 0)
+      else if (cost_us <= best_us * 1.001 && query->tie_break % ++n_equal == 0)
         best = target;
     }
   return best != NULL ? best : suspect;
@@ -192,7 +192,7 @@
 /* When the first upstream of this role takes requests of this instance again, on its monotonic
  * clock; 0 when one does now, or when all are leaving. */
 uint64_t
-mf_place_opens_us (const MfTargets *targets, const char *service, MfRole role, uint64_t now_us)
+mf_place_pause_end_us (const MfTargets *targets, const char *service, MfRole role, uint64_t now_us)
 {
   uint64_t pause_end_us = 0;
 
--- a/libmangofork/relay/relay.c
+++ b/libmangofork/relay/relay.c
@@ -68,7 +68,7 @@
   uint64_t keep_until_us;  /* upstreams that are missing are kept until then */
   uint64_t drain_begun_us; /* 0: not shutting down */
   bool idle_closed;
-  MfFollow follow;
+  MfFeedFreshness follow;
   uint64_t settings_seen_us;        /* when the file was last looked at */
   struct timespec settings_changed; /* when it was last written */
 };
@@ -118,7 +118,8 @@
             "mangofork_relay_upstreams %u\nmangofork_relay_config_version %llu\n"
             "mangofork_relay_log_lines_dropped_total %llu\n",
             relay->jobs.n_jobs, mf_door_n_callers (relay->door),
-            relay->jobs.peers != NULL ? mf_peers_count (relay->jobs.peers, mf_clock_now_us ()) : 1,
+            relay->jobs.peers != NULL ? mf_peers_n_alive (relay->jobs.peers, mf_clock_now_us ())
+                                      : 1,
             relay->jobs.targets.n_targets,
             (unsigned long long)(relay->jobs.routes != NULL ? relay->jobs.routes->version : 0),
             (unsigned long long)mf_lines_dropped (relay->lines));
@@ -207,7 +208,7 @@
       relay->lines, "upstream.known",
       "upstream=%s service=%s address=%s stage=%s data_centre=%s leaving=%s born_ms=%llu", info->id,
       info->service, info->address, mf_role_name (info->role), info->data_centre,
-      info->leaving ? "yes" : "no", (unsigned long long)info->born_ms);
+      info->leaving ? "yes" : "no", (unsigned long long)info->started_ms);
   mf_jobs_wake (&relay->jobs);
 }
 
@@ -272,10 +273,10 @@
 MfFeedRole
 mf_relay_role (MfRelay *relay)
 {
-  MfFeedStanding standing = { .n_instances = 1 };
+  MfFeedRank standing = { .n_instances = 1 };
 
   if (relay->jobs.peers != NULL)
-    standing = mf_peers_standing (relay->jobs.peers, mf_clock_now_us ());
+    standing = mf_peers_feed_rank (relay->jobs.peers, mf_clock_now_us ());
   return mf_feed_role (&standing);
 }
 
@@ -283,15 +284,15 @@
 uint64_t
 mf_relay_rest_us (MfRelay *relay, MfFeedRole role)
 {
-  return mf_follow_rest_us (&relay->follow, role, mf_clock_awake_us (),
-                            mf_jobs_random (&relay->jobs));
+  return mf_feed_freshness_read_delay_us (&relay->follow, role, mf_clock_awake_us (),
+                                          mf_jobs_random (&relay->jobs));
 }
 
 /* How long a call to the source waits for changes; alone_us where nobody else depends on it. */
 uint64_t
 mf_relay_wait_us (const MfRelay *relay, MfFeedRole role, uint64_t alone_us)
 {
-  return mf_follow_wait_us (&relay->follow, role, alone_us);
+  return mf_feed_freshness_watch_timeout_us (&relay->follow, role, alone_us);
 }
 
 /* The pause after a failed call to the source, when the one before was last_us; is_known tells that
@@ -299,8 +300,9 @@
 uint64_t
 mf_relay_retry_us (MfRelay *relay, bool is_known, uint64_t last_us)
 {
-  return mf_follow_retry_us (&relay->follow, is_known ? mf_relay_role (relay) : MF_FEED_ALONE,
-                             last_us, mf_jobs_random (&relay->jobs));
+  return mf_feed_freshness_retry_delay_us (&relay->follow,
+                                           is_known ? mf_relay_role (relay) : MF_FEED_STANDALONE,
+                                           last_us, mf_jobs_random (&relay->jobs));
 }
 
 /* A time between none and this, by chance. */
@@ -319,14 +321,14 @@
   MfRelayMessage *message = &relay->jobs.message;
 
   feed->sent_us = mf_clock_awake_us ();
-  feed->as_of_us = feed->sent_us - mf_feed_way_us (took_us, wait_us);
+  feed->as_of_us = feed->sent_us - mf_feed_answer_age_us (took_us, wait_us);
   feed->keep_us = relay->keep_until_us > now_us ? relay->keep_until_us - now_us : 0;
-  mf_follow_note (&relay->follow, feed->as_of_us);
+  mf_feed_freshness_advance (&relay->follow, feed->as_of_us);
   if (relay->jobs.peers == NULL || mf_relay_role (relay) != MF_FEED_READER)
     return;
   message->kind = MF_RELAY_MESSAGE_FEED;
   message->feed = *feed;
-  mf_peers_send_near (relay->jobs.peers, message);
+  mf_peers_send_local (relay->jobs.peers, message);
   /* The values stay the source's. */
   message->feed.values = (MfBuffer){ 0 };
 }
@@ -337,7 +339,7 @@
 {
   MfRelay *relay = data;
   uint64_t now_us = mf_clock_now_us ();
-  uint64_t as_of_us = mf_follow_as_of_us (&relay->follow, peer, feed, mf_clock_awake_us ());
+  uint64_t as_of_us = mf_feed_freshness_as_of_us (&relay->follow, peer, feed, mf_clock_awake_us ());
 
   if (relay->source == NULL)
     return;
@@ -346,7 +348,7 @@
     relay->keep_until_us = now_us + feed->keep_us;
   if (!relay->deployment->source->feed (relay->source, feed) || as_of_us == 0)
     return;
-  mf_follow_note (&relay->follow, as_of_us);
+  mf_feed_freshness_advance (&relay->follow, as_of_us);
   mf_relay_source_up (relay);
 }
 
@@ -385,7 +387,7 @@
   relay->jobs.budget_slack = relay->settings.retry_slack;
   relay->jobs.orders_fenced = relay->settings.orders_fenced;
   relay->jobs.order_turn_us = relay->settings.order_turn_us;
-  relay->follow.bound_us = relay->settings.change_us;
+  relay->follow.staleness_max_us = relay->settings.change_us;
   if (relay->settings.memory_bytes > 0)
     relay->jobs.answer_bytes_max = relay->settings.memory_bytes / ANSWERS_MEMORY_PART;
   if (relay->door != NULL)
@@ -407,7 +409,7 @@
   relay->settings = settings;
   settings_apply (relay);
   if (relay->jobs.peers != NULL)
-    mf_peers_seed (relay->jobs.peers, settings.seeds);
+    mf_peers_add_seeds (relay->jobs.peers, settings.seeds);
   relay->deployment->source->renew (relay->source, &relay->settings);
   mf_lines_state (relay->lines, "settings.applied", "store=%s", settings.store);
 }
@@ -562,7 +564,7 @@
       if (relay->jobs.peers == NULL)
         return false;
       mf_peers_set_data_centre (relay->jobs.peers, settings->data_centre);
-      mf_peers_seed (relay->jobs.peers, settings->seeds);
+      mf_peers_add_seeds (relay->jobs.peers, settings->seeds);
       relay->jobs.take_feed = on_feed;
       relay->jobs.take_feed_data = relay;
     }
@@ -614,7 +616,7 @@
   mf_name_set (relay->jobs.targets.data_centre, sizeof relay->jobs.targets.data_centre,
                relay->settings.data_centre);
   mf_name_set (relay->jobs.instance, sizeof relay->jobs.instance, relay->settings.name);
-  relay->jobs.targets.lines = relay->lines;
+  relay->jobs.targets.log = relay->lines;
   relay->jobs.targets.unacked_timeout_us = relay->settings.contact_us;
   settings_apply (relay);
   if (relay->lines == NULL || !doors_open (relay, error))
--- a/libmangofork/relay/relay_message.c
+++ b/libmangofork/relay/relay_message.c
@@ -12,15 +12,15 @@
 #define SLOT_REQUEST_MEMBERS 11
 #define GRANT_MEMBERS 4
 #define ID_MEMBERS 2
-#define REPEAT_MEMBERS 5
-#define REPEAT_REPLY_MEMBERS 3
+#define RETRY_MEMBERS 5
+#define RETRY_REPLY_MEMBERS 3
 #define FEED_MEMBERS 7
 #define FEED_ITEM_MEMBERS 4
 #define SUSPECTS_MEMBERS 2
 #define SUSPECT_ENTRY_MEMBERS 4
 #define SUSPECT_DEATH_MEMBERS 3
 /* A repeat is a prompt that is read again and a run. */
-#define REPEAT_SENDS_MAX 2
+#define RETRY_SENDS_MAX 2
 
 static int
 buffer_write (void *data, const char *bytes, size_t n_bytes)
@@ -54,7 +54,7 @@
       msgpack_pack_uint32 (packer, report->entries[i].n_active);
       msgpack_pack_uint32 (packer, report->entries[i].tokens);
       msgpack_pack_uint32 (packer, report->entries[i].failure_percent);
-      msgpack_pack_uint32 (packer, report->entries[i].sight);
+      msgpack_pack_uint32 (packer, report->entries[i].reachability);
       msgpack_pack_uint32 (packer, report->entries[i].avoided_ms);
     }
   msgpack_pack_array (packer, report->n_members);
@@ -74,7 +74,7 @@
 static void
 slot_request_pack (msgpack_packer *packer, const MfRelayMessage *message)
 {
-  const MfAsk *request = &message->ask;
+  const MfSlotRequest *request = &message->slot_request;
 
   msgpack_pack_array (packer, SLOT_REQUEST_MEMBERS);
   msgpack_pack_uint32 (packer, message->kind);
@@ -82,11 +82,11 @@
   pack_text (packer, request->service);
   pack_text (packer, request->data_centre);
   msgpack_pack_uint64 (packer, request->prompt_tokens);
-  msgpack_pack_uint64 (packer, request->memory_tokens);
-  msgpack_pack_uint32 (packer, request->has_memory);
+  msgpack_pack_uint64 (packer, request->kv_tokens);
+  msgpack_pack_uint32 (packer, request->is_prefilled);
   msgpack_pack_uint64 (packer, request->age_us);
   msgpack_pack_uint64 (packer, request->objective_us);
-  msgpack_pack_uint64 (packer, request->patience_us);
+  msgpack_pack_uint64 (packer, request->max_age_us);
   msgpack_pack_array (packer, request->n_avoid);
   for (uint32_t i = 0; i < request->n_avoid; i++)
     msgpack_pack_uint64 (packer, request->avoid[i]);
@@ -111,23 +111,23 @@
 }
 
 static void
-repeat_pack (msgpack_packer *packer, const MfRelayMessage *message)
+retry_pack (msgpack_packer *packer, const MfRelayMessage *message)
 {
-  msgpack_pack_array (packer, REPEAT_MEMBERS);
+  msgpack_pack_array (packer, RETRY_MEMBERS);
   msgpack_pack_uint32 (packer, message->kind);
-  msgpack_pack_uint64 (packer, message->repeat.id);
-  pack_text (packer, message->repeat.service);
-  msgpack_pack_uint32 (packer, message->repeat.n_sends);
-  msgpack_pack_uint32 (packer, message->repeat.is_done);
+  msgpack_pack_uint64 (packer, message->retry.id);
+  pack_text (packer, message->retry.service);
+  msgpack_pack_uint32 (packer, message->retry.n_sends);
+  msgpack_pack_uint32 (packer, message->retry.is_done);
 }
 
 static void
-repeat_reply_pack (msgpack_packer *packer, const MfRelayMessage *message)
+retry_reply_pack (msgpack_packer *packer, const MfRelayMessage *message)
 {
-  msgpack_pack_array (packer, REPEAT_REPLY_MEMBERS);
+  msgpack_pack_array (packer, RETRY_REPLY_MEMBERS);
   msgpack_pack_uint32 (packer, message->kind);
-  msgpack_pack_uint64 (packer, message->repeat.id);
-  msgpack_pack_uint32 (packer, message->repeat.allowed);
+  msgpack_pack_uint64 (packer, message->retry.id);
+  msgpack_pack_uint32 (packer, message->retry.allowed);
 }
 
 static void
@@ -159,19 +159,19 @@
 static void
 suspects_pack (msgpack_packer *packer, const MfRelayMessage *message)
 {
-  const MfSuspectNews *update = &message->suspects;
+  const MfSuspectUpdate *update = &message->suspects;
 
   msgpack_pack_array (packer, SUSPECTS_MEMBERS);
   msgpack_pack_uint32 (packer, message->kind);
-  msgpack_pack_array (packer, update->n_rows);
-  for (uint32_t i = 0; i < update->n_rows; i++)
+  msgpack_pack_array (packer, update->n_entries);
+  for (uint32_t i = 0; i < update->n_entries; i++)
     {
-      const MfSuspectRow *entry = &update->rows[i];
+      const MfSuspectEntry *entry = &update->entries[i];
 
       msgpack_pack_array (packer, SUSPECT_ENTRY_MEMBERS);
       msgpack_pack_uint64 (packer, entry->digest);
       msgpack_pack_uint32 (packer, entry->cleared);
-      msgpack_pack_uint32 (packer, entry->sentence_ms);
+      msgpack_pack_uint32 (packer, entry->quarantine_ms);
       msgpack_pack_array (packer, entry->n_deaths);
       for (uint32_t j = 0; j < entry->n_deaths; j++)
         {
@@ -233,17 +233,17 @@
 static bool
 entry_read (const msgpack_object *object, MfLoadEntry *entry)
 {
-  uint64_t sight = 0;
+  uint64_t reachability = 0;
 
   if (object->type != MSGPACK_OBJECT_ARRAY || object->via.array.size < ENTRY_MEMBERS
       || !read_number (&object->via.array.ptr[0], UINT64_MAX, &entry->upstream)
       || !read_u32 (&object->via.array.ptr[1], &entry->n_active)
       || !read_u32 (&object->via.array.ptr[2], &entry->tokens)
       || !read_u32 (&object->via.array.ptr[3], &entry->failure_percent)
-      || !read_number (&object->via.array.ptr[4], MF_SIGHT_LAST, &sight)
+      || !read_number (&object->via.array.ptr[4], MF_REACHABILITY_LAST, &reachability)
       || !read_u32 (&object->via.array.ptr[5], &entry->avoided_ms))
     return false;
-  entry->sight = (MfSight)sight;
+  entry->reachability = (MfReachability)reachability;
   return true;
 }
 
@@ -299,7 +299,7 @@
 static bool
 slot_request_read (const msgpack_object *members, MfRelayMessage *message)
 {
-  MfAsk *request = &message->ask;
+  MfSlotRequest *request = &message->slot_request;
   const msgpack_object *avoid = &members[10];
 
   request->n_avoid = 0;
@@ -307,11 +307,11 @@
       || !read_text (&members[2], request->service, sizeof request->service)
       || !read_text (&members[3], request->data_centre, sizeof request->data_centre)
       || !read_number (&members[4], UINT32_MAX, &request->prompt_tokens)
-      || !read_number (&members[5], UINT32_MAX, &request->memory_tokens)
-      || !read_flag (&members[6], &request->has_memory)
+      || !read_number (&members[5], UINT32_MAX, &request->kv_tokens)
+      || !read_flag (&members[6], &request->is_prefilled)
       || !read_number (&members[7], UINT64_MAX / 2, &request->age_us)
       || !read_number (&members[8], UINT64_MAX / 4, &request->objective_us)
-      || !read_number (&members[9], UINT64_MAX / 4, &request->patience_us)
+      || !read_number (&members[9], UINT64_MAX / 4, &request->max_age_us)
       || !read_array (avoid, MF_PLACE_AVOID_MAX))
     return false;
   for (uint32_t i = 0; i < avoid->via.array.size; i++)
@@ -338,21 +338,21 @@
 }
 
 static bool
-repeat_read (const msgpack_object *members, MfRelayMessage *message)
+retry_read (const msgpack_object *members, MfRelayMessage *message)
 {
-  MfRepeatAsk *repeat = &message->repeat;
+  MfRetryRequest *retry = &message->retry;
 
-  return read_number (&members[1], UINT64_MAX, &repeat->id)
-         && read_text (&members[2], repeat->service, sizeof repeat->service)
-         && read_u32 (&members[3], &repeat->n_sends) && repeat->n_sends <= REPEAT_SENDS_MAX
-         && read_flag (&members[4], &repeat->is_done);
+  return read_number (&members[1], UINT64_MAX, &retry->id)
+         && read_text (&members[2], retry->service, sizeof retry->service)
+         && read_u32 (&members[3], &retry->n_sends) && retry->n_sends <= RETRY_SENDS_MAX
+         && read_flag (&members[4], &retry->is_done);
 }
 
 static bool
-repeat_reply_read (const msgpack_object *members, MfRelayMessage *message)
+retry_reply_read (const msgpack_object *members, MfRelayMessage *message)
 {
-  return read_number (&members[1], UINT64_MAX, &message->repeat.id)
-         && read_flag (&members[2], &message->repeat.allowed);
+  return read_number (&members[1], UINT64_MAX, &message->retry.id)
+         && read_flag (&members[2], &message->retry.allowed);
 }
 
 static bool
@@ -389,7 +389,7 @@
 }
 
 static bool
-suspect_death_read (const msgpack_object *members, MfSuspectRowDeath *death)
+suspect_death_read (const msgpack_object *members, MfSuspectEntryDeath *death)
 {
   return members->type == MSGPACK_OBJECT_ARRAY && members->via.array.size >= SUSPECT_DEATH_MEMBERS
          && read_number (&members->via.array.ptr[0], UINT64_MAX, &death->process)
@@ -398,7 +398,7 @@
 }
 
 static bool
-suspect_entry_read (const msgpack_object *members, MfSuspectRow *entry)
+suspect_entry_read (const msgpack_object *members, MfSuspectEntry *entry)
 {
   const msgpack_object *deaths;
 
@@ -408,7 +408,7 @@
   entry->n_deaths = 0;
   if (!read_number (&members->via.array.ptr[0], UINT64_MAX, &entry->digest)
       || !read_flag (&members->via.array.ptr[1], &entry->cleared)
-      || !read_u32 (&members->via.array.ptr[2], &entry->sentence_ms)
+      || !read_u32 (&members->via.array.ptr[2], &entry->quarantine_ms)
       || !read_array (deaths, MF_SUSPECT_DEATHS_MAX))
     return false;
   while (entry->n_deaths < deaths->via.array.size)
@@ -424,17 +424,18 @@
 static bool
 suspects_read (const msgpack_object *members, MfRelayMessage *message)
 {
-  MfSuspectNews *update = &message->suspects;
+  MfSuspectUpdate *update = &message->suspects;
   const msgpack_object *rows = &members[1];
 
-  update->n_rows = 0;
-  if (!read_array (rows, MF_SUSPECT_ROWS_MAX))
+  update->n_entries = 0;
+  if (!read_array (rows, MF_SUSPECT_ENTRIES_MAX))
     return false;
-  while (update->n_rows < rows->via.array.size)
+  while (update->n_entries < rows->via.array.size)
     {
-      if (!suspect_entry_read (&rows->via.array.ptr[update->n_rows], &update->rows[update->n_rows]))
+      if (!suspect_entry_read (&rows->via.array.ptr[update->n_entries],
+                               &update->entries[update->n_entries]))
         return false;
-      update->n_rows++;
+      update->n_entries++;
     }
   return true;
 }
@@ -449,13 +450,13 @@
 
 static const MessageCodec codecs[] = {
   [MF_RELAY_MESSAGE_REPORT] = { REPORT_MEMBERS, report_pack, report_read },
-  [MF_RELAY_MESSAGE_ASK] = { SLOT_REQUEST_MEMBERS, slot_request_pack, slot_request_read },
+  [MF_RELAY_MESSAGE_SLOT_REQUEST] = { SLOT_REQUEST_MEMBERS, slot_request_pack, slot_request_read },
   [MF_RELAY_MESSAGE_GRANT] = { GRANT_MEMBERS, grant_pack, grant_read },
   [MF_RELAY_MESSAGE_QUEUED] = { ID_MEMBERS, id_pack, id_read },
   [MF_RELAY_MESSAGE_CANCEL] = { ID_MEMBERS, id_pack, id_read },
-  [MF_RELAY_MESSAGE_SEEN] = { ID_MEMBERS, id_pack, id_read },
-  [MF_RELAY_MESSAGE_REPEAT] = { REPEAT_MEMBERS, repeat_pack, repeat_read },
-  [MF_RELAY_MESSAGE_ALLOW] = { REPEAT_REPLY_MEMBERS, repeat_reply_pack, repeat_reply_read },
+  [MF_RELAY_MESSAGE_GRANT_ACK] = { ID_MEMBERS, id_pack, id_read },
+  [MF_RELAY_MESSAGE_RETRY] = { RETRY_MEMBERS, retry_pack, retry_read },
+  [MF_RELAY_MESSAGE_RETRY_REPLY] = { RETRY_REPLY_MEMBERS, retry_reply_pack, retry_reply_read },
   [MF_RELAY_MESSAGE_FEED] = { FEED_MEMBERS, feed_pack, feed_read },
   [MF_RELAY_MESSAGE_SUSPECTS] = { SUSPECTS_MEMBERS, suspects_pack, suspects_read },
 };
--- a/libmangofork/relay/target.c
+++ b/libmangofork/relay/target.c
@@ -86,9 +86,9 @@
 
 /* Names the process, which a later one of the same id is not. Never 0. */
 uint64_t
-mf_target_process (const MfTarget *target)
+mf_target_process_id (const MfTarget *target)
 {
-  uint64_t parts[] = { target->id_hash, target->info.born_ms };
+  uint64_t parts[] = { target->id_hash, target->info.started_ms };
   uint64_t process = XXH3_64bits (parts, sizeof parts);
 
   return process != 0 ? process : 1;
@@ -100,8 +100,8 @@
   MfTargets *targets = target->targets;
 
   target->ended_us = mf_clock_now_us ();
-  if (targets->user != NULL)
-    targets->user->ended (targets->user_data, target, why);
+  if (targets->callbacks != NULL)
+    targets->callbacks->ended (targets->user_data, target, why);
 }
 
 static void
@@ -116,36 +116,36 @@
   MfTarget *target = data;
 
   (void)why;
-  target->look = NULL;
+  target->probe = NULL;
   if (end != MF_LINK_WHOLE)
-    mf_target_failed (target, true, mf_clock_now_us ());
-  if (target->targets->user != NULL)
-    target->targets->user->looked (target->targets->user_data, target);
+    mf_target_record_failure (target, true, mf_clock_now_us ());
+  if (target->targets->callbacks != NULL)
+    target->targets->callbacks->probed (target->targets->user_data, target);
   mf_target_unref (target);
 }
 
-static const MfLinkUser probe_user = {
+static const MfLinkUser probe_callbacks = {
   .end = on_probe_end,
 };
 
 /* Opens a connection to see whether the process is there. */
 void
-mf_target_look (MfTarget *target)
+mf_target_probe (MfTarget *target)
 {
-  if (target->look != NULL || !target->listed)
+  if (target->probe != NULL || !target->listed)
     return;
-  target->look = mf_link_open (&target->pool, &probe_user, target);
-  if (target->look != NULL)
+  target->probe = mf_link_open (&target->pool, &probe_callbacks, target);
+  if (target->probe != NULL)
     mf_target_ref (target);
 }
 
 static void
 probe_cancel (MfTarget *target)
 {
-  if (target->look == NULL)
+  if (target->probe == NULL)
     return;
-  mf_link_cancel (target->look);
-  target->look = NULL;
+  mf_link_cancel (target->probe);
+  target->probe = NULL;
   mf_target_unref (target);
 }
 
@@ -177,7 +177,7 @@
 
   if (mf_head_count (head, MF_WORD_LEAVING) > 0
       && !(mf_head_copy (head, MF_WORD_LEAVING, value, sizeof value) && strcmp (value, "0") == 0))
-    mf_target_says_leaving (target);
+    mf_target_record_leaving (target);
   if (status != 503 || mf_head_count (head, MF_WORD_RETRY_AFTER) == 0)
     return;
   if (mf_head_seconds (head, MF_WORD_RETRY_AFTER, &pause_s))
@@ -186,8 +186,8 @@
       return;
     }
   mf_head_copy (head, MF_WORD_RETRY_AFTER, value, sizeof value);
-  if (target->targets->lines != NULL)
-    mf_lines_state (target->targets->lines, "upstream.pause_unreadable", "upstream=%s value=\"%s\"",
+  if (target->targets->log != NULL)
+    mf_lines_state (target->targets->log, "upstream.pause_unreadable", "upstream=%s value=\"%s\"",
                     target->info.id, value);
 }
 
@@ -204,8 +204,8 @@
       const MfDeparture *departure = &targets->departures[i];
 
       if (departure->id_hash == target->id_hash
-          && (departure->born_ms == target->info.born_ms || departure->born_ms == 0
-              || target->info.born_ms == 0))
+          && (departure->started_ms == target->info.started_ms || departure->started_ms == 0
+              || target->info.started_ms == 0))
         return true;
     }
   return false;
@@ -233,7 +233,7 @@
   target->targets = targets;
   memcpy (target->pool.address, info->address, sizeof target->pool.address);
   target->id_hash = mf_load_hash (info->id);
-  target->said_leaving = has_departed (targets, target);
+  target->announced_leaving = has_departed (targets, target);
   target->n_refs = 1;
   target->next = targets->first;
   targets->first = target;
@@ -252,9 +252,9 @@
 
       if (target == added || strcmp (target->info.address, added->info.address) != 0)
         continue;
-      if (target->info.born_ms > added->info.born_ms)
+      if (target->info.started_ms > added->info.started_ms)
         older = added;
-      mf_target_replaced (older, UINT64_MAX);
+      mf_target_mark_replaced (older, UINT64_MAX);
     }
 }
 
@@ -267,7 +267,8 @@
   bool changed;
 
   if (target != NULL
-      && (strcmp (target->info.address, info->address) != 0 || target->info.born_ms != info->born_ms
+      && (strcmp (target->info.address, info->address) != 0
+          || target->info.started_ms != info->started_ms
           || strcmp (target->info.service, info->service) != 0))
     {
       target_record_end (target, "it was started anew");
@@ -281,8 +282,8 @@
       if (target == NULL)
         return false;
       targets_replace (targets, target);
-      if (targets->user != NULL && !target->replaced)
-        targets->user->added (targets->user_data, target);
+      if (targets->callbacks != NULL && !target->replaced)
+        targets->callbacks->added (targets->user_data, target);
     }
   changed = changed || target->info.leaving != info->leaving || target->info.role != info->role
             || target->unlisted_us != 0;
@@ -345,7 +346,7 @@
 
 /* A request with so many tokens begins there. */
 void
-mf_target_begin (MfTarget *target, uint64_t tokens, uint64_t now_us)
+mf_target_begin_request (MfTarget *target, uint64_t tokens, uint64_t now_us)
 {
   if (target->n_active++ == 0)
     target->silent_since_us = now_us;
@@ -354,7 +355,7 @@
 
 /* A request with so many tokens has ended there. */
 void
-mf_target_end (MfTarget *target, uint64_t tokens)
+mf_target_end_request (MfTarget *target, uint64_t tokens)
 {
   target->n_active--;
   target->active_tokens -= tokens;
@@ -362,7 +363,7 @@
 
 /* A request there has come to need so many more. */
 void
-mf_target_grow (MfTarget *target, uint64_t tokens)
+mf_target_add_tokens (MfTarget *target, uint64_t tokens)
 {
   target->active_tokens += tokens;
 }
@@ -387,26 +388,26 @@
 uint32_t
 mf_target_load (const MfTarget *target)
 {
-  return target->n_active + target->n_reserved + target->n_others;
+  return target->n_active + target->n_reserved + target->n_remote;
 }
 
 /* Engine memory in tokens of all that is there or about to be, of all instances. */
 uint64_t
 mf_target_load_tokens (const MfTarget *target)
 {
-  return target->active_tokens + target->reserved_tokens + target->others_tokens;
+  return target->active_tokens + target->reserved_tokens + target->remote_tokens;
 }
 
 /* Whether it is about to stop, by discovery or by its own word. */
 bool
 mf_target_is_leaving (const MfTarget *target)
 {
-  return target->info.leaving || target->said_leaving;
+  return target->info.leaving || target->announced_leaving;
 }
 
 /* Whether it takes requests of this instance: it is not leaving and has not asked for a pause. */
 bool
-mf_target_takes (const MfTarget *target, uint64_t now_us)
+mf_target_accepts (const MfTarget *target, uint64_t now_us)
 {
   return !mf_target_is_leaving (target) && target->paused_until_us <= now_us;
 }
@@ -414,17 +415,17 @@
 /* The process says that it is about to stop. That outlasts its entry in discovery and ends with the
  * next process of this id. */
 void
-mf_target_says_leaving (MfTarget *target)
+mf_target_record_leaving (MfTarget *target)
 {
   MfTargets *targets = target->targets;
 
-  if (target->said_leaving)
+  if (target->announced_leaving)
     return;
-  target->said_leaving = true;
+  target->announced_leaving = true;
   targets->departures[targets->n_departures++ % MF_TARGETS_DEPARTURES_MAX]
-      = (MfDeparture){ .id_hash = target->id_hash, .born_ms = target->info.born_ms };
-  if (targets->lines != NULL)
-    mf_lines_state (targets->lines, "upstream.leaving",
+      = (MfDeparture){ .id_hash = target->id_hash, .started_ms = target->info.started_ms };
+  if (targets->log != NULL)
+    mf_lines_state (targets->log, "upstream.leaving",
                     "upstream=%s service=%s listed_leaving=%s in_flight=%u", target->info.id,
                     target->info.service, target->info.leaving ? "yes" : "no", target->n_active);
 }
@@ -439,8 +440,8 @@
   if (until_us <= target->paused_until_us)
     return;
   target->paused_until_us = until_us;
-  if (target->targets->lines != NULL)
-    mf_lines_state (target->targets->lines, "upstream.paused",
+  if (target->targets->log != NULL)
+    mf_lines_state (target->targets->log, "upstream.paused",
                     "upstream=%s service=%s asked_s=%.3f pause_s=%.3f in_flight=%u",
                     target->info.id, target->info.service, pause_s, bounded_s, target->n_active);
 }
@@ -450,17 +451,17 @@
 bool
 mf_target_is_suspect (const MfTarget *target, uint64_t now_us)
 {
-  bool others_avoid = target->n_others_replaced > 0
-                      || (target->n_others_unreached >= SUSPECT_QUORUM
-                          && target->n_others_unreached > target->n_others_answered);
+  bool others_avoid = target->n_remote_replaced > 0
+                      || (target->n_remote_unreachable >= SUSPECT_QUORUM
+                          && target->n_remote_unreachable > target->n_remote_answering);
 
   return target->suspect_until_us > now_us
-         || (others_avoid && target->others_avoid_until_us > now_us);
+         || (others_avoid && target->remote_avoid_until_us > now_us);
 }
 
 /* A sign of life. */
 void
-mf_target_alive (MfTarget *target, uint64_t now_us)
+mf_target_record_alive (MfTarget *target, uint64_t now_us)
 {
   target->alive_us = now_us;
   target->silent_since_us = now_us;
@@ -471,7 +472,7 @@
 
 /* Another process answers at its address: it is left alone until discovery has told of it. */
 void
-mf_target_replaced (MfTarget *target, uint64_t until_us)
+mf_target_mark_replaced (MfTarget *target, uint64_t until_us)
 {
   target->suspect_until_us = until_us;
   target->replaced = true;
@@ -494,7 +495,7 @@
 
 /* It declined a request for want of room. */
 void
-mf_target_declined (MfTarget *target, uint64_t now_us)
+mf_target_record_decline (MfTarget *target, uint64_t now_us)
 {
   uint32_t doublings
       = target->n_declined < DECLINED_DOUBLINGS ? target->n_declined : DECLINED_DOUBLINGS;
@@ -506,9 +507,9 @@
 
 /* It answered in good order after so long. */
 void
-mf_target_answered (MfTarget *target, uint64_t answer_us, uint64_t now_us)
+mf_target_record_answer (MfTarget *target, uint64_t answer_us, uint64_t now_us)
 {
-  mf_target_alive (target, now_us);
+  mf_target_record_alive (target, now_us);
   target->n_declined = 0;
   average_add (&target->answer_us, (double)answer_us);
   target->answered_us = now_us;
@@ -518,16 +519,16 @@
 
 /* It read a prompt of so many tokens, queueing included. */
 void
-mf_target_read (MfTarget *target, uint64_t tokens, uint64_t prefill_us, uint64_t now_us)
+mf_target_record_prefill (MfTarget *target, uint64_t tokens, uint64_t prefill_us, uint64_t now_us)
 {
   if (tokens > 0)
     average_add (&target->us_per_token, (double)prefill_us / (double)tokens);
-  mf_target_answered (target, prefill_us, now_us);
+  mf_target_record_answer (target, prefill_us, now_us);
 }
 
 /* It answered with a failure, or not at all. */
 void
-mf_target_failed (MfTarget *target, bool unreachable, uint64_t now_us)
+mf_target_record_failure (MfTarget *target, bool unreachable, uint64_t now_us)
 {
   double share = mf_target_failure_share (target, now_us);
   uint32_t doublings;
--- a/tests/test_dispatch.c
+++ b/tests/test_dispatch.c
@@ -43,7 +43,7 @@
 
   /* This instance's own grants show in its loads at once. */
   if (requester == MF_DISPATCH_SELF)
-    mf_target_begin (&fixture->engines[grant->decode - 1], 8000, NOW_US);
+    mf_target_begin_request (&fixture->engines[grant->decode - 1], 8000, NOW_US);
 
   assert_in_range (fixture->n_given, 0, MF_ARRAY_LEN (fixture->given) - 1);
   fixture->given[fixture->n_given++] = (GivenGrant){ .requester = requester, .grant = *grant };
@@ -56,7 +56,7 @@
   return strcmp (service, "llm") == 0 ? &engine : NULL;
 }
 
-static const MfDispatchUser user = { .grant = on_grant, .traits = on_traits };
+static const MfDispatchCallbacks callbacks = { .grant = on_grant, .service_config = on_traits };
 
 static void
 fixture_setup (Fixture *fixture)
@@ -73,7 +73,7 @@
       target->next = fixture->targets.first;
       fixture->targets.first = target;
     }
-  fixture->dispatch = mf_dispatch_new (&fixture->targets, &user, fixture);
+  fixture->dispatch = mf_dispatch_new (&fixture->targets, &callbacks, fixture);
   assert_non_null (fixture->dispatch);
 }
 
@@ -83,38 +83,38 @@
   mf_dispatch_free (fixture->dispatch);
 }
 
-static MfAsk
+static MfSlotRequest
 request_make (uint64_t id, uint64_t age_us, uint64_t tokens)
 {
-  return (MfAsk){
+  return (MfSlotRequest){
     .id = id,
     .service = "llm",
     .prompt_tokens = tokens / 2,
-    .memory_tokens = tokens,
+    .kv_tokens = tokens,
     .age_us = age_us,
     .objective_us = OBJECTIVE_US,
-    .patience_us = MAX_AGE_US,
+    .max_age_us = MAX_AGE_US,
   };
 }
 
 static void
-enqueue (Fixture *fixture, uint64_t requester, const MfAsk *request)
+enqueue (Fixture *fixture, uint64_t requester, const MfSlotRequest *request)
 {
-  mf_dispatch_ask (fixture->dispatch, requester, request, NOW_US);
+  mf_dispatch_enqueue (fixture->dispatch, requester, request, NOW_US);
 }
 
 static void
 test_those_in_time_go_first_then_the_oldest (void **state)
 {
   Fixture fixture;
-  MfAsk late = request_make (1, 2 * OBJECTIVE_US, 8000);
-  MfAsk old = request_make (2, OBJECTIVE_US / 2, 8000);
-  MfAsk young = request_make (3, 0, 8000);
-  MfAsk read = request_make (4, 2 * OBJECTIVE_US, 8000);
+  MfSlotRequest late = request_make (1, 2 * OBJECTIVE_US, 8000);
+  MfSlotRequest old = request_make (2, OBJECTIVE_US / 2, 8000);
+  MfSlotRequest young = request_make (3, 0, 8000);
+  MfSlotRequest read = request_make (4, 2 * OBJECTIVE_US, 8000);
 
   (void)state;
   fixture_setup (&fixture);
-  read.has_memory = true;
+  read.is_prefilled = true;
   enqueue (&fixture, 7, &late);
   enqueue (&fixture, 7, &young);
   enqueue (&fixture, 7, &old);
@@ -140,7 +140,7 @@
   fixture_setup (&fixture);
   for (uint64_t i = 0; i < 60; i++)
     {
-      MfAsk request = request_make (i + 1, 0, 8000);
+      MfSlotRequest request = request_make (i + 1, 0, 8000);
 
       enqueue (&fixture, i % 20 + 1, &request);
       mf_dispatch_run (fixture.dispatch, NOW_US);
@@ -163,10 +163,10 @@
   (void)state;
   fixture_setup (&fixture);
   for (uint32_t i = 0; i < N_ENGINES; i++)
-    mf_target_begin (&fixture.engines[i], CAPACITY_TOKENS, NOW_US);
+    mf_target_begin_request (&fixture.engines[i], CAPACITY_TOKENS, NOW_US);
   for (uint64_t i = 0; i < 20; i++)
     {
-      MfAsk request = request_make (i + 1, 0, 28000);
+      MfSlotRequest request = request_make (i + 1, 0, 28000);
 
       enqueue (&fixture, i + 1, &request);
     }
@@ -183,24 +183,24 @@
 test_grants_count_until_the_askers_load_shows_them (void **state)
 {
   Fixture fixture;
-  MfAsk request = request_make (1, 0, 8000);
+  MfSlotRequest request = request_make (1, 0, 8000);
 
   (void)state;
   fixture_setup (&fixture);
   enqueue (&fixture, 7, &request);
   mf_dispatch_run (fixture.dispatch, NOW_US);
-  mf_load_reset (&fixture.targets);
+  mf_load_reset_remote (&fixture.targets);
   mf_dispatch_add_pending (fixture.dispatch, NOW_US);
-  assert_int_equal (fixture.engines[fixture.given[0].grant.decode - 1].others_tokens, 8000);
+  assert_int_equal (fixture.engines[fixture.given[0].grant.decode - 1].remote_tokens, 8000);
   /* Another asker's word says nothing of it. */
-  mf_dispatch_seen (fixture.dispatch, 8, 1);
-  mf_load_reset (&fixture.targets);
+  mf_dispatch_ack_grants (fixture.dispatch, 8, 1);
+  mf_load_reset_remote (&fixture.targets);
   mf_dispatch_add_pending (fixture.dispatch, NOW_US);
-  assert_int_equal (fixture.engines[fixture.given[0].grant.decode - 1].others_tokens, 8000);
-  mf_dispatch_seen (fixture.dispatch, 7, 1);
-  mf_load_reset (&fixture.targets);
+  assert_int_equal (fixture.engines[fixture.given[0].grant.decode - 1].remote_tokens, 8000);
+  mf_dispatch_ack_grants (fixture.dispatch, 7, 1);
+  mf_load_reset_remote (&fixture.targets);
   mf_dispatch_add_pending (fixture.dispatch, NOW_US);
-  assert_int_equal (fixture.engines[fixture.given[0].grant.decode - 1].others_tokens, 0);
+  assert_int_equal (fixture.engines[fixture.given[0].grant.decode - 1].remote_tokens, 0);
   fixture_teardown (&fixture);
 }
 
@@ -208,30 +208,30 @@
 test_lost_grants_and_gone_askers_free_their_places (void **state)
 {
   Fixture fixture;
-  MfAsk one = request_make (1, 0, 8000);
-  MfAsk two = request_make (2, 0, 90000);
+  MfSlotRequest one = request_make (1, 0, 8000);
+  MfSlotRequest two = request_make (2, 0, 90000);
 
   (void)state;
   fixture_setup (&fixture);
-  mf_target_begin (&fixture.engines[0], 1, NOW_US);
-  mf_target_begin (&fixture.engines[1], 1, NOW_US);
-  mf_target_begin (&fixture.engines[2], 1, NOW_US);
-  mf_target_begin (&fixture.engines[3], 1, NOW_US);
+  mf_target_begin_request (&fixture.engines[0], 1, NOW_US);
+  mf_target_begin_request (&fixture.engines[1], 1, NOW_US);
+  mf_target_begin_request (&fixture.engines[2], 1, NOW_US);
+  mf_target_begin_request (&fixture.engines[3], 1, NOW_US);
   enqueue (&fixture, 7, &one);
   enqueue (&fixture, 7, &two);
   assert_int_equal (mf_dispatch_run (fixture.dispatch, NOW_US), 1);
-  mf_dispatch_drop (fixture.dispatch, 7);
+  mf_dispatch_drop_requester (fixture.dispatch, 7);
   assert_int_equal (mf_dispatch_n_waiting (fixture.dispatch), 0);
-  mf_load_reset (&fixture.targets);
+  mf_load_reset_remote (&fixture.targets);
   mf_dispatch_add_pending (fixture.dispatch, NOW_US);
   for (uint32_t i = 0; i < N_ENGINES; i++)
-    assert_int_equal (fixture.engines[i].others_tokens, 0);
+    assert_int_equal (fixture.engines[i].remote_tokens, 0);
   enqueue (&fixture, 8, &one);
   mf_dispatch_run (fixture.dispatch, NOW_US);
-  mf_load_reset (&fixture.targets);
+  mf_load_reset_remote (&fixture.targets);
   mf_dispatch_add_pending (fixture.dispatch, NOW_US + MF_US_PER_S);
   for (uint32_t i = 0; i < N_ENGINES; i++)
-    assert_int_equal (fixture.engines[i].others_tokens, 0);
+    assert_int_equal (fixture.engines[i].remote_tokens, 0);
   fixture_teardown (&fixture);
 }
 
@@ -240,21 +240,21 @@
 test_oversized_request_holds_up_nobody (void **state)
 {
   Fixture fixture;
-  MfAsk huge = request_make (1, OBJECTIVE_US / 2, 90000);
-  MfAsk typical = request_make (2, 0, 8000);
+  MfSlotRequest huge = request_make (1, OBJECTIVE_US / 2, 90000);
+  MfSlotRequest typical = request_make (2, 0, 8000);
 
   (void)state;
   fixture_setup (&fixture);
   for (uint32_t i = 0; i < N_ENGINES; i++)
-    mf_target_begin (&fixture.engines[i], 1, NOW_US);
+    mf_target_begin_request (&fixture.engines[i], 1, NOW_US);
   enqueue (&fixture, 7, &huge);
   enqueue (&fixture, 7, &typical);
   assert_int_equal (mf_dispatch_run (fixture.dispatch, NOW_US), 1);
   assert_int_equal (fixture.n_given, 1);
   assert_int_equal (fixture.given[0].grant.id, 2);
   /* An engine on which nothing runs takes it. */
-  mf_target_end (&fixture.engines[3], 1);
-  mf_load_reset (&fixture.targets);
+  mf_target_end_request (&fixture.engines[3], 1);
+  mf_load_reset_remote (&fixture.targets);
   assert_int_equal (mf_dispatch_run (fixture.dispatch, NOW_US + 1), 0);
   assert_int_equal (fixture.given[1].grant.decode, 4);
   fixture_teardown (&fixture);
@@ -265,13 +265,13 @@
 test_unreachable_engines_are_not_promised (void **state)
 {
   Fixture fixture;
-  MfAsk request = request_make (1, 0, 8000);
+  MfSlotRequest request = request_make (1, 0, 8000);
 
   (void)state;
   fixture_setup (&fixture);
   for (uint32_t i = 0; i < N_ENGINES; i++)
-    mf_target_begin (&fixture.engines[i], CAPACITY_TOKENS, NOW_US);
-  mf_target_end (&fixture.engines[1], CAPACITY_TOKENS);
+    mf_target_begin_request (&fixture.engines[i], CAPACITY_TOKENS, NOW_US);
+  mf_target_end_request (&fixture.engines[1], CAPACITY_TOKENS);
   fixture.engines[1].suspect_until_us = NOW_US + MF_US_PER_S;
   enqueue (&fixture, 7, &request);
   assert_int_equal (mf_dispatch_run (fixture.dispatch, NOW_US), 1);
@@ -281,19 +281,20 @@
 
 /* What another instance tells of an engine. */
 static void
-report_reachability (Fixture *fixture, uint64_t upstream_hash, MfSight sight, uint32_t avoided_ms)
+report_reachability (Fixture *fixture, uint64_t upstream_hash, MfReachability reachability,
+                     uint32_t avoided_ms)
 {
-  bool answers = sight == MF_SIGHT_ANSWERS;
-
-  mf_load_add (&fixture->targets,
-               &(MfLoadEntry){
-                   .upstream = upstream_hash,
-                   .n_active = answers,
-                   .tokens = answers ? 8000 : 0,
-                   .sight = sight,
-                   .avoided_ms = avoided_ms,
-               },
-               NOW_US);
+  bool answers = reachability == MF_REACHABILITY_ANSWERING;
+
+  mf_load_add_remote (&fixture->targets,
+                      &(MfLoadEntry){
+                          .upstream = upstream_hash,
+                          .n_active = answers,
+                          .tokens = answers ? 8000 : 0,
+                          .reachability = reachability,
+                          .avoided_ms = avoided_ms,
+                      },
+                      NOW_US);
 }
 
 /* Engines that have crashed look empty, and each instance would find out by requests of its own:
@@ -307,13 +308,13 @@
   fixture_setup (&fixture);
   for (uint64_t hash = 1; hash <= 2; hash++)
     {
-      report_reachability (&fixture, hash, MF_SIGHT_UNREACHED, 300);
-      report_reachability (&fixture, hash, MF_SIGHT_UNREACHED, 600);
-      report_reachability (&fixture, hash + 2, MF_SIGHT_ANSWERS, 0);
+      report_reachability (&fixture, hash, MF_REACHABILITY_UNREACHABLE, 300);
+      report_reachability (&fixture, hash, MF_REACHABILITY_UNREACHABLE, 600);
+      report_reachability (&fixture, hash + 2, MF_REACHABILITY_ANSWERING, 0);
     }
   for (uint64_t id = 1; id <= 4; id++)
     {
-      MfAsk request = request_make (id, 0, 8000);
+      MfSlotRequest request = request_make (id, 0, 8000);
 
       enqueue (&fixture, 7, &request);
     }
@@ -335,11 +336,11 @@
 
   (void)state;
   fixture_setup (&fixture);
-  report_reachability (&fixture, 1, MF_SIGHT_UNREACHED, 300);
+  report_reachability (&fixture, 1, MF_REACHABILITY_UNREACHABLE, 300);
   for (uint32_t i = 0; i < 3; i++)
-    report_reachability (&fixture, 2, MF_SIGHT_UNREACHED, 300);
+    report_reachability (&fixture, 2, MF_REACHABILITY_UNREACHABLE, 300);
   for (uint32_t i = 0; i < 3; i++)
-    report_reachability (&fixture, 2, MF_SIGHT_ANSWERS, 0);
+    report_reachability (&fixture, 2, MF_REACHABILITY_ANSWERING, 0);
   assert_false (mf_target_is_suspect (&fixture.engines[0], NOW_US));
   assert_false (mf_target_is_suspect (&fixture.engines[1], NOW_US));
   fixture_teardown (&fixture);
@@ -354,8 +355,8 @@
 
   (void)state;
   fixture_setup (&fixture);
-  report_reachability (&fixture, 1, MF_SIGHT_REPLACED, 3000);
-  report_reachability (&fixture, 1, MF_SIGHT_ANSWERS, 0);
+  report_reachability (&fixture, 1, MF_REACHABILITY_REPLACED, 3000);
+  report_reachability (&fixture, 1, MF_REACHABILITY_ANSWERING, 0);
   assert_true (mf_target_is_suspect (&fixture.engines[0], NOW_US + 2 * MF_US_PER_S));
   assert_false (mf_target_is_suspect (&fixture.engines[0], NOW_US + 3 * MF_US_PER_S));
   fixture_teardown (&fixture);
@@ -367,12 +368,12 @@
 test_request_that_avoids_all_engines_holds_up_nobody (void **state)
 {
   Fixture fixture;
-  MfAsk avoiding = request_make (1, OBJECTIVE_US / 2, 8000);
-  MfAsk other = request_make (2, 0, 8000);
+  MfSlotRequest avoiding = request_make (1, OBJECTIVE_US / 2, 8000);
+  MfSlotRequest other = request_make (2, 0, 8000);
 
   (void)state;
   fixture_setup (&fixture);
-  avoiding.has_memory = true;
+  avoiding.is_prefilled = true;
   for (uint32_t i = 0; i < N_ENGINES; i++)
     avoiding.avoid[avoiding.n_avoid++] = i + 1;
   enqueue (&fixture, 7, &avoiding);
@@ -387,7 +388,7 @@
 test_callers_that_have_left_are_not_served (void **state)
 {
   Fixture fixture;
-  MfAsk request = request_make (1, MAX_AGE_US + 1, 8000);
+  MfSlotRequest request = request_make (1, MAX_AGE_US + 1, 8000);
 
   (void)state;
   fixture_setup (&fixture);
@@ -407,8 +408,8 @@
 test_services_do_not_hold_up_each_other (void **state)
 {
   Fixture fixture;
-  MfAsk unknown = request_make (1, 0, 8000);
-  MfAsk known = request_make (2, 0, 8000);
+  MfSlotRequest unknown = request_make (1, 0, 8000);
+  MfSlotRequest known = request_make (2, 0, 8000);
 
   (void)state;
   fixture_setup (&fixture);
@@ -451,16 +452,16 @@
       /* Nine streams a second fill four engines of seven places; twice that come. */
       if (now_us < NOW_US + 5 * MF_US_PER_S && (now_us - NOW_US) * 18 / MF_US_PER_S >= n_streams)
         {
-          MfAsk request = request_make (++n_streams, 0, 8000);
+          MfSlotRequest request = request_make (++n_streams, 0, 8000);
 
           request.objective_us = latest_age_us;
           streams[n_streams - 1].begun_us = now_us;
-          mf_dispatch_ask (fixture.dispatch, MF_DISPATCH_SELF, &request, now_us);
+          mf_dispatch_enqueue (fixture.dispatch, MF_DISPATCH_SELF, &request, now_us);
         }
       for (uint32_t i = 0; i < n_streams; i++)
         {
           if (streams[i].granted_us > 0 && streams[i].granted_us + 3 * MF_US_PER_S == now_us)
-            mf_target_end (&fixture.engines[streams[i].engine], 8000);
+            mf_target_end_request (&fixture.engines[streams[i].engine], 8000);
         }
       mf_dispatch_run (fixture.dispatch, now_us);
       for (; n_applied < fixture.n_given; n_applied++)
@@ -492,14 +493,14 @@
 static void
 test_memory_is_reckoned_between_hint_and_usual (void **state)
 {
-  uint64_t typical = mf_load_memory_tokens (5000, 0, 4000, 7540);
+  uint64_t typical = mf_load_kv_tokens (5000, 0, 4000, 7540);
 
   (void)state;
   assert_true (typical > 5000 && typical < 9000);
-  assert_true (mf_load_memory_tokens (5000, 1000, 4000, 7540) < typical);
-  assert_true (mf_load_memory_tokens (5000, 16000, 4000, 7540) > typical);
-  assert_true (mf_load_memory_tokens (5000, 1000000, 4000, 7540) <= 5000 + 7540);
-  assert_int_equal (mf_load_memory_tokens (5000, 0, 0, 0), 5000);
+  assert_true (mf_load_kv_tokens (5000, 1000, 4000, 7540) < typical);
+  assert_true (mf_load_kv_tokens (5000, 16000, 4000, 7540) > typical);
+  assert_true (mf_load_kv_tokens (5000, 1000000, 4000, 7540) <= 5000 + 7540);
+  assert_int_equal (mf_load_kv_tokens (5000, 0, 0, 0), 5000);
 }
 
 int
--- a/tests/test_feed.c
+++ b/tests/test_feed.c
@@ -63,37 +63,38 @@
 test_few_read_for_many (void **state)
 {
   (void)state;
-  assert_int_equal (mf_feed_role (&(MfFeedStanding){ .n_instances = 1 }), MF_FEED_ALONE);
-  assert_int_equal (mf_feed_role (&(MfFeedStanding){ .n_instances = 7, .rank = 0 }), MF_FEED_ALONE);
-  assert_int_equal (mf_feed_role (&(MfFeedStanding){ .n_instances = 8, .rank = 1 }),
-                    MF_FEED_READER);
-  assert_int_equal (mf_feed_role (&(MfFeedStanding){ .n_instances = 8, .rank = 2 }),
-                    MF_FEED_FOLLOWER);
+  assert_int_equal (mf_feed_role (&(MfFeedRank){ .n_instances = 1 }), MF_FEED_STANDALONE);
+  assert_int_equal (mf_feed_role (&(MfFeedRank){ .n_instances = 7, .rank = 0 }),
+                    MF_FEED_STANDALONE);
+  assert_int_equal (mf_feed_role (&(MfFeedRank){ .n_instances = 8, .rank = 1 }), MF_FEED_READER);
+  assert_int_equal (mf_feed_role (&(MfFeedRank){ .n_instances = 8, .rank = 2 }), MF_FEED_FOLLOWER);
 }
 
 /* A feed that was held up on its way is as old as it was held up, whatever the clocks show. */
 static void
 test_time_on_the_way_counts (void **state)
 {
-  MfFollow freshness = { .bound_us = STALENESS_MAX_US };
+  MfFeedFreshness freshness = { .staleness_max_us = STALENESS_MAX_US };
   MfFeed feed = { .sent_us = 5000000, .as_of_us = 4900000 };
 
   (void)state;
-  assert_int_equal (mf_follow_as_of_us (&freshness, 1, &feed, NOW_US), NOW_US - 100000);
+  assert_int_equal (mf_feed_freshness_as_of_us (&freshness, 1, &feed, NOW_US), NOW_US - 100000);
   feed = (MfFeed){ .sent_us = 6000000, .as_of_us = 6000000 };
-  assert_int_equal (mf_follow_as_of_us (&freshness, 1, &feed, NOW_US + 1800000), NOW_US + 1000000);
+  assert_int_equal (mf_feed_freshness_as_of_us (&freshness, 1, &feed, NOW_US + 1800000),
+                    NOW_US + 1000000);
   /* Another sender has a clock of its own. */
   feed.sent_us = 77;
   feed.as_of_us = 70;
-  assert_int_equal (mf_follow_as_of_us (&freshness, 2, &feed, NOW_US), NOW_US - 7);
+  assert_int_equal (mf_feed_freshness_as_of_us (&freshness, 2, &feed, NOW_US), NOW_US - 7);
   /* A sender whose clock begins anew is believed from its second feed on. */
   feed = (MfFeed){ .sent_us = 1000, .as_of_us = 1000 };
-  assert_int_equal (mf_follow_as_of_us (&freshness, 1, &feed, NOW_US + 3000000), 0);
+  assert_int_equal (mf_feed_freshness_as_of_us (&freshness, 1, &feed, NOW_US + 3000000), 0);
   feed = (MfFeed){ .sent_us = 2000, .as_of_us = 2000 };
-  assert_int_equal (mf_follow_as_of_us (&freshness, 1, &feed, NOW_US + 3001000), NOW_US + 3001000);
+  assert_int_equal (mf_feed_freshness_as_of_us (&freshness, 1, &feed, NOW_US + 3001000),
+                    NOW_US + 3001000);
   /* What lies in the sender's future is nonsense. */
   feed = (MfFeed){ .sent_us = 2000, .as_of_us = 3000 };
-  assert_int_equal (mf_follow_as_of_us (&freshness, 1, &feed, NOW_US + 3001000), 0);
+  assert_int_equal (mf_feed_freshness_as_of_us (&freshness, 1, &feed, NOW_US + 3001000), 0);
 }
 
 /* Answers that a process finds after it stood still are as old as its call may be. */
@@ -101,71 +102,78 @@
 test_answers_found_late_are_old (void **state)
 {
   (void)state;
-  assert_int_equal (mf_feed_way_us (3000, 800000), 3000);
-  assert_in_range (mf_feed_way_us (800000, 800000), 1, 400000);
-  assert_int_equal (mf_feed_way_us (5000000, 800000), 5000000);
+  assert_int_equal (mf_feed_answer_age_us (3000, 800000), 3000);
+  assert_in_range (mf_feed_answer_age_us (800000, 800000), 1, 400000);
+  assert_int_equal (mf_feed_answer_age_us (5000000, 800000), 5000000);
 }
 
 static void
 test_followers_rest_while_they_are_told (void **state)
 {
-  MfFollow freshness = { .bound_us = STALENESS_MAX_US };
+  MfFeedFreshness freshness = { .staleness_max_us = STALENESS_MAX_US };
   uint64_t rest_us;
 
   (void)state;
-  assert_int_equal (mf_follow_rest_us (&freshness, MF_FEED_FOLLOWER, NOW_US, 0), 0);
-  mf_follow_note (&freshness, NOW_US);
-  mf_follow_note (&freshness, NOW_US - 500);
+  assert_int_equal (mf_feed_freshness_read_delay_us (&freshness, MF_FEED_FOLLOWER, NOW_US, 0), 0);
+  mf_feed_freshness_advance (&freshness, NOW_US);
+  mf_feed_freshness_advance (&freshness, NOW_US - 500);
   assert_int_equal (freshness.as_of_us, NOW_US);
-  rest_us = mf_follow_rest_us (&freshness, MF_FEED_FOLLOWER, NOW_US, 0);
+  rest_us = mf_feed_freshness_read_delay_us (&freshness, MF_FEED_FOLLOWER, NOW_US, 0);
   assert_in_range (rest_us, STALENESS_MAX_US / 4, STALENESS_MAX_US * 6 / 10);
-  assert_true (mf_follow_rest_us (&freshness, MF_FEED_FOLLOWER, NOW_US, UINT32_MAX) < rest_us);
-  assert_int_equal (mf_follow_rest_us (&freshness, MF_FEED_FOLLOWER, NOW_US + rest_us, 0), 0);
-  assert_int_equal (mf_follow_rest_us (&freshness, MF_FEED_READER, NOW_US, 0), 0);
-  assert_int_equal (mf_follow_rest_us (&freshness, MF_FEED_ALONE, NOW_US, 0), 0);
+  assert_true (mf_feed_freshness_read_delay_us (&freshness, MF_FEED_FOLLOWER, NOW_US, UINT32_MAX)
+               < rest_us);
+  assert_int_equal (
+      mf_feed_freshness_read_delay_us (&freshness, MF_FEED_FOLLOWER, NOW_US + rest_us, 0), 0);
+  assert_int_equal (mf_feed_freshness_read_delay_us (&freshness, MF_FEED_READER, NOW_US, 0), 0);
+  assert_int_equal (mf_feed_freshness_read_delay_us (&freshness, MF_FEED_STANDALONE, NOW_US, 0), 0);
 }
 
 static void
 test_readers_ask_more_often (void **state)
 {
-  MfFollow freshness = { .bound_us = STALENESS_MAX_US };
+  MfFeedFreshness freshness = { .staleness_max_us = STALENESS_MAX_US };
 
   (void)state;
-  assert_int_equal (mf_follow_wait_us (&freshness, MF_FEED_ALONE, STANDALONE_WAIT_US),
-                    STANDALONE_WAIT_US);
-  assert_int_equal (mf_follow_wait_us (&freshness, MF_FEED_FOLLOWER, STANDALONE_WAIT_US),
-                    STANDALONE_WAIT_US);
-  assert_in_range (mf_follow_wait_us (&freshness, MF_FEED_READER, STANDALONE_WAIT_US), 1,
-                   STALENESS_MAX_US / 4);
+  assert_int_equal (
+      mf_feed_freshness_watch_timeout_us (&freshness, MF_FEED_STANDALONE, STANDALONE_WAIT_US),
+      STANDALONE_WAIT_US);
+  assert_int_equal (
+      mf_feed_freshness_watch_timeout_us (&freshness, MF_FEED_FOLLOWER, STANDALONE_WAIT_US),
+      STANDALONE_WAIT_US);
+  assert_in_range (
+      mf_feed_freshness_watch_timeout_us (&freshness, MF_FEED_READER, STANDALONE_WAIT_US), 1,
+      STALENESS_MAX_US / 4);
 }
 
 /* Who is told of the store's return need not look for it often; who tells must. */
 static void
 test_followers_look_for_the_store_seldom (void **state)
 {
-  MfFollow freshness = { .bound_us = STALENESS_MAX_US };
+  MfFeedFreshness freshness = { .staleness_max_us = STALENESS_MAX_US };
   uint64_t pause_us = 0;
 
   (void)state;
   for (uint32_t i = 0; i < 10; i++)
     {
-      uint64_t next_us = mf_follow_retry_us (&freshness, MF_FEED_READER, pause_us, 0);
+      uint64_t next_us = mf_feed_freshness_retry_delay_us (&freshness, MF_FEED_READER, pause_us, 0);
 
       assert_in_range (next_us, pause_us, 400 * MF_US_PER_MS);
       pause_us = next_us;
     }
-  assert_int_equal (mf_follow_retry_us (&freshness, MF_FEED_ALONE, 0, 0), 50 * MF_US_PER_MS);
+  assert_int_equal (mf_feed_freshness_retry_delay_us (&freshness, MF_FEED_STANDALONE, 0, 0),
+                    50 * MF_US_PER_MS);
   for (uint32_t point = 0; point < 4; point++)
-    assert_in_range (mf_follow_retry_us (&freshness, MF_FEED_FOLLOWER, 0, point * (UINT32_MAX / 4)),
+    assert_in_range (mf_feed_freshness_retry_delay_us (&freshness, MF_FEED_FOLLOWER, 0,
+                                                       point * (UINT32_MAX / 4)),
                      STALENESS_MAX_US / 8, STALENESS_MAX_US / 2);
-  assert_true (mf_follow_retry_us (&freshness, MF_FEED_FOLLOWER, 0, UINT32_MAX)
-               > mf_follow_retry_us (&freshness, MF_FEED_FOLLOWER, 0, 0));
+  assert_true (mf_feed_freshness_retry_delay_us (&freshness, MF_FEED_FOLLOWER, 0, UINT32_MAX)
+               > mf_feed_freshness_retry_delay_us (&freshness, MF_FEED_FOLLOWER, 0, 0));
 }
 
 /* One instance of the played data centre. */
 typedef struct
 {
-  MfFollow freshness;
+  MfFeedFreshness freshness;
   MfFeedRole role;
   bool down;            /* reads nothing, tells nothing */
   uint64_t call_due_us; /* a call under way is answered then; 0: none is */
@@ -186,13 +194,14 @@
 {
   MfFeed feed = { .sent_us = now_us,
                   .as_of_us = now_us
-                              - mf_feed_way_us (now_us - reader->called_us,
-                                                mf_follow_wait_us (&reader->freshness, reader->role,
-                                                                   STANDALONE_WAIT_US)) };
+                              - mf_feed_answer_age_us (
+                                  now_us - reader->called_us,
+                                  mf_feed_freshness_watch_timeout_us (
+                                      &reader->freshness, reader->role, STANDALONE_WAIT_US)) };
 
   reader->call_due_us = 0;
   reader->known_us = now_us - TRANSIT_US;
-  mf_follow_note (&reader->freshness, feed.as_of_us);
+  mf_feed_freshness_advance (&reader->freshness, feed.as_of_us);
   for (uint32_t i = 0; reader->role == MF_FEED_READER && i < N_INSTANCES; i++)
     {
       Instance *other = &data_centre->instances[i];
@@ -200,17 +209,18 @@
       if (other->role != MF_FEED_FOLLOWER || other->down)
         continue;
       other->known_us = reader->known_us > other->known_us ? reader->known_us : other->known_us;
-      mf_follow_note (&other->freshness,
-                      mf_follow_as_of_us (&other->freshness,
-                                          (uint64_t)(reader - data_centre->instances), &feed,
-                                          now_us + TRANSIT_US));
+      mf_feed_freshness_advance (&other->freshness,
+                                 mf_feed_freshness_as_of_us (
+                                     &other->freshness, (uint64_t)(reader - data_centre->instances),
+                                     &feed, now_us + TRANSIT_US));
     }
 }
 
 static void
 instance_step (DataCentre *data_centre, Instance *instance, uint64_t now_us)
 {
-  uint64_t wait_us = mf_follow_wait_us (&instance->freshness, instance->role, STANDALONE_WAIT_US);
+  uint64_t wait_us = mf_feed_freshness_watch_timeout_us (&instance->freshness, instance->role,
+                                                         STANDALONE_WAIT_US);
   uint64_t change_us = (now_us / CHANGE_INTERVAL_US + 1) * CHANGE_INTERVAL_US;
   uint64_t rest_us;
 
@@ -224,8 +234,9 @@
     }
   if (now_us < instance->wake_us)
     return;
-  rest_us = mf_follow_rest_us (&instance->freshness, instance->role, now_us,
-                               (uint32_t)(instance - data_centre->instances) * 72000000U);
+  rest_us
+      = mf_feed_freshness_read_delay_us (&instance->freshness, instance->role, now_us,
+                                         (uint32_t)(instance - data_centre->instances) * 72000000U);
   if (rest_us > 0)
     {
       instance->wake_us = now_us + rest_us;
@@ -247,10 +258,10 @@
   memset (data_centre, 0, sizeof *data_centre);
   for (uint32_t i = 0; i < N_INSTANCES; i++)
     {
-      MfFeedStanding standing = { .n_instances = with_readers ? N_INSTANCES : 1, .rank = i };
+      MfFeedRank rank = { .n_instances = with_readers ? N_INSTANCES : 1, .rank = i };
 
-      data_centre->instances[i].freshness.bound_us = STALENESS_MAX_US;
-      data_centre->instances[i].role = mf_feed_role (&standing);
+      data_centre->instances[i].freshness.staleness_max_us = STALENESS_MAX_US;
+      data_centre->instances[i].role = mf_feed_role (&rank);
       data_centre->instances[i].known_us = NOW_US;
     }
   for (uint64_t now_us = NOW_US; now_us < NOW_US + SIMULATED_US; now_us += STEP_US)
--- a/tests/test_job_stage.c
+++ b/tests/test_job_stage.c
@@ -30,7 +30,7 @@
   (void)report;
 }
 
-static const MfPeersUser user = { .fill = on_fill };
+static const MfPeersCallbacks user = { .fill_report = on_fill };
 
 static void
 act_take (FakeWireConn *conn, const char *text, const char *id)
@@ -80,7 +80,7 @@
       snprintf (id, sizeof id, "d%u", i);
       snprintf (address, sizeof address, "127.0.0.1:%u", 1 + i);
       town_know (town, id, MF_ROLE_DECODE, address);
-      mf_targets_find (&town->jobs.targets, id)->n_others = 4;
+      mf_targets_find (&town->jobs.targets, id)->n_remote = 4;
     }
   town_know (town, "p", MF_ROLE_PREFILL, "127.0.0.1:9");
   mf_targets_find (&town->jobs.targets, "p")->suspect_until_us = UINT64_MAX;
@@ -220,14 +220,14 @@
 
   (void)state;
   yard_begin (&yard, act_take);
-  mf_peers_note_fence (yard.town.jobs.peers, "engines", ahead);
+  mf_peers_record_fence (yard.town.jobs.peers, "engines", ahead);
   yard_pass (&yard, 6600 * MF_US_PER_MS);
   assert_int_equal (n_orders (&yard), 1);
   assert_true (last_fence (&yard) > ahead);
   yard_end (&yard);
   yard_begin (&yard, act_take);
   yard_pass (&yard, 4 * MF_US_PER_S);
-  mf_peers_note_fence (yard.town.jobs.peers, "engines", ahead);
+  mf_peers_record_fence (yard.town.jobs.peers, "engines", ahead);
   yard_pass (&yard, 4600 * MF_US_PER_MS);
   assert_int_equal (n_orders (&yard), 0);
   yard_pass (&yard, 2 * MF_US_PER_S);
@@ -236,7 +236,7 @@
   yard_end (&yard);
   /* A fence that no clock of the fleet shows is nonsense, and stops nobody. */
   yard_begin (&yard, act_take);
-  mf_peers_note_fence (yard.town.jobs.peers, "engines", UINT64_MAX);
+  mf_peers_record_fence (yard.town.jobs.peers, "engines", UINT64_MAX);
   yard_pass (&yard, 6600 * MF_US_PER_MS);
   assert_int_equal (n_orders (&yard), 1);
   yard_end (&yard);
--- a/tests/test_job_suspect.c
+++ b/tests/test_job_suspect.c
@@ -227,7 +227,7 @@
     {
       MfSuspects *suspects = ground.fleet.towns[i].jobs.suspects;
 
-      for (uint64_t digest = 1; digest <= 2 * MF_SUSPECT_ROWS_MAX; digest++)
+      for (uint64_t digest = 1; digest <= 2 * MF_SUSPECT_ENTRIES_MAX; digest++)
         {
           mf_suspects_add_death (suspects, digest, &(MfSuspectDeath){ .process = digest }, false,
                                  mf_clock_now_us ());
@@ -265,7 +265,7 @@
                                     alone->lines, &error);
   assert_non_null (alone->jobs.peers);
   snprintf (address, sizeof address, "127.0.0.1:%u", PEER_PORT);
-  mf_peers_seed (alone->jobs.peers, address);
+  mf_peers_add_seeds (alone->jobs.peers, address);
   town_fleet_meet (&ground.fleet);
   loop_spin (ground.fleet.loop, 50);
   assert_int_equal (call (&ground, 3, CRASHER_HOST, "/order/1", SOAK_CRASH "0"), 503);
@@ -348,15 +348,15 @@
   mf_suspects_add_break (
       ground.fleet.towns[0].jobs.suspects,
       &(MfSuspectBreak){ .digest = 5,
-                         .upstream = mf_target_process (mf_targets_find (targets, "u0-0")),
+                         .upstream = mf_target_process_id (mf_targets_find (targets, "u0-0")),
                          .place = mf_load_hash (info.address),
                          .sent_us = now_us,
                          .at_us = now_us });
   mf_name_set (info.id, sizeof info.id, "before");
-  info.born_ms = 0;
+  info.started_ms = 0;
   mf_targets_update (targets, &info);
   assert_null (mf_suspects_find (ground.fleet.towns[0].jobs.suspects, 5, mf_clock_now_us ()));
-  info.born_ms = 2;
+  info.started_ms = 2;
   mf_name_set (info.id, sizeof info.id, "after");
   mf_targets_update (targets, &info);
   assert_non_null (mf_suspects_find (ground.fleet.towns[0].jobs.suspects, 5, mf_clock_now_us ()));
@@ -404,11 +404,11 @@
       mf_suspects_add_break (ground.fleet.towns[0].jobs.suspects,
                              &(MfSuspectBreak){ .digest = 5,
                                                 .request = index,
-                                                .upstream = mf_target_process (target),
+                                                .upstream = mf_target_process_id (target),
                                                 .sent_us = now_us + index,
                                                 .at_us = now_us + index });
-      mf_target_says_leaving (target);
-      mf_target_replaced (target, UINT64_MAX);
+      mf_target_record_leaving (target);
+      mf_target_mark_replaced (target, UINT64_MAX);
     }
   assert_null (mf_suspects_find (ground.fleet.towns[0].jobs.suspects, 5, mf_clock_now_us ()));
   ground_end (&ground);
--- a/tests/test_peers.c
+++ b/tests/test_peers.c
@@ -33,8 +33,8 @@
 typedef struct
 {
   struct ev_loop *loop;
-  MfLines *lines;
-  int lines_fd;
+  MfLines *log;
+  int log_fd;
   Node nodes[N];
 } Fleet;
 
@@ -71,9 +71,9 @@
   node->n_gone++;
 }
 
-static const MfPeersUser user = {
-  .fill = on_fill,
-  .changed = on_changed,
+static const MfPeersCallbacks callbacks = {
+  .fill_report = on_fill,
+  .loads_changed = on_changed,
   .message = on_message,
   .gone = on_gone,
 };
@@ -86,9 +86,9 @@
 
   node->n_active = index + 1;
   snprintf (node->address, sizeof node->address, "127.0.0.1:%u", FIRST_PORT + index);
-  node->peers = mf_peers_new (fleet->loop, node->address, &user, node, fleet->lines, &error);
+  node->peers = mf_peers_new (fleet->loop, node->address, &callbacks, node, fleet->log, &error);
   assert_non_null (node->peers);
-  mf_peers_seed (node->peers, fleet->nodes[0].address);
+  mf_peers_add_seeds (node->peers, fleet->nodes[0].address);
 }
 
 static void
@@ -98,9 +98,9 @@
 
   memset (fleet, 0, sizeof *fleet);
   fleet->loop = ev_loop_new (0);
-  fleet->lines_fd = open ("/dev/null", O_WRONLY);
-  fleet->lines = mf_lines_new (fleet->loop, "t", fleet->lines_fd, &error);
-  assert_non_null (fleet->lines);
+  fleet->log_fd = open ("/dev/null", O_WRONLY);
+  fleet->log = mf_lines_new (fleet->loop, "t", fleet->log_fd, &error);
+  assert_non_null (fleet->log);
   for (uint32_t i = 0; i < N; i++)
     node_begin (fleet, i);
 }
@@ -110,8 +110,8 @@
 {
   for (uint32_t i = 0; i < N; i++)
     mf_peers_free (fleet->nodes[i].peers);
-  mf_lines_free (fleet->lines);
-  close (fleet->lines_fd);
+  mf_lines_free (fleet->log);
+  close (fleet->log_fd);
   ev_loop_destroy (fleet->loop);
 }
 
@@ -137,7 +137,7 @@
 
       if (fleet->nodes[i].peers == NULL)
         continue;
-      mf_peers_foreach (fleet->nodes[i].peers, mf_clock_now_us (), entry_sum, &sum);
+      mf_peers_foreach_entry (fleet->nodes[i].peers, mf_clock_now_us (), entry_sum, &sum);
       if (sum != total)
         return false;
     }
@@ -153,9 +153,9 @@
   fleet_begin (&fleet);
   assert_true (loop_pump (fleet.loop, all_have_reports, &fleet));
   for (uint32_t i = 0; i < N; i++)
-    assert_int_equal (mf_peers_count (fleet.nodes[i].peers, mf_clock_now_us ()), N);
+    assert_int_equal (mf_peers_n_alive (fleet.nodes[i].peers, mf_clock_now_us ()), N);
   fleet.nodes[2].n_active = 50;
-  mf_peers_touch (fleet.nodes[2].peers);
+  mf_peers_schedule_report (fleet.nodes[2].peers);
   assert_true (loop_pump (fleet.loop, all_have_reports, &fleet));
   fleet_end (&fleet);
 }
@@ -185,7 +185,7 @@
     }
   assert_int_equal (n_self, 1);
   /* One that does not answer is passed over by whom it left waiting. */
-  mf_peers_distrust (fleet.nodes[requester].peers, leader);
+  mf_peers_exclude_leader (fleet.nodes[requester].peers, leader);
   assert_int_not_equal (mf_peers_leader (fleet.nodes[requester].peers, "llm", mf_clock_now_us ()),
                         leader);
   fleet_end (&fleet);
@@ -198,7 +198,7 @@
 
   for (uint32_t i = 0; i < N; i++)
     n_leads += fleet->nodes[i].peers != NULL
-               && mf_peers_leads (fleet->nodes[i].peers, "llm", mf_clock_now_us ());
+               && mf_peers_is_leader (fleet->nodes[i].peers, "llm", mf_clock_now_us ());
   return n_leads;
 }
 
@@ -222,7 +222,7 @@
   assert_true (loop_pump (fleet.loop, one_leads, &fleet));
   for (uint32_t i = 0; i < N && n_ended < N / 2; i++)
     {
-      if (mf_peers_leads (fleet.nodes[i].peers, "llm", mf_clock_now_us ()))
+      if (mf_peers_is_leader (fleet.nodes[i].peers, "llm", mf_clock_now_us ()))
         continue;
       mf_peers_free (fleet.nodes[i].peers);
       fleet.nodes[i].peers = NULL;
@@ -256,9 +256,9 @@
   fleet_begin (&fleet);
   assert_true (loop_pump (fleet.loop, all_have_reports, &fleet));
   n_leading (&fleet);
-  mf_peers_note_fence (fleet.nodes[0].peers, "llm", FENCE);
-  mf_peers_note_fence (fleet.nodes[0].peers, "llm", FENCE - 1);
-  mf_peers_note_fence (fleet.nodes[1].peers, "llm", UINT64_MAX);
+  mf_peers_record_fence (fleet.nodes[0].peers, "llm", FENCE);
+  mf_peers_record_fence (fleet.nodes[0].peers, "llm", FENCE - 1);
+  mf_peers_record_fence (fleet.nodes[1].peers, "llm", UINT64_MAX);
   assert_true (loop_pump (fleet.loop, all_know_the_fence, &fleet));
   fleet_end (&fleet);
 }
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -47,14 +47,14 @@
 
 /* Which of the three is chosen; -1 for none. */
 static int
-choose (const Fleet *fleet, MfPlaceAsk query)
+choose (const Fleet *fleet, MfPlaceQuery query)
 {
   bool any_available = false;
   const MfTarget *target;
 
   query.service = "llm";
   query.role = fleet->upstreams[0].info.role;
-  query.traits = &engine;
+  query.service_config = &engine;
   query.data_centre = "b";
   target = mf_place_choose (&fleet->targets, &query, NOW_US, &any_available);
   return target == NULL ? -1 : (int)(target - fleet->upstreams);
@@ -67,9 +67,9 @@
 
   (void)state;
   fleet_make (&fleet, MF_ROLE_PLAIN);
-  assert_int_equal (choose (&fleet, (MfPlaceAsk){ 0 }), 1);
-  mf_target_begin (&fleet.upstreams[1], 0, NOW_US);
-  assert_int_not_equal (choose (&fleet, (MfPlaceAsk){ 0 }), 1);
+  assert_int_equal (choose (&fleet, (MfPlaceQuery){ 0 }), 1);
+  mf_target_begin_request (&fleet.upstreams[1], 0, NOW_US);
+  assert_int_not_equal (choose (&fleet, (MfPlaceQuery){ 0 }), 1);
 }
 
 static void
@@ -80,25 +80,25 @@
   (void)state;
   fleet_make (&fleet, MF_ROLE_PLAIN);
   for (uint32_t i = 0; i < 10; i++)
-    mf_target_answered (&fleet.upstreams[1], 80 * MF_US_PER_MS, NOW_US);
-  assert_int_not_equal (choose (&fleet, (MfPlaceAsk){ 0 }), 1);
+    mf_target_record_answer (&fleet.upstreams[1], 80 * MF_US_PER_MS, NOW_US);
+  assert_int_not_equal (choose (&fleet, (MfPlaceQuery){ 0 }), 1);
   fleet_make (&fleet, MF_ROLE_PLAIN);
-  mf_target_failed (&fleet.upstreams[1], false, NOW_US);
-  assert_int_not_equal (choose (&fleet, (MfPlaceAsk){ 0 }), 1);
+  mf_target_record_failure (&fleet.upstreams[1], false, NOW_US);
+  assert_int_not_equal (choose (&fleet, (MfPlaceQuery){ 0 }), 1);
   fleet_make (&fleet, MF_ROLE_DECODE);
-  mf_target_begin (&fleet.upstreams[1], 100, NOW_US - 2 * MF_US_PER_S);
-  assert_int_not_equal (choose (&fleet, (MfPlaceAsk){ 0 }), 1);
+  mf_target_begin_request (&fleet.upstreams[1], 100, NOW_US - 2 * MF_US_PER_S);
+  assert_int_not_equal (choose (&fleet, (MfPlaceQuery){ 0 }), 1);
   /* What another instance has seen counts as well. */
   fleet_make (&fleet, MF_ROLE_DECODE);
-  fleet.upstreams[1].others_failure_share = 0.5;
-  assert_int_not_equal (choose (&fleet, (MfPlaceAsk){ 0 }), 1);
+  fleet.upstreams[1].remote_failure_share = 0.5;
+  assert_int_not_equal (choose (&fleet, (MfPlaceQuery){ 0 }), 1);
 }
 
 static void
 test_leaving_and_tried_upstreams_are_not_chosen (void **state)
 {
   Fleet fleet;
-  MfPlaceAsk query = { .n_avoid = 1 };
+  MfPlaceQuery query = { .n_avoid = 1 };
 
   (void)state;
   fleet_make (&fleet, MF_ROLE_PLAIN);
@@ -118,17 +118,17 @@
   (void)state;
   fleet_make (&fleet, MF_ROLE_PLAIN);
   fleet.upstreams[1].paused_until_us = NOW_US + 2000;
-  assert_int_not_equal (choose (&fleet, (MfPlaceAsk){ 0 }), 1);
-  assert_int_equal (mf_place_opens_us (&fleet.targets, "llm", MF_ROLE_PLAIN, NOW_US), 0);
+  assert_int_not_equal (choose (&fleet, (MfPlaceQuery){ 0 }), 1);
+  assert_int_equal (mf_place_pause_end_us (&fleet.targets, "llm", MF_ROLE_PLAIN, NOW_US), 0);
   fleet.upstreams[0].paused_until_us = NOW_US + 1000;
   fleet.upstreams[2].paused_until_us = NOW_US + 3000;
-  assert_int_equal (choose (&fleet, (MfPlaceAsk){ 0 }), -1);
-  assert_int_equal (mf_place_opens_us (&fleet.targets, "llm", MF_ROLE_PLAIN, NOW_US),
+  assert_int_equal (choose (&fleet, (MfPlaceQuery){ 0 }), -1);
+  assert_int_equal (mf_place_pause_end_us (&fleet.targets, "llm", MF_ROLE_PLAIN, NOW_US),
                     NOW_US + 1000);
-  fleet.upstreams[0].said_leaving = true;
-  assert_int_equal (mf_place_opens_us (&fleet.targets, "llm", MF_ROLE_PLAIN, NOW_US),
+  fleet.upstreams[0].announced_leaving = true;
+  assert_int_equal (mf_place_pause_end_us (&fleet.targets, "llm", MF_ROLE_PLAIN, NOW_US),
                     NOW_US + 2000);
-  assert_int_equal (mf_place_opens_us (&fleet.targets, "none", MF_ROLE_PLAIN, NOW_US), 0);
+  assert_int_equal (mf_place_pause_end_us (&fleet.targets, "none", MF_ROLE_PLAIN, NOW_US), 0);
 }
 
 static void
@@ -139,10 +139,10 @@
   (void)state;
   fleet_make (&fleet, MF_ROLE_PLAIN);
   fleet.upstreams[1].suspect_until_us = NOW_US + 1;
-  assert_int_not_equal (choose (&fleet, (MfPlaceAsk){ 0 }), 1);
+  assert_int_not_equal (choose (&fleet, (MfPlaceQuery){ 0 }), 1);
   fleet.upstreams[0].suspect_until_us = NOW_US + 3;
   fleet.upstreams[2].suspect_until_us = NOW_US + 2;
-  assert_int_equal (choose (&fleet, (MfPlaceAsk){ 0 }), 1);
+  assert_int_equal (choose (&fleet, (MfPlaceQuery){ 0 }), 1);
 }
 
 static void
@@ -152,10 +152,10 @@
 
   (void)state;
   fleet_make (&fleet, MF_ROLE_DECODE);
-  mf_target_begin (&fleet.upstreams[0], 60000, NOW_US);
-  fleet.upstreams[1].n_others = 1;
-  fleet.upstreams[1].others_tokens = 70000;
-  assert_int_equal (choose (&fleet, (MfPlaceAsk){ .tokens = 8000 }), 2);
+  mf_target_begin_request (&fleet.upstreams[0], 60000, NOW_US);
+  fleet.upstreams[1].n_remote = 1;
+  fleet.upstreams[1].remote_tokens = 70000;
+  assert_int_equal (choose (&fleet, (MfPlaceQuery){ .tokens = 8000 }), 2);
 }
 
 static void
@@ -165,7 +165,7 @@
 
   (void)state;
   fleet_make (&fleet, MF_ROLE_DECODE);
-  assert_int_equal (choose (&fleet, (MfPlaceAsk){ .tokens = 8000, .memory_data_centre = "c" }), 2);
+  assert_int_equal (choose (&fleet, (MfPlaceQuery){ .tokens = 8000, .kv_data_centre = "c" }), 2);
 }
 
 static void
@@ -175,9 +175,9 @@
 
   (void)state;
   fleet_make (&fleet, MF_ROLE_PREFILL);
-  mf_target_begin (&fleet.upstreams[1], 20000, NOW_US);
+  mf_target_begin_request (&fleet.upstreams[1], 20000, NOW_US);
   mf_target_reserve (&fleet.upstreams[0], 3000);
-  assert_int_equal (choose (&fleet, (MfPlaceAsk){ .tokens = 5000 }), 2);
+  assert_int_equal (choose (&fleet, (MfPlaceQuery){ .tokens = 5000 }), 2);
 }
 
 /* One that has just declined a prompt is asked last. */
@@ -189,12 +189,12 @@
   (void)state;
   fleet_make (&fleet, MF_ROLE_PREFILL);
   fleet.upstreams[1].full_until_us = NOW_US + 1;
-  mf_target_begin (&fleet.upstreams[0], 20000, NOW_US);
-  mf_target_begin (&fleet.upstreams[2], 20000, NOW_US);
-  assert_int_not_equal (choose (&fleet, (MfPlaceAsk){ .tokens = 5000 }), 1);
+  mf_target_begin_request (&fleet.upstreams[0], 20000, NOW_US);
+  mf_target_begin_request (&fleet.upstreams[2], 20000, NOW_US);
+  assert_int_not_equal (choose (&fleet, (MfPlaceQuery){ .tokens = 5000 }), 1);
   fleet.upstreams[0].full_until_us = NOW_US + 2000;
   fleet.upstreams[2].full_until_us = NOW_US + 2000;
-  assert_int_equal (choose (&fleet, (MfPlaceAsk){ .tokens = 5000 }), 1);
+  assert_int_equal (choose (&fleet, (MfPlaceQuery){ .tokens = 5000 }), 1);
 }
 
 int
--- a/tests/test_platform_decode.c
+++ b/tests/test_platform_decode.c
@@ -34,7 +34,7 @@
   assert_string_equal (info.data_centre, "z");
   assert_int_equal (info.role, MF_ROLE_PLAIN);
   assert_int_equal (info.slots, 64);
-  assert_int_equal (info.born_ms, 1781418871288);
+  assert_int_equal (info.started_ms, 1781418871288);
   assert_false (info.leaving);
   assert_true (entry_reads (ENTRY ",\"stage\":\"prefill\",\"new\":{}}", &info));
   assert_int_equal (info.role, MF_ROLE_PREFILL);
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -354,9 +354,9 @@
   (void)peer;
 }
 
-static const MfPeersUser peers_user = {
-  .fill = on_peer_fill,
-  .changed = on_peer_changed,
+static const MfPeersCallbacks peers_user = {
+  .fill_report = on_peer_fill,
+  .loads_changed = on_peer_changed,
   .message = on_peer_message,
   .gone = on_peer_gone,
 };
@@ -368,7 +368,7 @@
 
   for (uint32_t i = 0; i < N_PEERS; i++)
     {
-      if (mf_peers_standing (centre->peers[i], mf_clock_now_us ()).n_instances != N_PEERS + 1)
+      if (mf_peers_feed_rank (centre->peers[i], mf_clock_now_us ()).n_instances != N_PEERS + 1)
         return false;
     }
   return true;
@@ -396,8 +396,7 @@
           snprintf (other, sizeof other, "127.0.0.1:%d", port + i);
           n_first += mf_load_hash (other) * RANK_FACTOR > own;
         }
-      centre->role
-          = mf_feed_role (&(MfFeedStanding){ .n_instances = N_PEERS + 1, .rank = n_first });
+      centre->role = mf_feed_role (&(MfFeedRank){ .n_instances = N_PEERS + 1, .rank = n_first });
     }
   stage_begin_with (&centre->stage, seed);
   for (int i = 0; i < N_PEERS; i++)
@@ -409,9 +408,9 @@
                                        mf_relay_lines (centre->stage.relay), &error);
       assert_non_null (centre->peers[i]);
       mf_peers_set_data_centre (centre->peers[i], "z");
-      mf_peers_seed (centre->peers[i], seed);
+      mf_peers_add_seeds (centre->peers[i], seed);
     }
-  centre->role = MF_FEED_ALONE;
+  centre->role = MF_FEED_STANDALONE;
   config_put (&centre->stage, 1, "/a/");
   upstream_put (&centre->stage, 0, "ready");
   wait_for (&centre->stage, PORT, "/a/1", 200);
@@ -437,7 +436,7 @@
   message.feed.to_revision = to_revision;
   message.feed.sent_us = mf_clock_awake_us ();
   message.feed.as_of_us = message.feed.sent_us;
-  mf_peers_send_near (centre->peers[0], &message);
+  mf_peers_send_local (centre->peers[0], &message);
 }
 
 /* While it is told, the relay leaves the store alone and acts on what it is told; when it is told
--- a/tests/test_relay_message.c
+++ b/tests/test_relay_message.c
@@ -47,8 +47,8 @@
   mf_name_set (sent.report.address, MF_ADDRESS_BYTES, "10.0.0.1:99");
   sent.report.heartbeat_ms = 400;
   sent.report.n_entries = 2;
-  sent.report.entries[0] = (MfLoadEntry){ UINT64_MAX, 3, 24000, 0, MF_SIGHT_ANSWERS, 0 };
-  sent.report.entries[1] = (MfLoadEntry){ 1, 0, 0, 55, MF_SIGHT_REPLACED, 300 };
+  sent.report.entries[0] = (MfLoadEntry){ UINT64_MAX, 3, 24000, 0, MF_REACHABILITY_ANSWERING, 0 };
+  sent.report.entries[1] = (MfLoadEntry){ 1, 0, 0, 55, MF_REACHABILITY_REPLACED, 300 };
   sent.report.n_votes = 1;
   sent.report.votes[0] = (MfLeaderVote){ 7, UINT64_MAX, 99 };
   sent.report.n_members = 1;
@@ -67,7 +67,7 @@
       assert_int_equal (got.report.entries[i].tokens, sent.report.entries[i].tokens);
       assert_int_equal (got.report.entries[i].failure_percent,
                         sent.report.entries[i].failure_percent);
-      assert_int_equal (got.report.entries[i].sight, sent.report.entries[i].sight);
+      assert_int_equal (got.report.entries[i].reachability, sent.report.entries[i].reachability);
       assert_int_equal (got.report.entries[i].avoided_ms, sent.report.entries[i].avoided_ms);
     }
   assert_int_equal (got.report.n_members, 1);
@@ -79,52 +79,53 @@
 {
   (void)state;
   sent = (MfRelayMessage){ .kind = MF_RELAY_MESSAGE_SUSPECTS };
-  sent.suspects.n_rows = 2;
-  sent.suspects.rows[0] = (MfSuspectRow){
+  sent.suspects.n_entries = 2;
+  sent.suspects.entries[0] = (MfSuspectEntry){
     .digest = UINT64_MAX,
-    .sentence_ms = 29000,
+    .quarantine_ms = 29000,
     .deaths = { { UINT64_MAX, 20, 10 }, { 5, 3, 1 } },
     .n_deaths = 2,
   };
-  sent.suspects.rows[1] = (MfSuspectRow){ .digest = 3, .cleared = true };
+  sent.suspects.entries[1] = (MfSuspectEntry){ .digest = 3, .cleared = true };
   round_trip ();
-  assert_int_equal (got.suspects.n_rows, 2);
-  assert_true (got.suspects.rows[0].digest == UINT64_MAX);
-  assert_int_equal (got.suspects.rows[0].sentence_ms, 29000);
-  assert_int_equal (got.suspects.rows[0].n_deaths, 2);
-  assert_int_equal (got.suspects.rows[0].deaths[1].process, 5);
-  assert_int_equal (got.suspects.rows[0].deaths[1].sent_age_ms, 3);
-  assert_int_equal (got.suspects.rows[0].deaths[1].age_ms, 1);
-  assert_false (got.suspects.rows[0].cleared);
-  assert_true (got.suspects.rows[1].cleared);
-  assert_int_equal (got.suspects.rows[1].n_deaths, 0);
+  assert_int_equal (got.suspects.n_entries, 2);
+  assert_true (got.suspects.entries[0].digest == UINT64_MAX);
+  assert_int_equal (got.suspects.entries[0].quarantine_ms, 29000);
+  assert_int_equal (got.suspects.entries[0].n_deaths, 2);
+  assert_int_equal (got.suspects.entries[0].deaths[1].process, 5);
+  assert_int_equal (got.suspects.entries[0].deaths[1].sent_age_ms, 3);
+  assert_int_equal (got.suspects.entries[0].deaths[1].age_ms, 1);
+  assert_false (got.suspects.entries[0].cleared);
+  assert_true (got.suspects.entries[1].cleared);
+  assert_int_equal (got.suspects.entries[1].n_deaths, 0);
 }
 
 static void
-test_ask (void **state)
+test_slot_request (void **state)
 {
   (void)state;
   sent = (MfRelayMessage){
-    .kind = MF_RELAY_MESSAGE_ASK,
-    .ask = {
-      .id = 7, .service = "llm", .data_centre = "a", .prompt_tokens = 5000, .memory_tokens = 7400,
-      .has_memory = true, .age_us = 12, .objective_us = 900000, .patience_us = 3300000,
+    .kind = MF_RELAY_MESSAGE_SLOT_REQUEST,
+    .slot_request = {
+      .id = 7, .service = "llm", .data_centre = "a", .prompt_tokens = 5000, .kv_tokens = 7400,
+      .is_prefilled = true, .age_us = 12, .objective_us = 900000, .max_age_us = 3300000,
       .avoid = { 5, 6 }, .n_avoid = 2,
     },
   };
   round_trip ();
-  assert_memory_equal (&got.ask.avoid, &sent.ask.avoid, 2 * sizeof sent.ask.avoid[0]);
-  assert_string_equal (got.ask.service, "llm");
-  assert_true (got.ask.has_memory);
-  assert_int_equal (got.ask.patience_us, 3300000);
-  assert_int_equal (got.ask.n_avoid, 2);
+  assert_memory_equal (&got.slot_request.avoid, &sent.slot_request.avoid,
+                       2 * sizeof sent.slot_request.avoid[0]);
+  assert_string_equal (got.slot_request.service, "llm");
+  assert_true (got.slot_request.is_prefilled);
+  assert_int_equal (got.slot_request.max_age_us, 3300000);
+  assert_int_equal (got.slot_request.n_avoid, 2);
 }
 
 static void
 test_grant_and_ids (void **state)
 {
   static const MfRelayMessageKind kinds[]
-      = { MF_RELAY_MESSAGE_QUEUED, MF_RELAY_MESSAGE_CANCEL, MF_RELAY_MESSAGE_SEEN };
+      = { MF_RELAY_MESSAGE_QUEUED, MF_RELAY_MESSAGE_CANCEL, MF_RELAY_MESSAGE_GRANT_ACK };
 
   (void)state;
   sent = (MfRelayMessage){ .kind = MF_RELAY_MESSAGE_GRANT, .grant = { 9, 8, 7 } };
@@ -166,20 +167,20 @@
 }
 
 static void
-test_repeats (void **state)
+test_retry (void **state)
 {
   (void)state;
-  sent
-      = (MfRelayMessage){ .kind = MF_RELAY_MESSAGE_REPEAT, .repeat = { 9, "llm", 2, true, false } };
+  sent = (MfRelayMessage){ .kind = MF_RELAY_MESSAGE_RETRY, .retry = { 9, "llm", 2, true, false } };
   round_trip ();
-  assert_int_equal (got.repeat.id, 9);
-  assert_string_equal (got.repeat.service, "llm");
-  assert_int_equal (got.repeat.n_sends, 2);
-  assert_true (got.repeat.is_done);
-  sent = (MfRelayMessage){ .kind = MF_RELAY_MESSAGE_ALLOW, .repeat = { 9, "", 0, false, true } };
+  assert_int_equal (got.retry.id, 9);
+  assert_string_equal (got.retry.service, "llm");
+  assert_int_equal (got.retry.n_sends, 2);
+  assert_true (got.retry.is_done);
+  sent = (MfRelayMessage){ .kind = MF_RELAY_MESSAGE_RETRY_REPLY,
+                           .retry = { 9, "", 0, false, true } };
   round_trip ();
-  assert_int_equal (got.repeat.id, 9);
-  assert_true (got.repeat.allowed);
+  assert_int_equal (got.retry.id, 9);
+  assert_true (got.retry.allowed);
 }
 
 static void
@@ -214,7 +215,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_report),        cmocka_unit_test (test_suspects),
-    cmocka_unit_test (test_repeats),       cmocka_unit_test (test_ask),
+    cmocka_unit_test (test_retry),         cmocka_unit_test (test_slot_request),
     cmocka_unit_test (test_grant_and_ids), cmocka_unit_test (test_any_bytes),
     cmocka_unit_test (test_feed),
   };
--- a/tests/test_stage.c
+++ b/tests/test_stage.c
@@ -145,11 +145,11 @@
   *free_us = (*free_us > play->now_us ? *free_us : play->now_us) + READ_US;
   call->read_us = *free_us;
   play->n_in_time += call->read_us <= call->begun_us + OBJECTIVE_US;
-  mf_target_begin (&play->engines[call->decode], TOKENS, play->now_us);
-  mf_target_begin (&play->engines[call->prefill], TOKENS / 2, play->now_us);
+  mf_target_begin_request (&play->engines[call->decode], TOKENS, play->now_us);
+  mf_target_begin_request (&play->engines[call->prefill], TOKENS / 2, play->now_us);
 }
 
-static const MfDispatchUser user = { .grant = on_grant, .traits = on_traits };
+static const MfDispatchCallbacks user = { .grant = on_grant, .service_config = on_traits };
 
 static void
 play_begin (Play *play)
@@ -181,10 +181,10 @@
       if (call->read_us == 0 || play->now_us < call->read_us)
         continue;
       if (play->now_us - call->read_us < TICK_US)
-        mf_target_end (&play->engines[call->prefill], TOKENS / 2);
+        mf_target_end_request (&play->engines[call->prefill], TOKENS / 2);
       if (play->now_us - call->read_us >= ANSWER_US
           && play->now_us - call->read_us < ANSWER_US + TICK_US)
-        mf_target_end (&play->engines[call->decode], TOKENS);
+        mf_target_end_request (&play->engines[call->decode], TOKENS);
     }
   for (uint32_t i = 0; i < N_ENGINES; i++)
     {
@@ -244,15 +244,15 @@
 
       for (; due_us <= play->now_us && play->n_calls < N_CALLS_MAX; due_us += every_us)
         {
-          MfAsk ask = { .id = play->n_calls,
-                        .service = "llm",
-                        .prompt_tokens = TOKENS / 2,
-                        .memory_tokens = TOKENS,
-                        .objective_us = OBJECTIVE_US - 2 * READ_US,
-                        .patience_us = PATIENCE_US };
+          MfSlotRequest ask = { .id = play->n_calls,
+                                .service = "llm",
+                                .prompt_tokens = TOKENS / 2,
+                                .kv_tokens = TOKENS,
+                                .objective_us = OBJECTIVE_US - 2 * READ_US,
+                                .max_age_us = PATIENCE_US };
 
           play->calls[play->n_calls++].begun_us = play->now_us;
-          mf_dispatch_ask (play->dispatch, MF_DISPATCH_SELF, &ask, play->now_us);
+          mf_dispatch_enqueue (play->dispatch, MF_DISPATCH_SELF, &ask, play->now_us);
         }
       play_turn (play);
       mf_dispatch_run (play->dispatch, play->now_us);
--- a/tests/test_target.c
+++ b/tests/test_target.c
@@ -13,7 +13,7 @@
 static MfTargetInfo
 info_make (const char *id, const char *address)
 {
-  MfTargetInfo info = { .role = MF_ROLE_PLAIN, .slots = 6, .born_ms = 1 };
+  MfTargetInfo info = { .role = MF_ROLE_PLAIN, .slots = 6, .started_ms = 1 };
 
   mf_name_set (info.id, sizeof info.id, id);
   mf_name_set (info.service, sizeof info.service, "shop");
@@ -30,9 +30,9 @@
   (void)state;
   assert_true (mf_targets_update (&targets, &info));
   assert_false (mf_targets_update (&targets, &info));
-  mf_target_failed (mf_targets_find (&targets, "u1"), true, NOW_US);
+  mf_target_record_failure (mf_targets_find (&targets, "u1"), true, NOW_US);
   assert_int_equal (mf_targets_find (&targets, "u1")->n_failures, 1);
-  info.born_ms = 2;
+  info.started_ms = 2;
   assert_true (mf_targets_update (&targets, &info));
   assert_int_equal (mf_targets_find (&targets, "u1")->n_failures, 0);
   assert_int_equal (targets.n_targets, 1);
@@ -51,7 +51,7 @@
   MfTargetInfo next = info_make ("u2", "127.0.0.1:1");
 
   (void)state;
-  next.born_ms = 2;
+  next.started_ms = 2;
   mf_targets_update (&targets, &old);
   mf_targets_update (&targets, &next);
   assert_true (mf_target_is_suspect (mf_targets_find (&targets, "u1"), NOW_US));
@@ -97,10 +97,10 @@
   (void)state;
   mf_targets_update (&targets, &info);
   target = mf_target_ref (mf_targets_find (&targets, "u1"));
-  mf_target_begin (target, 10, NOW_US);
+  mf_target_begin_request (target, 10, NOW_US);
   mf_targets_remove (&targets, "u1", true, NOW_US);
   assert_false (target->listed);
-  mf_target_end (target, 10);
+  mf_target_end_request (target, 10);
   mf_target_unref (target);
 }
 
@@ -111,7 +111,7 @@
 
   (void)state;
   for (uint32_t i = 0; i < 20; i++)
-    mf_target_failed (&target, false, NOW_US);
+    mf_target_record_failure (&target, false, NOW_US);
   assert_true (mf_target_failure_share (&target, NOW_US) > 0.9);
   assert_true (mf_target_failure_share (&target, NOW_US + 3 * MF_US_PER_S) < 0.5);
   assert_true (mf_target_failure_share (&target, NOW_US + 30 * MF_US_PER_S) < 0.01);
@@ -124,14 +124,14 @@
   uint64_t first_us;
 
   (void)state;
-  mf_target_failed (&target, true, NOW_US);
+  mf_target_record_failure (&target, true, NOW_US);
   first_us = target.suspect_until_us - NOW_US;
-  mf_target_failed (&target, true, NOW_US);
+  mf_target_record_failure (&target, true, NOW_US);
   assert_int_equal (target.suspect_until_us - NOW_US, 2 * first_us);
   for (uint32_t i = 0; i < 20; i++)
-    mf_target_failed (&target, true, NOW_US);
+    mf_target_record_failure (&target, true, NOW_US);
   assert_true (target.suspect_until_us - NOW_US <= 3 * MF_US_PER_S);
-  mf_target_alive (&target, NOW_US);
+  mf_target_record_alive (&target, NOW_US);
   assert_int_equal (target.suspect_until_us, 0);
   assert_int_equal (target.n_failures, 0);
 }
@@ -146,9 +146,9 @@
 
   (void)state;
   mf_targets_update (&targets, &info);
-  assert_true (mf_target_takes (mf_targets_find (&targets, "u1"), NOW_US));
-  mf_target_says_leaving (mf_targets_find (&targets, "u1"));
-  assert_false (mf_target_takes (mf_targets_find (&targets, "u1"), NOW_US));
+  assert_true (mf_target_accepts (mf_targets_find (&targets, "u1"), NOW_US));
+  mf_target_record_leaving (mf_targets_find (&targets, "u1"));
+  assert_false (mf_target_accepts (mf_targets_find (&targets, "u1"), NOW_US));
   mf_targets_update (&targets, &info);
   assert_true (mf_target_is_leaving (mf_targets_find (&targets, "u1")));
   mf_targets_remove (&targets, "u1", true, NOW_US);
@@ -156,10 +156,10 @@
   assert_true (mf_target_is_leaving (mf_targets_find (&targets, "u1")));
   /* An entry that names no birth is no proof of a new process. */
   mf_targets_remove (&targets, "u1", true, NOW_US);
-  info.born_ms = 0;
+  info.started_ms = 0;
   mf_targets_update (&targets, &info);
   assert_true (mf_target_is_leaving (mf_targets_find (&targets, "u1")));
-  info.born_ms = 2;
+  info.started_ms = 2;
   mf_targets_update (&targets, &info);
   assert_false (mf_target_is_leaving (mf_targets_find (&targets, "u1")));
   mf_targets_clear (&targets);
@@ -180,7 +180,7 @@
       snprintf (id, sizeof id, "u%u", i);
       info = info_make (id, "127.0.0.1:1");
       mf_targets_update (&targets, &info);
-      mf_target_says_leaving (mf_targets_find (&targets, id));
+      mf_target_record_leaving (mf_targets_find (&targets, id));
       mf_targets_remove (&targets, id, true, NOW_US);
     }
   for (uint32_t i = 5; i < MF_TARGETS_DEPARTURES_MAX + 5; i++)
@@ -207,11 +207,11 @@
   target = mf_targets_find (&targets, "u1");
   mf_target_pause (target, 1.5, NOW_US);
   mf_target_pause (target, 0.2, NOW_US);
-  assert_false (mf_target_takes (target, NOW_US + 1499 * MF_US_PER_MS));
-  assert_true (mf_target_takes (target, NOW_US + 1500 * MF_US_PER_MS));
+  assert_false (mf_target_accepts (target, NOW_US + 1499 * MF_US_PER_MS));
+  assert_true (mf_target_accepts (target, NOW_US + 1500 * MF_US_PER_MS));
   mf_target_pause (target, 1e300, NOW_US);
-  assert_false (mf_target_takes (target, NOW_US + 60 * MF_US_PER_S));
-  assert_true (mf_target_takes (target, NOW_US + 3600 * MF_US_PER_S));
+  assert_false (mf_target_accepts (target, NOW_US + 60 * MF_US_PER_S));
+  assert_true (mf_target_accepts (target, NOW_US + 3600 * MF_US_PER_S));
   mf_targets_clear (&targets);
 }
 
@@ -224,36 +224,36 @@
   uint64_t first_us;
 
   (void)state;
-  mf_target_declined (&target, NOW_US);
+  mf_target_record_decline (&target, NOW_US);
   first_us = target.full_until_us - NOW_US;
-  mf_target_declined (&target, NOW_US);
+  mf_target_record_decline (&target, NOW_US);
   assert_int_equal (target.full_until_us - NOW_US, 2 * first_us);
   for (uint32_t i = 0; i < 40; i++)
-    mf_target_declined (&target, NOW_US);
+    mf_target_record_decline (&target, NOW_US);
   assert_in_range (target.full_until_us - NOW_US, MF_US_PER_S, 2 * MF_US_PER_S);
-  mf_target_answered (&target, 1000, NOW_US);
-  mf_target_declined (&target, NOW_US);
+  mf_target_record_answer (&target, 1000, NOW_US);
+  mf_target_record_decline (&target, NOW_US);
   assert_int_equal (target.full_until_us - NOW_US, first_us);
-  target.n_others = 3;
-  mf_target_declined (&target, NOW_US);
-  mf_target_declined (&target, NOW_US);
+  target.n_remote = 3;
+  mf_target_record_decline (&target, NOW_US);
+  mf_target_record_decline (&target, NOW_US);
   assert_int_equal (target.full_until_us - NOW_US, first_us);
 }
 
 static void
 test_load_is_that_of_all_instances (void **state)
 {
-  MfTarget target = { .n_others = 3, .others_tokens = 300 };
+  MfTarget target = { .n_remote = 3, .remote_tokens = 300 };
 
   (void)state;
-  mf_target_begin (&target, 100, NOW_US);
+  mf_target_begin_request (&target, 100, NOW_US);
   mf_target_reserve (&target, 50);
   assert_int_equal (mf_target_load (&target), 5);
   assert_int_equal (mf_target_load_tokens (&target), 450);
-  mf_target_grow (&target, 7);
+  mf_target_add_tokens (&target, 7);
   mf_target_unreserve (&target, 50);
   assert_int_equal (mf_target_load_tokens (&target), 407);
-  mf_target_end (&target, 107);
+  mf_target_end_request (&target, 107);
   assert_int_equal (mf_target_load_tokens (&target), 300);
 }
 
--- a/tests/town.c
+++ b/tests/town.c
@@ -95,7 +95,7 @@
 static void
 target_put (Town *town, const char *id, MfRole role, const char *address, const char *data_centre)
 {
-  MfTargetInfo info = { .role = role, .slots = 4, .born_ms = 1 };
+  MfTargetInfo info = { .role = role, .slots = 4, .started_ms = 1 };
 
   mf_name_set (info.id, sizeof info.id, id);
   mf_name_set (info.service, sizeof info.service, role == MF_ROLE_PLAIN ? "shop" : "engines");
--- a/tests/town_fleet.c
+++ b/tests/town_fleet.c
@@ -18,7 +18,7 @@
 
   for (uint32_t i = 0; i < TOWN_FLEET_N; i++)
     {
-      if (mf_peers_count (fleet->towns[i].jobs.peers, mf_clock_now_us ()) != TOWN_FLEET_N)
+      if (mf_peers_n_alive (fleet->towns[i].jobs.peers, mf_clock_now_us ()) != TOWN_FLEET_N)
         return false;
     }
   return true;
@@ -38,7 +38,7 @@
   town->jobs.peers
       = mf_peers_new (fleet->loop, address, &mf_jobs_peers_user, &town->jobs, town->lines, &error);
   assert_non_null (town->jobs.peers);
-  mf_peers_seed (town->jobs.peers, seed);
+  mf_peers_add_seeds (town->jobs.peers, seed);
 }
 
 static void
