--- a/libmangofork/relay/job.h
+++ b/libmangofork/relay/job.h
@@ -104,10 +104,10 @@
 void mf_jobs_load_changed (MfJobs *jobs);
 void mf_jobs_schedule_dispatch (MfJobs *jobs);
 
-extern const MfDispatchUser mf_job_dispatch_callbacks;
+extern const MfDispatchCallbacks mf_job_dispatch_callbacks;
 
 /* Peers are made with this user and the MfJobs as its data. */
-extern const MfPeersUser mf_jobs_peers_callbacks;
+extern const MfPeersCallbacks mf_jobs_peers_callbacks;
 
 /* The doors of callers are opened with this user and the MfJobs as its data. */
 extern const MfListenerCallbacks mf_job_listener_callbacks;
--- a/libmangofork/relay/job_lead.c
+++ b/libmangofork/relay/job_lead.c
@@ -68,7 +68,7 @@
       if (!service->is_engine
           || (lead == NULL && (lead = leadership_add (jobs, service->name)) == NULL))
         continue;
-      if (was_suspended || !mf_peers_leads (jobs->peers, service->name, now_us))
+      if (was_suspended || !mf_peers_is_leader (jobs->peers, service->name, now_us))
         {
           lead->led_since_us = 0;
           continue;
--- a/libmangofork/relay/job_place.c
+++ b/libmangofork/relay/job_place.c
@@ -8,20 +8,20 @@
 #define KV_USE_PERCENT 80
 
 /* What is asked of the placing for this request. */
-static MfPlaceAsk
+static MfPlaceQuery
 job_place_query (const MfJob *job, MfRole role)
 {
-  MfPlaceAsk query = {
+  MfPlaceQuery query = {
     .service = job->service->name,
     .role = role,
     .tokens = role == MF_ROLE_PREFILL ? job->prompt_tokens : job->kv_tokens,
-    .traits = job->service,
+    .service_config = job->service,
     .n_avoid = job->n_avoid,
-    .apart = mf_job_is_suspect (job),
-    .memory_data_centre
+    .avoid_suspects = mf_job_is_suspect (job),
+    .kv_data_centre
     = role == MF_ROLE_DECODE && job->kv_target != NULL ? job->kv_target->info.data_centre : NULL,
     .data_centre = job->jobs->targets.data_centre,
-    .point = mf_jobs_random (job->jobs),
+    .tie_break = mf_jobs_random (job->jobs),
   };
 
   for (uint32_t i = 0; i < job->n_avoid; i++)
@@ -46,13 +46,13 @@
 static void
 job_note_pause_end (MfJob *job, MfRole role, uint64_t now_us)
 {
-  job->pause_end_us = mf_place_opens_us (&job->jobs->targets, job->service->name, role, now_us);
+  job->pause_end_us = mf_place_pause_end_us (&job->jobs->targets, job->service->name, role, now_us);
 }
 
 static void
 job_place_plain (MfJob *job)
 {
-  MfPlaceAsk query = job_place_query (job, MF_ROLE_PLAIN);
+  MfPlaceQuery query = job_place_query (job, MF_ROLE_PLAIN);
   bool any_alive = false;
   uint64_t now_us = mf_clock_now_us ();
   MfTarget *target = mf_place_choose (&job->jobs->targets, &query, now_us, &any_alive);
@@ -85,7 +85,7 @@
 {
   MfTarget *reserved = job->reserved_target;
 
-  if (reserved != NULL && reserved->listed && mf_target_takes (reserved, now_us)
+  if (reserved != NULL && reserved->listed && mf_target_accepts (reserved, now_us)
       && !mf_place_avoids (job->avoid, job->n_avoid, reserved))
     return reserved;
   /* The instance that decides may not know yet; the same engine is not asked for again. */
@@ -101,13 +101,13 @@
 job_choose_prefill (MfJob *job, uint64_t now_us)
 {
   MfTargets *targets = &job->jobs->targets;
-  MfPlaceAsk query = job_place_query (job, MF_ROLE_PREFILL);
+  MfPlaceQuery query = job_place_query (job, MF_ROLE_PREFILL);
   bool any_alive = false;
   MfTarget *prefill;
 
   prefill = mf_targets_by_hash (targets, job->granted_prefill);
-  if (prefill != NULL && prefill->info.role == MF_ROLE_PREFILL && mf_target_takes (prefill, now_us)
-      && prefill->suspect_until_us <= now_us
+  if (prefill != NULL && prefill->info.role == MF_ROLE_PREFILL
+      && mf_target_accepts (prefill, now_us) && prefill->suspect_until_us <= now_us
       && !mf_place_avoids (job->avoid, job->n_avoid, prefill))
     return prefill;
   prefill = mf_place_choose (targets, &query, now_us, &any_alive);
@@ -196,7 +196,7 @@
 {
   MfTarget *target = job->target;
   bool any_alive = false;
-  MfPlaceAsk query;
+  MfPlaceQuery query;
 
   if (job->phase == MF_JOB_WAITING)
     {
@@ -229,7 +229,7 @@
                       "id=%s from=%s why=\"no answer in time\" waited_ms=%.1f in_flight=%u",
                       job->id, target->info.id, (double)(mf_clock_now_us () - job->sent_us) / 1e3,
                       target->n_active);
-  mf_target_failed (target, false, mf_clock_now_us ());
+  mf_target_record_failure (target, false, mf_clock_now_us ());
   mf_job_note_failure (job, target);
   mf_job_avoid (job, target->id_hash);
   /* What was sent and is given up may have run. */
--- a/libmangofork/relay/job_room.c
+++ b/libmangofork/relay/job_room.c
@@ -37,13 +37,13 @@
 /* Adds the engines that take nothing of this instance, as far as they fit: the instance that
  * decides does not know what they have told this one. */
 static void
-request_avoid_unusable (const MfJob *job, MfAsk *request, uint64_t now_us)
+request_avoid_unusable (const MfJob *job, MfSlotRequest *request, uint64_t now_us)
 {
   for (const MfTarget *target = job->jobs->targets.first;
        target != NULL && request->n_avoid < MF_PLACE_AVOID_MAX; target = target->next)
     {
       if (target->info.role == MF_ROLE_DECODE && !target->info.leaving
-          && !mf_target_takes (target, now_us)
+          && !mf_target_accepts (target, now_us)
           && strcmp (target->info.service, job->service->name) == 0
           && !mf_place_avoids (request->avoid, request->n_avoid, target))
         request->avoid[request->n_avoid++] = target->id_hash;
@@ -52,7 +52,7 @@
 
 /* Decode engines of the service that the ask does not name. */
 static uint32_t
-request_n_usable (const MfJob *job, const MfAsk *request)
+request_n_usable (const MfJob *job, const MfSlotRequest *request)
 {
   uint32_t n_usable = 0;
 
@@ -65,7 +65,7 @@
 
 /* Adds the engines where requests run under which another has ended, while one is left without. */
 static void
-request_avoid_suspects (const MfJob *job, MfAsk *request)
+request_avoid_suspects (const MfJob *job, MfSlotRequest *request)
 {
   uint32_t n_usable = request_n_usable (job, request);
 
@@ -84,18 +84,18 @@
 
 /* What is asked for this request. A stream that broke off goes before those that have not begun:
  * its caller has been promised the rest. */
-static MfAsk
+static MfSlotRequest
 request_make (MfJob *job, uint64_t now_us)
 {
   uint64_t max_age_us = job->give_up_us - job->first_try_us;
-  MfAsk request = {
+  MfSlotRequest request = {
     .id = ++job->jobs->last_peer_request_id,
     .prompt_tokens = job->prompt_tokens,
-    .memory_tokens = job->kv_tokens,
-    .has_memory = job->kv_target != NULL,
+    .kv_tokens = job->kv_tokens,
+    .is_prefilled = job->kv_target != NULL,
     .age_us = now_us - job->first_try_us,
     .objective_us = job->head_sent ? max_age_us : grant_objective_us (job),
-    .patience_us = max_age_us,
+    .max_age_us = max_age_us,
     .n_avoid = job->n_avoid,
   };
 
@@ -115,12 +115,12 @@
 {
   MfJobs *jobs = job->jobs;
   uint64_t now_us = mf_clock_now_us ();
-  MfAsk request = request_make (job, now_us);
+  MfSlotRequest request = request_make (job, now_us);
 
   job->slot_request_id = request.id;
   job->asked_instance = MF_DISPATCH_SELF;
   job->step_deadline_us = 0;
-  mf_dispatch_ask (jobs->dispatch, MF_DISPATCH_SELF, &request, now_us);
+  mf_dispatch_enqueue (jobs->dispatch, MF_DISPATCH_SELF, &request, now_us);
   mf_job_set_timer (job);
   mf_jobs_schedule_dispatch (jobs);
 }
@@ -164,9 +164,9 @@
       request_enqueue_local (job);
       return;
     }
-  jobs->message.kind = MF_RELAY_MESSAGE_ASK;
-  jobs->message.ask = request_make (job, now_us);
-  job->slot_request_id = jobs->message.ask.id;
+  jobs->message.kind = MF_RELAY_MESSAGE_SLOT_REQUEST;
+  jobs->message.slot_request = request_make (job, now_us);
+  job->slot_request_id = jobs->message.slot_request.id;
   job->asked_instance = leader;
   job->step_deadline_us = now_us + REPLY_TIMEOUT_US;
   if (mf_peers_send (jobs->peers, leader, &jobs->message))
@@ -184,7 +184,7 @@
 
   mf_relay_log_state (jobs->log, "dispatch.unanswered", "id=%s waited_ms=%.1f", job->id,
                       (double)(mf_clock_now_us () - job->waiting_since_us) / 1e3);
-  mf_peers_distrust (jobs->peers, job->asked_instance);
+  mf_peers_exclude_leader (jobs->peers, job->asked_instance);
   mf_job_cancel_slot_request (job);
   if (++job->n_unanswered_requests < UNANSWERED_MAX)
     mf_job_request_slot (job);
@@ -215,7 +215,7 @@
   job->waiting_since_us = now_us;
   job->granted_prefill = grant->prefill;
   job->granted_us = now_us;
-  if (decode != NULL && mf_target_takes (decode, now_us))
+  if (decode != NULL && mf_target_accepts (decode, now_us))
     mf_job_reserve (job, decode);
   else
     mf_job_avoid (job, grant->decode);
@@ -249,19 +249,19 @@
   return index == MF_NONE ? NULL : &jobs->routes->services[index];
 }
 
-const MfDispatchUser mf_job_dispatch_callbacks = {
+const MfDispatchCallbacks mf_job_dispatch_callbacks = {
   .grant = on_grant,
-  .traits = on_service_config,
+  .service_config = on_service_config,
 };
 
 /* Tells an asker whose ask could not be granted at once that it is kept. */
 static void
-request_handle (MfJobs *jobs, uint64_t peer, const MfAsk *request)
+request_handle (MfJobs *jobs, uint64_t peer, const MfSlotRequest *request)
 {
   uint64_t id = request->id;
   uint32_t n_before = mf_dispatch_n_waiting (jobs->dispatch);
 
-  mf_dispatch_ask (jobs->dispatch, peer, request, mf_clock_now_us ());
+  mf_dispatch_enqueue (jobs->dispatch, peer, request, mf_clock_now_us ());
   mf_jobs_run_dispatch (jobs);
   if (mf_dispatch_n_waiting (jobs->dispatch) <= n_before)
     return;
@@ -279,14 +279,14 @@
 
   switch (message->kind)
     {
-    case MF_RELAY_MESSAGE_ASK:
-      request_handle (jobs, peer, &message->ask);
+    case MF_RELAY_MESSAGE_SLOT_REQUEST:
+      request_handle (jobs, peer, &message->slot_request);
       return;
     case MF_RELAY_MESSAGE_CANCEL:
       mf_dispatch_cancel (jobs->dispatch, peer, message->grant.id);
       return;
-    case MF_RELAY_MESSAGE_SEEN:
-      mf_dispatch_seen (jobs->dispatch, peer, message->grant.id);
+    case MF_RELAY_MESSAGE_GRANT_ACK:
+      mf_dispatch_ack_grants (jobs->dispatch, peer, message->grant.id);
       jobs->remote_load_stale = true;
       return;
     case MF_RELAY_MESSAGE_QUEUED:
@@ -297,7 +297,7 @@
       mf_job_set_timer (job);
       return;
     case MF_RELAY_MESSAGE_GRANT:
-      mf_peers_note_grant (jobs->peers, peer, message->grant.id);
+      mf_peers_ack_grant (jobs->peers, peer, message->grant.id);
       job = job_by_slot_request (jobs, message->grant.id);
       if (job != NULL && job->asked_instance == peer)
         job_granted (job, &message->grant);
@@ -311,8 +311,8 @@
     case MF_RELAY_MESSAGE_SUSPECTS:
       mf_jobs_handle_suspects (jobs, &message->suspects);
       return;
-    case MF_RELAY_MESSAGE_REPEAT:
-    case MF_RELAY_MESSAGE_ALLOW:
+    case MF_RELAY_MESSAGE_RETRY:
+    case MF_RELAY_MESSAGE_RETRY_REPLY:
       mf_jobs_handle_retry_message (jobs, peer, message);
       return;
     default:
@@ -334,7 +334,7 @@
   MfJobs *jobs = data;
   uint64_t now_us = mf_clock_now_us ();
 
-  mf_dispatch_drop (jobs->dispatch, peer);
+  mf_dispatch_drop_requester (jobs->dispatch, peer);
   jobs->remote_load_stale = true;
   /* Whoever decides now is to know what this instance has before the asks reach it. */
   for (uint32_t i = 0; jobs->peers != NULL && jobs->routes != NULL && i < jobs->routes->n_services;
@@ -357,7 +357,7 @@
 {
   MfJobs *jobs = data;
 
-  mf_load_fill (&jobs->targets, report, mf_clock_now_us ());
+  mf_load_fill_report (&jobs->targets, report, mf_clock_now_us ());
 }
 
 static void
@@ -369,9 +369,9 @@
   mf_jobs_run_dispatch (jobs);
 }
 
-const MfPeersUser mf_jobs_peers_callbacks = {
-  .fill = on_fill_report,
-  .changed = on_loads_changed,
+const MfPeersCallbacks mf_jobs_peers_callbacks = {
+  .fill_report = on_fill_report,
+  .loads_changed = on_loads_changed,
   .message = on_message,
   .reached = on_peer_reached,
   .gone = on_peer_gone,
--- a/libmangofork/relay/job_row.h
+++ b/libmangofork/relay/job_row.h
@@ -122,7 +122,7 @@
 void mf_jobs_note_answer (MfJobs *jobs, uint64_t tokens, uint64_t took_us);
 
 /* job_suspect.c: requests that may end the upstreams that run them. */
-extern const MfTargetsUser mf_job_targets_callbacks;
+extern const MfTargetsCallbacks mf_job_targets_callbacks;
 bool mf_jobs_init_suspects (MfJobs *jobs);
 uint64_t mf_job_digest (const MfCaller *caller);
 bool mf_job_is_suspect (const MfJob *job);
@@ -133,7 +133,7 @@
 void mf_job_retry_after_failure (MfJob *job, MfTarget *target, const MfJobDenial *denial);
 void mf_job_probe_done (MfJob *job);
 void mf_jobs_send_suspects (MfJobs *jobs, uint64_t peer);
-void mf_jobs_handle_suspects (MfJobs *jobs, const MfSuspectNews *update);
+void mf_jobs_handle_suspects (MfJobs *jobs, const MfSuspectUpdate *update);
 
 /* job_retry.c: the budget for repeats. */
 MfServiceBudget *mf_jobs_budget (MfJobs *jobs, const char *service);
--- a/libmangofork/relay/job_stage.c
+++ b/libmangofork/relay/job_stage.c
@@ -126,7 +126,7 @@
       uint32_t n_engines;
 
       if (!is_engine_of (target, service) || target->info.role != from
-          || target->stage_until_us > now_us || !mf_target_takes (target, now_us)
+          || target->stage_until_us > now_us || !mf_target_accepts (target, now_us)
           || mf_target_is_suspect (target, now_us) || target->n_orders_failed >= ORDERS_FAILED_MAX)
         continue;
       n_engines = n_of_stage (jobs, service, from, target->info.data_centre, now_us);
@@ -231,7 +231,7 @@
     = service->stage_change_us + (role == MF_ROLE_DECODE ? PREFILL_DRAIN_US : DECODE_DRAIN_US),
   };
   jobs->orders = order;
-  mf_peers_note_fence (jobs->peers, service->name, lead->fence);
+  mf_peers_record_fence (jobs->peers, service->name, lead->fence);
   lead->ordered_us = now_us;
   target->stage_ordered = role;
   target->stage_until_us = now_us + order->unavailable_us;
@@ -270,7 +270,8 @@
 static uint64_t
 first_order_delay_us (const MfJobs *jobs)
 {
-  uint64_t wait_us = jobs->order_interval_us + mf_peers_fresh_us (jobs->peers) + HANDOVER_MARGIN_US;
+  uint64_t wait_us
+      = jobs->order_interval_us + mf_peers_report_lifetime_us (jobs->peers) + HANDOVER_MARGIN_US;
 
   return jobs->orders_fenced ? wait_us : wait_us + ORDER_TIMEOUT_US + CONNECT_TIME_US;
 }
--- a/libmangofork/relay/job_suspect.c
+++ b/libmangofork/relay/job_suspect.c
@@ -91,17 +91,17 @@
   return now_us > ms * MF_US_PER_MS ? now_us - ms * MF_US_PER_MS : 0;
 }
 
-static MfSuspectRow
+static MfSuspectEntry
 entry_make (const MfSuspect *suspect, uint64_t now_us)
 {
-  MfSuspectRow entry = {
+  MfSuspectEntry entry = {
     .digest = suspect->digest,
-    .sentence_ms = age_ms (now_us, suspect->convicted_until_us),
+    .quarantine_ms = age_ms (now_us, suspect->convicted_until_us),
     .n_deaths = suspect->n_deaths,
   };
 
   for (uint32_t i = 0; i < suspect->n_deaths; i++)
-    entry.deaths[i] = (MfSuspectRowDeath){
+    entry.deaths[i] = (MfSuspectEntryDeath){
       .process = suspect->deaths[i].process,
       .sent_age_ms = age_ms (suspect->deaths[i].sent_us, now_us),
       .age_ms = age_ms (suspect->deaths[i].at_us, now_us),
@@ -110,13 +110,13 @@
 }
 
 static void
-entry_send (MfJobs *jobs, const MfSuspectRow *entry)
+entry_send (MfJobs *jobs, const MfSuspectEntry *entry)
 {
   if (jobs->peers == NULL)
     return;
   jobs->message.kind = MF_RELAY_MESSAGE_SUSPECTS;
-  jobs->message.suspects.n_rows = 1;
-  jobs->message.suspects.rows[0] = *entry;
+  jobs->message.suspects.n_entries = 1;
+  jobs->message.suspects.entries[0] = *entry;
   mf_peers_send_all (jobs->peers, &jobs->message);
 }
 
@@ -126,7 +126,7 @@
 {
   uint64_t now_us = mf_clock_now_us ();
   MfSuspect *suspect = mf_suspects_find (jobs->suspects, digest, now_us);
-  MfSuspectRow entry;
+  MfSuspectEntry entry;
 
   if (suspect == NULL || suspect->n_told >= suspect->n_deaths)
     return;
@@ -138,7 +138,7 @@
 /* The rows of one message, of those that are convicted or of the others. */
 typedef struct
 {
-  MfSuspectNews *update;
+  MfSuspectUpdate *update;
   uint64_t now_us;
   bool quarantined;
 } EntryList;
@@ -148,10 +148,10 @@
 {
   EntryList *list = data;
 
-  if (list->update->n_rows == MF_SUSPECT_ROWS_MAX)
+  if (list->update->n_entries == MF_SUSPECT_ENTRIES_MAX)
     return false;
   if (suspect->n_told > 0 && list->quarantined == (suspect->convicted_until_us > list->now_us))
-    list->update->rows[list->update->n_rows++] = entry_make (suspect, list->now_us);
+    list->update->entries[list->update->n_entries++] = entry_make (suspect, list->now_us);
   return true;
 }
 
@@ -162,12 +162,12 @@
   EntryList list
       = { .update = &jobs->message.suspects, .now_us = mf_clock_now_us (), .quarantined = true };
 
-  list.update->n_rows = 0;
+  list.update->n_entries = 0;
   mf_suspects_foreach (jobs->suspects, list.now_us, entry_add, &list);
   list.quarantined = false;
   mf_suspects_foreach (jobs->suspects, list.now_us, entry_add, &list);
   jobs->message.kind = MF_RELAY_MESSAGE_SUSPECTS;
-  if (list.update->n_rows > 0)
+  if (list.update->n_entries > 0)
     mf_peers_send (jobs->peers, peer, &jobs->message);
 }
 
@@ -184,7 +184,7 @@
 }
 
 static void
-entry_handle (MfJobs *jobs, const MfSuspectRow *entry)
+entry_handle (MfJobs *jobs, const MfSuspectEntry *entry)
 {
   uint64_t now_us = mf_clock_now_us ();
   bool was_quarantined = mf_suspects_is_convicted (jobs->suspects, entry->digest, now_us);
@@ -203,9 +203,9 @@
                                .at_us = time_us (entry->deaths[i].age_ms, now_us),
                            },
                            false, now_us);
-  if (entry->sentence_ms > 0)
-    mf_suspects_convict (jobs->suspects, entry->digest, now_us + entry->sentence_ms * MF_US_PER_MS,
-                         now_us);
+  if (entry->quarantine_ms > 0)
+    mf_suspects_convict (jobs->suspects, entry->digest,
+                         now_us + entry->quarantine_ms * MF_US_PER_MS, now_us);
   suspect = mf_suspects_find (jobs->suspects, entry->digest, now_us);
   if (suspect != NULL && suspect->n_told < entry->n_deaths)
     suspect->n_told = entry->n_deaths;
@@ -215,10 +215,10 @@
 
 /* Takes what another instance tells of requests under which upstreams have ended. */
 void
-mf_jobs_handle_suspects (MfJobs *jobs, const MfSuspectNews *update)
+mf_jobs_handle_suspects (MfJobs *jobs, const MfSuspectUpdate *update)
 {
-  for (uint32_t i = 0; i < update->n_rows; i++)
-    entry_handle (jobs, &update->rows[i]);
+  for (uint32_t i = 0; i < update->n_entries; i++)
+    entry_handle (jobs, &update->entries[i]);
 }
 
 /* Whether a try of the request is still being served here. */
@@ -256,7 +256,7 @@
 static void
 upstream_died (MfJobs *jobs, MfTarget *target)
 {
-  uint64_t process = mf_target_process (target);
+  uint64_t process = mf_target_process_id (target);
   uint64_t now_us = mf_clock_now_us ();
 
   if (mf_suspects_n_breaks (jobs->suspects) == 0)
@@ -287,7 +287,8 @@
 
   if (mf_suspects_n_breaks (jobs->suspects) > 0)
     mf_suspects_end_place (jobs->suspects, mf_load_hash (target->info.address),
-                           mf_target_process (target), mf_clock_now_us (), on_failure_result, jobs);
+                           mf_target_process_id (target), mf_clock_now_us (), on_failure_result,
+                           jobs);
 }
 
 /* A request that waited for the verdict goes on. */
@@ -316,17 +317,17 @@
 on_upstream_probed (void *data, MfTarget *target)
 {
   MfJobs *jobs = data;
-  uint64_t process = mf_target_process (target);
+  uint64_t process = mf_target_process_id (target);
   MfJob *job;
 
   while ((job = find_awaiting (jobs, process)) != NULL)
     mf_job_probe_done (job);
 }
 
-const MfTargetsUser mf_job_targets_callbacks = {
+const MfTargetsCallbacks mf_job_targets_callbacks = {
   .ended = on_upstream_ended,
   .added = on_upstream_added,
-  .looked = on_upstream_probed,
+  .probed = on_upstream_probed,
 };
 
 /* A run at an upstream broke, or was given up: it may have ended that, unless that leaves in order.
@@ -342,7 +343,7 @@
   mf_suspects_add_break (jobs->suspects, &(MfSuspectBreak){
                                              .digest = job->digest,
                                              .request = job->try_id,
-                                             .upstream = mf_target_process (target),
+                                             .upstream = mf_target_process_id (target),
                                              .place = mf_load_hash (target->info.address),
                                              .suspect = job->was_suspect,
                                              .sent_us = job->sent_us,
@@ -359,14 +360,14 @@
 void
 mf_job_retry_after_failure (MfJob *job, MfTarget *target, const MfJobDenial *denial)
 {
-  if (!job->was_suspect || target->look == NULL)
+  if (!job->was_suspect || target->probe == NULL)
     {
       mf_job_retry_or_end (job, denial);
       return;
     }
   job->denial = *denial;
   job->phase = MF_JOB_WAITING;
-  job->awaited_process_id = mf_target_process (target);
+  job->awaited_process_id = mf_target_process_id (target);
   job->step_deadline_us = mf_clock_now_us () + PROBE_TIMEOUT_US;
   mf_job_set_timer (job);
 }
@@ -378,7 +379,7 @@
   MfJobs *jobs = job->jobs;
 
   if (mf_suspects_n_breaks (jobs->suspects) > 0)
-    mf_suspects_release_upstream (jobs->suspects, mf_target_process (job->target), job->sent_us,
+    mf_suspects_release_upstream (jobs->suspects, mf_target_process_id (job->target), job->sent_us,
                                   on_failure_result, jobs);
 }
 
@@ -401,7 +402,7 @@
   was_reported = suspect->n_told > 0;
   mf_suspects_clear (jobs->suspects, job->digest);
   if (was_reported)
-    entry_send (jobs, &(MfSuspectRow){ .digest = job->digest, .cleared = true });
+    entry_send (jobs, &(MfSuspectEntry){ .digest = job->digest, .cleared = true });
 }
 
 /* Lets go of breaks whose upstreams nobody has heard of since. */
--- a/libmangofork/relay/peers.c
+++ b/libmangofork/relay/peers.c
@@ -13,18 +13,17 @@
 #include <unistd.h>
 
 #define READ_BYTES 8192
-/* What a peer told is reckoned with for so long after it fell silent: while it is only cut off, its
- * streams go on at the engines, and they last about as long. */
-#define KEEP_US (5 * MF_US_PER_S)
-/* A peer that cannot be reached is tried again after this time, doubled to the last. */
-#define REDIAL_FIRST_US (100 * MF_US_PER_MS)
-#define REDIAL_MAX_US (2 * MF_US_PER_S)
-/* A peer that was neither reached nor heard for this long is forgotten, unless it is a seed. */
-#define FORGET_US (30 * MF_US_PER_S)
-/* A peer acknowledges what it is sent within this time, or the connection is made anew. */
-#define UNACKED_US (1500 * MF_US_PER_MS)
-/* Connecting takes no longer. */
-#define CONNECT_US (1 * MF_US_PER_S)
+/* The load of a silent peer is counted for this long after its last report. If it is only
+ * partitioned, its streams continue at the engines, and they last about this long. */
+#define LOAD_KEEP_US (5 * MF_US_PER_S)
+/* Delay before a reconnect; doubled after each failure up to the maximum. */
+#define RECONNECT_FIRST_US (100 * MF_US_PER_MS)
+#define RECONNECT_MAX_US (2 * MF_US_PER_S)
+/* A peer that is no seed is removed after this long without a connection or a report. */
+#define FORGET_AFTER_US (30 * MF_US_PER_S)
+/* The connection is closed when sent data stays unacknowledged for this long. */
+#define UNACKED_TIMEOUT_US (1500 * MF_US_PER_MS)
+#define CONNECT_TIMEOUT_US (1 * MF_US_PER_S)
 #define TICK_S 0.05
 
 static MfPeer *
@@ -38,7 +37,7 @@
   return NULL;
 }
 
-/* The peer of a hash; NULL when there is none. */
+/* Returns the peer with this hash of its address, or NULL. */
 MfPeer *
 mf_peers_by_hash (const MfPeers *peers, uint64_t hash)
 {
@@ -50,34 +49,35 @@
   return NULL;
 }
 
-/* Closes the connection to a peer, to be made anew later. */
+/* Closes the connection to a peer and schedules a reconnect. */
 void
-mf_peer_hang_up (MfPeers *peers, MfPeer *peer)
+mf_peer_disconnect (MfPeers *peers, MfPeer *peer)
 {
   if (peer->fd < 0)
     return;
   ev_io_stop (peers->loop, &peer->writer);
   close (peer->fd);
   peer->fd = -1;
-  /* What it was asked on this connection may not have come to it. */
-  peer->lost = peer->lost || peer->connected;
+  /* Requests sent on this connection may not have arrived. */
+  peer->connection_lost = peer->connection_lost || peer->connected;
   peer->connected = false;
   mf_buffer_clear (&peer->out);
-  peer->redial_us = peer->redial_us == 0 ? REDIAL_FIRST_US : peer->redial_us * 2;
-  if (peer->redial_us > REDIAL_MAX_US)
-    peer->redial_us = REDIAL_MAX_US;
-  peer->redial_at_us = mf_clock_now_us () + peer->redial_us;
+  peer->reconnect_delay_us
+      = peer->reconnect_delay_us == 0 ? RECONNECT_FIRST_US : peer->reconnect_delay_us * 2;
+  if (peer->reconnect_delay_us > RECONNECT_MAX_US)
+    peer->reconnect_delay_us = RECONNECT_MAX_US;
+  peer->reconnect_at_us = mf_clock_now_us () + peer->reconnect_delay_us;
 }
 
 static void
 peer_free (MfPeers *peers, MfPeer *peer)
 {
-  mf_peer_hang_up (peers, peer);
+  mf_peer_disconnect (peers, peer);
   free (peer->entries);
   free (peer);
 }
 
-/* Sends what waits for a peer, as far as it takes it. */
+/* Sends buffered data to a peer until its socket would block. */
 void
 mf_peer_flush (MfPeers *peers, MfPeer *peer)
 {
@@ -95,7 +95,7 @@
         }
       if (n_sent < 0)
         {
-          mf_peer_hang_up (peers, peer);
+          mf_peer_disconnect (peers, peer);
           return;
         }
       mf_buffer_take (&peer->out, (size_t)n_sent);
@@ -109,41 +109,42 @@
 {
   MfPeer *peer = watcher->data;
   MfPeers *peers = peer->peers;
-  int fault = 0;
-  socklen_t fault_bytes = sizeof fault;
+  int socket_error = 0;
+  socklen_t socket_error_bytes = sizeof socket_error;
 
   (void)loop;
   (void)events;
   if (!peer->connected)
     {
-      if (getsockopt (peer->fd, SOL_SOCKET, SO_ERROR, &fault, &fault_bytes) != 0 || fault != 0)
+      if (getsockopt (peer->fd, SOL_SOCKET, SO_ERROR, &socket_error, &socket_error_bytes) != 0
+          || socket_error != 0)
         {
-          mf_peer_hang_up (peers, peer);
+          mf_peer_disconnect (peers, peer);
           return;
         }
       peer->connected = true;
-      peer->redial_us = 0;
+      peer->reconnect_delay_us = 0;
       peer->seen_us = mf_clock_now_us ();
-      peer->members_told = false;
-      peer->told_us = 0;
-      mf_peers_tell (peers, false);
-      if (peers->user->reached != NULL && mf_peers_introduces (peers, peer))
-        peers->user->reached (peers->data, peer->hash);
+      peer->members_sent = false;
+      peer->reported_us = 0;
+      mf_peers_send_reports (peers, false);
+      if (peers->callbacks->reached != NULL && mf_peers_shares_members (peers, peer))
+        peers->callbacks->reached (peers->data, peer->hash);
     }
   mf_peer_flush (peers, peer);
 }
 
 static void
-peer_dial (MfPeers *peers, MfPeer *peer)
+peer_connect (MfPeers *peers, MfPeer *peer)
 {
   MfError error = { 0 };
-  unsigned int unacked_ms = (unsigned int)(UNACKED_US / MF_US_PER_MS);
+  unsigned int unacked_ms = (unsigned int)(UNACKED_TIMEOUT_US / MF_US_PER_MS);
 
-  peer->dialled_us = mf_clock_now_us ();
+  peer->connect_started_us = mf_clock_now_us ();
   peer->fd = mf_socket_connect (peer->address, &error);
   if (peer->fd < 0)
     {
-      peer->redial_at_us = mf_clock_now_us () + REDIAL_MAX_US;
+      peer->reconnect_at_us = mf_clock_now_us () + RECONNECT_MAX_US;
       return;
     }
   setsockopt (peer->fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacked_ms, sizeof unacked_ms);
@@ -168,7 +169,7 @@
     return NULL;
   peer->peers = peers;
   peer->hash = mf_load_hash (address);
-  peer->grant_told = true;
+  peer->grant_acked = true;
   mf_name_set (peer->address, sizeof peer->address, address);
   peer->is_seed = is_seed;
   peer->fd = -1;
@@ -176,9 +177,9 @@
   return peer;
 }
 
-/* Addresses at which some instances may be found; comma-separated. */
+/* Adds the instances that are contacted first, from a comma-separated list of addresses. */
 void
-mf_peers_seed (MfPeers *peers, const char *addresses)
+mf_peers_add_seeds (MfPeers *peers, const char *addresses)
 {
   const char *at = addresses;
 
@@ -199,20 +200,20 @@
     }
 }
 
-/* Tells the user once that a peer is gone, until it is heard again. */
+/* Calls the gone callback, once until the next report of the peer. */
 static void
-peer_gone (MfPeers *peers, MfPeer *peer)
+peer_notify_gone (MfPeers *peers, MfPeer *peer)
 {
-  peer->lost = false;
-  if (peer->told_gone || peers->closing)
+  peer->connection_lost = false;
+  if (peer->gone_notified || peers->closing)
     return;
-  peer->told_gone = true;
-  peers->user->gone (peers->data, peer->hash);
+  peer->gone_notified = true;
+  peers->callbacks->gone (peers->data, peer->hash);
 }
 
-/* Takes a report in place of the peer's last one. */
+/* Replaces the last report of the peer. */
 static void
-report_take (MfPeers *peers, const MfLoadReport *report)
+report_apply (MfPeers *peers, const MfLoadReport *report)
 {
   uint64_t now_us = mf_clock_now_us ();
   MfPeer *peer = peer_add (peers, report->address, false);
@@ -221,18 +222,19 @@
     peer_add (peers, report->members[i], false);
   if (peer == NULL)
     return;
-  if (peer->heard_us == 0)
+  if (peer->last_report_us == 0)
     {
-      mf_relay_log_state (peers->lines, "peer.heard", "peer=%s peers=%u", peer->address,
+      mf_relay_log_state (peers->log, "peer.heard", "peer=%s peers=%u", peer->address,
                           peers->n_peers);
     }
-  peer->heard_us = now_us;
-  peer->told_gone = false;
+  peer->last_report_us = now_us;
+  peer->gone_notified = false;
   peer->seen_us = now_us;
-  peer->fresh_us = (uint64_t)report->heartbeat_ms * MF_US_PER_MS * MF_PEERS_FRESH_PERCENT / 100;
-  /* It lives, so it is worth dialling at once. */
-  if (peer->fd < 0 && peer->redial_at_us > now_us + REDIAL_FIRST_US)
-    peer->redial_at_us = now_us;
+  peer->report_lifetime_us
+      = (uint64_t)report->heartbeat_ms * MF_US_PER_MS * MF_PEERS_REPORT_LIFETIME_PERCENT / 100;
+  /* The peer is alive, so reconnect without waiting for the backoff to end. */
+  if (peer->fd < 0 && peer->reconnect_at_us > now_us + RECONNECT_FIRST_US)
+    peer->reconnect_at_us = now_us;
   if (report->n_entries > peer->n_entries || peer->entries == NULL)
     {
       MfLoadEntry *entries
@@ -248,13 +250,13 @@
   memcpy (peer->votes, report->votes, sizeof peer->votes);
   peer->n_votes = report->n_votes;
   for (uint32_t i = 0; i < report->n_votes; i++)
-    mf_peers_hear_fence (peers, report->votes[i].service, report->votes[i].fence);
-  peers->user->changed (peers->data);
+    mf_peers_raise_fence (peers, report->votes[i].service, report->votes[i].fence);
+  peers->callbacks->loads_changed (peers->data);
 }
 
-/* Whether the same peer speaks on another connection as well. */
+/* Whether the same peer has another incoming connection. */
 static bool
-has_successor (const MfPeerIncoming *incoming)
+has_other_connection (const MfPeerIncoming *incoming)
 {
   for (const MfPeerIncoming *other = incoming->peers->incoming; other != NULL; other = other->next)
     {
@@ -268,22 +270,22 @@
 incoming_close (MfPeerIncoming *incoming)
 {
   MfPeers *peers = incoming->peers;
-  MfPeer *peer = has_successor (incoming) ? NULL : peer_find (peers, incoming->address);
+  MfPeer *peer = has_other_connection (incoming) ? NULL : peer_find (peers, incoming->address);
 
-  /* A process that ends drops its requests at the engines with it. */
-  if (peer != NULL && peer->heard_us > 0 && !peers->closing)
+  /* When a process exits, its requests at the engines end with it. */
+  if (peer != NULL && peer->last_report_us > 0 && !peers->closing)
     {
-      mf_relay_log_state (peers->lines, "peer.closed", "peer=%s entries=%u", peer->address,
+      mf_relay_log_state (peers->log, "peer.closed", "peer=%s entries=%u", peer->address,
                           peer->n_entries);
       peer->n_entries = 0;
-      peer->heard_us = 0;
-      peer_gone (peers, peer);
+      peer->last_report_us = 0;
+      peer_notify_gone (peers, peer);
     }
-  for (MfPeerIncoming **place = &peers->incoming; *place != NULL; place = &(*place)->next)
+  for (MfPeerIncoming **link = &peers->incoming; *link != NULL; link = &(*link)->next)
     {
-      if (*place != incoming)
+      if (*link != incoming)
         continue;
-      *place = incoming->next;
+      *link = incoming->next;
       break;
     }
   ev_io_stop (peers->loop, &incoming->reader);
@@ -292,16 +294,17 @@
   free (incoming);
 }
 
-/* Whether what a message tells is acted on, not only weighed. */
+/* Whether the receiver acts on messages of this kind, instead of using them as hints. Their sender
+ * is checked. */
 static bool
-is_acted_on (MfRelayMessageKind kind)
+needs_sender_check (MfRelayMessageKind kind)
 {
   return kind == MF_RELAY_MESSAGE_FEED || kind == MF_RELAY_MESSAGE_SUSPECTS;
 }
 
 /* Whether a connection comes from the host that its reports name. */
 static bool
-incoming_is_from_its_address (const MfPeerIncoming *incoming)
+incoming_matches_address (const MfPeerIncoming *incoming)
 {
   struct sockaddr_in from = { 0 };
   socklen_t from_bytes = sizeof from;
@@ -315,9 +318,9 @@
   return strncmp (incoming->address, host, host_bytes) == 0 && incoming->address[host_bytes] == ':';
 }
 
-/* Takes the frames that are whole. Returns false when what came is no frame. */
+/* Handles all complete frames. Returns false when the data is malformed. */
 static bool
-incoming_take (MfPeerIncoming *incoming)
+incoming_read_frames (MfPeerIncoming *incoming)
 {
   MfPeers *peers = incoming->peers;
 
@@ -337,11 +340,11 @@
       if (peers->in.kind == MF_RELAY_MESSAGE_REPORT)
         {
           memcpy (incoming->address, peers->in.report.address, sizeof incoming->address);
-          report_take (peers, &peers->in.report);
+          report_apply (peers, &peers->in.report);
         }
       else if (incoming->address[0] != '\0'
-               && (!is_acted_on (peers->in.kind) || incoming_is_from_its_address (incoming)))
-        peers->user->message (peers->data, mf_load_hash (incoming->address), &peers->in);
+               && (!needs_sender_check (peers->in.kind) || incoming_matches_address (incoming)))
+        peers->callbacks->message (peers->data, mf_load_hash (incoming->address), &peers->in);
     }
   return !incoming->in.failed;
 }
@@ -363,9 +366,9 @@
       return;
     }
   mf_buffer_add (&incoming->in, bytes, (size_t)n_read);
-  if (incoming_take (incoming))
+  if (incoming_read_frames (incoming))
     return;
-  mf_relay_log_state (incoming->peers->lines, "peer.faulty", "peer=%s", incoming->address);
+  mf_relay_log_state (incoming->peers->log, "peer.faulty", "peer=%s", incoming->address);
   incoming_close (incoming);
 }
 
@@ -407,38 +410,40 @@
     {
       MfPeer *peer = peers->list[i];
 
-      if (peer->lost)
-        peer_gone (peers, peer);
-      if (!peer->is_seed && peer->fd < 0 && now_us - peer->seen_us > FORGET_US
-          && peer->redial_us >= REDIAL_MAX_US)
+      if (peer->connection_lost)
+        peer_notify_gone (peers, peer);
+      if (!peer->is_seed && peer->fd < 0 && now_us - peer->seen_us > FORGET_AFTER_US
+          && peer->reconnect_delay_us >= RECONNECT_MAX_US)
         {
           peer_free (peers, peer);
           peers->list[i--] = peers->list[--peers->n_peers];
         }
-      else if (peer->fd < 0 && now_us >= peer->redial_at_us)
-        peer_dial (peers, peer);
-      else if (peer->fd >= 0 && !peer->connected && now_us - peer->dialled_us > CONNECT_US)
-        mf_peer_hang_up (peers, peer);
+      else if (peer->fd < 0 && now_us >= peer->reconnect_at_us)
+        peer_connect (peers, peer);
+      else if (peer->fd >= 0 && !peer->connected
+               && now_us - peer->connect_started_us > CONNECT_TIMEOUT_US)
+        mf_peer_disconnect (peers, peer);
     }
-  mf_peers_tell (peers, false);
+  mf_peers_send_reports (peers, false);
 }
 
-/* Listens at an address, which is also the one others are told. NULL with error set. */
+/* Listens at an address, which is also announced to the peers. Returns NULL with error set on
+ * failure. */
 MfPeers *
-mf_peers_new (struct ev_loop *loop, const char *address, const MfPeersUser *user, void *data,
-              MfRelayLog *lines, MfError *error)
+mf_peers_new (struct ev_loop *loop, const char *address, const MfPeersCallbacks *callbacks,
+              void *data, MfRelayLog *log, MfError *error)
 {
   MfPeers *peers = calloc (1, sizeof *peers);
 
   if (peers == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the peers");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory allocating the peer list");
       return NULL;
     }
   peers->loop = loop;
-  peers->user = user;
+  peers->callbacks = callbacks;
   peers->data = data;
-  peers->lines = lines;
+  peers->log = log;
   mf_name_set (peers->address, sizeof peers->address, address);
   peers->hash = mf_load_hash (address);
   peers->fd = mf_socket_listen (address, error);
@@ -453,8 +458,8 @@
   ev_timer_init (&peers->tick, on_tick, TICK_S, TICK_S);
   peers->tick.data = peers;
   ev_timer_start (loop, &peers->tick);
-  ev_init (&peers->tell, mf_peers_on_tell);
-  peers->tell.data = peers;
+  ev_init (&peers->report_timer, mf_peers_on_report_timer);
+  peers->report_timer.data = peers;
   return peers;
 }
 
@@ -466,7 +471,7 @@
     return;
   peers->closing = true;
   ev_timer_stop (peers->loop, &peers->tick);
-  ev_timer_stop (peers->loop, &peers->tell);
+  ev_timer_stop (peers->loop, &peers->report_timer);
   ev_io_stop (peers->loop, &peers->acceptor);
   close (peers->fd);
   while (peers->incoming != NULL)
@@ -477,36 +482,38 @@
   free (peers);
 }
 
-/* Calls func for each entry that another instance has told and that still holds. */
+/* Calls func for each load entry of other instances, except those of reports older than
+ * LOAD_KEEP_US. */
 void
-mf_peers_foreach (const MfPeers *peers, uint64_t now_us,
-                  void (*func) (void *data, const MfLoadEntry *entry, uint64_t told_us), void *data)
+mf_peers_foreach_entry (const MfPeers *peers, uint64_t now_us,
+                        void (*func) (void *data, const MfLoadEntry *entry, uint64_t received_us),
+                        void *data)
 {
   for (uint32_t i = 0; i < peers->n_peers; i++)
     {
       const MfPeer *peer = peers->list[i];
 
-      if (peer->heard_us == 0 || now_us - peer->heard_us > KEEP_US)
+      if (peer->last_report_us == 0 || now_us - peer->last_report_us > LOAD_KEEP_US)
         continue;
       for (uint32_t j = 0; j < peer->n_entries; j++)
-        func (data, &peer->entries[j], peer->heard_us);
+        func (data, &peer->entries[j], peer->last_report_us);
     }
 }
 
-/* Instances heard of lately, this one included. */
+/* Returns the number of instances with a valid report, including this one. */
 uint32_t
-mf_peers_count (const MfPeers *peers, uint64_t now_us)
+mf_peers_n_alive (const MfPeers *peers, uint64_t now_us)
 {
-  uint32_t n_heard = 1;
+  uint32_t n_alive = 1;
 
   for (uint32_t i = 0; i < peers->n_peers; i++)
-    n_heard += mf_peer_is_heard (peers->list[i], now_us);
-  return n_heard;
+    n_alive += mf_peer_is_alive (peers->list[i], now_us);
+  return n_alive;
 }
 
-/* Instances that are known, heard of lately or not, this one included. */
+/* Returns the number of known instances, alive or not, including this one. */
 uint32_t
-mf_peers_known (const MfPeers *peers)
+mf_peers_n_known (const MfPeers *peers)
 {
   return peers->n_peers + 1;
 }
--- a/libmangofork/relay/peers_lead.c
+++ b/libmangofork/relay/peers_lead.c
@@ -2,21 +2,23 @@
 
 #include "libmangofork/clock.h"
 
-/* A peer that did not answer is not asked for so long. */
-#define DISTRUST_US (2 * MF_US_PER_S)
-/* Machines' times of day differ by less, also when they jump. */
-#define FENCE_AHEAD_MS (UINT64_C (3600) * 1000)
-/* Odd number that spreads the ranks of instances (2^64 divided by the golden ratio). */
+/* A leader that did not answer is not chosen again for this long. */
+#define LEADER_EXCLUDE_US (2 * MF_US_PER_S)
+/* Upper bound of the difference between the wall clocks of two machines, clock steps included. */
+#define FENCE_AHEAD_MAX_MS (UINT64_C (3600) * 1000)
+/* Multiplier of the rank hash: an odd number, 2^64 divided by the golden ratio (Fibonacci hashing).
+ */
 #define RANK_FACTOR UINT64_C (0x9e3779b97f4a7c15)
 
-/* Whether a peer has reported within the time it promised. */
+/* Whether the last report of a peer is still valid. */
 bool
-mf_peer_is_heard (const MfPeer *peer, uint64_t now_us)
+mf_peer_is_alive (const MfPeer *peer, uint64_t now_us)
 {
-  return peer->heard_us > 0 && now_us - peer->heard_us <= peer->fresh_us;
+  return peer->last_report_us > 0 && now_us - peer->last_report_us <= peer->report_lifetime_us;
 }
 
-/* The instance of the highest rank for a service among those that can be asked; NULL: this one. */
+/* Returns the reachable peer with the highest rank for a service (rendezvous hashing), or NULL when
+ * this instance ranks highest. */
 MfPeer *
 mf_peers_find_leader (const MfPeers *peers, uint64_t service_hash, uint64_t now_us)
 {
@@ -28,8 +30,8 @@
       MfPeer *peer = peers->list[i];
       uint64_t rank = (peer->hash ^ service_hash) * RANK_FACTOR;
 
-      if (rank <= best_rank || !peer->connected || !mf_peer_is_heard (peer, now_us)
-          || peer->distrusted_us > now_us)
+      if (rank <= best_rank || !peer->connected || !mf_peer_is_alive (peer, now_us)
+          || peer->leader_excluded_until_us > now_us)
         continue;
       best = peer;
       best_rank = rank;
@@ -37,9 +39,9 @@
   return best;
 }
 
-/* From now on reports name the leader of this service. */
+/* Adds a service to those whose leader is named in reports. */
 static void
-service_note (MfPeers *peers, uint64_t service_hash)
+service_add (MfPeers *peers, uint64_t service_hash)
 {
   for (uint32_t i = 0; i < peers->n_services; i++)
     {
@@ -50,11 +52,12 @@
     peers->services[peers->n_services++] = service_hash;
 }
 
-/* Somebody has given an order with this fence. One far ahead of the time of day is nobody's. */
+/* Raises the highest known fencing token of a service. A token far ahead of the wall clock is
+ * invalid and ignored. */
 void
-mf_peers_hear_fence (MfPeers *peers, uint64_t service_hash, uint64_t fence)
+mf_peers_raise_fence (MfPeers *peers, uint64_t service_hash, uint64_t fence)
 {
-  if (fence >> MF_FENCE_OWN_BITS > mf_clock_wall_ms () + FENCE_AHEAD_MS)
+  if (fence >> MF_FENCE_OWN_BITS > mf_clock_wall_ms () + FENCE_AHEAD_MAX_MS)
     return;
   for (uint32_t i = 0; i < peers->n_services; i++)
     {
@@ -63,17 +66,17 @@
     }
 }
 
-/* This instance gives an order with this fence; the others are told. */
+/* Records the fencing token of an order by this instance; the next reports carry it. */
 void
-mf_peers_note_fence (MfPeers *peers, const char *service, uint64_t fence)
+mf_peers_record_fence (MfPeers *peers, const char *service, uint64_t fence)
 {
   uint64_t service_hash = mf_load_hash (service);
 
-  service_note (peers, service_hash);
-  mf_peers_hear_fence (peers, service_hash, fence);
+  service_add (peers, service_hash);
+  mf_peers_raise_fence (peers, service_hash, fence);
 }
 
-/* The highest fence of an order for a service that is known here; 0: none is. */
+/* Returns the highest known fencing token of orders for a service; 0 when none is known. */
 uint64_t
 mf_peers_fence (const MfPeers *peers, const char *service)
 {
@@ -87,26 +90,26 @@
   return 0;
 }
 
-/* The instance that decides for all about a service: a peer, or 0 for this one. */
+/* Returns the leader of a service: the hash of a peer, or MF_DISPATCH_SELF. */
 uint64_t
 mf_peers_leader (MfPeers *peers, const char *service, uint64_t now_us)
 {
   uint64_t service_hash = mf_load_hash (service);
   MfPeer *best = mf_peers_find_leader (peers, service_hash, now_us);
 
-  service_note (peers, service_hash);
+  service_add (peers, service_hash);
   if (best == NULL)
     return MF_DISPATCH_SELF;
-  /* One that begins to decide knows what it was told at the last heartbeat only. */
-  if (now_us - best->leader_us >= MF_PEERS_LEADER_US)
-    mf_peer_tell (peers, best);
-  best->leader_us = now_us;
+  /* A peer that was not used as leader lately knows only the load of the last heartbeat. */
+  if (now_us - best->leader_used_us >= MF_PEERS_LEADER_REPORT_US)
+    mf_peer_send_report (peers, best);
+  best->leader_used_us = now_us;
   return best->hash;
 }
 
-/* Whether a peer names this instance as the leader of a service. */
+/* Whether a peer votes for this instance as leader of a service. */
 static bool
-votes_for_own (const MfPeers *peers, const MfPeer *peer, uint64_t service_hash)
+votes_for_self (const MfPeers *peers, const MfPeer *peer, uint64_t service_hash)
 {
   for (uint32_t i = 0; i < peer->n_votes; i++)
     {
@@ -116,45 +119,45 @@
   return false;
 }
 
-/* Whether this instance decides about a service and more than half of all that are known say so;
- * two instances that cannot hear each other are not both told yes. */
+/* Whether this instance is the leader of a service by the votes of more than half of all known
+ * instances. The majority ensures that a network partition cannot produce two leaders. */
 bool
-mf_peers_leads (MfPeers *peers, const char *service, uint64_t now_us)
+mf_peers_is_leader (MfPeers *peers, const char *service, uint64_t now_us)
 {
   uint64_t service_hash = mf_load_hash (service);
   uint32_t n_votes = 1;
 
-  service_note (peers, service_hash);
+  service_add (peers, service_hash);
   if (mf_peers_find_leader (peers, service_hash, now_us) != NULL)
     return false;
   for (uint32_t i = 0; i < peers->n_peers; i++)
-    n_votes += mf_peer_is_heard (peers->list[i], now_us)
-               && votes_for_own (peers, peers->list[i], service_hash);
+    n_votes += mf_peer_is_alive (peers->list[i], now_us)
+               && votes_for_self (peers, peers->list[i], service_hash);
   return n_votes * 2 > peers->n_peers + 1;
 }
 
-/* The peer did not answer: it decides for nobody here for a while. */
+/* Keeps a peer that did not answer from being chosen as leader for LEADER_EXCLUDE_US. */
 void
-mf_peers_distrust (MfPeers *peers, uint64_t hash)
+mf_peers_exclude_leader (MfPeers *peers, uint64_t hash)
 {
   MfPeer *peer = mf_peers_by_hash (peers, hash);
 
   if (peer != NULL)
-    peer->distrusted_us = mf_clock_now_us () + DISTRUST_US;
+    peer->leader_excluded_until_us = mf_clock_now_us () + LEADER_EXCLUDE_US;
 }
 
-/* The data centre that this instance stands in. */
+/* Sets the data centre of this instance. */
 void
 mf_peers_set_data_centre (MfPeers *peers, const char *data_centre)
 {
   peers->data_centre = (uint16_t)mf_load_hash (data_centre);
 }
 
-/* Where this instance stands among those of its data centre that are in touch. */
-MfFeedStanding
-mf_peers_standing (const MfPeers *peers, uint64_t now_us)
+/* Returns the rank of this instance among the reachable instances of its data centre. */
+MfFeedRank
+mf_peers_feed_rank (const MfPeers *peers, uint64_t now_us)
 {
-  MfFeedStanding standing = { .n_instances = 1 };
+  MfFeedRank rank = { .n_instances = 1 };
   uint64_t own_rank = peers->hash * RANK_FACTOR;
 
   for (uint32_t i = 0; i < peers->n_peers; i++)
@@ -162,10 +165,10 @@
       const MfPeer *peer = peers->list[i];
 
       if (peer->data_centre != peers->data_centre || !peer->connected
-          || !mf_peer_is_heard (peer, now_us))
+          || !mf_peer_is_alive (peer, now_us))
         continue;
-      standing.n_instances++;
-      standing.rank += peer->hash * RANK_FACTOR > own_rank;
+      rank.n_instances++;
+      rank.rank += peer->hash * RANK_FACTOR > own_rank;
     }
-  return standing;
+  return rank;
 }
--- a/libmangofork/relay/peers_tell.c
+++ b/libmangofork/relay/peers_tell.c
@@ -4,19 +4,20 @@
 
 #include <string.h>
 
-/* Changes are told together, this often at most. */
-#define TELL_EVERY_US (4 * MF_US_PER_MS)
-/* Up to so many peers are all told of each change. */
-#define SMALL_FLEET 12
-/* A report that changes nothing still goes out this often, a little less so in large fleets. */
+/* Minimum interval between reports of changes; changes within it are combined. */
+#define REPORT_INTERVAL_MIN_US (4 * MF_US_PER_MS)
+/* With at most this many peers, each change is reported to all of them. */
+#define SMALL_FLEET_PEERS_MAX 12
+/* Heartbeat: a report is sent at this interval even without changes. The interval grows with the
+ * number of peers. */
 #define HEARTBEAT_MIN_US (400 * MF_US_PER_MS)
 #define HEARTBEAT_PER_PEER_US (12 * MF_US_PER_MS)
-/* In fleets of up to so many every instance tells the members, in larger ones the seeds and one of
- * so many others. */
-#define MEMBERS_TOLD_BY_ALL 24
-#define MEMBERS_TOLD_BY_PART 16
-/* Bytes that may wait for a peer that does not read; its connection is then made anew. */
-#define WAITING_BYTES_MAX 65536
+/* With at most this many peers, every instance sends the member list to new connections. With more,
+ * only the seeds and one of MEMBERS_SENDERS_DIVISOR other instances do. */
+#define MEMBERS_SENT_BY_ALL_MAX 24
+#define MEMBERS_SENDERS_DIVISOR 16
+/* Maximum unsent bytes for a peer that does not read; beyond it, the connection is reopened. */
+#define UNSENT_BYTES_MAX 65536
 
 static uint64_t
 heartbeat_us (const MfPeers *peers)
@@ -26,30 +27,30 @@
   return scaled > HEARTBEAT_MIN_US ? scaled : HEARTBEAT_MIN_US;
 }
 
-/* How long what an instance last told of itself is taken to hold, in a fleet of this size. */
+/* Returns how long a report is valid in a fleet of this size. */
 uint64_t
-mf_peers_fresh_us (const MfPeers *peers)
+mf_peers_report_lifetime_us (const MfPeers *peers)
 {
-  return heartbeat_us (peers) * MF_PEERS_FRESH_PERCENT / 100;
+  return heartbeat_us (peers) * MF_PEERS_REPORT_LIFETIME_PERCENT / 100;
 }
 
 static void
-peer_put (MfPeers *peers, MfPeer *peer, const MfBuffer *frames)
+peer_queue_frames (MfPeers *peers, MfPeer *peer, const MfBuffer *frames)
 {
   if (!peer->connected)
     return;
-  if (mf_buffer_bytes (&peer->out) > WAITING_BYTES_MAX)
+  if (mf_buffer_bytes (&peer->out) > UNSENT_BYTES_MAX)
     {
-      mf_peer_hang_up (peers, peer);
+      mf_peer_disconnect (peers, peer);
       return;
     }
   mf_buffer_add (&peer->out, mf_buffer_data (frames), mf_buffer_bytes (frames));
   mf_peer_flush (peers, peer);
 }
 
-/* Writes a report of what this instance has now. */
+/* Encodes a report of the current load of this instance. */
 static void
-report_write (MfPeers *peers, bool with_members, MfBuffer *frame)
+report_encode (MfPeers *peers, bool with_members, MfBuffer *frame)
 {
   MfLoadReport *report = &peers->out.report;
   uint64_t now_us = mf_clock_now_us ();
@@ -61,7 +62,7 @@
   report->n_entries = 0;
   report->n_members = 0;
   report->n_votes = 0;
-  peers->user->fill (peers->data, report);
+  peers->callbacks->fill_report (peers->data, report);
   for (uint32_t i = 0; i < peers->n_services; i++)
     {
       const MfPeer *leader = mf_peers_find_leader (peers, peers->services[i], now_us);
@@ -81,97 +82,99 @@
   mf_relay_message_encode (&peers->out, frame);
 }
 
-/* Tells a peer that the report after this includes a grant of its. */
+/* Sends the pending acknowledgement of a grant: the report that follows includes the grant. */
 static void
-seen_put (MfPeers *peers, MfPeer *peer)
+grant_ack_send (MfPeers *peers, MfPeer *peer)
 {
   MfBuffer frame = { 0 };
 
-  if (peer->grant_told)
+  if (peer->grant_acked)
     return;
-  peer->grant_told = true;
-  peers->out.kind = MF_RELAY_MESSAGE_SEEN;
+  peer->grant_acked = true;
+  peers->out.kind = MF_RELAY_MESSAGE_GRANT_ACK;
   peers->out.grant.id = peer->grant_id;
   mf_relay_message_encode (&peers->out, &frame);
-  peer_put (peers, peer, &frame);
+  peer_queue_frames (peers, peer, &frame);
   mf_buffer_clear (&frame);
 }
 
-/* Whether a peer is to be told now: at its heartbeat, and of changes when it decides for this
- * instance or the fleet is small. */
+/* Whether a report to a peer is due: at each heartbeat, and on changes when the peer is used as
+ * leader or the fleet is small. */
 static bool
-is_due (const MfPeers *peers, const MfPeer *peer, bool changed, uint64_t now_us)
+is_report_due (const MfPeers *peers, const MfPeer *peer, bool changed, uint64_t now_us)
 {
   if (!peer->connected)
     return false;
-  if (now_us - peer->told_us >= heartbeat_us (peers))
+  if (now_us - peer->reported_us >= heartbeat_us (peers))
     return true;
   return changed
-         && (peers->n_peers <= SMALL_FLEET || now_us - peer->leader_us < MF_PEERS_LEADER_US);
+         && (peers->n_peers <= SMALL_FLEET_PEERS_MAX
+             || now_us - peer->leader_used_us < MF_PEERS_LEADER_REPORT_US);
 }
 
-/* Whether a peer is told the members, and what all were told before, when it is reached. Who starts
- * anew learns them from a seed, and is then known to all whom it reaches; a few others tell them as
- * well, as seeds may be away. */
+/* Whether this instance sends the member list and earlier broadcasts to a newly connected peer. A
+ * new instance learns the members from a seed and becomes known to all that it connects to. A few
+ * instances that are no seeds send the list too, because the seeds may be down. */
 bool
-mf_peers_introduces (const MfPeers *peers, const MfPeer *peer)
+mf_peers_shares_members (const MfPeers *peers, const MfPeer *peer)
 {
-  return peers->is_seed || peers->n_peers <= MEMBERS_TOLD_BY_ALL
-         || (peer->hash ^ peers->hash) % MEMBERS_TOLD_BY_PART == 0;
+  return peers->is_seed || peers->n_peers <= MEMBERS_SENT_BY_ALL_MAX
+         || (peer->hash ^ peers->hash) % MEMBERS_SENDERS_DIVISOR == 0;
 }
 
-/* Tells the peers that are due; with its first report on a connection, a peer is told the members.
- */
+/* Sends a report to each peer for which one is due. The first report on a connection includes the
+ * member list if this instance sends it to the peer. */
 void
-mf_peers_tell (MfPeers *peers, bool changed)
+mf_peers_send_reports (MfPeers *peers, bool changed)
 {
   uint64_t now_us = mf_clock_now_us ();
   MfBuffer plain = { 0 };
   MfBuffer full = { 0 };
 
-  peers->told_us = now_us;
+  peers->reported_us = now_us;
   for (uint32_t i = 0; i < peers->n_peers; i++)
     {
       MfPeer *peer = peers->list[i];
-      bool wants = !peer->members_told && mf_peers_introduces (peers, peer);
-      MfBuffer *frame = wants ? &full : &plain;
+      bool with_members = !peer->members_sent && mf_peers_shares_members (peers, peer);
+      MfBuffer *frame = with_members ? &full : &plain;
 
-      if (!is_due (peers, peer, changed, now_us))
+      if (!is_report_due (peers, peer, changed, now_us))
         continue;
       if (mf_buffer_bytes (frame) == 0)
-        report_write (peers, wants, frame);
-      peer->members_told = true;
-      peer->told_us = now_us;
-      seen_put (peers, peer);
-      peer_put (peers, peer, frame);
+        report_encode (peers, with_members, frame);
+      peer->members_sent = true;
+      peer->reported_us = now_us;
+      grant_ack_send (peers, peer);
+      peer_queue_frames (peers, peer, frame);
     }
   mf_buffer_clear (&plain);
   mf_buffer_clear (&full);
 }
 
 void
-mf_peers_on_tell (struct ev_loop *loop, ev_timer *watcher, int events)
+mf_peers_on_report_timer (struct ev_loop *loop, ev_timer *watcher, int events)
 {
   (void)events;
   ev_timer_stop (loop, watcher);
-  mf_peers_tell (watcher->data, true);
+  mf_peers_send_reports (watcher->data, true);
 }
 
-/* What this instance has has changed: the others are told soon. */
+/* Schedules a report after a change in the load of this instance. */
 void
-mf_peers_touch (MfPeers *peers)
+mf_peers_schedule_report (MfPeers *peers)
 {
   uint64_t now_us = mf_clock_now_us ();
-  uint64_t due_us = peers->told_us + TELL_EVERY_US;
+  uint64_t due_us = peers->reported_us + REPORT_INTERVAL_MIN_US;
 
-  if (peers->n_peers == 0 || ev_is_active (&peers->tell))
+  if (peers->n_peers == 0 || ev_is_active (&peers->report_timer))
     return;
-  /* What happens in one turn of the loop is told together. */
-  ev_timer_set (&peers->tell, due_us > now_us ? (double)(due_us - now_us) / 1e6 : 0.0005, 0.);
-  ev_timer_start (peers->loop, &peers->tell);
+  /* Changes within one iteration of the event loop are reported together. */
+  ev_timer_set (&peers->report_timer, due_us > now_us ? (double)(due_us - now_us) / 1e6 : 0.0005,
+                0.);
+  ev_timer_start (peers->loop, &peers->report_timer);
 }
 
-/* Sends a message; false when the peer is not connected. */
+/* Sends a message to one peer. Returns false when the peer is not connected. */
 bool
 mf_peers_send (MfPeers *peers, uint64_t hash, const MfRelayMessage *message)
 {
@@ -181,13 +184,13 @@
   if (peer == NULL || !peer->connected)
     return false;
   mf_relay_message_encode (message, &frame);
-  peer_put (peers, peer, &frame);
+  peer_queue_frames (peers, peer, &frame);
   mf_buffer_clear (&frame);
   return peer->connected;
 }
 
 static void
-send_some (MfPeers *peers, const MfRelayMessage *message, bool near_only)
+send_to_peers (MfPeers *peers, const MfRelayMessage *message, bool local_only)
 {
   MfBuffer frame = { 0 };
 
@@ -196,47 +199,47 @@
     {
       MfPeer *peer = peers->list[i];
 
-      if (!near_only || (peer->heard_us > 0 && peer->data_centre == peers->data_centre))
-        peer_put (peers, peer, &frame);
+      if (!local_only || (peer->last_report_us > 0 && peer->data_centre == peers->data_centre))
+        peer_queue_frames (peers, peer, &frame);
     }
   mf_buffer_clear (&frame);
 }
 
-/* Sends a message to all peers that are connected. */
+/* Sends a message to all connected peers. */
 void
 mf_peers_send_all (MfPeers *peers, const MfRelayMessage *message)
 {
-  send_some (peers, message, false);
+  send_to_peers (peers, message, false);
 }
 
-/* Sends a message to all peers of the same data centre. */
+/* Sends a message to all connected peers in the data centre of this instance. */
 void
-mf_peers_send_near (MfPeers *peers, const MfRelayMessage *message)
+mf_peers_send_local (MfPeers *peers, const MfRelayMessage *message)
 {
-  send_some (peers, message, true);
+  send_to_peers (peers, message, true);
 }
 
-/* Tells one peer what this instance has now. */
+/* Sends a report to one peer. */
 void
-mf_peer_tell (MfPeers *peers, MfPeer *peer)
+mf_peer_send_report (MfPeers *peers, MfPeer *peer)
 {
   MfBuffer frame = { 0 };
 
-  report_write (peers, false, &frame);
-  peer->told_us = mf_clock_now_us ();
-  seen_put (peers, peer);
-  peer_put (peers, peer, &frame);
+  report_encode (peers, false, &frame);
+  peer->reported_us = mf_clock_now_us ();
+  grant_ack_send (peers, peer);
+  peer_queue_frames (peers, peer, &frame);
   mf_buffer_clear (&frame);
 }
 
-/* The next report to this peer will show this grant of its. */
+/* Acknowledges a grant by a peer with the next report to it. */
 void
-mf_peers_note_grant (MfPeers *peers, uint64_t hash, uint64_t grant_id)
+mf_peers_ack_grant (MfPeers *peers, uint64_t hash, uint64_t grant_id)
 {
   MfPeer *peer = mf_peers_by_hash (peers, hash);
 
   if (peer == NULL)
     return;
   peer->grant_id = grant_id;
-  peer->grant_told = false;
+  peer->grant_acked = false;
 }
--- a/libmangofork/relay/target.c
+++ b/libmangofork/relay/target.c
@@ -13,7 +13,7 @@
 #define AVERAGE_WEIGHT 0.15
 /* What was seen of an upstream counts half after this time, as slow and failing ones recover within
  * seconds. */
-#define MEMORY_HALF_US (3. * (double)MF_US_PER_S)
+#define AVERAGE_HALF_LIFE_US (3. * (double)MF_US_PER_S)
 /* An upstream that cannot be reached is left alone for this long, doubled with each failure. */
 #define SUSPECT_FIRST_US (300 * MF_US_PER_MS)
 #define SUSPECT_MAX_US (2400 * MF_US_PER_MS)
@@ -34,8 +34,8 @@
 /* An upstream that declined for want of room is not asked by others for so long; doubled each time,
  * up to the last, while it declines with nothing there: an engine that changes its stage does so
  * for seconds, and who has just started does not know of the order. */
-#define FULL_US (120 * MF_US_PER_MS)
-#define FULL_DOUBLINGS 4
+#define DECLINED_US (120 * MF_US_PER_MS)
+#define DECLINED_DOUBLINGS 4
 
 static void
 target_free (MfTarget *target)
@@ -86,79 +86,79 @@
 
 /* Names the process, which a later one of the same id is not. Never 0. */
 uint64_t
-mf_target_process (const MfTarget *target)
+mf_target_process_id (const MfTarget *target)
 {
-  uint64_t parts[] = { target->id_hash, target->info.born_ms };
+  uint64_t parts[] = { target->id_hash, target->info.started_ms };
   uint64_t process = XXH3_64bits (parts, sizeof parts);
 
   return process != 0 ? process : 1;
 }
 
 static void
-target_note_end (MfTarget *target, const char *why)
+target_record_end (MfTarget *target, const char *why)
 {
   MfTargets *targets = target->targets;
 
   target->ended_us = mf_clock_now_us ();
-  if (targets->user != NULL)
-    targets->user->ended (targets->user_data, target, why);
+  if (targets->callbacks != NULL)
+    targets->callbacks->ended (targets->user_data, target, why);
 }
 
 static void
 on_refused (void *owner)
 {
-  target_note_end (owner, "nothing listens at its address");
+  target_record_end (owner, "nothing listens at its address");
 }
 
 static void
-on_look_end (void *data, MfLinkEnd end, const char *why)
+on_probe_end (void *data, MfLinkEnd end, const char *why)
 {
   MfTarget *target = data;
 
   (void)why;
-  target->look = NULL;
+  target->probe = NULL;
   if (end != MF_LINK_COMPLETE)
-    mf_target_failed (target, true, mf_clock_now_us ());
-  if (target->targets->user != NULL)
-    target->targets->user->looked (target->targets->user_data, target);
+    mf_target_record_failure (target, true, mf_clock_now_us ());
+  if (target->targets->callbacks != NULL)
+    target->targets->callbacks->probed (target->targets->user_data, target);
   mf_target_unref (target);
 }
 
-static const MfLinkCallbacks look_user = {
-  .end = on_look_end,
+static const MfLinkCallbacks probe_callbacks = {
+  .end = on_probe_end,
 };
 
 /* Opens a connection to see whether the process is there. */
 void
-mf_target_look (MfTarget *target)
+mf_target_probe (MfTarget *target)
 {
-  if (target->look != NULL || !target->listed)
+  if (target->probe != NULL || !target->listed)
     return;
-  target->look = mf_link_open (&target->pool, &look_user, target);
-  if (target->look != NULL)
+  target->probe = mf_link_open (&target->pool, &probe_callbacks, target);
+  if (target->probe != NULL)
     mf_target_ref (target);
 }
 
 static void
-look_cancel (MfTarget *target)
+probe_cancel (MfTarget *target)
 {
-  if (target->look == NULL)
+  if (target->probe == NULL)
     return;
-  mf_link_cancel (target->look);
-  target->look = NULL;
+  mf_link_cancel (target->probe);
+  target->probe = NULL;
   mf_target_unref (target);
 }
 
 static void
 target_drop (MfTargets *targets, MfTarget *dropped)
 {
-  for (MfTarget **place = &targets->first; *place != NULL; place = &(*place)->next)
+  for (MfTarget **link = &targets->first; *link != NULL; link = &(*link)->next)
     {
-      if (*place != dropped)
+      if (*link != dropped)
         continue;
-      *place = dropped->next;
+      *link = dropped->next;
       targets->n_targets--;
-      look_cancel (dropped);
+      probe_cancel (dropped);
       mf_link_pool_close (&dropped->pool);
       dropped->pool.n_idle_max = 0;
       dropped->listed = false;
@@ -169,7 +169,7 @@
 
 /* Takes from the head of an answer what its upstream says of itself. */
 static void
-on_heard (void *owner, const MfHead *head, uint32_t status)
+on_answer_head (void *owner, const MfHead *head, uint32_t status)
 {
   MfTarget *target = owner;
   char value[32] = "";
@@ -177,7 +177,7 @@
 
   if (mf_head_count (head, MF_HEADER_LEAVING) > 0
       && !(mf_head_copy (head, MF_HEADER_LEAVING, value, sizeof value) && strcmp (value, "0") == 0))
-    mf_target_says_leaving (target);
+    mf_target_record_leaving (target);
   if (status != 503 || mf_head_count (head, MF_HEADER_RETRY_AFTER) == 0)
     return;
   if (mf_head_seconds (head, MF_HEADER_RETRY_AFTER, &pause_s))
@@ -186,8 +186,8 @@
       return;
     }
   mf_head_copy (head, MF_HEADER_RETRY_AFTER, value, sizeof value);
-  if (target->targets->lines != NULL)
-    mf_relay_log_state (target->targets->lines, "upstream.pause_unreadable",
+  if (target->targets->log != NULL)
+    mf_relay_log_state (target->targets->log, "upstream.pause_unreadable",
                         "upstream=%s value=\"%s\"", target->info.id, value);
 }
 
@@ -204,8 +204,8 @@
       const MfDeparture *departure = &targets->departures[i];
 
       if (departure->id_hash == target->id_hash
-          && (departure->born_ms == target->info.born_ms || departure->born_ms == 0
-              || target->info.born_ms == 0))
+          && (departure->started_ms == target->info.started_ms || departure->started_ms == 0
+              || target->info.started_ms == 0))
         return true;
     }
   return false;
@@ -226,14 +226,14 @@
     .idle_default_us = IDLE_DEFAULT_US,
     .connect_timeout_us = CONNECT_TIMEOUT_US,
     .unacked_timeout_us = targets->unacked_timeout_us,
-    .on_response = on_heard,
+    .on_response = on_answer_head,
     .refused = on_refused,
     .owner = target,
   };
   target->targets = targets;
   memcpy (target->pool.address, info->address, sizeof target->pool.address);
   target->id_hash = mf_load_hash (info->id);
-  target->said_leaving = has_departed (targets, target);
+  target->announced_leaving = has_departed (targets, target);
   target->n_refs = 1;
   target->next = targets->first;
   targets->first = target;
@@ -252,9 +252,9 @@
 
       if (target == added || strcmp (target->info.address, added->info.address) != 0)
         continue;
-      if (target->info.born_ms > added->info.born_ms)
+      if (target->info.started_ms > added->info.started_ms)
         older = added;
-      mf_target_replaced (older, UINT64_MAX);
+      mf_target_mark_replaced (older, UINT64_MAX);
     }
 }
 
@@ -267,10 +267,11 @@
   bool changed;
 
   if (target != NULL
-      && (strcmp (target->info.address, info->address) != 0 || target->info.born_ms != info->born_ms
+      && (strcmp (target->info.address, info->address) != 0
+          || target->info.started_ms != info->started_ms
           || strcmp (target->info.service, info->service) != 0))
     {
-      target_note_end (target, "it was started anew");
+      target_record_end (target, "it was started anew");
       target_drop (targets, target);
       target = NULL;
     }
@@ -281,8 +282,8 @@
       if (target == NULL)
         return false;
       targets_replace (targets, target);
-      if (targets->user != NULL && !target->replaced)
-        targets->user->added (targets->user_data, target);
+      if (targets->callbacks != NULL && !target->replaced)
+        targets->callbacks->added (targets->user_data, target);
     }
   changed = changed || target->info.leaving != info->leaving || target->info.role != info->role
             || target->unlisted_us != 0;
@@ -345,7 +346,7 @@
 
 /* A request with so many tokens begins there. */
 void
-mf_target_begin (MfTarget *target, uint64_t tokens, uint64_t now_us)
+mf_target_begin_request (MfTarget *target, uint64_t tokens, uint64_t now_us)
 {
   if (target->n_active++ == 0)
     target->silent_since_us = now_us;
@@ -354,7 +355,7 @@
 
 /* A request with so many tokens has ended there. */
 void
-mf_target_end (MfTarget *target, uint64_t tokens)
+mf_target_end_request (MfTarget *target, uint64_t tokens)
 {
   target->n_active--;
   target->active_tokens -= tokens;
@@ -362,7 +363,7 @@
 
 /* A request there has come to need so many more. */
 void
-mf_target_grow (MfTarget *target, uint64_t tokens)
+mf_target_add_tokens (MfTarget *target, uint64_t tokens)
 {
   target->active_tokens += tokens;
 }
@@ -387,26 +388,26 @@
 uint32_t
 mf_target_load (const MfTarget *target)
 {
-  return target->n_active + target->n_reserved + target->n_others;
+  return target->n_active + target->n_reserved + target->n_remote;
 }
 
 /* Engine memory in tokens of all that is there or about to be, of all instances. */
 uint64_t
 mf_target_load_tokens (const MfTarget *target)
 {
-  return target->active_tokens + target->reserved_tokens + target->others_tokens;
+  return target->active_tokens + target->reserved_tokens + target->remote_tokens;
 }
 
 /* Whether it is about to stop, by discovery or by its own word. */
 bool
 mf_target_is_leaving (const MfTarget *target)
 {
-  return target->info.leaving || target->said_leaving;
+  return target->info.leaving || target->announced_leaving;
 }
 
 /* Whether it takes requests of this instance: it is not leaving and has not asked for a pause. */
 bool
-mf_target_takes (const MfTarget *target, uint64_t now_us)
+mf_target_accepts (const MfTarget *target, uint64_t now_us)
 {
   return !mf_target_is_leaving (target) && target->paused_until_us <= now_us;
 }
@@ -414,17 +415,17 @@
 /* The process says that it is about to stop. That outlasts its entry in discovery and ends with the
  * next process of this id. */
 void
-mf_target_says_leaving (MfTarget *target)
+mf_target_record_leaving (MfTarget *target)
 {
   MfTargets *targets = target->targets;
 
-  if (target->said_leaving)
+  if (target->announced_leaving)
     return;
-  target->said_leaving = true;
+  target->announced_leaving = true;
   targets->departures[targets->n_departures++ % MF_TARGETS_DEPARTURES_MAX]
-      = (MfDeparture){ .id_hash = target->id_hash, .born_ms = target->info.born_ms };
-  if (targets->lines != NULL)
-    mf_relay_log_state (targets->lines, "upstream.leaving",
+      = (MfDeparture){ .id_hash = target->id_hash, .started_ms = target->info.started_ms };
+  if (targets->log != NULL)
+    mf_relay_log_state (targets->log, "upstream.leaving",
                         "upstream=%s service=%s listed_leaving=%s in_flight=%u", target->info.id,
                         target->info.service, target->info.leaving ? "yes" : "no",
                         target->n_active);
@@ -440,8 +441,8 @@
   if (until_us <= target->paused_until_us)
     return;
   target->paused_until_us = until_us;
-  if (target->targets->lines != NULL)
-    mf_relay_log_state (target->targets->lines, "upstream.paused",
+  if (target->targets->log != NULL)
+    mf_relay_log_state (target->targets->log, "upstream.paused",
                         "upstream=%s service=%s asked_s=%.3f pause_s=%.3f in_flight=%u",
                         target->info.id, target->info.service, pause_s, bounded_s,
                         target->n_active);
@@ -452,17 +453,17 @@
 bool
 mf_target_is_suspect (const MfTarget *target, uint64_t now_us)
 {
-  bool others_avoid = target->n_others_replaced > 0
-                      || (target->n_others_unreached >= SUSPECT_QUORUM
-                          && target->n_others_unreached > target->n_others_answered);
+  bool others_avoid = target->n_remote_replaced > 0
+                      || (target->n_remote_unreachable >= SUSPECT_QUORUM
+                          && target->n_remote_unreachable > target->n_remote_answering);
 
   return target->suspect_until_us > now_us
-         || (others_avoid && target->others_avoid_until_us > now_us);
+         || (others_avoid && target->remote_avoid_until_us > now_us);
 }
 
 /* A sign of life. */
 void
-mf_target_alive (MfTarget *target, uint64_t now_us)
+mf_target_record_alive (MfTarget *target, uint64_t now_us)
 {
   target->alive_us = now_us;
   target->silent_since_us = now_us;
@@ -473,19 +474,19 @@
 
 /* Another process answers at its address: it is left alone until discovery has told of it. */
 void
-mf_target_replaced (MfTarget *target, uint64_t until_us)
+mf_target_mark_replaced (MfTarget *target, uint64_t until_us)
 {
   target->suspect_until_us = until_us;
   target->replaced = true;
   target->alive_us = 0;
-  target_note_end (target, "another process answers at its address");
+  target_record_end (target, "another process answers at its address");
 }
 
 /* How much an observation of this time still counts, 0 to 1. */
 static double
-memory_weight (uint64_t seen_us, uint64_t now_us)
+age_weight (uint64_t seen_us, uint64_t now_us)
 {
-  return exp2 (-(double)(now_us - seen_us) / MEMORY_HALF_US);
+  return exp2 (-(double)(now_us - seen_us) / AVERAGE_HALF_LIFE_US);
 }
 
 static void
@@ -496,19 +497,21 @@
 
 /* It declined a request for want of room. */
 void
-mf_target_declined (MfTarget *target, uint64_t now_us)
+mf_target_record_decline (MfTarget *target, uint64_t now_us)
 {
-  uint32_t doublings = target->n_declined < FULL_DOUBLINGS ? target->n_declined : FULL_DOUBLINGS;
+  uint32_t doublings
+      = target->n_declined < DECLINED_DOUBLINGS ? target->n_declined : DECLINED_DOUBLINGS;
 
   target->n_declined = mf_target_load (target) == 0 ? target->n_declined + 1 : 0;
-  target->full_until_us = now_us + (target->n_declined > 0 ? FULL_US << doublings : FULL_US);
+  target->full_until_us
+      = now_us + (target->n_declined > 0 ? DECLINED_US << doublings : DECLINED_US);
 }
 
 /* It answered in good order after so long. */
 void
-mf_target_answered (MfTarget *target, uint64_t answer_us, uint64_t now_us)
+mf_target_record_answer (MfTarget *target, uint64_t answer_us, uint64_t now_us)
 {
-  mf_target_alive (target, now_us);
+  mf_target_record_alive (target, now_us);
   target->n_declined = 0;
   average_add (&target->answer_us, (double)answer_us);
   target->answered_us = now_us;
@@ -518,16 +521,16 @@
 
 /* It read a prompt of so many tokens, queueing included. */
 void
-mf_target_read (MfTarget *target, uint64_t tokens, uint64_t read_us, uint64_t now_us)
+mf_target_record_prefill (MfTarget *target, uint64_t tokens, uint64_t prefill_us, uint64_t now_us)
 {
   if (tokens > 0)
-    average_add (&target->us_per_token, (double)read_us / (double)tokens);
-  mf_target_answered (target, read_us, now_us);
+    average_add (&target->us_per_token, (double)prefill_us / (double)tokens);
+  mf_target_record_answer (target, prefill_us, now_us);
 }
 
 /* It answered with a failure, or not at all. */
 void
-mf_target_failed (MfTarget *target, bool unreachable, uint64_t now_us)
+mf_target_record_failure (MfTarget *target, bool unreachable, uint64_t now_us)
 {
   double share = mf_target_failure_share (target, now_us);
   uint32_t doublings;
@@ -552,7 +555,7 @@
 double
 mf_target_failure_share (const MfTarget *target, uint64_t now_us)
 {
-  return target->failure_share * memory_weight (target->failed_us, now_us);
+  return target->failure_share * age_weight (target->failed_us, now_us);
 }
 
 /* What an answer takes there by all that was seen; unseen targets are given fallback_us. */
@@ -563,6 +566,6 @@
 
   if (target->answer_us <= 0.)
     return fallback_us;
-  weight = memory_weight (target->answered_us, now_us);
+  weight = age_weight (target->answered_us, now_us);
   return target->answer_us * weight + fallback_us * (1. - weight);
 }
--- a/tests/relay_fixture.c
+++ b/tests/relay_fixture.c
@@ -96,7 +96,7 @@
 list_target (RelayFixture *fixture, const char *id, MfRole role, const char *address,
              const char *data_centre)
 {
-  MfTargetInfo info = { .role = role, .slots = 4, .born_ms = 1 };
+  MfTargetInfo info = { .role = role, .slots = 4, .started_ms = 1 };
 
   mf_name_set (info.id, sizeof info.id, id);
   mf_name_set (info.service, sizeof info.service, role == MF_ROLE_PLAIN ? "shop" : "engines");
--- a/tests/relay_fleet.c
+++ b/tests/relay_fleet.c
@@ -18,7 +18,7 @@
 
   for (uint32_t i = 0; i < RELAY_FLEET_N_INSTANCES; i++)
     {
-      if (mf_peers_count (fleet->instances[i].jobs.peers, mf_clock_now_us ())
+      if (mf_peers_n_alive (fleet->instances[i].jobs.peers, mf_clock_now_us ())
           != RELAY_FLEET_N_INSTANCES)
         return false;
     }
@@ -39,7 +39,7 @@
   fixture->jobs.peers = mf_peers_new (fleet->loop, address, &mf_jobs_peers_callbacks,
                                       &fixture->jobs, fixture->log, &error);
   assert_non_null (fixture->jobs.peers);
-  mf_peers_seed (fixture->jobs.peers, seed);
+  mf_peers_add_seeds (fixture->jobs.peers, seed);
 }
 
 static void
--- a/tests/test_job_stage.c
+++ b/tests/test_job_stage.c
@@ -30,7 +30,7 @@
   (void)report;
 }
 
-static const MfPeersUser callbacks = { .fill = on_fill_report };
+static const MfPeersCallbacks callbacks = { .fill_report = on_fill_report };
 
 static void
 handle_accept (FakeWireConn *conn, const char *text, const char *id)
@@ -81,7 +81,7 @@
       snprintf (id, sizeof id, "d%u", i);
       snprintf (address, sizeof address, "127.0.0.1:%u", 1 + i);
       relay_fixture_list_upstream (relay, id, MF_ROLE_DECODE, address);
-      mf_targets_find (&relay->jobs.targets, id)->n_others = 4;
+      mf_targets_find (&relay->jobs.targets, id)->n_remote = 4;
     }
   relay_fixture_list_upstream (relay, "p", MF_ROLE_PREFILL, "127.0.0.1:9");
   mf_targets_find (&relay->jobs.targets, "p")->suspect_until_us = UINT64_MAX;
@@ -221,14 +221,14 @@
 
   (void)state;
   order_fixture_setup (&fixture, handle_accept);
-  mf_peers_note_fence (fixture.relay.jobs.peers, "engines", ahead);
+  mf_peers_record_fence (fixture.relay.jobs.peers, "engines", ahead);
   order_fixture_advance (&fixture, 6600 * MF_US_PER_MS);
   assert_int_equal (n_orders (&fixture), 1);
   assert_true (last_fence (&fixture) > ahead);
   order_fixture_teardown (&fixture);
   order_fixture_setup (&fixture, handle_accept);
   order_fixture_advance (&fixture, 4 * MF_US_PER_S);
-  mf_peers_note_fence (fixture.relay.jobs.peers, "engines", ahead);
+  mf_peers_record_fence (fixture.relay.jobs.peers, "engines", ahead);
   order_fixture_advance (&fixture, 4600 * MF_US_PER_MS);
   assert_int_equal (n_orders (&fixture), 0);
   order_fixture_advance (&fixture, 2 * MF_US_PER_S);
@@ -237,7 +237,7 @@
   order_fixture_teardown (&fixture);
   /* A fence that no clock of the fleet shows is nonsense, and stops nobody. */
   order_fixture_setup (&fixture, handle_accept);
-  mf_peers_note_fence (fixture.relay.jobs.peers, "engines", UINT64_MAX);
+  mf_peers_record_fence (fixture.relay.jobs.peers, "engines", UINT64_MAX);
   order_fixture_advance (&fixture, 6600 * MF_US_PER_MS);
   assert_int_equal (n_orders (&fixture), 1);
   order_fixture_teardown (&fixture);
--- a/tests/test_job_suspect.c
+++ b/tests/test_job_suspect.c
@@ -230,7 +230,7 @@
     {
       MfSuspects *suspects = fixture.fleet.instances[i].jobs.suspects;
 
-      for (uint64_t digest = 1; digest <= 2 * MF_SUSPECT_ROWS_MAX; digest++)
+      for (uint64_t digest = 1; digest <= 2 * MF_SUSPECT_ENTRIES_MAX; digest++)
         {
           mf_suspects_add_death (suspects, digest, &(MfSuspectDeath){ .process = digest }, false,
                                  mf_clock_now_us ());
@@ -268,7 +268,7 @@
                                     &alone->jobs, alone->log, &error);
   assert_non_null (alone->jobs.peers);
   snprintf (address, sizeof address, "127.0.0.1:%u", PEER_PORT);
-  mf_peers_seed (alone->jobs.peers, address);
+  mf_peers_add_seeds (alone->jobs.peers, address);
   relay_fleet_wait_connected (&fixture.fleet);
   loop_spin (fixture.fleet.loop, 50);
   assert_int_equal (call (&fixture, 3, CRASHER_HOST, "/order/1", SOAK_CRASH "0"), 503);
@@ -352,15 +352,15 @@
   mf_suspects_add_break (
       fixture.fleet.instances[0].jobs.suspects,
       &(MfSuspectBreak){ .digest = 5,
-                         .upstream = mf_target_process (mf_targets_find (targets, "u0-0")),
+                         .upstream = mf_target_process_id (mf_targets_find (targets, "u0-0")),
                          .place = mf_load_hash (info.address),
                          .sent_us = now_us,
                          .at_us = now_us });
   mf_name_set (info.id, sizeof info.id, "before");
-  info.born_ms = 0;
+  info.started_ms = 0;
   mf_targets_update (targets, &info);
   assert_null (mf_suspects_find (fixture.fleet.instances[0].jobs.suspects, 5, mf_clock_now_us ()));
-  info.born_ms = 2;
+  info.started_ms = 2;
   mf_name_set (info.id, sizeof info.id, "after");
   mf_targets_update (targets, &info);
   assert_non_null (
@@ -410,11 +410,11 @@
       mf_suspects_add_break (fixture.fleet.instances[0].jobs.suspects,
                              &(MfSuspectBreak){ .digest = 5,
                                                 .request = index,
-                                                .upstream = mf_target_process (target),
+                                                .upstream = mf_target_process_id (target),
                                                 .sent_us = now_us + index,
                                                 .at_us = now_us + index });
-      mf_target_says_leaving (target);
-      mf_target_replaced (target, UINT64_MAX);
+      mf_target_record_leaving (target);
+      mf_target_mark_replaced (target, UINT64_MAX);
     }
   assert_null (mf_suspects_find (fixture.fleet.instances[0].jobs.suspects, 5, mf_clock_now_us ()));
   crash_fixture_teardown (&fixture);
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -354,9 +354,9 @@
   (void)peer;
 }
 
-static const MfPeersUser peers_callbacks = {
-  .fill = on_peer_fill,
-  .changed = on_peer_changed,
+static const MfPeersCallbacks peers_callbacks = {
+  .fill_report = on_peer_fill,
+  .loads_changed = on_peer_changed,
   .message = on_peer_message,
   .gone = on_peer_gone,
 };
@@ -368,7 +368,8 @@
 
   for (uint32_t i = 0; i < N_PEERS; i++)
     {
-      if (mf_peers_standing (peer_fixture->peers[i], mf_clock_now_us ()).n_instances != N_PEERS + 1)
+      if (mf_peers_feed_rank (peer_fixture->peers[i], mf_clock_now_us ()).n_instances
+          != N_PEERS + 1)
         return false;
     }
   return true;
@@ -396,8 +397,7 @@
           snprintf (other, sizeof other, "127.0.0.1:%d", port + i);
           rank += mf_load_hash (other) * RANK_FACTOR > own;
         }
-      peer_fixture->role
-          = mf_feed_role (&(MfFeedStanding){ .n_instances = N_PEERS + 1, .rank = rank });
+      peer_fixture->role = mf_feed_role (&(MfFeedRank){ .n_instances = N_PEERS + 1, .rank = rank });
     }
   fixture_begin_with (&peer_fixture->fixture, seed);
   for (int i = 0; i < N_PEERS; i++)
@@ -410,9 +410,9 @@
                           mf_relay_log (peer_fixture->fixture.relay), &error);
       assert_non_null (peer_fixture->peers[i]);
       mf_peers_set_data_centre (peer_fixture->peers[i], "z");
-      mf_peers_seed (peer_fixture->peers[i], seed);
+      mf_peers_add_seeds (peer_fixture->peers[i], seed);
     }
-  peer_fixture->role = MF_FEED_ALONE;
+  peer_fixture->role = MF_FEED_STANDALONE;
   config_put (&peer_fixture->fixture, 1, "/a/");
   upstream_put (&peer_fixture->fixture, 0, "ready");
   wait_for (&peer_fixture->fixture, PORT, "/a/1", 200);
@@ -438,7 +438,7 @@
   message.feed.to_revision = to_revision;
   message.feed.sent_us = mf_clock_awake_us ();
   message.feed.as_of_us = message.feed.sent_us;
-  mf_peers_send_near (peer_fixture->peers[0], &message);
+  mf_peers_send_local (peer_fixture->peers[0], &message);
 }
 
 /* While it is told, the relay leaves the store alone and acts on what it is told; when it is told
--- a/tests/test_stage.c
+++ b/tests/test_stage.c
@@ -146,11 +146,11 @@
   *free_us = (*free_us > simulation->now_us ? *free_us : simulation->now_us) + PREFILL_US;
   call->prefilled_us = *free_us;
   simulation->n_in_time += call->prefilled_us <= call->begun_us + OBJECTIVE_US;
-  mf_target_begin (&simulation->engines[call->decode], TOKENS, simulation->now_us);
-  mf_target_begin (&simulation->engines[call->prefill], TOKENS / 2, simulation->now_us);
+  mf_target_begin_request (&simulation->engines[call->decode], TOKENS, simulation->now_us);
+  mf_target_begin_request (&simulation->engines[call->prefill], TOKENS / 2, simulation->now_us);
 }
 
-static const MfDispatchUser user = { .grant = on_grant, .traits = on_service_config };
+static const MfDispatchCallbacks user = { .grant = on_grant, .service_config = on_service_config };
 
 static void
 simulation_init (Simulation *simulation)
@@ -182,10 +182,10 @@
       if (call->prefilled_us == 0 || simulation->now_us < call->prefilled_us)
         continue;
       if (simulation->now_us - call->prefilled_us < TICK_US)
-        mf_target_end (&simulation->engines[call->prefill], TOKENS / 2);
+        mf_target_end_request (&simulation->engines[call->prefill], TOKENS / 2);
       if (simulation->now_us - call->prefilled_us >= ANSWER_US
           && simulation->now_us - call->prefilled_us < ANSWER_US + TICK_US)
-        mf_target_end (&simulation->engines[call->decode], TOKENS);
+        mf_target_end_request (&simulation->engines[call->decode], TOKENS);
     }
   for (uint32_t i = 0; i < N_ENGINES; i++)
     {
@@ -247,15 +247,15 @@
       for (; due_us <= simulation->now_us && simulation->n_calls < N_CALLS_MAX;
            due_us += interval_us)
         {
-          MfAsk ask = { .id = simulation->n_calls,
-                        .service = "llm",
-                        .prompt_tokens = TOKENS / 2,
-                        .memory_tokens = TOKENS,
-                        .objective_us = OBJECTIVE_US - 2 * PREFILL_US,
-                        .patience_us = MAX_AGE_US };
+          MfSlotRequest ask = { .id = simulation->n_calls,
+                                .service = "llm",
+                                .prompt_tokens = TOKENS / 2,
+                                .kv_tokens = TOKENS,
+                                .objective_us = OBJECTIVE_US - 2 * PREFILL_US,
+                                .max_age_us = MAX_AGE_US };
 
           simulation->calls[simulation->n_calls++].begun_us = simulation->now_us;
-          mf_dispatch_ask (simulation->dispatch, MF_DISPATCH_SELF, &ask, simulation->now_us);
+          mf_dispatch_enqueue (simulation->dispatch, MF_DISPATCH_SELF, &ask, simulation->now_us);
         }
       simulation_finish_due (simulation);
       mf_dispatch_run (simulation->dispatch, simulation->now_us);
