--- a/libmangofork/call.c
+++ b/libmangofork/call.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 
 /* An engine that computes nothing for us in this long is given up. */
-#define FIRST_BYTE_US (10 * MF_US_PER_S)
+#define FIRST_BYTE_TIMEOUT_US (10 * MF_US_PER_S)
 
 static void
 link_to_upstream (MfCore *core, MfCall *call)
@@ -39,14 +39,14 @@
                          ? request->deadline_us - core->board.now_us
                          : MF_US_PER_MS;
 
-  return left_us < FIRST_BYTE_US ? left_us : FIRST_BYTE_US;
+  return left_us < FIRST_BYTE_TIMEOUT_US ? left_us : FIRST_BYTE_TIMEOUT_US;
 }
 
 static void
 emit_start (MfCore *core, const MfRequest *request, const MfCall *call)
 {
   const MfUpstream *row = &core->board.upstreams[call->upstream];
-  uint32_t left
+  uint32_t tokens_left
       = request->max_tokens > request->delivered ? request->max_tokens - request->delivered : 0;
   MfAction action = {
     .type = MF_ACTION_CALL_START,
@@ -58,7 +58,7 @@
               .request_id = request->id,
               .attempt = call->attempt,
               .from_token = request->delivered,
-              .max_tokens = left,
+              .max_tokens = tokens_left,
               .prefill_call_id = request->prefill_call_id,
               .target_attempt = call->attempt,
               .priority = (uint32_t)request->class_,
@@ -71,7 +71,7 @@
 }
 
 static void
-count_held (MfCore *core, MfRequest *request, MfCall *call)
+account_call (MfCore *core, MfRequest *request, MfCall *call)
 {
   MfUpstream *row = &core->board.upstreams[call->upstream];
 
@@ -112,7 +112,7 @@
   request->calls = call;
   HASH_ADD (hh, core->board.requests->calls, id, sizeof call->id, call);
   link_to_upstream (core, call);
-  count_held (core, request, call);
+  account_call (core, request, call);
   mf_request_note (core, request, MF_TRACE_CALLED, upstream, MF_NONE, kind);
   emit_start (core, request, call);
   return call;
@@ -147,7 +147,7 @@
 }
 
 static bool
-holds_memory (const MfCall *call)
+may_hold_kv (const MfCall *call)
 {
   return call->kind == MF_CALL_PREFILL || call->kind == MF_CALL_DECODE
          || call->kind == MF_CALL_RESUME;
@@ -160,7 +160,7 @@
   MfAction action = { .type = MF_ACTION_CALL_ABORT, .call_id = call->id };
 
   mf_core_emit (core, &action);
-  if ((call->sent || call->kind == MF_CALL_RESUME) && !call->prefilled && holds_memory (call))
+  if ((call->sent || call->kind == MF_CALL_RESUME) && !call->prefilled && may_hold_kv (call))
     mf_debt_add (core, call->upstream, request->id, call->id, call->attempt);
   if (call->kind == MF_CALL_PREFILL && call->sent && !call->prefilled)
     request->wasted_tokens += call->prefill_tokens;
--- a/libmangofork/core.c
+++ b/libmangofork/core.c
@@ -7,7 +7,7 @@
 /* Steps of requests remembered for `mangofork explain`. */
 #define TRACE_STEPS 65536
 /* A tick that comes so much later than it was asked for means that the process was paused. */
-#define PAUSE_US (300 * MF_US_PER_MS)
+#define PAUSE_MIN_US (300 * MF_US_PER_MS)
 
 static const MfController *const controllers[] = {
   &mf_confsync_controller, &mf_service_controller, &mf_upstream_controller, &mf_member_controller,
@@ -122,7 +122,7 @@
 void
 mf_core_step (MfCore *core, const MfEvent *event)
 {
-  if (core->wake_us != UINT64_MAX && event->now_us > core->wake_us + PAUSE_US)
+  if (core->wake_us != UINT64_MAX && event->now_us > core->wake_us + PAUSE_MIN_US)
     core->board.woke_us = event->now_us;
   if (event->now_us > core->board.now_us)
     core->board.now_us = event->now_us;
--- a/libmangofork/finish.c
+++ b/libmangofork/finish.c
@@ -2,7 +2,7 @@
 #include "queue.h"
 
 static void
-note_end (MfCore *core, MfRequest *request, MfCode code, MfEndedBy by)
+record_end (MfCore *core, MfRequest *request, MfCode code, MfEndedBy by)
 {
   MfBoard *board = &core->board;
   const MfServiceRow *service = &board->services.rows[request->service];
@@ -72,7 +72,7 @@
 
 /* Releases all that the request holds, here and at upstreams. */
 static void
-release (MfCore *core, MfRequest *request)
+release_resources (MfCore *core, MfRequest *request)
 {
   if (request->queued)
     mf_queue_remove (core, request);
@@ -104,10 +104,11 @@
       result.body_bytes = action.answer.data_bytes = event->call.data_bytes;
     }
   settle_claim (core, request, &result);
-  release (core, request);
+  release_resources (core, request);
   if (!request->departed)
     mf_core_emit (core, &action);
-  note_end (core, request, request->departed ? MF_CODE_DEPARTED : MF_CODE_OK, MF_ENDED_BY_UPSTREAM);
+  record_end (core, request, request->departed ? MF_CODE_DEPARTED : MF_CODE_OK,
+              MF_ENDED_BY_UPSTREAM);
   mf_request_remove (core, request);
 }
 
@@ -130,7 +131,7 @@
   request->first_us = core->board.now_us;
   mf_counter_add (&core->board.counters, MF_COUNTER_REPLAYS, 1);
   mf_core_emit (core, &action);
-  note_end (core, request, MF_CODE_OK, MF_ENDED_BY_INSTANCE);
+  record_end (core, request, MF_CODE_OK, MF_ENDED_BY_INSTANCE);
   mf_request_remove (core, request);
 }
 
@@ -163,11 +164,11 @@
     outcome = info->outcome;
   action.answer.outcome = result.outcome = outcome;
   settle_claim (core, request, &result);
-  release (core, request);
+  release_resources (core, request);
   if (!request->departed)
     mf_core_emit (core, &action);
-  note_end (core, request, request->departed ? MF_CODE_DEPARTED : code,
-            ended_by_upstream (code) ? MF_ENDED_BY_UPSTREAM : MF_ENDED_BY_INSTANCE);
+  record_end (core, request, request->departed ? MF_CODE_DEPARTED : code,
+              ended_by_upstream (code) ? MF_ENDED_BY_UPSTREAM : MF_ENDED_BY_INSTANCE);
   mf_request_remove (core, request);
 }
 
@@ -179,8 +180,8 @@
 
   result.outcome = mf_finish_outcome (request);
   settle_claim (core, request, &result);
-  release (core, request);
-  note_end (core, request, MF_CODE_DEPARTED, MF_ENDED_BY_CALLER);
+  release_resources (core, request);
+  record_end (core, request, MF_CODE_DEPARTED, MF_ENDED_BY_CALLER);
   mf_request_remove (core, request);
 }
 
--- a/libmangofork/life.c
+++ b/libmangofork/life.c
@@ -9,30 +9,30 @@
 
 /* A stream without a token for this long is taken to be broken. */
 #define STALL_BASE_US (600 * MF_US_PER_MS)
-#define STALL_GAPS 12
+#define STALL_TOKEN_GAPS 12
 /* An engine that holds a broken stream answers a resume within this, or is not asked again. */
-#define RESUME_WAIT_US (250 * MF_US_PER_MS)
+#define RESUME_TIMEOUT_US (250 * MF_US_PER_MS)
 /* A prefill is given up after this many times its predicted time, and no sooner than the least. */
 #define PREFILL_STALL_FACTOR 4
 #define PREFILL_STALL_MIN_US (1500 * MF_US_PER_MS)
 /* Between two looks for a free decode engine while a KV waits. */
-#define TRANSFER_LOOK_US (4 * MF_US_PER_MS)
+#define TRANSFER_POLL_US (4 * MF_US_PER_MS)
 /* The time an import takes at least; a KV with less life left is given up. */
 #define IMPORT_MIN_US (10 * MF_US_PER_MS)
 /* A link that carried nothing of ours for this long, and this many times what the KV should take,
  * is stalled. */
-#define CARRY_PATIENCE_US (150 * MF_US_PER_MS)
-#define CARRY_FACTOR 2
-#define CARRY_RATE_MIN 1e9
+#define TRANSFER_TIMEOUT_MIN_US (150 * MF_US_PER_MS)
+#define TRANSFER_TIMEOUT_FACTOR 2
+#define LINK_RATE_DEFAULT_BYTES_PER_S 1e9
 /* Tokens past the place where its upstream died that clear a suspect. */
-#define CLEAR_TOKENS 8
+#define SUSPECT_CLEAR_TOKENS 8
 #define CLAIMS_MAX 3
 /* Time to read what came in during a pause, before anything is called stalled. */
-#define WOKE_GRACE_US (100 * MF_US_PER_MS)
+#define PAUSE_GRACE_US (100 * MF_US_PER_MS)
 /* An upstream that refused is not asked again for this long, unless one of our own leaves it. */
-#define FULL_US (40 * MF_US_PER_MS)
-#define HEDGE_MIN_US (10 * MF_US_PER_MS)
-#define HEDGE_ANSWERS 3
+#define UPSTREAM_FULL_US (40 * MF_US_PER_MS)
+#define HEDGE_DELAY_MIN_US (10 * MF_US_PER_MS)
+#define HEDGE_ANSWER_FACTOR 3
 
 /* One input to one request. */
 typedef struct
@@ -57,7 +57,7 @@
 {
   const MfServiceRow *service = mf_request_service (core, request);
 
-  return STALL_BASE_US + STALL_GAPS * service->config.tbt_target_us;
+  return STALL_BASE_US + STALL_TOKEN_GAPS * service->config.tbt_target_us;
 }
 
 /* Whether this process was paused after that time: what seems to have taken long may have come in
@@ -71,11 +71,11 @@
 /* Gives a request more time when this process has only just woken: its answer may be waiting to be
  * read. Returns whether it did. */
 static bool
-bear_with_pause (const Step *step)
+extend_after_pause (const Step *step)
 {
   MfCore *core = step->core;
 
-  if (core->board.woke_us == 0 || now_us (step) >= core->board.woke_us + WOKE_GRACE_US)
+  if (core->board.woke_us == 0 || now_us (step) >= core->board.woke_us + PAUSE_GRACE_US)
     return false;
   mf_request_check_at (core, step->request, now_us (step) + stall_us (core, step->request));
   return true;
@@ -88,7 +88,7 @@
 }
 
 static void
-let_go (MfCore *core, MfRequest *request)
+release_resources (MfCore *core, MfRequest *request)
 {
   mf_call_abandon_all (core, request);
   mf_call_drop_prefill (core, request, false);
@@ -100,11 +100,11 @@
 
 /* Sends the request back to its queue for another try, or refuses it when no try is left. */
 static void
-try_again (MfCore *core, MfRequest *request, MfCode code)
+retry_or_refuse (MfCore *core, MfRequest *request, MfCode code)
 {
   uint64_t delay_us;
 
-  let_go (core, request);
+  release_resources (core, request);
   if (core->board.now_us >= request->deadline_us)
     {
       mf_finish_refused (core, request, MF_CODE_DEADLINE, 0);
@@ -127,14 +127,14 @@
 /* An engine had no room and ran nothing: the request waits for its turn again, which is no retry.
  */
 static void
-back_to_queue (MfCore *core, MfRequest *request)
+requeue (MfCore *core, MfRequest *request)
 {
   if (!mf_policy (core)->queues)
     {
-      try_again (core, request, MF_CODE_QUEUE_FULL);
+      retry_or_refuse (core, request, MF_CODE_QUEUE_FULL);
       return;
     }
-  let_go (core, request);
+  release_resources (core, request);
   request->not_before_us = 0;
   mf_request_set_phase (request, MF_PHASE_QUEUED);
   mf_queue_add_again (core, request);
@@ -142,9 +142,9 @@
 
 /* The upstream has refused for want of room. */
 static void
-note_full (MfCore *core, uint32_t upstream)
+note_upstream_full (MfCore *core, uint32_t upstream)
 {
-  core->board.upstreams[upstream].full_until_us = core->board.now_us + FULL_US;
+  core->board.upstreams[upstream].full_until_us = core->board.now_us + UPSTREAM_FULL_US;
 }
 
 /* The call is over without a whole answer. Returns whether it certainly ran nothing. */
@@ -155,27 +155,27 @@
   MfCall *call = step->call;
   MfRequest *request = step->request;
   uint32_t upstream = call->upstream;
-  bool clean;
-  bool broke;
+  bool not_run;
+  bool connection_broke;
 
   call->sent = call->sent || event->sent;
-  clean = !call->sent || event->refused || event->leaving;
-  broke = !clean && !event->timed_out && step->event->type == MF_EVENT_CALL_FAILED;
-  if (!clean)
+  not_run = !call->sent || event->refused || event->leaving;
+  connection_broke = !not_run && !event->timed_out && step->event->type == MF_EVENT_CALL_FAILED;
+  if (!not_run)
     {
       request->n_unknown++;
       if (call->kind == MF_CALL_PREFILL)
         request->wasted_tokens += call->prefill_tokens;
     }
   /* What a resume would have continued is held by the engine even if the resume never left. */
-  if (call->kind == MF_CALL_RESUME || (!clean && call->kind != MF_CALL_PLAIN))
+  if (call->kind == MF_CALL_RESUME || (!not_run && call->kind != MF_CALL_PLAIN))
     mf_debt_add (step->core, upstream, request->id, call->id, call->attempt);
   request->last_upstream = upstream;
   mf_call_end (step->core, call);
   mf_health_note_call (step->core, upstream, step->event);
-  if (broke)
+  if (connection_broke)
     mf_suspect_broken (step->core, request, upstream);
-  return clean;
+  return not_run;
 }
 
 static void
@@ -296,13 +296,15 @@
 
 /* How long a transfer may take before its link is looked at. */
 static uint64_t
-carry_patience_us (const MfCore *core, const MfRequest *request)
+transfer_timeout_us (const MfCore *core, const MfRequest *request)
 {
   const MfUpstream *row = &core->board.upstreams[request->prefill_upstream];
-  double rate = row->link_bytes_per_s > 0 ? (double)row->link_bytes_per_s : CARRY_RATE_MIN;
+  double rate
+      = row->link_bytes_per_s > 0 ? (double)row->link_bytes_per_s : LINK_RATE_DEFAULT_BYTES_PER_S;
   double bytes = (double)(row->transfer_bytes + request->kv_bytes);
 
-  return CARRY_PATIENCE_US + (uint64_t)(CARRY_FACTOR * bytes / rate * (double)MF_US_PER_S);
+  return TRANSFER_TIMEOUT_MIN_US
+         + (uint64_t)(TRANSFER_TIMEOUT_FACTOR * bytes / rate * (double)MF_US_PER_S);
 }
 
 /* Sends the waiting KV to a decode engine when there is one. Returns false when it still waits. */
@@ -321,7 +323,7 @@
   mf_queue_end_wait (core, request);
   mf_call_start (core, request, MF_CALL_DECODE, upstream);
   mf_call_begin_transfer (core, request);
-  mf_request_check_at (core, request, core->board.now_us + carry_patience_us (core, request));
+  mf_request_check_at (core, request, core->board.now_us + transfer_timeout_us (core, request));
   return true;
 }
 
@@ -334,11 +336,11 @@
   if (core->board.now_us + IMPORT_MIN_US >= request->kv_expires_us)
     {
       mf_window_note_loss (decode_pool (core, request));
-      try_again (core, request, MF_CODE_QUEUE_FULL);
+      retry_or_refuse (core, request, MF_CODE_QUEUE_FULL);
       return;
     }
   mf_queue_wait_transfer (core, request);
-  mf_request_check_at (core, request, core->board.now_us + TRANSFER_LOOK_US);
+  mf_request_check_at (core, request, core->board.now_us + TRANSFER_POLL_US);
 }
 
 static void
@@ -376,15 +378,16 @@
 prefill_failed (const Step *step)
 {
   bool refused = step->event->call.refused;
-  bool clean = end_failed (step);
+  bool not_run = end_failed (step);
 
   if (refused)
     {
-      note_full (step->core, step->request->last_upstream);
-      back_to_queue (step->core, step->request);
+      note_upstream_full (step->core, step->request->last_upstream);
+      requeue (step->core, step->request);
     }
   else
-    try_again (step->core, step->request, clean ? MF_CODE_NO_UPSTREAM : MF_CODE_UPSTREAM_DIED);
+    retry_or_refuse (step->core, step->request,
+                     not_run ? MF_CODE_NO_UPSTREAM : MF_CODE_UPSTREAM_DIED);
 }
 
 static void
@@ -401,11 +404,11 @@
       refuse_deadline (step);
       return;
     }
-  if (bear_with_pause (step))
+  if (extend_after_pause (step))
     return;
   step->request->last_upstream = step->request->calls->upstream;
   mf_health_note_stall (step->core, step->request->last_upstream);
-  try_again (step->core, step->request, MF_CODE_UPSTREAM_STALLED);
+  retry_or_refuse (step->core, step->request, MF_CODE_UPSTREAM_STALLED);
 }
 
 /* The decode engine holds the KV: the prefill engine's part is over. */
@@ -435,11 +438,11 @@
   MfCore *core = step->core;
   MfRequest *request = step->request;
   uint32_t upstream = step->call->upstream;
-  bool lives = mf_upstream_is_usable (&core->board.upstreams[upstream]);
+  bool usable = mf_upstream_is_usable (&core->board.upstreams[upstream]);
   bool timed_out = step->event->call.timed_out;
 
   mf_request_note (core, request, MF_TRACE_BROKEN, upstream, MF_NONE, request->delivered);
-  if (mf_policy (core)->resumes && lives && !timed_out && request->phase == MF_PHASE_DECODING)
+  if (mf_policy (core)->resumes && usable && !timed_out && request->phase == MF_PHASE_DECODING)
     {
       request->attempt = step->call->attempt;
       request->last_upstream = upstream;
@@ -448,11 +451,11 @@
       mf_suspect_broken (core, request, upstream);
       mf_request_set_phase (request, MF_PHASE_RESUMING);
       mf_call_start (core, request, MF_CALL_RESUME, upstream);
-      mf_request_check_at (core, request, now_us (step) + RESUME_WAIT_US);
+      mf_request_check_at (core, request, now_us (step) + RESUME_TIMEOUT_US);
       return;
     }
   end_failed (step);
-  try_again (core, request, code);
+  retry_or_refuse (core, request, code);
 }
 
 static void
@@ -483,7 +486,7 @@
 /* Hands tokens on, when they are the next ones. Returns false when the request is no longer at this
  * call, because tokens are missing. */
 static bool
-take_tokens (const Step *step)
+deliver_tokens (const Step *step)
 {
   const MfCallEvent *event = &step->event->call;
   MfRequest *request = step->request;
@@ -500,7 +503,7 @@
   if (event->first_index != request->delivered)
     {
       request->last_upstream = step->call->upstream;
-      try_again (step->core, request, MF_CODE_UPSTREAM_ERROR);
+      retry_or_refuse (step->core, request, MF_CODE_UPSTREAM_ERROR);
       return false;
     }
   request->delivered += event->n_tokens;
@@ -508,7 +511,7 @@
   note_tokens (step->core, request, step->call, event->n_tokens);
   mf_counter_add (&step->core->board.counters, MF_COUNTER_TOKENS, event->n_tokens);
   mf_core_emit (step->core, &action);
-  if (request->suspect && request->delivered >= request->cleared_at + CLEAR_TOKENS)
+  if (request->suspect && request->delivered >= request->cleared_at + SUSPECT_CLEAR_TOKENS)
     mf_suspect_clear (step->core, request);
   mf_request_check_at (step->core, request, now_us (step) + stall_us (step->core, request));
   return true;
@@ -517,7 +520,7 @@
 static void
 decoding_tokens (const Step *step)
 {
-  take_tokens (step);
+  deliver_tokens (step);
 }
 
 static void
@@ -526,7 +529,7 @@
   if (step->call->kind != MF_CALL_DECODE)
     return;
   imported (step);
-  take_tokens (step);
+  deliver_tokens (step);
 }
 
 static void
@@ -536,11 +539,11 @@
   mf_request_note (step->core, step->request, MF_TRACE_RESUMED, step->call->upstream, MF_NONE,
                    step->request->delivered);
   mf_request_set_phase (step->request, MF_PHASE_DECODING);
-  take_tokens (step);
+  deliver_tokens (step);
 }
 
 static bool
-stream_is_whole (const Step *step)
+stream_is_complete (const Step *step)
 {
   const MfCallEvent *event = &step->event->call;
   const MfRequest *request = step->request;
@@ -569,7 +572,7 @@
 {
   if (step->call->kind == MF_CALL_PREFILL)
     mf_call_end (step->core, step->call);
-  else if (stream_is_whole (step))
+  else if (stream_is_complete (step))
     finish_stream (step);
   else
     recover_stream (step, MF_CODE_UPSTREAM_ERROR);
@@ -587,7 +590,7 @@
 static void
 resuming_done (const Step *step)
 {
-  if (stream_is_whole (step))
+  if (stream_is_complete (step))
     finish_stream (step);
   else
     recover_stream (step, MF_CODE_UPSTREAM_ERROR);
@@ -599,14 +602,14 @@
 {
   MfRequest *request = step->request;
   uint32_t upstream = step->call->upstream;
-  bool lost = !step->event->call.refused && !step->event->call.leaving;
-  bool clean = end_failed (step);
+  bool failed = !step->event->call.refused && !step->event->call.leaving;
+  bool not_run = end_failed (step);
 
   request->n_refused++;
   if (step->event->call.refused)
-    note_full (step->core, upstream);
-  if (!clean || (lost && step->event->type == MF_EVENT_CALL_DONE))
-    try_again (step->core, request, MF_CODE_UPSTREAM_DIED);
+    note_upstream_full (step->core, upstream);
+  if (!not_run || (failed && step->event->type == MF_EVENT_CALL_DONE))
+    retry_or_refuse (step->core, request, MF_CODE_UPSTREAM_DIED);
   else
     transfer_or_wait (step->core, request);
 }
@@ -616,7 +619,7 @@
 {
   if (step->call->kind == MF_CALL_PREFILL)
     mf_call_end (step->core, step->call);
-  else if (stream_is_whole (step))
+  else if (stream_is_complete (step))
     {
       imported (step);
       finish_stream (step);
@@ -654,12 +657,12 @@
     refuse_deadline (step);
   else if (call == NULL)
     transfer_or_wait (step->core, request);
-  else if (!bear_with_pause (step))
+  else if (!extend_after_pause (step))
     {
       const MfUpstream *row = &step->core->board.upstreams[request->prefill_upstream];
-      uint64_t moved_us
+      uint64_t last_transfer_us
           = row->transfer_at_us > call->started_us ? row->transfer_at_us : call->started_us;
-      uint64_t stalled_us = moved_us + carry_patience_us (step->core, request);
+      uint64_t stalled_us = last_transfer_us + transfer_timeout_us (step->core, request);
 
       if (now_us (step) < stalled_us)
         {
@@ -668,7 +671,7 @@
         }
       mf_health_note_transfer_stall (step->core, request->prefill_upstream);
       request->last_upstream = request->prefill_upstream;
-      try_again (step->core, request, MF_CODE_UPSTREAM_STALLED);
+      retry_or_refuse (step->core, request, MF_CODE_UPSTREAM_STALLED);
     }
 }
 
@@ -683,7 +686,7 @@
       refuse_deadline (step);
       return;
     }
-  if (bear_with_pause (step))
+  if (extend_after_pause (step))
     return;
   if (call != NULL)
     {
@@ -692,7 +695,7 @@
     }
   mf_request_note (step->core, request, MF_TRACE_BROKEN, request->last_upstream, MF_NONE,
                    request->delivered);
-  try_again (step->core, request, MF_CODE_UPSTREAM_STALLED);
+  retry_or_refuse (step->core, request, MF_CODE_UPSTREAM_STALLED);
 }
 
 static void
@@ -711,9 +714,9 @@
         {
           end_failed (step);
           if (request->calls == NULL && event->refused)
-            back_to_queue (step->core, request);
+            requeue (step->core, request);
           else if (request->calls == NULL)
-            try_again (step->core, request, MF_CODE_NO_UPSTREAM);
+            retry_or_refuse (step->core, request, MF_CODE_NO_UPSTREAM);
           return;
         }
     }
@@ -737,12 +740,12 @@
 {
   MfRequest *request = step->request;
   bool timed_out = step->event->call.timed_out;
-  bool clean = end_failed (step);
+  bool not_run = end_failed (step);
 
   if (request->calls != NULL)
     return;
-  if (clean || request->idempotent)
-    try_again (step->core, request, clean ? MF_CODE_NO_UPSTREAM : MF_CODE_UPSTREAM_DIED);
+  if (not_run || request->idempotent)
+    retry_or_refuse (step->core, request, not_run ? MF_CODE_NO_UPSTREAM : MF_CODE_UPSTREAM_DIED);
   else
     mf_finish_refused (step->core, request,
                        timed_out ? MF_CODE_UPSTREAM_STALLED : MF_CODE_UPSTREAM_DIED, 0);
@@ -859,10 +862,10 @@
 void
 mf_life_start_model (MfCore *core, MfRequest *request, const MfPlacement *placement)
 {
-  uint64_t patience_us = placement->ttft_us * PREFILL_STALL_FACTOR;
+  uint64_t timeout_us = placement->ttft_us * PREFILL_STALL_FACTOR;
 
-  if (patience_us < PREFILL_STALL_MIN_US)
-    patience_us = PREFILL_STALL_MIN_US;
+  if (timeout_us < PREFILL_STALL_MIN_US)
+    timeout_us = PREFILL_STALL_MIN_US;
   mf_request_note (core, request, MF_TRACE_PLACED, placement->prefill, placement->decode,
                    placement->ttft_us);
   if (request->runner_up_us > 0)
@@ -872,7 +875,7 @@
   mf_call_enter (core, request, placement->decode != MF_NONE);
   mf_call_reserve (core, request, placement->decode);
   mf_call_start (core, request, MF_CALL_PREFILL, placement->prefill);
-  mf_request_check_at (core, request, core->board.now_us + patience_us);
+  mf_request_check_at (core, request, core->board.now_us + timeout_us);
 }
 
 /* Claims the key again when the grant went stale while the call waited. */
@@ -897,7 +900,7 @@
 void
 mf_life_start_plain (MfCore *core, MfRequest *request, uint32_t upstream)
 {
-  uint64_t usual_us = mf_request_service (core, request)->answer_us * HEDGE_ANSWERS;
+  uint64_t hedge_delay_us = mf_request_service (core, request)->answer_us * HEDGE_ANSWER_FACTOR;
 
   if (request->claimed && !mf_claim_may_send (core, request->id))
     {
@@ -907,8 +910,10 @@
   mf_request_set_phase (request, MF_PHASE_CONNECTING);
   mf_call_enter (core, request, false);
   mf_call_start (core, request, MF_CALL_PLAIN, upstream);
-  mf_request_check_at (core, request,
-                       core->board.now_us + (usual_us > HEDGE_MIN_US ? usual_us : HEDGE_MIN_US));
+  mf_request_check_at (
+      core, request,
+      core->board.now_us
+          + (hedge_delay_us > HEDGE_DELAY_MIN_US ? hedge_delay_us : HEDGE_DELAY_MIN_US));
 }
 
 /* Begins a request that has been admitted: a call that may not be repeated claims its key first. */
--- a/libmangofork/naive.c
+++ b/libmangofork/naive.c
@@ -6,7 +6,7 @@
 
 /* The next upstream of a pool in turn, whatever its state. */
 static uint32_t
-next_in_turn (MfCore *core, uint32_t pool)
+next_round_robin (MfCore *core, uint32_t pool)
 {
   MfPoolRow *row = &core->board.services.pools[pool];
 
@@ -18,7 +18,8 @@
 static MfPlaceResult
 place_model (MfCore *core, MfRequest *request, MfPlacement *placement)
 {
-  placement->prefill = next_in_turn (core, mf_request_service (core, request)->config.prefill_pool);
+  placement->prefill
+      = next_round_robin (core, mf_request_service (core, request)->config.prefill_pool);
   placement->decode = MF_NONE;
   placement->ttft_us = MF_US_PER_S;
   return placement->prefill == MF_NONE ? MF_PLACE_WAIT : MF_PLACE_FOUND;
@@ -30,7 +31,7 @@
 {
   if (request->n_refused >= RETRIES_MAX)
     return MF_NONE;
-  return next_in_turn (core, mf_request_service (core, request)->config.decode_pool);
+  return next_round_robin (core, mf_request_service (core, request)->config.decode_pool);
 }
 
 static bool
@@ -44,7 +45,7 @@
 static uint32_t
 place_plain (MfCore *core, MfRequest *request)
 {
-  return next_in_turn (core, mf_request_service (core, request)->config.plain_pool);
+  return next_round_robin (core, mf_request_service (core, request)->config.plain_pool);
 }
 
 static bool
--- a/libmangofork/place.c
+++ b/libmangofork/place.c
@@ -10,7 +10,7 @@
 #define SAMPLE_MAX 8
 #define FULL_WEIGHT_PPM 1000000
 /* Assumed until observed. */
-#define PREFILL_RATE_DEFAULT 50000
+#define PREFILL_RATE_DEFAULT_TOKENS_PER_S 50000
 #define KV_LIFE_DEFAULT_US (500 * MF_US_PER_MS)
 /* Work is kept in our own queue, where it can be reordered, rather than in an engine's. */
 #define PREFILL_WAIT_MAX_US (150 * MF_US_PER_MS)
@@ -21,9 +21,9 @@
 /* The same for requests that are late already. */
 #define LATE_SPARE_DIVISOR 7
 /* The time a KV is planned to wait for its slot. */
-#define WAIT_PLANNED_US (100 * MF_US_PER_MS)
+#define DECODE_WAIT_PLANNED_US (100 * MF_US_PER_MS)
 /* Reads may take so many times this instance's share of an upstream. */
-#define READ_SHARES 3
+#define READ_SHARE_FACTOR 3
 
 /* The upstreams of a pool that one decision looks at. */
 typedef struct
@@ -34,7 +34,7 @@
 
 /* Draws candidates without looking at the whole pool. */
 static void
-draw (MfCore *core, uint32_t pool, Sample *sample)
+sample_pool (MfCore *core, uint32_t pool, Sample *sample)
 {
   const MfPoolRow *row = &core->board.services.pools[pool];
   uint32_t n = row->n_active;
@@ -51,7 +51,8 @@
 static uint64_t
 prefill_rate (const MfUpstream *row)
 {
-  return row->prefill_tokens_per_s > 0 ? row->prefill_tokens_per_s : PREFILL_RATE_DEFAULT;
+  return row->prefill_tokens_per_s > 0 ? row->prefill_tokens_per_s
+                                       : PREFILL_RATE_DEFAULT_TOKENS_PER_S;
 }
 
 static uint64_t
@@ -83,7 +84,7 @@
 
 /* Whether a suspect may run there: alone among suspects. */
 static bool
-suits_suspect (const MfUpstream *row, const MfRequest *request)
+allows_suspect (const MfUpstream *row, const MfRequest *request)
 {
   return !request->suspect || row->suspects == 0;
 }
@@ -92,12 +93,13 @@
 has_pieces (const MfUpstream *row, uint32_t pieces)
 {
   uint32_t total = row->load.pieces_total > 0 ? row->load.pieces_total : row->config.pieces;
-  uint32_t each = row->own_slots > 0 ? row->own_pieces / row->own_slots : pieces;
+  uint32_t pieces_per_slot = row->own_slots > 0 ? row->own_pieces / row->own_slots : pieces;
   int64_t free_now = total - row->own_pieces;
 
   if (row->load_at_us > 0)
     {
-      int64_t reported = (int64_t)row->load.pieces_free - (int64_t)row->own_since_report * each;
+      int64_t reported
+          = (int64_t)row->load.pieces_free - (int64_t)row->own_since_report * pieces_per_slot;
 
       if (reported < free_now)
         free_now = reported;
@@ -106,14 +108,14 @@
 }
 
 static bool
-has_decode_room (const MfCore *core, const MfRequest *request, uint32_t upstream)
+can_decode (const MfCore *core, const MfRequest *request, uint32_t upstream)
 {
   const MfUpstream *row = &core->board.upstreams[upstream];
   uint32_t used = mf_upstream_slots_used (row);
 
   return mf_upstream_is_usable (row) && row->role == MF_ROLE_DECODE
          && row->full_until_us <= core->board.now_us && used < mf_upstream_slots (row)
-         && has_pieces (row, request->pieces) && suits_suspect (row, request);
+         && has_pieces (row, request->pieces) && allows_suspect (row, request);
 }
 
 /* The least loaded of a few decode engines with room, by the share of its slots in use. */
@@ -125,14 +127,14 @@
   uint32_t best = MF_NONE;
   Sample sample;
 
-  draw (core, pool, &sample);
+  sample_pool (core, pool, &sample);
   for (uint32_t i = 0; i < sample.n_rows; i++)
     {
       uint32_t upstream = sample.rows[i];
       const MfUpstream *row = &core->board.upstreams[upstream];
       uint64_t load;
 
-      if (!has_decode_room (core, request, upstream))
+      if (!can_decode (core, request, upstream))
         continue;
       load = (uint64_t)(mf_upstream_slots_used (row) + 1) * FULL_WEIGHT_PPM
              / mf_upstream_slots (row) * FULL_WEIGHT_PPM
@@ -157,11 +159,11 @@
   const MfUpstream *row = &core->board.upstreams[upstream];
   uint32_t tokens = request->prompt_tokens + request->delivered;
   uint64_t life_us = row->kv_life_us > 0 ? row->kv_life_us : KV_LIFE_DEFAULT_US;
-  uint64_t carry_us = transfer_us (core, row, request);
+  uint64_t link_us = transfer_us (core, row, request);
 
   *wait_us = UINT64_MAX;
   if (!mf_upstream_is_usable (row) || row->role != MF_ROLE_PREFILL
-      || row->full_until_us > core->board.now_us || !suits_suspect (row, request)
+      || row->full_until_us > core->board.now_us || !allows_suspect (row, request)
       || !has_pieces (row, tokens / MF_PIECE_TOKENS + 1)
       || ratio_us (row->transfer_bytes, link_rate (row)) > life_us / 2)
     return UINT64_MAX;
@@ -169,18 +171,18 @@
   if (*cached >= tokens)
     *cached = tokens - 1;
   *wait_us = ratio_us (mf_upstream_prefill_queue (row), prefill_rate (row));
-  return *wait_us + ratio_us (tokens - *cached, prefill_rate (row)) + carry_us
+  return *wait_us + ratio_us (tokens - *cached, prefill_rate (row)) + link_us
          + mf_request_service (core, request)->config.tbt_target_us;
 }
 
 /* Remembers the second best prefill engine, so that a placement can be explained. */
 static void
-note_runner_up (MfRequest *request, uint32_t upstream, uint64_t us)
+note_alternative (MfRequest *request, uint32_t upstream, uint64_t predicted_us)
 {
-  if (upstream == MF_NONE || (request->runner_up_us != 0 && request->runner_up_us <= us))
+  if (upstream == MF_NONE || (request->runner_up_us != 0 && request->runner_up_us <= predicted_us))
     return;
   request->runner_up = upstream;
-  request->runner_up_us = us;
+  request->runner_up_us = predicted_us;
 }
 
 /* The prefill engine with the least predicted time to the first token, that would begin soon. */
@@ -193,28 +195,28 @@
   Sample sample;
 
   request->runner_up_us = 0;
-  draw (core, pool, &sample);
+  sample_pool (core, pool, &sample);
   for (uint32_t i = 0; i < sample.n_rows; i++)
     {
       uint32_t upstream = sample.rows[i];
       uint32_t cached = 0;
       uint64_t wait_us;
-      uint64_t us = predict_us (core, request, upstream, &wait_us, &cached);
+      uint64_t predicted_us = predict_us (core, request, upstream, &wait_us, &cached);
 
-      if (us == UINT64_MAX || wait_us > PREFILL_WAIT_MAX_US)
+      if (predicted_us == UINT64_MAX || wait_us > PREFILL_WAIT_MAX_US)
         continue;
-      us = us * FULL_WEIGHT_PPM / (mf_health_weight_ppm (core, upstream) + 1);
+      predicted_us = predicted_us * FULL_WEIGHT_PPM / (mf_health_weight_ppm (core, upstream) + 1);
       if (upstream == request->last_upstream)
-        us *= 2;
-      if (us < best_us)
+        predicted_us *= 2;
+      if (predicted_us < best_us)
         {
-          note_runner_up (request, best, best_us);
-          best_us = us;
+          note_alternative (request, best, best_us);
+          best_us = predicted_us;
           best = upstream;
           request->cached_tokens = cached;
         }
       else
-        note_runner_up (request, upstream, us);
+        note_alternative (request, upstream, predicted_us);
     }
   *ttft_us = best_us;
   return best;
@@ -230,7 +232,7 @@
   Sample sample;
 
   *n_slots = 0;
-  draw (core, pool, &sample);
+  sample_pool (core, pool, &sample);
   for (uint32_t i = 0; i < sample.n_rows; i++)
     {
       const MfUpstream *upstream = &core->board.upstreams[sample.rows[i]];
@@ -269,9 +271,9 @@
 /* Whether one more request may be on its way to a pool that is nearly full: within the window, and
  * not while a KV of ours already waits there. */
 static bool
-may_come (const MfCore *core, const MfPoolRow *pool)
+may_start (const MfCore *core, const MfPoolRow *pool)
 {
-  return mf_queue_transfer_wait_us (core) <= WAIT_PLANNED_US / 2 && mf_window_allows (pool);
+  return mf_queue_transfer_wait_us (core) <= DECODE_WAIT_PLANNED_US / 2 && mf_window_allows (pool);
 }
 
 /* Whether there is room to spare, that requests in time will not need soon. */
@@ -300,7 +302,7 @@
 
   if (n_free > n_slots / SPARE_DIVISOR + SPARE_MIN)
     placement->decode = place_decode (core, request);
-  if (placement->decode == MF_NONE && !may_come (core, &core->board.services.pools[pool]))
+  if (placement->decode == MF_NONE && !may_start (core, &core->board.services.pools[pool]))
     return MF_PLACE_WAIT;
   placement->prefill = place_prefill (core, request, &placement->ttft_us);
   return placement->prefill == MF_NONE ? MF_PLACE_WAIT : MF_PLACE_FOUND;
@@ -316,8 +318,8 @@
 
   if (request->class_ != MF_CLASS_READ)
     return share;
-  return share * READ_SHARES < mf_upstream_slots (row) ? share * READ_SHARES
-                                                       : mf_upstream_slots (row);
+  return share * READ_SHARE_FACTOR < mf_upstream_slots (row) ? share * READ_SHARE_FACTOR
+                                                             : mf_upstream_slots (row);
 }
 
 /* The upstream with the least own work and the fastest answers. */
@@ -331,14 +333,14 @@
 
   if (request->class_ != MF_CLASS_READ && !mf_window_allows (&core->board.services.pools[pool]))
     return MF_NONE;
-  draw (core, pool, &sample);
+  sample_pool (core, pool, &sample);
   for (uint32_t i = 0; i < sample.n_rows; i++)
     {
       uint32_t upstream = sample.rows[i];
       const MfUpstream *row = &core->board.upstreams[upstream];
       uint64_t load;
 
-      if (!mf_upstream_is_usable (row) || !suits_suspect (row, request)
+      if (!mf_upstream_is_usable (row) || !allows_suspect (row, request)
           || row->own_slots >= plain_slots (core, request, upstream))
         continue;
       load = (uint64_t)(row->own_slots + 1) * (row->answer_us + MF_US_PER_MS) * 1000
--- a/libmangofork/plain.c
+++ b/libmangofork/plain.c
@@ -14,7 +14,7 @@
 } PlainAnswer;
 
 static bool
-has_control (const char *text)
+has_control_char (const char *text)
 {
   for (; text != NULL && *text != '\0'; text++)
     {
@@ -35,8 +35,8 @@
 
   (void)self;
   *request = (MfHttpRequest){ .method = material->method };
-  if (call->kind != MF_CALL_PLAIN || has_control (material->path) || has_control (material->name)
-      || has_control (type))
+  if (call->kind != MF_CALL_PLAIN || has_control_char (material->path)
+      || has_control_char (material->name) || has_control_char (type))
     {
       mf_error_set (error, MF_CODE_BAD_HEADER, "the call cannot be put to a plain upstream");
       return false;
@@ -87,18 +87,18 @@
 }
 
 static void
-plain_end (void *state, uint16_t status, bool whole, uint64_t now_us)
+plain_end (void *state, uint16_t status, bool complete, uint64_t now_us)
 {
   PlainAnswer *answer = state;
   MfCallEvent event = { .status = status };
 
   (void)now_us;
-  if (whole)
+  if (complete)
     {
       event.data = mf_buffer_data (&answer->body);
       event.data_bytes = mf_buffer_bytes (&answer->body);
     }
-  answer->on_event (whole ? MF_EVENT_CALL_DONE : MF_EVENT_CALL_FAILED, &event, answer->data);
+  answer->on_event (complete ? MF_EVENT_CALL_DONE : MF_EVENT_CALL_FAILED, &event, answer->data);
 }
 
 static void
--- a/libmangofork/prefix.c
+++ b/libmangofork/prefix.c
@@ -6,9 +6,9 @@
 #define ENTRIES_MAX 32768
 /* What a gap in an upstream's cache events leaves of the trust in what is remembered of it, and
  * what each event in order gives back. */
-#define TRUST_FULL 1000
-#define TRUST_AFTER_GAP_DIVISOR 2
-#define TRUST_PER_EVENT 10
+#define CONFIDENCE_FULL_PERMILLE 1000
+#define CONFIDENCE_GAP_DIVISOR 2
+#define CONFIDENCE_PER_EVENT_PERMILLE 10
 
 typedef struct
 {
@@ -26,34 +26,35 @@
 {
   uint64_t next_event;
   uint64_t incarnation;
-  uint32_t trust;
-} Source;
+  uint32_t confidence;
+} UpstreamCache;
 
 struct MfCaches
 {
   Entry *entries;
-  Source *sources; /* by upstream */
-  uint32_t n_sources;
+  UpstreamCache *upstream_caches; /* by upstream */
+  uint32_t n_upstream_caches;
 };
 
-static Source *
-source_of (MfCore *core, uint32_t upstream)
+static UpstreamCache *
+upstream_cache_get (MfCore *core, uint32_t upstream)
 {
   MfCaches *caches = core->board.caches;
 
-  if (upstream >= caches->n_sources)
+  if (upstream >= caches->n_upstream_caches)
     {
       uint32_t n = core->board.n_upstreams;
-      Source *sources = realloc (caches->sources, n * sizeof *sources);
+      UpstreamCache *upstream_caches
+          = realloc (caches->upstream_caches, n * sizeof *upstream_caches);
 
-      if (sources == NULL)
+      if (upstream_caches == NULL)
         abort ();
-      for (uint32_t i = caches->n_sources; i < n; i++)
-        sources[i] = (Source){ .trust = TRUST_FULL };
-      caches->sources = sources;
-      caches->n_sources = n;
+      for (uint32_t i = caches->n_upstream_caches; i < n; i++)
+        upstream_caches[i] = (UpstreamCache){ .confidence = CONFIDENCE_FULL_PERMILLE };
+      caches->upstream_caches = upstream_caches;
+      caches->n_upstream_caches = n;
     }
-  return &caches->sources[upstream];
+  return &caches->upstream_caches[upstream];
 }
 
 static Entry *
@@ -94,13 +95,15 @@
 mf_prefix_cached_tokens (const MfCore *core, uint32_t upstream, const MfRequest *request)
 {
   const MfCaches *caches = core->board.caches;
-  uint64_t trust = upstream < caches->n_sources ? caches->sources[upstream].trust : TRUST_FULL;
+  uint64_t confidence = upstream < caches->n_upstream_caches
+                            ? caches->upstream_caches[upstream].confidence
+                            : CONFIDENCE_FULL_PERMILLE;
   uint32_t n = 0;
 
   while (n < request->n_prefix_hashes
          && find (caches, upstream, request->prefix_hashes[n] ^ request->cache_salt) != NULL)
     n++;
-  return (uint32_t)((uint64_t)n * MF_PIECE_TOKENS * trust / TRUST_FULL);
+  return (uint32_t)((uint64_t)n * MF_PIECE_TOKENS * confidence / CONFIDENCE_FULL_PERMILLE);
 }
 
 void
@@ -115,9 +118,9 @@
 {
   const MfCaches *caches = core->board.caches;
 
-  if (upstream >= caches->n_sources || caches->sources[upstream].next_event == 0)
+  if (upstream >= caches->n_upstream_caches || caches->upstream_caches[upstream].next_event == 0)
     return 0;
-  return caches->sources[upstream].next_event - 1;
+  return caches->upstream_caches[upstream].next_event - 1;
 }
 
 void
@@ -131,7 +134,7 @@
     if (entry->key.upstream == upstream)
       drop (core->board.caches, entry);
   }
-  source_of (core, upstream)->trust = TRUST_FULL;
+  upstream_cache_get (core, upstream)->confidence = CONFIDENCE_FULL_PERMILLE;
 }
 
 /* Takes in cache events. After a gap, evictions may have been missed: what is remembered counts
@@ -139,19 +142,19 @@
 static void
 handle_cache (MfCore *core, const MfCacheEvent *event)
 {
-  Source *source = source_of (core, event->upstream);
+  UpstreamCache *cache = upstream_cache_get (core, event->upstream);
 
-  if (event->incarnation != source->incarnation)
-    source->next_event = 0;
-  source->incarnation = event->incarnation;
-  if (event->n == 0 || event->first + event->n <= source->next_event)
+  if (event->incarnation != cache->incarnation)
+    cache->next_event = 0;
+  cache->incarnation = event->incarnation;
+  if (event->n == 0 || event->first + event->n <= cache->next_event)
     return;
-  if (source->next_event > 0 && event->first > source->next_event)
-    source->trust /= TRUST_AFTER_GAP_DIVISOR;
-  source->next_event = event->first + event->n;
-  source->trust += event->n * TRUST_PER_EVENT;
-  if (source->trust > TRUST_FULL)
-    source->trust = TRUST_FULL;
+  if (cache->next_event > 0 && event->first > cache->next_event)
+    cache->confidence /= CONFIDENCE_GAP_DIVISOR;
+  cache->next_event = event->first + event->n;
+  cache->confidence += event->n * CONFIDENCE_PER_EVENT_PERMILLE;
+  if (cache->confidence > CONFIDENCE_FULL_PERMILLE)
+    cache->confidence = CONFIDENCE_FULL_PERMILLE;
   for (uint32_t i = 0; i < event->n; i++)
     {
       Entry *entry = find (core->board.caches, event->upstream, event->hashes[i]);
@@ -192,7 +195,7 @@
   {
     drop (caches, entry);
   }
-  free (caches->sources);
+  free (caches->upstream_caches);
   free (caches);
 }
 
--- a/libmangofork/queue.c
+++ b/libmangofork/queue.c
@@ -6,14 +6,14 @@
 #include <stdlib.h>
 
 /* One turn in this many goes to a request that is already late, so that none starves. */
-#define LATE_TURN 32
+#define LATE_ONE_IN 32
 /* Tries to place in one step, over all services. */
 #define PLACE_TRIES_MAX 64
-#define AGAIN_TRIES_MAX 4
+#define REQUEUED_TRIES_MAX 4
 /* A lower class goes first when its oldest has waited this share of its time. */
 #define STARVED_DIVISOR 2
 /* It does so one time in this many, so that what is urgent keeps its part. */
-#define STARVED_TURN 16
+#define STARVED_ONE_IN 16
 #define WANT_PERIOD_US (100 * MF_US_PER_MS)
 #define RETRY_AFTER_MIN_MS 200
 #define RETRY_AFTER_MAX_MS 60000
@@ -21,7 +21,7 @@
 #define DRAIN_GAP_MAX_US MF_US_PER_S
 
 /* The requests of one customer that wait for one service, oldest first. */
-typedef struct Lane
+typedef struct CustomerQueue
 {
   MfHeapNode node; /* first member; its time is the lane's virtual time */
   uint64_t key[2]; /* service, customer */
@@ -29,46 +29,46 @@
   MfRequest *tail;
   uint32_t n_requests;
   UT_hash_handle hh;
-} Lane;
+} CustomerQueue;
 
 typedef struct
 {
   MfRequest *head;
   MfRequest *tail;
   uint32_t n_requests;
-} List;
+} RequestList;
 
 typedef enum
 {
-  TIER_FRESH, /* may still meet its first-token target */
-  TIER_AGAIN, /* was served before and broke */
+  TIER_ON_TIME,  /* may still meet its first-token target */
+  TIER_REQUEUED, /* was served before and broke */
   TIER_LATE,
 } Tier;
 
 typedef struct
 {
-  MfHeap lanes; /* those with requests, least virtual time first */
+  MfHeap by_virtual_time; /* those with requests, least virtual time first */
   uint64_t virtual_time;
-  List again;
-  List late;
-  uint32_t n_fresh;
-  uint32_t n_turns;
+  RequestList requeued;
+  RequestList late;
+  uint32_t n_on_time;
+  uint32_t n_placements;
 } ServiceQueue;
 
 struct MfQueue
 {
   ServiceQueue *services;
   uint32_t n_services;
-  Lane *lanes;
+  CustomerQueue *customer_queues;
   uint32_t n_requests;
-  List transfers; /* KVs that wait for a decode engine */
-  bool stirred;
-  uint32_t n_turns;
+  RequestList transfers; /* KVs that wait for a decode engine */
+  bool pass_due;
+  uint32_t n_starved_checks;
   uint64_t want_us;
 };
 
 static void
-list_push (List *list, MfRequest *request)
+list_push (RequestList *list, MfRequest *request)
 {
   request->next = NULL;
   request->prev = list->tail;
@@ -81,7 +81,7 @@
 }
 
 static void
-list_remove (List *list, MfRequest *request)
+list_remove (RequestList *list, MfRequest *request)
 {
   if (request->prev != NULL)
     request->prev->next = request->next;
@@ -115,27 +115,28 @@
   return &queue->services[service];
 }
 
-static Lane *
-lane_of (MfCore *core, const MfRequest *request)
+static CustomerQueue *
+customer_queue_get (MfCore *core, const MfRequest *request)
 {
   uint64_t key[2] = { request->service, request->customer };
-  Lane *lane;
+  CustomerQueue *customer_queue;
 
-  HASH_FIND (hh, core->board.queue->lanes, key, sizeof key, lane);
-  if (lane != NULL)
-    return lane;
-  lane = calloc (1, sizeof *lane);
-  if (lane == NULL)
+  HASH_FIND (hh, core->board.queue->customer_queues, key, sizeof key, customer_queue);
+  if (customer_queue != NULL)
+    return customer_queue;
+  customer_queue = calloc (1, sizeof *customer_queue);
+  if (customer_queue == NULL)
     abort ();
-  lane->node.position = MF_HEAP_OUT;
-  lane->key[0] = key[0];
-  lane->key[1] = key[1];
-  HASH_ADD (hh, core->board.queue->lanes, key, sizeof lane->key, lane);
-  return lane;
+  customer_queue->node.position = MF_HEAP_OUT;
+  customer_queue->key[0] = key[0];
+  customer_queue->key[1] = key[1];
+  HASH_ADD (hh, core->board.queue->customer_queues, key, sizeof customer_queue->key,
+            customer_queue);
+  return customer_queue;
 }
 
 static uint32_t
-weight_of (const MfCore *core, const MfRequest *request)
+customer_weight (const MfCore *core, const MfRequest *request)
 {
   uint32_t share = request->customer == MF_NONE
                        ? 1
@@ -146,50 +147,51 @@
 
 /* Work in tokens, an output token counted as many prompt tokens, by the customer's weight. */
 static uint64_t
-cost_of (const MfCore *core, const MfRequest *request)
+request_cost (const MfCore *core, const MfRequest *request)
 {
   uint64_t output = mf_service_output_tokens (mf_request_service (core, request));
 
-  return (1000 + request->prompt_tokens + output * 16) / weight_of (core, request);
+  return (1000 + request->prompt_tokens + output * 16) / customer_weight (core, request);
 }
 
 static void
-lane_push (MfCore *core, ServiceQueue *queue, MfRequest *request)
+customer_queue_push (MfCore *core, ServiceQueue *queue, MfRequest *request)
 {
-  Lane *lane = lane_of (core, request);
-  List list = { .head = lane->head, .tail = lane->tail };
+  CustomerQueue *customer_queue = customer_queue_get (core, request);
+  RequestList list = { .head = customer_queue->head, .tail = customer_queue->tail };
 
   list_push (&list, request);
-  lane->head = list.head;
-  lane->tail = list.tail;
-  lane->n_requests++;
-  request->lane = lane;
-  queue->n_fresh++;
-  if (lane->node.position == MF_HEAP_OUT)
-    mf_heap_set (&queue->lanes, &lane->node,
-                 lane->node.at_us > queue->virtual_time ? lane->node.at_us : queue->virtual_time);
+  customer_queue->head = list.head;
+  customer_queue->tail = list.tail;
+  customer_queue->n_requests++;
+  request->lane = customer_queue;
+  queue->n_on_time++;
+  if (customer_queue->node.position == MF_HEAP_OUT)
+    mf_heap_set (&queue->by_virtual_time, &customer_queue->node,
+                 customer_queue->node.at_us > queue->virtual_time ? customer_queue->node.at_us
+                                                                  : queue->virtual_time);
 }
 
 static void
-lane_remove (ServiceQueue *queue, MfRequest *request)
+customer_queue_remove (ServiceQueue *queue, MfRequest *request)
 {
-  Lane *lane = request->lane;
-  List list = { .head = lane->head, .tail = lane->tail };
+  CustomerQueue *customer_queue = request->lane;
+  RequestList list = { .head = customer_queue->head, .tail = customer_queue->tail };
 
   list_remove (&list, request);
-  lane->head = list.head;
-  lane->tail = list.tail;
-  lane->n_requests--;
+  customer_queue->head = list.head;
+  customer_queue->tail = list.tail;
+  customer_queue->n_requests--;
   request->lane = NULL;
-  queue->n_fresh--;
-  if (lane->n_requests == 0)
-    mf_heap_remove (&queue->lanes, &lane->node);
+  queue->n_on_time--;
+  if (customer_queue->n_requests == 0)
+    mf_heap_remove (&queue->by_virtual_time, &customer_queue->node);
 }
 
 void
 mf_queue_stir (MfCore *core)
 {
-  core->board.queue->stirred = true;
+  core->board.queue->pass_due = true;
 }
 
 uint32_t
@@ -205,13 +207,13 @@
 
   if (service >= queue->n_services)
     return 0;
-  return queue->services[service].n_fresh + queue->services[service].late.n_requests
-         + queue->services[service].again.n_requests;
+  return queue->services[service].n_on_time + queue->services[service].late.n_requests
+         + queue->services[service].requeued.n_requests;
 }
 
 /* The wait of a request behind n others, from how fast the queue drains. */
 static uint64_t
-wait_us (const MfCore *core, uint32_t service, uint32_t n)
+expected_wait_us (const MfCore *core, uint32_t service, uint32_t n)
 {
   return core->board.services.rows[service].drain_gap_us * n;
 }
@@ -220,7 +222,8 @@
 uint64_t
 mf_queue_retry_after_ms (const MfCore *core, uint32_t service)
 {
-  uint64_t ms = wait_us (core, service, mf_queue_service_length (core, service)) / MF_US_PER_MS;
+  uint64_t ms
+      = expected_wait_us (core, service, mf_queue_service_length (core, service)) / MF_US_PER_MS;
 
   if (ms < RETRY_AFTER_MIN_MS)
     return RETRY_AFTER_MIN_MS;
@@ -240,17 +243,17 @@
 }
 
 static void
-put (MfCore *core, MfRequest *request, Tier tier)
+insert (MfCore *core, MfRequest *request, Tier tier)
 {
   ServiceQueue *queue = service_queue (core, request->service);
 
   request->queue = (uint8_t)tier;
   request->queued = true;
   core->board.queue->n_requests++;
-  if (tier == TIER_FRESH)
-    lane_push (core, queue, request);
+  if (tier == TIER_ON_TIME)
+    customer_queue_push (core, queue, request);
   else
-    list_push (tier == TIER_AGAIN ? &queue->again : &queue->late, request);
+    list_push (tier == TIER_REQUEUED ? &queue->requeued : &queue->late, request);
   mf_queue_stir (core);
 }
 
@@ -259,10 +262,10 @@
 {
   ServiceQueue *queue = service_queue (core, request->service);
 
-  if (request->queue == TIER_FRESH)
-    lane_remove (queue, request);
+  if (request->queue == TIER_ON_TIME)
+    customer_queue_remove (queue, request);
   else
-    list_remove (request->queue == TIER_AGAIN ? &queue->again : &queue->late, request);
+    list_remove (request->queue == TIER_REQUEUED ? &queue->requeued : &queue->late, request);
   request->queued = false;
   core->board.queue->n_requests--;
 }
@@ -270,17 +273,18 @@
 /* Puts a request among the late, or refuses it at once when its turn would not come in time: the
  * late get one turn in LATE_TURN while others wait. */
 static void
-put_late (MfCore *core, MfRequest *request)
+insert_late (MfCore *core, MfRequest *request)
 {
   const ServiceQueue *queue = service_queue (core, request->service);
-  uint64_t turns = queue->n_fresh > 0 ? LATE_TURN : 1;
-  uint64_t wait = wait_us (core, request->service, queue->late.n_requests + 1) * turns;
+  uint64_t late_ratio = queue->n_on_time > 0 ? LATE_ONE_IN : 1;
+  uint64_t wait_us
+      = expected_wait_us (core, request->service, queue->late.n_requests + 1) * late_ratio;
 
-  if (core->board.now_us + wait > request->deadline_us)
+  if (core->board.now_us + wait_us > request->deadline_us)
     mf_finish_refused (core, request, MF_CODE_QUEUE_FULL,
                        mf_queue_retry_after_ms (core, request->service));
   else
-    put (core, request, TIER_LATE);
+    insert (core, request, TIER_LATE);
 }
 
 /* Whether the request's turn among its customer's would come too late for its first-token target,
@@ -289,11 +293,13 @@
 will_be_late (MfCore *core, const MfRequest *request)
 {
   const ServiceQueue *queue = service_queue (core, request->service);
-  const Lane *lane = lane_of (core, request);
-  uint64_t n_lanes = queue->lanes.n_nodes > 0 ? queue->lanes.n_nodes : 1;
-  uint64_t wait = wait_us (core, request->service, (uint32_t)(lane->n_requests * n_lanes));
+  const CustomerQueue *customer_queue = customer_queue_get (core, request);
+  uint64_t n_customers = queue->by_virtual_time.n_nodes > 0 ? queue->by_virtual_time.n_nodes : 1;
+  uint64_t wait_us = expected_wait_us (core, request->service,
+                                       (uint32_t)(customer_queue->n_requests * n_customers));
 
-  return lane->n_requests > 0 && core->board.now_us + wait > latest_start_us (core, request);
+  return customer_queue->n_requests > 0
+         && core->board.now_us + wait_us > latest_start_us (core, request);
 }
 
 void
@@ -302,9 +308,9 @@
   mf_request_note (core, request, MF_TRACE_QUEUED, MF_NONE, MF_NONE,
                    mf_queue_service_length (core, request->service));
   if (mf_policy (core)->queues && will_be_late (core, request))
-    put_late (core, request);
+    insert_late (core, request);
   else
-    put (core, request, TIER_FRESH);
+    insert (core, request, TIER_ON_TIME);
 }
 
 /* A caller who has seen tokens goes first, and so does one whose first token may still be in time.
@@ -315,7 +321,7 @@
   bool urgent = request->delivered > 0 || !mf_policy (core)->queues
                 || latest_start_us (core, request) >= core->board.now_us;
 
-  put (core, request, urgent ? TIER_AGAIN : TIER_LATE);
+  insert (core, request, urgent ? TIER_REQUEUED : TIER_LATE);
   if (request->not_before_us > core->board.now_us)
     mf_request_check_at (core, request, request->not_before_us);
 }
@@ -406,41 +412,41 @@
 
 /* Moves the heads that can no longer be in time to the late; returns the first that can. */
 static MfRequest *
-first_fresh (MfCore *core, ServiceQueue *queue)
+first_on_time (MfCore *core, ServiceQueue *queue)
 {
   MfHeapNode *node;
 
-  while ((node = mf_heap_first (&queue->lanes)) != NULL)
+  while ((node = mf_heap_first (&queue->by_virtual_time)) != NULL)
     {
-      MfRequest *request = ((Lane *)node)->head;
+      MfRequest *request = ((CustomerQueue *)node)->head;
 
       if (!mf_policy (core)->queues || latest_start_us (core, request) >= core->board.now_us)
         return request;
       mf_queue_remove (core, request);
-      put_late (core, request);
+      insert_late (core, request);
     }
   return NULL;
 }
 
 static bool
-place_fresh (MfCore *core, ServiceQueue *queue, MfRequest *request)
+place_on_time (MfCore *core, ServiceQueue *queue, MfRequest *request)
 {
-  Lane *lane = request->lane;
-  uint64_t cost = cost_of (core, request);
+  CustomerQueue *customer_queue = request->lane;
+  uint64_t cost = request_cost (core, request);
 
   if (!place (core, request))
     return false;
-  queue->virtual_time = lane->node.at_us;
-  lane->node.at_us += cost;
-  if (lane->node.position != MF_HEAP_OUT)
-    mf_heap_set (&queue->lanes, &lane->node, lane->node.at_us);
+  queue->virtual_time = customer_queue->node.at_us;
+  customer_queue->node.at_us += cost;
+  if (customer_queue->node.position != MF_HEAP_OUT)
+    mf_heap_set (&queue->by_virtual_time, &customer_queue->node, customer_queue->node.at_us);
   return true;
 }
 
 static bool
-place_again (MfCore *core, ServiceQueue *queue)
+place_requeued (MfCore *core, ServiceQueue *queue)
 {
-  MfRequest *request = queue->again.head;
+  MfRequest *request = queue->requeued.head;
   uint32_t n_tries = 0;
 
   while (request != NULL)
@@ -449,7 +455,7 @@
 
       if (place (core, request))
         return true;
-      if (++n_tries == AGAIN_TRIES_MAX)
+      if (++n_tries == REQUEUED_TRIES_MAX)
         return false;
       request = next;
     }
@@ -461,24 +467,24 @@
 place_next (MfCore *core, uint32_t service)
 {
   ServiceQueue *queue = service_queue (core, service);
-  MfRequest *fresh;
-  bool late_turn;
+  MfRequest *on_time;
+  bool pick_late;
   bool placed;
 
-  if (place_again (core, queue))
+  if (place_requeued (core, queue))
     return true;
-  fresh = first_fresh (core, queue);
-  late_turn = ++queue->n_turns % LATE_TURN == 0;
-  if (fresh == NULL && queue->late.head != NULL)
-    late_turn = late_turn || mf_policy (core)->has_spare (core, queue->late.head);
-  if (late_turn && queue->late.head != NULL)
+  on_time = first_on_time (core, queue);
+  pick_late = ++queue->n_placements % LATE_ONE_IN == 0;
+  if (on_time == NULL && queue->late.head != NULL)
+    pick_late = pick_late || mf_policy (core)->has_spare (core, queue->late.head);
+  if (pick_late && queue->late.head != NULL)
     placed = place (core, queue->late.head);
   else
-    placed = fresh != NULL && place_fresh (core, service_queue (core, service), fresh);
+    placed = on_time != NULL && place_on_time (core, service_queue (core, service), on_time);
   if (placed)
     note_drain (core, service, mf_queue_service_length (core, service) > 0);
   else
-    queue->n_turns--;
+    queue->n_placements--;
   return placed;
 }
 
@@ -486,8 +492,8 @@
 is_starved (MfCore *core, uint32_t service)
 {
   const ServiceQueue *queue = service_queue (core, service);
-  const MfHeapNode *node = mf_heap_first (&queue->lanes);
-  const MfRequest *oldest = node != NULL ? ((const Lane *)node)->head : queue->late.head;
+  const MfHeapNode *node = mf_heap_first (&queue->by_virtual_time);
+  const MfRequest *oldest = node != NULL ? ((const CustomerQueue *)node)->head : queue->late.head;
 
   return oldest != NULL
          && (core->board.now_us - oldest->arrived_us) * STARVED_DIVISOR
@@ -501,16 +507,17 @@
   MfQueue *queue = core->board.queue;
   uint32_t n_tries = 0;
 
-  if (!queue->stirred)
+  if (!queue->pass_due)
     return;
-  queue->stirred = false;
+  queue->pass_due = false;
   if (queue->transfers.head != NULL)
     place_transfers (core);
   if (queue->n_requests == 0)
     return;
   for (uint32_t i = 0; i < core->board.services.n_rows; i++)
     {
-      if (is_starved (core, i) && queue->n_turns++ % STARVED_TURN == 0 && place_next (core, i))
+      if (is_starved (core, i) && queue->n_starved_checks++ % STARVED_ONE_IN == 0
+          && place_next (core, i))
         n_tries++;
     }
   for (int class_ = 0; class_ < MF_CLASS_COUNT; class_++)
@@ -525,7 +532,7 @@
     }
   if (n_tries >= PLACE_TRIES_MAX)
     {
-      queue->stirred = true;
+      queue->pass_due = true;
       mf_core_wake_at (core, core->board.now_us);
     }
 }
@@ -550,18 +557,18 @@
 queue_finish (MfCore *core)
 {
   MfQueue *queue = core->board.queue;
-  Lane *lane;
-  Lane *next;
+  CustomerQueue *customer_queue;
+  CustomerQueue *next;
 
   if (queue == NULL)
     return;
-  HASH_ITER (hh, queue->lanes, lane, next)
+  HASH_ITER (hh, queue->customer_queues, customer_queue, next)
   {
-    HASH_DEL (queue->lanes, lane);
-    free (lane);
+    HASH_DEL (queue->customer_queues, customer_queue);
+    free (customer_queue);
   }
   for (uint32_t i = 0; i < queue->n_services; i++)
-    mf_heap_clear (&queue->services[i].lanes);
+    mf_heap_clear (&queue->services[i].by_virtual_time);
   free (queue->services);
   free (queue);
 }
--- a/libmangofork/request.c
+++ b/libmangofork/request.c
@@ -112,13 +112,13 @@
 }
 
 static bool
-method_reads (const char *method)
+method_is_safe (const char *method)
 {
   return method != NULL && (strcmp (method, "GET") == 0 || strcmp (method, "HEAD") == 0);
 }
 
 static uint64_t
-salt_of (const MfCore *core, uint32_t customer)
+customer_cache_salt (const MfCore *core, uint32_t customer)
 {
   uint64_t name = customer == MF_NONE ? 0 : core->board.services.customers[customer].name_hash;
 
@@ -126,7 +126,7 @@
 }
 
 static MfRequest *
-make_request (MfCore *core, const MfRequestEvent *event, uint32_t service, uint32_t customer)
+request_new (MfCore *core, const MfRequestEvent *event, uint32_t service, uint32_t customer)
 {
   const MfService *config = &core->board.services.rows[service].config;
   uint64_t limit_us = config->deadline_us > 0 ? config->deadline_us : DEADLINE_DEFAULT_US;
@@ -141,11 +141,11 @@
     .customer = customer,
     .class_ = event->has_class && event->class_ > config->class_ ? event->class_ : config->class_,
     .idempotent = config->kind == MF_SERVICE_MODEL
-                  || (config->get_is_idempotent && method_reads (event->method)),
+                  || (config->get_is_idempotent && method_is_safe (event->method)),
     .has_key = event->has_key,
     .key_minted_ms = event->key_minted_ms,
     .digest = event->digest,
-    .cache_salt = salt_of (core, customer),
+    .cache_salt = customer_cache_salt (core, customer),
     .prompt_tokens = event->prompt_tokens,
     .max_tokens = event->max_tokens,
     .arrived_us = core->board.now_us,
@@ -210,7 +210,7 @@
   else if (code != MF_CODE_NO_CONFIG)
     retry_after_ms = 0;
   if (code == MF_CODE_OK)
-    request = make_request (core, event, service, customer);
+    request = request_new (core, event, service, customer);
   if (request == NULL)
     {
       mf_finish_turned_away (core, event, service, customer,
@@ -245,12 +245,12 @@
     [MF_EVENT_CALL_DONE] = MF_INPUT_DONE,         [MF_EVENT_CALL_FAILED] = MF_INPUT_FAILED,
   };
   MfCall *call = mf_call_find (core, event->call.call_id);
-  bool ours = event->type == MF_EVENT_CALL_PREFILLED || event->type == MF_EVENT_CALL_IMPORTED
+  bool late = event->type == MF_EVENT_CALL_PREFILLED || event->type == MF_EVENT_CALL_IMPORTED
               || event->type == MF_EVENT_CALL_TOKENS;
 
   if (call != NULL)
-    ours = !mf_life_input (core, call->request, inputs[event->type], call, event, NULL);
-  if (ours)
+    late = !mf_life_input (core, call->request, inputs[event->type], call, event, NULL);
+  if (late)
     mf_counter_add (&core->board.counters, MF_COUNTER_LATE_DROPPED, 1);
 }
 
@@ -279,7 +279,7 @@
 void
 mf_request_upstream_died (MfCore *core, uint32_t upstream)
 {
-  uint64_t newest = core->next_call_id;
+  uint64_t newest_id = core->next_call_id;
   MfCall *call = core->board.upstreams[upstream].calls;
 
   while (call != NULL)
@@ -294,7 +294,7 @@
       mf_core_emit (core, &action);
       mf_life_input (core, call->request, MF_INPUT_FAILED, call, &event, NULL);
       call = core->board.upstreams[upstream].calls;
-      while (call != NULL && call->id > newest)
+      while (call != NULL && call->id > newest_id)
         call = call->next_upstream;
     }
 }
--- a/libmangofork/share.c
+++ b/libmangofork/share.c
@@ -10,8 +10,8 @@
 /* Instances whose share of one upstream is known, at most. */
 #define SHARERS_MAX 16
 /* A share that was not told again for so long has lapsed. */
-#define SHARER_LIFE_US (5 * MF_US_PER_S)
-#define SWEEP_US (500 * MF_US_PER_MS)
+#define SHARER_EXPIRY_US (5 * MF_US_PER_S)
+#define SWEEP_PERIOD_US (500 * MF_US_PER_MS)
 /* A share that fell to nothing is told so many times more. */
 #define ZERO_REPEATS 2
 
@@ -19,7 +19,7 @@
 typedef struct
 {
   uint64_t instance; /* hash of the slot's name */
-  uint64_t told_us;
+  uint64_t reported_us;
   uint16_t used;
   uint16_t wanted;
 } Sharer;
@@ -30,22 +30,22 @@
   uint32_t n_sharers;
   uint32_t limit;
   uint32_t own_wanted;
-  uint64_t wanted_us; /* when more was wanted than before */
-  uint16_t told_used;
-  uint16_t told_wanted;
-  uint8_t n_zero_told;
-  bool watched;
+  uint64_t demand_rose_us; /* when more was wanted than before */
+  uint16_t reported_used;
+  uint16_t reported_wanted;
+  uint8_t n_zero_reported;
+  bool tracked;
 } ShareRow;
 
 struct MfShares
 {
   ShareRow *rows; /* one an upstream */
   uint32_t n_rows;
-  uint32_t *watched; /* rows that this instance uses or has told of */
-  uint32_t n_watched;
-  uint32_t cursor;    /* among the watched, where the next digest goes on */
-  uint32_t n_live;    /* live instances, this one included */
-  uint32_t n_unheard; /* of them, those whose shares are never told here */
+  uint32_t *tracked; /* rows that this instance uses or has told of */
+  uint32_t n_tracked;
+  uint32_t cursor;       /* among the watched, where the next digest goes on */
+  uint32_t n_live;       /* live instances, this one included */
+  uint32_t n_unreported; /* of them, those whose shares are never told here */
   uint64_t sweep_us;
 };
 
@@ -73,7 +73,7 @@
 
 /* How many of those with more demand than level get one of the odd slots before this instance. */
 static uint32_t
-odd_rank (const MfCore *core, const ShareRow *row, uint64_t subject, uint32_t level)
+remainder_rank (const MfCore *core, const ShareRow *row, uint64_t subject, uint32_t level)
 {
   uint64_t own_score = mf_rendezvous_score (core->board.members->self_hash, subject);
   uint32_t rank = 0;
@@ -94,25 +94,25 @@
 {
   const ShareRow *row = &core->board.shares->rows[upstream];
   uint32_t own = own_demand (core, upstream);
-  uint32_t level = 0, n_left = n_slots, n_open = 0;
+  uint32_t level = 0, n_remaining = n_slots, n_unsatisfied = 0;
 
   for (uint32_t round = 0; round <= SHARERS_MAX; round++)
     {
       uint32_t next;
 
-      n_left = n_slots;
-      n_open = own > level;
-      n_left -= own > level ? 0 : own;
+      n_remaining = n_slots;
+      n_unsatisfied = own > level;
+      n_remaining -= own > level ? 0 : own;
       for (uint32_t i = 0; i < row->n_sharers; i++)
         {
           uint32_t demand = sharer_demand (&row->sharers[i]);
 
-          n_open += demand > level;
-          n_left -= demand > level ? 0 : demand;
+          n_unsatisfied += demand > level;
+          n_remaining -= demand > level ? 0 : demand;
         }
-      if (n_open == 0)
+      if (n_unsatisfied == 0)
         return own;
-      next = n_left / n_open;
+      next = n_remaining / n_unsatisfied;
       if (next <= level)
         break;
       level = next;
@@ -120,8 +120,8 @@
   if (own <= level)
     return own;
   return level
-         + (odd_rank (core, row, core->board.upstreams[upstream].name_hash, level)
-            < n_left - level * n_open);
+         + (remainder_rank (core, row, core->board.upstreams[upstream].name_hash, level)
+            < n_remaining - level * n_unsatisfied);
 }
 
 /* When all that is wanted fits: every instance with demand may grow by an equal part of the rest,
@@ -130,14 +130,14 @@
 slack_share (const MfCore *core, uint32_t upstream, uint32_t n_slots, uint32_t demand)
 {
   const ShareRow *row = &core->board.shares->rows[upstream];
-  uint32_t n_active = 1, part, odd;
+  uint32_t n_active = 1, equal_part, remainder;
 
   for (uint32_t i = 0; i < row->n_sharers; i++)
     n_active += sharer_demand (&row->sharers[i]) > 0;
-  part = (n_slots - demand) / n_active;
-  odd = (n_slots - demand) % n_active;
-  return own_demand (core, upstream) + part
-         + (odd_rank (core, row, core->board.upstreams[upstream].name_hash, 0) < odd);
+  equal_part = (n_slots - demand) / n_active;
+  remainder = (n_slots - demand) % n_active;
+  return own_demand (core, upstream) + equal_part
+         + (remainder_rank (core, row, core->board.upstreams[upstream].name_hash, 0) < remainder);
 }
 
 /* How many slots this instance may hold by what is in use now: an equal part of the free ones is
@@ -149,17 +149,18 @@
   const MfShares *shares = core->board.shares;
   const ShareRow *row = &shares->rows[upstream];
   uint32_t own_used = core->board.upstreams[upstream].own_slots;
-  uint32_t used = own_used, n_hungry = 1;
-  bool unheard = core->board.now_us < row->wanted_us + 2 * core->board.options.digest_period_us;
+  uint32_t used = own_used, n_demanding = 1;
+  bool demand_unknown
+      = core->board.now_us < row->demand_rose_us + 2 * core->board.options.digest_period_us;
 
   for (uint32_t i = 0; i < row->n_sharers; i++)
     {
       used += row->sharers[i].used;
-      n_hungry += row->sharers[i].wanted > row->sharers[i].used;
+      n_demanding += row->sharers[i].wanted > row->sharers[i].used;
     }
-  if (unheard && shares->n_live > n_hungry)
-    n_hungry = shares->n_live;
-  return used < n_slots ? own_used + (n_slots - used + n_hungry - 1) / n_hungry : own_used;
+  if (demand_unknown && shares->n_live > n_demanding)
+    n_demanding = shares->n_live;
+  return used < n_slots ? own_used + (n_slots - used + n_demanding - 1) / n_demanding : own_used;
 }
 
 /* Computes the limit that the request path reads. Slots that instances not heard of would get in
@@ -173,8 +174,8 @@
   uint32_t demand = own_demand (core, upstream);
   uint32_t limit;
 
-  if (shares->n_unheard > 0)
-    n_slots -= n_slots * shares->n_unheard / shares->n_live;
+  if (shares->n_unreported > 0)
+    n_slots -= n_slots * shares->n_unreported / shares->n_live;
   for (uint32_t i = 0; i < row->n_sharers; i++)
     demand += sharer_demand (&row->sharers[i]);
   row->limit = demand > n_slots ? max_min_share (core, upstream, n_slots)
@@ -198,12 +199,12 @@
 }
 
 static void
-watch (MfShares *shares, uint32_t upstream)
+track (MfShares *shares, uint32_t upstream)
 {
-  if (shares->rows[upstream].watched)
+  if (shares->rows[upstream].tracked)
     return;
-  shares->rows[upstream].watched = true;
-  shares->watched[shares->n_watched++] = upstream;
+  shares->rows[upstream].tracked = true;
+  shares->tracked[shares->n_tracked++] = upstream;
 }
 
 /* Says how many slots this instance would use of it if it had them. The fleet is told at once when
@@ -217,11 +218,11 @@
   if (upstream >= shares->n_rows || shares->rows[upstream].own_wanted == n_slots)
     return;
   row = &shares->rows[upstream];
-  watch (shares, upstream);
+  track (shares, upstream);
   if (n_slots > row->own_wanted)
-    row->wanted_us = core->board.now_us;
+    row->demand_rose_us = core->board.now_us;
   row->own_wanted = n_slots;
-  if (row->n_sharers > 0 && n_slots > 2 * row->told_wanted && n_slots > row->limit)
+  if (row->n_sharers > 0 && n_slots > 2 * row->reported_wanted && n_slots > row->limit)
     mf_digest_hurry (core);
   limit_update (core, upstream);
 }
@@ -233,21 +234,21 @@
 }
 
 static void
-fill_one (MfCore *core, uint32_t upstream, MfDigestMessage *digest)
+write_share (MfCore *core, uint32_t upstream, MfDigestMessage *digest)
 {
   ShareRow *row = &core->board.shares->rows[upstream];
   const MfUpstream *state = &core->board.upstreams[upstream];
 
-  row->told_used = clamp_u16 (state->own_slots);
-  row->told_wanted = clamp_u16 (row->own_wanted);
-  if (row->told_used != 0 || row->told_wanted != 0)
-    row->n_zero_told = 0;
-  else if (row->n_zero_told < ZERO_REPEATS)
-    row->n_zero_told++;
+  row->reported_used = clamp_u16 (state->own_slots);
+  row->reported_wanted = clamp_u16 (row->own_wanted);
+  if (row->reported_used != 0 || row->reported_wanted != 0)
+    row->n_zero_reported = 0;
+  else if (row->n_zero_reported < ZERO_REPEATS)
+    row->n_zero_reported++;
   digest->shares[digest->n_shares++] = (MfShare){
     .upstream = state->name_hash,
-    .slots_used = row->told_used,
-    .slots_wanted = row->told_wanted,
+    .slots_used = row->reported_used,
+    .slots_wanted = row->reported_wanted,
   };
 }
 
@@ -256,15 +257,16 @@
 {
   const ShareRow *row = &core->board.shares->rows[upstream];
 
-  return row->told_used != core->board.upstreams[upstream].own_slots
-         || row->told_wanted != row->own_wanted;
+  return row->reported_used != core->board.upstreams[upstream].own_slots
+         || row->reported_wanted != row->own_wanted;
 }
 
 /* Whether an unchanged share is worth telling again. */
 static bool
-is_worth_repeating (const ShareRow *row)
+needs_repeat (const ShareRow *row)
 {
-  return row->told_used != 0 || row->told_wanted != 0 || row->n_zero_told < ZERO_REPEATS;
+  return row->reported_used != 0 || row->reported_wanted != 0
+         || row->n_zero_reported < ZERO_REPEATS;
 }
 
 /* Writes at most max of this instance's own shares into a digest: those that changed first, the
@@ -278,17 +280,17 @@
     max = MF_SHARES_PER_DIGEST_MAX;
   for (uint32_t pass = 0; pass < 2; pass++)
     {
-      for (uint32_t i = 0; i < shares->n_watched && digest->n_shares < max; i++)
+      for (uint32_t i = 0; i < shares->n_tracked && digest->n_shares < max; i++)
         {
-          uint32_t at = (shares->cursor + i) % shares->n_watched;
-          uint32_t upstream = shares->watched[at];
+          uint32_t at = (shares->cursor + i) % shares->n_tracked;
+          uint32_t upstream = shares->tracked[at];
           bool changed = has_changed (core, upstream);
 
-          if (pass == 0 ? !changed : changed || !is_worth_repeating (&shares->rows[upstream]))
+          if (pass == 0 ? !changed : changed || !needs_repeat (&shares->rows[upstream]))
             continue;
-          fill_one (core, upstream, digest);
+          write_share (core, upstream, digest);
           if (digest->n_shares == max)
-            shares->cursor = (at + 1) % shares->n_watched;
+            shares->cursor = (at + 1) % shares->n_tracked;
         }
     }
 }
@@ -307,14 +309,14 @@
     {
       if (row->sharers[i].instance == instance)
         return &row->sharers[i];
-      if (row->sharers[i].told_us < oldest->told_us)
+      if (row->sharers[i].reported_us < oldest->reported_us)
         oldest = &row->sharers[i];
     }
   return row->n_sharers < SHARERS_MAX ? &row->sharers[row->n_sharers++] : oldest;
 }
 
 static void
-take_digest (MfCore *core, uint64_t instance, const MfDigestMessage *digest)
+apply_digest (MfCore *core, uint64_t instance, const MfDigestMessage *digest)
 {
   for (uint32_t i = 0; i < digest->n_shares; i++)
     {
@@ -329,11 +331,11 @@
         continue;
       *sharer = (Sharer){
         .instance = instance,
-        .told_us = core->board.now_us,
+        .reported_us = core->board.now_us,
         .used = share->slots_used,
         .wanted = share->slots_wanted,
       };
-      if (core->board.shares->rows[upstream].watched)
+      if (core->board.shares->rows[upstream].tracked)
         limit_update (core, upstream);
     }
 }
@@ -349,7 +351,7 @@
       const MfMemberRow *member = mf_member_row_by_hash (core, row->sharers[i].instance);
 
       if (member != NULL && member->member.state != MF_MEMBER_DEAD
-          && core->board.now_us - row->sharers[i].told_us < SHARER_LIFE_US)
+          && core->board.now_us - row->sharers[i].reported_us < SHARER_EXPIRY_US)
         row->sharers[n_kept++] = row->sharers[i];
     }
   row->n_sharers = n_kept;
@@ -361,61 +363,60 @@
   MfShares *shares = core->board.shares;
 
   shares->n_live = 1;
-  shares->n_unheard = 0;
+  shares->n_unreported = 0;
   for (const MfMemberRow *row = core->board.members->rows; row != NULL; row = row->hh.next)
     {
       if (!mf_member_is_live (&row->member) || !row->member.listed)
         continue;
       shares->n_live++;
-      shares->n_unheard += row->digest_us == 0 || row->neighbour == MF_NONE;
+      shares->n_unreported += row->digest_us == 0 || row->neighbour == MF_NONE;
     }
 }
 
 /* Watches the pools' subsets in use, and what was told of until it was told to be free. Their
  * number does not grow with the fleet. */
 static void
-watch_again (MfCore *core)
+tracked_rebuild (MfCore *core)
 {
   MfShares *shares = core->board.shares;
   const MfServices *services = &core->board.services;
-  uint32_t n_before = shares->n_watched;
+  uint32_t n_before = shares->n_tracked;
 
-  shares->n_watched = 0;
+  shares->n_tracked = 0;
   for (uint32_t i = 0; i < n_before; i++)
     {
-      uint32_t upstream = shares->watched[i];
+      uint32_t upstream = shares->tracked[i];
 
-      shares->rows[upstream].watched = false;
-      if (is_worth_repeating (&shares->rows[upstream])
-          || core->board.upstreams[upstream].own_slots > 0)
-        watch (shares, upstream);
+      shares->rows[upstream].tracked = false;
+      if (needs_repeat (&shares->rows[upstream]) || core->board.upstreams[upstream].own_slots > 0)
+        track (shares, upstream);
     }
   for (uint32_t i = 0; i < services->n_pools; i++)
     {
       for (uint32_t k = 0; k < services->pools[i].n_active; k++)
-        watch (shares, services->pools[i].active[k]);
+        track (shares, services->pools[i].active[k]);
     }
 }
 
 static void
 rows_grow (MfShares *shares, uint32_t n_rows)
 {
-  uint32_t *watched;
+  uint32_t *tracked;
   ShareRow *rows;
 
   if (n_rows <= shares->n_rows)
     return;
-  watched = realloc (shares->watched, n_rows * sizeof *watched);
-  if (watched == NULL)
+  tracked = realloc (shares->tracked, n_rows * sizeof *tracked);
+  if (tracked == NULL)
     return;
-  shares->watched = watched;
+  shares->tracked = tracked;
   rows = realloc (shares->rows, n_rows * sizeof *rows);
   if (rows == NULL)
     return;
   memset (rows + shares->n_rows, 0, (n_rows - shares->n_rows) * sizeof *rows);
   for (uint32_t i = shares->n_rows; i < n_rows; i++)
     {
-      rows[i].n_zero_told = ZERO_REPEATS;
+      rows[i].n_zero_reported = ZERO_REPEATS;
       rows[i].limit = 1;
     }
   shares->rows = rows;
@@ -432,7 +433,7 @@
     return;
   row = mf_member_row (core, event->peer.peer.name);
   if (row != NULL && row->member.owner.incarnation == event->peer.peer.incarnation)
-    take_digest (core, row->name_hash, &event->peer.message->digest);
+    apply_digest (core, row->name_hash, &event->peer.message->digest);
 }
 
 static void
@@ -442,13 +443,13 @@
 
   if (core->board.now_us < shares->sweep_us)
     return;
-  shares->sweep_us = core->board.now_us + SWEEP_US;
+  shares->sweep_us = core->board.now_us + SWEEP_PERIOD_US;
   count_members (core);
-  watch_again (core);
-  for (uint32_t i = 0; i < shares->n_watched; i++)
+  tracked_rebuild (core);
+  for (uint32_t i = 0; i < shares->n_tracked; i++)
     {
-      row_expire (core, &shares->rows[shares->watched[i]]);
-      limit_update (core, shares->watched[i]);
+      row_expire (core, &shares->rows[shares->tracked[i]]);
+      limit_update (core, shares->tracked[i]);
     }
 }
 
@@ -478,7 +479,7 @@
   for (uint32_t i = 0; i < shares->n_rows; i++)
     free (shares->rows[i].sharers);
   free (shares->rows);
-  free (shares->watched);
+  free (shares->tracked);
   free (shares);
   core->board.shares = NULL;
 }
--- a/libmangofork/types.c
+++ b/libmangofork/types.c
@@ -45,13 +45,13 @@
 mf_name_set (char *dst, size_t dst_bytes, const char *src)
 {
   size_t len = strlen (src);
-  bool whole = len < dst_bytes;
+  bool fits = len < dst_bytes;
 
-  if (!whole)
+  if (!fits)
     len = dst_bytes - 1;
   memcpy (dst, src, len);
   dst[len] = '\0';
-  return whole;
+  return fits;
 }
 
 bool
--- a/libmangofork/window.c
+++ b/libmangofork/window.c
@@ -4,8 +4,8 @@
 #define WINDOW_MIN_MILLI MILLI
 /* A wait for a decode slot that means too many at once, and what it takes off the window. */
 #define WAIT_HIGH_US (60 * MF_US_PER_MS)
-#define FALL_DIVISOR 40
-#define LOSS_DIVISOR 16
+#define WAIT_FALL_DIVISOR 40
+#define KV_EXPIRED_FALL_DIVISOR 16
 /* Plain answers this much slower than the fastest mean seen mean that calls wait there. */
 #define SLOWER_PERCENT 120
 #define PLAIN_RISE_MILLI 20
@@ -14,15 +14,15 @@
 #define IDLE_DIVISOR 4
 /* The first window is small, so that the first answers are seen unhindered; it rises faster until
  * it has been narrowed once. */
-#define BEGIN_DIVISOR 16
-#define BEGIN_RISE_MILLI 100
+#define INIT_DIVISOR 16
+#define INIT_RISE_MILLI 100
 
 /* Begins with a part of what the pool's upstreams hold. */
 void
 mf_window_begin (MfPoolRow *pool, uint32_t n_slots)
 {
   if (pool->window_milli == 0)
-    pool->window_milli = n_slots * MILLI / BEGIN_DIVISOR + WINDOW_MIN_MILLI;
+    pool->window_milli = n_slots * MILLI / INIT_DIVISOR + WINDOW_MIN_MILLI;
 }
 
 /* Whether one more may be kept there. */
@@ -71,7 +71,7 @@
   pool->n_waits++;
   pool->sum_wait_us += wait_us;
   if (wait_us > WAIT_HIGH_US)
-    narrow (pool, pool->window_milli / FALL_DIVISOR);
+    narrow (pool, pool->window_milli / WAIT_FALL_DIVISOR);
 }
 
 void
@@ -84,7 +84,7 @@
 void
 mf_window_note_loss (MfPoolRow *pool)
 {
-  narrow (pool, pool->window_milli / LOSS_DIVISOR);
+  narrow (pool, pool->window_milli / KV_EXPIRED_FALL_DIVISOR);
 }
 
 /* Keeps the window where answers are hardly slower than the fastest they have been. What they take
@@ -107,5 +107,5 @@
       pool->narrowed = true;
     }
   else
-    widen (pool, pool->narrowed ? PLAIN_RISE_MILLI : BEGIN_RISE_MILLI);
+    widen (pool, pool->narrowed ? PLAIN_RISE_MILLI : INIT_RISE_MILLI);
 }
--- a/tests/test_walk.c
+++ b/tests/test_walk.c
@@ -14,7 +14,7 @@
 #define N_DECODE 3
 
 static uint64_t
-draw (uint64_t *state, uint64_t bound)
+random_below (uint64_t *state, uint64_t bound)
 {
   uint64_t z = (*state += UINT64_C (0x9e3779b97f4a7c15));
 
@@ -57,30 +57,30 @@
   for (uint32_t i = 0; i < n; i++)
     {
       RigRequest request = {
-        .core = (uint32_t)draw (state, 2),
-        .service = (uint32_t)draw (state, 3),
-        .customer = (uint32_t)draw (state, 4),
-        .digest = 1 + draw (state, 1000000000),
-        .prompt_tokens = 20 + (uint32_t)draw (state, 5000),
-        .answer_tokens = 1 + (uint32_t)draw (state, 120),
+        .core = (uint32_t)random_below (state, 2),
+        .service = (uint32_t)random_below (state, 3),
+        .customer = (uint32_t)random_below (state, 4),
+        .digest = 1 + random_below (state, 1000000000),
+        .prompt_tokens = 20 + (uint32_t)random_below (state, 5000),
+        .answer_tokens = 1 + (uint32_t)random_below (state, 120),
         .max_tokens = 200,
       };
-      uint64_t at_us = rig_now_us (rig) + draw (state, LENGTH_US);
+      uint64_t at_us = rig_now_us (rig) + random_below (state, LENGTH_US);
       uint32_t index = rig_send (rig, &request, at_us);
 
-      if (draw (state, 5) == 0)
-        rig_depart (rig, index, at_us + draw (state, 2 * MF_US_PER_S));
+      if (random_below (state, 5) == 0)
+        rig_depart (rig, index, at_us + random_below (state, 2 * MF_US_PER_S));
     }
 }
 
 static void
-strike (Rig *rig, uint64_t *state)
+inject_fault (Rig *rig, uint64_t *state)
 {
-  uint32_t engine = (uint32_t)draw (state, N_PREFILL + N_DECODE);
-  uint32_t plain = (uint32_t)draw (state, 2);
+  uint32_t engine = (uint32_t)random_below (state, N_PREFILL + N_DECODE);
+  uint32_t plain = (uint32_t)random_below (state, 2);
   uint64_t now_us = rig_now_us (rig);
 
-  switch (draw (state, 8))
+  switch (random_below (state, 8))
     {
     case 0:
       fake_engine_kill (rig_engine (rig, engine), now_us);
@@ -89,14 +89,14 @@
       fake_engine_restart (rig_engine (rig, engine), now_us);
       break;
     case 2:
-      rig_freeze (rig, engine, now_us + draw (state, 3 * MF_US_PER_S));
+      rig_freeze (rig, engine, now_us + random_below (state, 3 * MF_US_PER_S));
       break;
     case 3:
-      fake_engine_slow (rig_engine (rig, engine), 10 + (uint32_t)draw (state, 90));
+      fake_engine_slow (rig_engine (rig, engine), 10 + (uint32_t)random_below (state, 90));
       break;
     case 4:
-      fake_engine_stall_link (rig_engine (rig, (uint32_t)draw (state, N_PREFILL)), now_us,
-                              now_us + draw (state, 3 * MF_US_PER_S));
+      fake_engine_stall_link (rig_engine (rig, (uint32_t)random_below (state, N_PREFILL)), now_us,
+                              now_us + random_below (state, 3 * MF_US_PER_S));
       break;
     case 5:
       fake_engine_leave (rig_engine (rig, engine));
@@ -105,14 +105,14 @@
       rig_plain (rig, plain)->dead = !rig_plain (rig, plain)->dead;
       break;
     default:
-      rig_plain (rig, plain)->speed_percent = 10 + (uint32_t)draw (state, 90);
+      rig_plain (rig, plain)->speed_percent = 10 + (uint32_t)random_below (state, 90);
       break;
     }
   rig_touch (rig, engine);
 }
 
 static void
-mend (Rig *rig)
+repair_all (Rig *rig)
 {
   for (uint32_t i = 0; i < N_PREFILL + N_DECODE; i++)
     {
@@ -163,12 +163,12 @@
   send_some (rig, &state, 120);
   while (rig_now_us (rig) < end_us)
     {
-      strike (rig, &state);
-      strike (rig, &state);
-      rig_run (rig, rig_now_us (rig) + 1 + draw (&state, 2 * MF_US_PER_S));
+      inject_fault (rig, &state);
+      inject_fault (rig, &state);
+      rig_run (rig, rig_now_us (rig) + 1 + random_below (&state, 2 * MF_US_PER_S));
       check_all (rig, false);
     }
-  mend (rig);
+  repair_all (rig);
   rig_run (rig, end_us + QUIET_US);
   check_all (rig, true);
   assert_int_equal (rig_held (rig), 0);
