--- a/libmangofork/board.h
+++ b/libmangofork/board.h
@@ -24,30 +24,32 @@
 typedef struct MfOrders MfOrders;         /* order.c */
 typedef struct MfSeries MfSeries;         /* series.c */
 
-/* Which policy decides: ours, or the naive one that tests and benches compare with. */
+/* The placement and retry policy: the router's, or the naive one that tests and benchmarks compare
+ * it with. */
 typedef struct MfPolicy MfPolicy; /* policy.h */
 
-/* What the process's settings tell the core. Times and counts have defaults in mf_core_options. */
+/* The settings of the process that the core uses. Times and counts have defaults in
+ * mf_core_options. */
 typedef struct
 {
   MfOwner self;
   char address[MF_ADDRESS_BYTES]; /* of the own peer port */
   char data_centre[MF_NAME_BYTES];
   uint64_t seed;
-  uint32_t requests_max;   /* held at once */
+  uint32_t requests_max;   /* in progress at once */
   uint64_t drain_grace_us; /* work is still accepted this long after a shutdown begins */
-  uint64_t drain_limit_us; /* then the process ends whatever is left */
+  uint64_t drain_limit_us; /* then the process exits even if requests are in progress */
   uint64_t digest_period_us;
   uint32_t digest_bytes_max;
-  uint32_t links_max; /* peers heartbeats go to */
+  uint32_t links_max; /* peers that heartbeats are sent to */
   uint64_t load_period_us;
   uint64_t platform_period_us;
-  uint64_t cold_start_us; /* before a majority of fresh voters may vote */
+  uint64_t cold_start_us; /* before a majority of newly started voters may vote */
   bool naive;
 } MfOptions;
 
-/* Where the text in force came from, and what became of the last one that was refused. Written by
- * confsync.c. */
+/* The source of the configuration in force, and what became of the last one that was refused.
+ * Written by confsync.c. */
 typedef struct
 {
   uint64_t accepted_us;
@@ -56,11 +58,11 @@
   uint64_t refused_us;
   MfError refused_fault;      /* the first of its faults */
   uint64_t platform_heard_us; /* last answer of the platform; 0 for never */
-  uint64_t platform_lost_us;  /* last read of it that failed; 0 for never */
+  uint64_t platform_lost_us;  /* last read of the platform that failed; 0 for never */
 } MfConfigState;
 
-/* The blackboard: all that this instance knows. Controllers read any part of it and write their
- * own. */
+/* The blackboard: the whole state of this instance. Controllers may read any part of it, and write
+ * only their own. */
 typedef struct
 {
   uint64_t now_us;
@@ -71,12 +73,12 @@
   MfConfigState config_state;
   MfUpstream *upstreams;
   uint32_t n_upstreams;
-  uint32_t *upstream_index; /* by name's hash; upstream_index.c */
+  uint32_t *upstream_index; /* hash table by name_hash; upstream_index.c */
   uint32_t upstream_index_mask;
   MfServices services;
-  bool draining; /* no new work is taken */
+  bool draining; /* no new work is accepted */
   bool ready;
-  bool admitted; /* as a voter; claim.c */
+  bool admitted; /* as a voter for idempotency keys; voter.c */
   uint64_t list_index;
   MfCounters counters;
   MfTrace *trace;
--- a/libmangofork/call.c
+++ b/libmangofork/call.c
@@ -4,7 +4,7 @@
 
 #include <stdlib.h>
 
-/* An engine that computes nothing for us in this long is given up. */
+/* Timeout of the first byte of an upstream's answer, unless the request's deadline comes before. */
 #define FIRST_BYTE_TIMEOUT_US (10 * MF_US_PER_S)
 
 static void
@@ -94,7 +94,7 @@
   row->suspects += call->suspect;
 }
 
-/* Makes a call for the request and asks the adapters to start it. */
+/* Creates a call for the request and asks the adapters to start it. */
 MfCall *
 mf_call_start (MfCore *core, MfRequest *request, MfCallKind kind, uint32_t upstream)
 {
@@ -187,7 +187,7 @@
     mf_call_abandon (core, request->calls);
 }
 
-/* The KV that waits goes onto its prefill engine's link. */
+/* Counts the transfer of the waiting KV on the link of its prefill engine. */
 void
 mf_call_begin_transfer (MfCore *core, MfRequest *request)
 {
@@ -269,7 +269,7 @@
   mf_window_take (pool, spare);
 }
 
-/* The request is in its slot. */
+/* The request has its slot, or has given up waiting for one. */
 void
 mf_call_arrived (MfCore *core, MfRequest *request)
 {
--- a/libmangofork/core.c
+++ b/libmangofork/core.c
@@ -4,9 +4,9 @@
 
 #include <stdlib.h>
 
-/* Steps of requests remembered for `mangofork explain`. */
+/* Steps of requests kept for `mangofork explain`. */
 #define TRACE_STEPS 65536
-/* A tick that comes so much later than it was asked for means that the process was paused. */
+/* A tick that is later than requested by more than this means that the process was paused. */
 #define PAUSE_MIN_US (300 * MF_US_PER_MS)
 
 static const MfController *const controllers[] = {
@@ -23,7 +23,7 @@
   return (value << bits) | (value >> (64 - bits));
 }
 
-/* Spreads a small seed over the whole state of the generator. */
+/* Spreads a small seed over the whole state of the generator (splitmix64). */
 static void
 random_seed (MfCore *core, uint64_t seed)
 {
@@ -101,7 +101,7 @@
   return core;
 }
 
-/* Frees the core and all it owns. Accepts NULL and a core whose making failed. */
+/* Frees the core and everything it owns. Accepts NULL and a core that was only partly created. */
 void
 mf_core_free (MfCore *core)
 {
@@ -118,7 +118,7 @@
   free (core);
 }
 
-/* Takes in one event. Time never runs backwards on the board, whatever the event says. */
+/* Processes one event. The board's time never goes backwards, even if an event's does. */
 void
 mf_core_step (MfCore *core, const MfEvent *event)
 {
@@ -143,7 +143,7 @@
   return core->wake_us;
 }
 
-/* Asks for a tick no later than at_us. */
+/* Requests a tick no later than at_us. */
 void
 mf_core_wake_at (MfCore *core, uint64_t at_us)
 {
@@ -157,7 +157,7 @@
   core->on_action (action, core->action_data);
 }
 
-/* Hands one change of state to the log. */
+/* Logs one change of state. */
 void
 mf_core_log (MfCore *core, const char *subject, const char *name, const char *from, const char *to,
              const char *reason)
@@ -193,7 +193,7 @@
   return result;
 }
 
-/* Returns a number from 0 to bound - 1; 0 when bound is 0. */
+/* Returns a number from 0 to bound - 1; 0 if bound is 0. */
 uint64_t
 mf_core_random_below (MfCore *core, uint64_t bound)
 {
--- a/libmangofork/core.h
+++ b/libmangofork/core.h
@@ -4,8 +4,8 @@
 #include "action.h"
 #include "board.h"
 
-/* The decision core. It has no clock, does no I/O and keeps no global: what happens is given to
- * mf_core_step, and what is to be done is handed to the action function before it returns. */
+/* The decision core. It has no clock, does no I/O and keeps no global state: events are passed to
+ * mf_core_step, and the resulting actions are passed to the action function before it returns. */
 struct MfCore
 {
   MfBoard board;
@@ -13,7 +13,7 @@
   void *action_data;
   uint64_t next_call_id;
   uint64_t random_state[4];
-  uint64_t wake_us; /* earliest time any controller asked to be woken */
+  uint64_t wake_us; /* earliest time at which a controller needs a tick */
 };
 
 /* A controller owns one part of the board. Any function may be NULL. */
@@ -23,8 +23,8 @@
   bool (*init) (MfCore *core, MfError *error);
   void (*finish) (MfCore *core);
   void (*handle) (MfCore *core, const MfEvent *event); /* every event, in table order */
-  void (*tick) (MfCore *core);   /* after each event; must cost nothing when nothing is due */
-  void (*config) (MfCore *core); /* a new text is in force */
+  void (*tick) (MfCore *core);   /* after each event; must be cheap when nothing is due */
+  void (*config) (MfCore *core); /* a new configuration is in force */
 } MfController;
 
 /* Fills options with the documented defaults; self, address and data centre stay empty. */
@@ -34,7 +34,7 @@
                      MfActionFunc on_action, void *data, MfError *error);
 void mf_core_free (MfCore *core);
 void mf_core_step (MfCore *core, const MfEvent *event);
-/* When the next MF_EVENT_TICK is due, absolute; UINT64_MAX for never. */
+/* Returns when the next MF_EVENT_TICK is due, as an absolute time; UINT64_MAX for never. */
 uint64_t mf_core_next_us (const MfCore *core);
 
 /* For controllers. */
@@ -43,10 +43,11 @@
 void mf_core_log (MfCore *core, const char *subject, const char *name, const char *from,
                   const char *to, const char *reason);
 uint64_t mf_core_next_call_id (MfCore *core);
-/* From the core's own seeded stream. */
+/* Random numbers of the core's own seeded generator. */
 uint64_t mf_core_random (MfCore *core);
 uint64_t mf_core_random_below (MfCore *core, uint64_t bound);
-/* Puts a checked text in force and tells every controller. Takes ownership of config. */
+/* Puts a checked configuration in force and notifies every controller. Takes ownership of
+ * config. */
 void mf_core_set_config (MfCore *core, MfConfig *config);
 
 /* The controllers, each in its own file. */
--- a/libmangofork/drain.c
+++ b/libmangofork/drain.c
@@ -3,8 +3,10 @@
 
 #include <stdlib.h>
 
-/* A graceful end: readiness goes first, so that the balancer sees it while work is still taken;
- * then no work is taken; then the process ends when nothing is in flight and nothing is owed. */
+/* Graceful shutdown. Readiness is withdrawn first, and requests are still accepted for a grace
+ * period, so that load balancers can react. After that, new requests are refused, and the process
+ * exits when no request is in flight and every cancel is confirmed, or when the time limit is
+ * reached. */
 typedef enum
 {
   DRAIN_NONE,
--- a/libmangofork/finish.c
+++ b/libmangofork/finish.c
@@ -44,7 +44,7 @@
     mf_burn_note (board->burn, board->config, &sample, board->now_us);
 }
 
-/* What can be said about whether any of the work ran. Calls still open that were sent count as
+/* Returns whether any of the work ran, as far as known. A running call that was sent counts as
  * unknown. */
 MfOutcome
 mf_finish_outcome (const MfRequest *request)
@@ -70,7 +70,7 @@
   mf_claim_finish (core, request->id, result);
 }
 
-/* Releases all that the request holds, here and at upstreams. */
+/* Releases everything that the request holds, in this instance and at upstreams. */
 static void
 release_resources (MfCore *core, MfRequest *request)
 {
@@ -84,7 +84,7 @@
   mf_queue_stir (core);
 }
 
-/* The answer is whole. The event is the last of its call. */
+/* Ends a request whose answer is complete. For a plain call, event is its last one. */
 void
 mf_finish_answered (MfCore *core, MfRequest *request, const MfEvent *event)
 {
@@ -112,7 +112,7 @@
   mf_request_remove (core, request);
 }
 
-/* An earlier run's recorded answer is given again. */
+/* Answers a request with the recorded answer of an earlier run under the same key. */
 void
 mf_finish_replayed (MfCore *core, MfRequest *request, const MfClaimResult *claim)
 {
@@ -135,8 +135,8 @@
   mf_request_remove (core, request);
 }
 
-/* Whether a code blames an upstream. A conviction, and that none is left, are this instance's own
- * decisions. */
+/* Returns whether the code attributes the failure to an upstream. That a request is poison, or that
+ * no upstream is left, is decided by this instance. */
 static bool
 ended_by_upstream (MfCode code)
 {
@@ -144,8 +144,8 @@
          || code == MF_CODE_UPSTREAM_STALLED || code == MF_CODE_ANSWER_TOO_LARGE;
 }
 
-/* Refuses the request. What it says about the work comes from the request's own history, but for
- * codes that are about an earlier run. */
+/* Refuses the request. The outcome follows from the request's own calls, except for codes that
+ * describe an earlier run. */
 void
 mf_finish_refused (MfCore *core, MfRequest *request, MfCode code, uint64_t retry_after_ms)
 {
@@ -172,7 +172,8 @@
   mf_request_remove (core, request);
 }
 
-/* The caller is gone: nothing is answered, and what it held is freed. */
+/* Ends a request whose caller has disconnected: no answer is sent, and what it holds is
+ * released. */
 void
 mf_finish_departed (MfCore *core, MfRequest *request)
 {
--- a/libmangofork/life.c
+++ b/libmangofork/life.c
@@ -7,39 +7,46 @@
 #include "suspect_core.h"
 #include "window.h"
 
-/* A stream without a token for this long is taken to be broken. */
+/* A stream without a token for STALL_BASE_US plus STALL_TOKEN_GAPS times the service's target time
+ * between tokens is considered broken. */
 #define STALL_BASE_US (600 * MF_US_PER_MS)
 #define STALL_TOKEN_GAPS 12
-/* An engine that holds a broken stream answers a resume within this, or is not asked again. */
+/* Time in which an engine must answer a resume; after that the request is retried from a new
+ * prefill. */
 #define RESUME_TIMEOUT_US (250 * MF_US_PER_MS)
-/* A prefill is given up after this many times its predicted time, and no sooner than the least. */
+/* A prefill times out after PREFILL_STALL_FACTOR times its predicted time to the first token, but
+ * not before PREFILL_STALL_MIN_US. */
 #define PREFILL_STALL_FACTOR 4
 #define PREFILL_STALL_MIN_US (1500 * MF_US_PER_MS)
-/* Between two looks for a free decode engine while a KV waits. */
+/* Interval of the checks for a free decode engine while a KV waits. */
 #define TRANSFER_POLL_US (4 * MF_US_PER_MS)
-/* The time an import takes at least; a KV with less life left is given up. */
+/* Minimum duration of a KV import. A waiting KV with less time left to its expiry is discarded. */
 #define IMPORT_MIN_US (10 * MF_US_PER_MS)
-/* A link that carried nothing of ours for this long, and this many times what the KV should take,
- * is stalled. */
+/* A link is considered stalled when no transfer of this instance on it has ended for
+ * TRANSFER_TIMEOUT_MIN_US plus TRANSFER_TIMEOUT_FACTOR times the expected duration of the transfers
+ * on it. The default rate applies until one has been observed. */
 #define TRANSFER_TIMEOUT_MIN_US (150 * MF_US_PER_MS)
 #define TRANSFER_TIMEOUT_FACTOR 2
 #define LINK_RATE_DEFAULT_BYTES_PER_S 1e9
-/* Tokens past the place where its upstream died that clear a suspect. */
+/* A suspect is cleared once it has delivered this many tokens more than when its upstream
+ * failed. */
 #define SUSPECT_CLEAR_TOKENS 8
 #define CLAIMS_MAX 3
-/* Time to read what came in during a pause, before anything is called stalled. */
+/* After a pause of this process, time to read the input that arrived meanwhile before an upstream
+ * is considered stalled. */
 #define PAUSE_GRACE_US (100 * MF_US_PER_MS)
-/* An upstream that refused is not asked again for this long, unless one of our own leaves it. */
+/* An upstream that refused a call for lack of capacity gets no new one for this long, or until a
+ * call of this instance there ends. */
 #define UPSTREAM_FULL_US (40 * MF_US_PER_MS)
 #define HEDGE_DELAY_MIN_US (10 * MF_US_PER_MS)
 #define HEDGE_ANSWER_FACTOR 3
 
-/* One input to one request. */
+/* One input to the state machine of one request. */
 typedef struct
 {
   MfCore *core;
   MfRequest *request;
-  MfCall *call;         /* NULL unless it comes from a call */
+  MfCall *call;         /* NULL unless the input comes from a call */
   const MfEvent *event; /* NULL for a timer and a claim */
   const MfClaimResult *claim;
 } Step;
@@ -60,16 +67,17 @@
   return STALL_BASE_US + STALL_TOKEN_GAPS * service->config.tbt_target_us;
 }
 
-/* Whether this process was paused after that time: what seems to have taken long may have come in
- * meanwhile, and no upstream is to blame. */
+/* Returns whether this process was paused after since_us. A duration that spans a pause is not
+ * counted against an upstream: its event may have arrived during the pause and been read
+ * afterwards. */
 static bool
 spans_pause (const MfCore *core, uint64_t since_us)
 {
   return core->board.woke_us > since_us;
 }
 
-/* Gives a request more time when this process has only just woken: its answer may be waiting to be
- * read. Returns whether it did. */
+/* Extends the timeout of a request when this process has just resumed after a pause, because the
+ * answer may still be waiting to be read. Returns whether it did. */
 static bool
 extend_after_pause (const Step *step)
 {
@@ -98,7 +106,8 @@
   request->n_refused = 0;
 }
 
-/* Sends the request back to its queue for another try, or refuses it when no try is left. */
+/* Queues the request again for a retry. Refuses it if its deadline has passed, or with code if the
+ * policy allows no further retry. */
 static void
 retry_or_refuse (MfCore *core, MfRequest *request, MfCode code)
 {
@@ -124,8 +133,8 @@
   mf_queue_add_again (core, request);
 }
 
-/* An engine had no room and ran nothing: the request waits for its turn again, which is no retry.
- */
+/* Queues the request again after an upstream refused it for lack of capacity and ran none of it.
+ * Under a policy with queues this does not count as a retry. */
 static void
 requeue (MfCore *core, MfRequest *request)
 {
@@ -140,14 +149,15 @@
   mf_queue_add_again (core, request);
 }
 
-/* The upstream has refused for want of room. */
+/* The upstream has refused a call for lack of capacity. */
 static void
 note_upstream_full (MfCore *core, uint32_t upstream)
 {
   core->board.upstreams[upstream].full_until_us = core->board.now_us + UPSTREAM_FULL_US;
 }
 
-/* The call is over without a whole answer. Returns whether it certainly ran nothing. */
+/* Ends a call that got no complete answer. Returns true if the upstream certainly ran none of
+ * it. */
 static bool
 end_failed (const Step *step)
 {
@@ -167,7 +177,8 @@
       if (call->kind == MF_CALL_PREFILL)
         request->wasted_tokens += call->prefill_tokens;
     }
-  /* What a resume would have continued is held by the engine even if the resume never left. */
+  /* The engine still holds the stream that a resume was to continue, even if the resume was never
+   * sent. */
   if (call->kind == MF_CALL_RESUME || (!not_run && call->kind != MF_CALL_PLAIN))
     mf_debt_add (step->core, upstream, request->id, call->id, call->attempt);
   request->last_upstream = upstream;
@@ -192,8 +203,8 @@
   departed (step);
 }
 
-/* A keyed call that may have reached its upstream runs on, so that its outcome is known when the
- * caller asks again. */
+/* A call with an idempotency key that may have reached its upstream continues, so that its outcome
+ * is known when the caller sends the key again. */
 static void
 sent_departed (const Step *step)
 {
@@ -214,7 +225,8 @@
 
 static void claim_again (MfCore *core, MfRequest *request);
 
-/* The call is about to leave. Where the process was paused since the grant, it must not. */
+/* The call is about to be sent. If the grant of its key may have expired because this process was
+ * paused, the call must not be sent: the key is claimed again. */
 static void
 connecting_sent (const Step *step)
 {
@@ -242,7 +254,8 @@
     mf_queue_stir (step->core);
 }
 
-/* Counts what an earlier arrival of the same key did, or may have done, as this request's own. */
+/* Counts work that an earlier request with the same key did, or may have done, as this request's
+ * own. */
 static void
 count_earlier_run (MfRequest *request, MfOutcome outcome)
 {
@@ -294,7 +307,7 @@
     }
 }
 
-/* How long a transfer may take before its link is looked at. */
+/* Returns how long a transfer may take before its link is checked for a stall. */
 static uint64_t
 transfer_timeout_us (const MfCore *core, const MfRequest *request)
 {
@@ -307,7 +320,8 @@
          + (uint64_t)(TRANSFER_TIMEOUT_FACTOR * bytes / rate * (double)MF_US_PER_S);
 }
 
-/* Sends the waiting KV to a decode engine when there is one. Returns false when it still waits. */
+/* Sends the waiting KV to a decode engine if one has capacity. Returns false if the KV has to
+ * wait. */
 bool
 mf_life_try_transfer (MfCore *core, MfRequest *request)
 {
@@ -327,7 +341,8 @@
   return true;
 }
 
-/* Sends the KV on, or waits for room while it lives. */
+/* Sends the KV to a decode engine, or waits for one while the KV has not expired. A KV about to
+ * expire is discarded and the request is retried. */
 static void
 transfer_or_wait (MfCore *core, MfRequest *request)
 {
@@ -411,7 +426,7 @@
   retry_or_refuse (step->core, step->request, MF_CODE_UPSTREAM_STALLED);
 }
 
-/* The decode engine holds the KV: the prefill engine's part is over. */
+/* The decode engine has imported the KV: the copy at the prefill engine is released. */
 static void
 imported (const Step *step)
 {
@@ -430,8 +445,8 @@
   mf_request_check_at (step->core, request, now_us (step) + stall_us (step->core, request));
 }
 
-/* The stream of a call is broken: it goes on at the same engine when that can be, else elsewhere
- * from a new prefill of the prompt and what was delivered. */
+/* Handles a broken stream. It is resumed at the same engine if possible; otherwise the request is
+ * retried elsewhere with a new prefill of the prompt and the tokens already delivered. */
 static void
 recover_stream (const Step *step, MfCode code)
 {
@@ -483,8 +498,9 @@
   request->last_us = now;
 }
 
-/* Hands tokens on, when they are the next ones. Returns false when the request is no longer at this
- * call, because tokens are missing. */
+/* Delivers tokens to the caller if they directly follow the delivered ones; repeated tokens are
+ * ignored. If tokens are missing, the calls are ended and the request is retried or refused;
+ * returns false in this case. */
 static bool
 deliver_tokens (const Step *step)
 {
@@ -596,7 +612,8 @@
     recover_stream (step, MF_CODE_UPSTREAM_ERROR);
 }
 
-/* A decode engine did not take the KV: another one may, while it lives. */
+/* A decode call has ended before the import of its KV. The KV is offered to another engine until it
+ * expires, unless the engine may have begun to run the call. */
 static void
 transfer_refused (const Step *step)
 {
@@ -776,7 +793,7 @@
   mf_call_start (core, request, MF_CALL_PLAIN, upstream)->hedge = true;
 }
 
-/* Every pair that is not here is an event that came late or crossed another: it is dropped and
+/* An event without a handler in this table arrived late or crossed another one: it is dropped and
  * counted. */
 static const Handler handlers[MF_PHASE_COUNT][MF_INPUT_COUNT] = {
   [MF_PHASE_QUEUED] = {
@@ -843,8 +860,8 @@
   return handlers[phase][input] != NULL;
 }
 
-/* Puts a request through the state machine. Returns false when this input means nothing in its
- * phase; the request may be gone afterwards. */
+/* Passes an input to the state machine of a request. Returns false if the input has no handler in
+ * the request's phase. The request may have been freed on return. */
 bool
 mf_life_input (MfCore *core, MfRequest *request, MfInput input, MfCall *call, const MfEvent *event,
                const MfClaimResult *claim)
@@ -858,7 +875,7 @@
   return true;
 }
 
-/* Starts a model request at the engines chosen for it. */
+/* Starts a model request at the engines of its placement. */
 void
 mf_life_start_model (MfCore *core, MfRequest *request, const MfPlacement *placement)
 {
@@ -878,7 +895,7 @@
   mf_request_check_at (core, request, core->board.now_us + timeout_us);
 }
 
-/* Claims the key again when the grant went stale while the call waited. */
+/* Claims the key again after its grant expired while the call waited to be sent. */
 static void
 claim_again (MfCore *core, MfRequest *request)
 {
@@ -916,7 +933,8 @@
           + (hedge_delay_us > HEDGE_DELAY_MIN_US ? hedge_delay_us : HEDGE_DELAY_MIN_US));
 }
 
-/* Begins a request that has been admitted: a call that may not be repeated claims its key first. */
+/* Starts an admitted request. A plain call that is not idempotent and has a key claims the key
+ * first; all other requests are queued. */
 void
 mf_life_begin (MfCore *core, MfRequest *request)
 {
--- a/libmangofork/limit.c
+++ b/libmangofork/limit.c
@@ -1,7 +1,7 @@
 #include "limit.h"
 
 #define MICRO UINT64_C (1000000)
-/* A customer may spend this much of its rate at once. */
+/* Burst of requests that a customer may send, in seconds of its rate. */
 #define BURST_S 2
 
 static bool
@@ -41,7 +41,7 @@
   return true;
 }
 
-/* One request of the customer has ended. */
+/* A request of the customer has ended. */
 void
 mf_limit_give (MfCore *core, const MfRequest *request)
 {
--- a/libmangofork/limit.h
+++ b/libmangofork/limit.h
@@ -3,8 +3,8 @@
 
 #include "request.h"
 
-/* Counts one more request of the customer. Returns false when its limits are reached, with the time
- * after which it may come back. */
+/* Counts one more request of the customer. Returns false if a limit is reached, with the time after
+ * which the caller may retry. */
 bool mf_limit_take (MfCore *core, uint32_t customer, uint64_t *retry_after_ms);
 void mf_limit_give (MfCore *core, const MfRequest *request);
 
--- a/libmangofork/naive.c
+++ b/libmangofork/naive.c
@@ -1,10 +1,10 @@
 #include "policy.h"
 
-/* Plain retries, as a client library makes them. */
+/* Retries with a fixed delay, as a simple client library makes them. */
 #define RETRIES_MAX 3
 #define RETRY_DELAY_US (100 * MF_US_PER_MS)
 
-/* The next upstream of a pool in turn, whatever its state. */
+/* Returns the next upstream of a pool in round-robin order, whatever its health. */
 static uint32_t
 next_round_robin (MfCore *core, uint32_t pool)
 {
@@ -25,7 +25,7 @@
   return placement->prefill == MF_NONE ? MF_PLACE_WAIT : MF_PLACE_FOUND;
 }
 
-/* Three engines are asked in turn; then the KV is given up. */
+/* Offers the KV to RETRIES_MAX engines in round-robin order; then it is discarded. */
 static uint32_t
 place_decode (MfCore *core, MfRequest *request)
 {
--- a/libmangofork/place.c
+++ b/libmangofork/place.c
@@ -6,33 +6,36 @@
 #include "share.h"
 #include "window.h"
 
-/* Up to this many upstreams are all looked at; of more, this many are drawn. */
+/* Upstreams that one decision examines at most; of a larger pool this many are sampled. */
 #define SAMPLE_MAX 8
 #define FULL_WEIGHT_PPM 1000000
-/* Assumed until observed. */
+/* Used until a value has been observed. */
 #define PREFILL_RATE_DEFAULT_TOKENS_PER_S 50000
 #define KV_LIFE_DEFAULT_US (500 * MF_US_PER_MS)
-/* Work is kept in our own queue, where it can be reordered, rather than in an engine's. */
+/* A prefill engine with a longer queue than this gets no request. Work waits in this instance's
+ * queue instead, where it can still be reordered. */
 #define PREFILL_WAIT_MAX_US (150 * MF_US_PER_MS)
-/* Slots free beyond one in this many, and beyond a few that other instances may take before a
- * report shows it, are to spare. */
+/* A decode slot is reserved at placement only while more than 1/SPARE_DIVISOR of the pool's slots
+ * plus SPARE_MIN are free. The margin is for slots that other instances take before a load report
+ * shows it. */
 #define SPARE_DIVISOR 20
 #define SPARE_MIN 2
-/* The same for requests that are late already. */
+/* The margin for late requests. */
 #define LATE_SPARE_DIVISOR 7
-/* The time a KV is planned to wait for its slot. */
+/* Time that a KV may wait for a decode slot. No further prefill is started for a nearly full pool
+ * once a KV has waited for half of it. */
 #define DECODE_WAIT_PLANNED_US (100 * MF_US_PER_MS)
-/* Reads may take so many times this instance's share of an upstream. */
+/* Requests of class read may use this many times this instance's share of an upstream's slots. */
 #define READ_SHARE_FACTOR 3
 
-/* The upstreams of a pool that one decision looks at. */
+/* The upstreams of a pool that one decision examines. */
 typedef struct
 {
   uint32_t rows[SAMPLE_MAX];
   uint32_t n_rows;
 } Sample;
 
-/* Draws candidates without looking at the whole pool. */
+/* Samples candidates without a scan of the whole pool: evenly spaced ones from a random start. */
 static void
 sample_pool (MfCore *core, uint32_t pool, Sample *sample)
 {
@@ -82,7 +85,8 @@
   return ratio_us (kv_bytes (core, request) + row->transfer_bytes, link_rate (row));
 }
 
-/* Whether a suspect may run there: alone among suspects. */
+/* Returns whether the upstream may run the request. A suspect runs only where no other suspect
+ * runs. */
 static bool
 allows_suspect (const MfUpstream *row, const MfRequest *request)
 {
@@ -118,7 +122,8 @@
          && has_pieces (row, request->pieces) && allows_suspect (row, request);
 }
 
-/* The least loaded of a few decode engines with room, by the share of its slots in use. */
+/* Returns the sampled decode engine with capacity that has the lowest share of its slots in use,
+ * weighted by health; MF_NONE if there is none. */
 static uint32_t
 place_decode (MfCore *core, MfRequest *request)
 {
@@ -150,8 +155,9 @@
   return best;
 }
 
-/* Predicted time from now to the first token when the prompt is prefilled there; UINT64_MAX when it
- * may not be, or when its KV would not be taken up within its life. */
+/* Returns the predicted time from now to the first token if the prompt is prefilled at the
+ * upstream. Returns UINT64_MAX if it cannot be placed there, or if the transfers already on the
+ * upstream's link would take more than half of a KV's lifetime, so that its own KV might expire. */
 static uint64_t
 predict_us (const MfCore *core, const MfRequest *request, uint32_t upstream, uint64_t *wait_us,
             uint32_t *cached)
@@ -175,7 +181,7 @@
          + mf_request_service (core, request)->config.tbt_target_us;
 }
 
-/* Remembers the second best prefill engine, so that a placement can be explained. */
+/* Records the second best prefill engine, which mangofork explain shows. */
 static void
 note_alternative (MfRequest *request, uint32_t upstream, uint64_t predicted_us)
 {
@@ -185,7 +191,8 @@
   request->runner_up_us = predicted_us;
 }
 
-/* The prefill engine with the least predicted time to the first token, that would begin soon. */
+/* Returns the sampled prefill engine with the lowest predicted time to the first token, weighted by
+ * health, among those that would begin within PREFILL_WAIT_MAX_US; MF_NONE if there is none. */
 static uint32_t
 place_prefill (MfCore *core, MfRequest *request, uint64_t *ttft_us)
 {
@@ -222,8 +229,8 @@
   return best;
 }
 
-/* Decode slots of the pool that are free by the reports, less those that requests of ours are on
- * the way to. Judged by a sample when the pool is large. */
+/* Returns the free decode slots of the pool by the load reports, less those for which own requests
+ * are in transit. Extrapolated from a sample if the pool is large. */
 static int64_t
 free_slots (MfCore *core, uint32_t pool, int64_t *n_slots)
 {
@@ -250,7 +257,8 @@
   return n_free - row->n_coming;
 }
 
-/* Time from placement to the first token when nothing waits, by the pool's usual rates. */
+/* Returns the time from placement to the first token without queueing, at the rates of the pool's
+ * first active engine. */
 static uint64_t
 unloaded_us (const MfCore *core, const MfRequest *request)
 {
@@ -268,15 +276,15 @@
          + ratio_us (kv_bytes (core, request), link_rate (row)) + 2 * service->tbt_target_us;
 }
 
-/* Whether one more request may be on its way to a pool that is nearly full: within the window, and
- * not while a KV of ours already waits there. */
+/* Returns whether one more request may start for a decode pool that is nearly full: the window must
+ * allow it, and no own KV may be waiting for long. */
 static bool
 may_start (const MfCore *core, const MfPoolRow *pool)
 {
   return mf_queue_transfer_wait_us (core) <= DECODE_WAIT_PLANNED_US / 2 && mf_window_allows (pool);
 }
 
-/* Whether there is room to spare, that requests in time will not need soon. */
+/* Returns whether the pool has free slots that requests still on time will not need soon. */
 static bool
 has_spare (MfCore *core, const MfRequest *request)
 {
@@ -290,9 +298,10 @@
   return n_free > n_slots / LATE_SPARE_DIVISOR + SPARE_MIN;
 }
 
-/* Decode room first; only then is a prefill spent. While the pool has slots to spare, the engines
- * are chosen together and the slot is kept. When it is nearly full, requests start towards slots
- * that are about to be free; the KV's life is what they may wait. */
+/* Checks for decode capacity before a prefill is spent. While the pool has spare slots, both
+ * engines are chosen together and the decode slot is reserved. When the pool is nearly full,
+ * prefills start before a slot is free, and the KV's lifetime limits how long they may wait for
+ * one. */
 static MfPlaceResult
 place_model (MfCore *core, MfRequest *request, MfPlacement *placement)
 {
@@ -308,8 +317,9 @@
   return placement->prefill == MF_NONE ? MF_PLACE_WAIT : MF_PLACE_FOUND;
 }
 
-/* Reads pass the window and the share, up to what an upstream holds: the answers they slow down
- * narrow the windows of all instances, and so make orders give way. */
+/* Returns how many slots of the upstream a plain request may use. Reads may exceed the window and
+ * the share, up to the upstream's slots: the answers that they slow down narrow the windows of all
+ * instances, so that orders give way to reads. */
 static uint32_t
 plain_slots (const MfCore *core, const MfRequest *request, uint32_t upstream)
 {
@@ -322,7 +332,8 @@
                                                              : mf_upstream_slots (row);
 }
 
-/* The upstream with the least own work and the fastest answers. */
+/* Returns the sampled upstream with the lowest product of own calls and answer time, weighted by
+ * health; MF_NONE if there is none. */
 static uint32_t
 place_plain (MfCore *core, MfRequest *request)
 {
--- a/libmangofork/plain.c
+++ b/libmangofork/plain.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* One answer of a plain upstream, gathered whole. */
+/* The answer of a plain upstream, collected until it is complete. */
 typedef struct
 {
   MfCallEventFunc on_event;
@@ -24,8 +24,8 @@
   return false;
 }
 
-/* Relays the caller's method, path, content type and body. A header without a value keeps the HTTP
- * library from adding its own. */
+/* Forwards the caller's method, path, content type and body. A header without a value keeps the
+ * HTTP library from adding its own. */
 static bool
 plain_build (const MfCallAction *call, const MfCallMaterial *material, const MfOwner *self,
              MfHttpRequest *request, MfError *error)
@@ -38,7 +38,10 @@
   if (call->kind != MF_CALL_PLAIN || has_control_char (material->path)
       || has_control_char (material->name) || has_control_char (type))
     {
-      mf_error_set (error, MF_CODE_BAD_HEADER, "the call cannot be put to a plain upstream");
+      mf_error_set (
+          error, MF_CODE_BAD_HEADER,
+          "call not valid for a plain upstream: wrong kind, or a control character in its "
+          "path, content type or request id");
       return false;
     }
   ok = asprintf (&request->url, "http://%s%s", call->address, material->path) >= 0
--- a/libmangofork/policy.h
+++ b/libmangofork/policy.h
@@ -6,7 +6,7 @@
 typedef enum
 {
   MF_PLACE_FOUND,
-  MF_PLACE_WAIT, /* no room now */
+  MF_PLACE_WAIT, /* no capacity now */
 } MfPlaceResult;
 
 typedef struct MfPlacement
@@ -16,24 +16,24 @@
   uint64_t ttft_us;
 } MfPlacement;
 
-/* What a way of deciding decides. */
+/* A policy decides where and when requests run. */
 struct MfPolicy
 {
   const char *name;
-  bool queues;  /* requests wait for room here; else they go to an engine at once */
-  bool resumes; /* broken streams go on where they stopped at the same engine */
+  bool queues;  /* requests wait here for capacity; otherwise they are sent at once */
+  bool resumes; /* broken streams are resumed at the same engine */
   bool hedges;
-  bool isolates; /* suspects run apart */
+  bool isolates; /* suspects run on separate upstreams */
   MfPlaceResult (*place_model) (MfCore *core, MfRequest *request, MfPlacement *placement);
-  /* Where to decode a prefill that waits; MF_NONE: nowhere now. */
+  /* The decode engine for a KV that waits; MF_NONE if none has capacity now. */
   uint32_t (*place_decode) (MfCore *core, MfRequest *request);
-  /* Whether there is room to spare, that requests in time will not need. */
+  /* Whether there is capacity that requests still on time will not need. */
   bool (*has_spare) (MfCore *core, const MfRequest *request);
-  /* MF_NONE: nowhere now. */
+  /* MF_NONE if no upstream has capacity now. */
   uint32_t (*place_plain) (MfCore *core, MfRequest *request);
-  /* Whether one more try may be made, and after how long. */
+  /* Whether one more retry is allowed, and after what delay. */
   bool (*may_retry) (MfCore *core, MfRequest *request, uint64_t *delay_us);
-  /* Time from placement to the first token when nothing waits. */
+  /* Time from placement to the first token without queueing. */
   uint64_t (*unloaded_us) (const MfCore *core, const MfRequest *request);
 };
 
--- a/libmangofork/prefix.c
+++ b/libmangofork/prefix.c
@@ -2,10 +2,10 @@
 
 #include <stdlib.h>
 
-/* Prefixes remembered over all upstreams; the oldest go first. */
+/* Prefixes known over all upstreams; the oldest are evicted first. */
 #define ENTRIES_MAX 32768
-/* What a gap in an upstream's cache events leaves of the trust in what is remembered of it, and
- * what each event in order gives back. */
+/* A gap in an upstream's cache events divides the confidence in its known prefixes; each event in
+ * order restores a part. */
 #define CONFIDENCE_FULL_PERMILLE 1000
 #define CONFIDENCE_GAP_DIVISOR 2
 #define CONFIDENCE_PER_EVENT_PERMILLE 10
@@ -137,8 +137,8 @@
   upstream_cache_get (core, upstream)->confidence = CONFIDENCE_FULL_PERMILLE;
 }
 
-/* Takes in cache events. After a gap, evictions may have been missed: what is remembered counts
- * for less until events have come in order for a while. */
+/* Processes cache events. Evictions may have been missed in a gap, so that known prefixes count for
+ * less until enough events have arrived in order. */
 static void
 handle_cache (MfCore *core, const MfCacheEvent *event)
 {
--- a/libmangofork/queue.c
+++ b/libmangofork/queue.c
@@ -5,25 +5,27 @@
 
 #include <stdlib.h>
 
-/* One turn in this many goes to a request that is already late, so that none starves. */
+/* One placement in this many goes to a request that has missed its first-token target, so that late
+ * requests do not starve. */
 #define LATE_ONE_IN 32
-/* Tries to place in one step, over all services. */
+/* Placements in one step over all services, at most. */
 #define PLACE_TRIES_MAX 64
 #define REQUEUED_TRIES_MAX 4
-/* A lower class goes first when its oldest has waited this share of its time. */
+/* A service is starved once its oldest request has waited 1/STARVED_DIVISOR of the time from its
+ * arrival to its deadline. It is then served before more urgent classes. */
 #define STARVED_DIVISOR 2
-/* It does so one time in this many, so that what is urgent keeps its part. */
+/* Only one time in this many, so that urgent classes keep most of the capacity. */
 #define STARVED_ONE_IN 16
 #define WANT_PERIOD_US (100 * MF_US_PER_MS)
 #define RETRY_AFTER_MIN_MS 200
 #define RETRY_AFTER_MAX_MS 60000
-/* The wait for work that comes back is looked at again after this. */
+/* Upper bound of one sample of the time between two placements. */
 #define DRAIN_GAP_MAX_US MF_US_PER_S
 
-/* The requests of one customer that wait for one service, oldest first. */
+/* The queued requests of one customer for one service, oldest first. */
 typedef struct CustomerQueue
 {
-  MfHeapNode node; /* first member; its time is the lane's virtual time */
+  MfHeapNode node; /* first member; at_us is the queue's virtual time */
   uint64_t key[2]; /* service, customer */
   MfRequest *head;
   MfRequest *tail;
@@ -41,13 +43,13 @@
 typedef enum
 {
   TIER_ON_TIME,  /* may still meet its first-token target */
-  TIER_REQUEUED, /* was served before and broke */
+  TIER_REQUEUED, /* an earlier attempt failed */
   TIER_LATE,
 } Tier;
 
 typedef struct
 {
-  MfHeap by_virtual_time; /* those with requests, least virtual time first */
+  MfHeap by_virtual_time; /* customer queues with requests, lowest virtual time first */
   uint64_t virtual_time;
   RequestList requeued;
   RequestList late;
@@ -61,7 +63,7 @@
   uint32_t n_services;
   CustomerQueue *customer_queues;
   uint32_t n_requests;
-  RequestList transfers; /* KVs that wait for a decode engine */
+  RequestList transfers; /* requests whose KV waits for a decode engine, oldest first */
   bool pass_due;
   uint32_t n_starved_checks;
   uint64_t want_us;
@@ -145,7 +147,8 @@
   return share > 0 ? share : 1;
 }
 
-/* Work in tokens, an output token counted as many prompt tokens, by the customer's weight. */
+/* Returns the estimated work of a request in prompt tokens, divided by the customer's weight. An
+ * output token counts as 16 prompt tokens, and every request as 1000 more. */
 static uint64_t
 request_cost (const MfCore *core, const MfRequest *request)
 {
@@ -211,14 +214,15 @@
          + queue->services[service].requeued.n_requests;
 }
 
-/* The wait of a request behind n others, from how fast the queue drains. */
+/* Estimates the wait of a request behind n others from the rate at which the queue drains. */
 static uint64_t
 expected_wait_us (const MfCore *core, uint32_t service, uint32_t n)
 {
   return core->board.services.rows[service].drain_gap_us * n;
 }
 
-/* When a refused caller should come back: when what waits now has gone. */
+/* Returns after what time a refused caller should retry: when the requests queued now are expected
+ * to be placed. */
 uint64_t
 mf_queue_retry_after_ms (const MfCore *core, uint32_t service)
 {
@@ -230,7 +234,8 @@
   return ms < RETRY_AFTER_MAX_MS ? ms : RETRY_AFTER_MAX_MS;
 }
 
-/* The last moment at which a placement still meets the first-token target. */
+/* Returns the latest time of a placement that still meets the first-token target; 0 if none
+ * does. */
 static uint64_t
 latest_start_us (const MfCore *core, const MfRequest *request)
 {
@@ -270,8 +275,8 @@
   core->board.queue->n_requests--;
 }
 
-/* Puts a request among the late, or refuses it at once when its turn would not come in time: the
- * late get one turn in LATE_TURN while others wait. */
+/* Queues a request as late, or refuses it at once if it is not expected to be placed before its
+ * deadline. Late requests get one placement in LATE_ONE_IN while others wait. */
 static void
 insert_late (MfCore *core, MfRequest *request)
 {
@@ -287,8 +292,8 @@
     insert (core, request, TIER_LATE);
 }
 
-/* Whether the request's turn among its customer's would come too late for its first-token target,
- * judged by how many customers share the drain. */
+/* Returns whether the request is expected to be placed too late for its first-token target, if all
+ * customers with queued requests are served alike. */
 static bool
 will_be_late (MfCore *core, const MfRequest *request)
 {
@@ -313,8 +318,8 @@
     insert (core, request, TIER_ON_TIME);
 }
 
-/* A caller who has seen tokens goes first, and so does one whose first token may still be in time.
- */
+/* A request that has delivered tokens, or can still meet its first-token target, goes before all
+ * others. Other requests are queued as late. */
 void
 mf_queue_add_again (MfCore *core, MfRequest *request)
 {
@@ -352,7 +357,7 @@
   return oldest == NULL ? 0 : core->board.now_us - oldest->prefilled_us;
 }
 
-/* Sends waiting KVs on, the oldest first, while there is room. */
+/* Sends waiting KVs to decode engines, oldest first, until one finds no capacity. */
 static void
 place_transfers (MfCore *core)
 {
@@ -368,7 +373,8 @@
     }
 }
 
-/* Places one request. Returns false when there is no room for it now. */
+/* Places one request. Returns false if it is not eligible yet or no upstream has capacity for
+ * it. */
 static bool
 place (MfCore *core, MfRequest *request)
 {
@@ -394,7 +400,8 @@
   return true;
 }
 
-/* Learns how fast the queue drains, from the time between two placements while some wait. */
+/* Updates the drain rate of a service's queue from the time between two placements while requests
+ * wait. */
 static void
 note_drain (MfCore *core, uint32_t service, bool others_wait)
 {
@@ -410,7 +417,8 @@
   row->drain_last_us = core->board.now_us;
 }
 
-/* Moves the heads that can no longer be in time to the late; returns the first that can. */
+/* Returns the next request that can still meet its first-token target, or NULL. Requests before it
+ * that no longer can are moved to the late ones. */
 static MfRequest *
 first_on_time (MfCore *core, ServiceQueue *queue)
 {
@@ -462,7 +470,7 @@
   return false;
 }
 
-/* Places the next request of one service. Returns false when none could be. */
+/* Places the next request of one service. Returns false if none could be placed. */
 static bool
 place_next (MfCore *core, uint32_t service)
 {
@@ -500,7 +508,7 @@
                 > oldest->deadline_us - oldest->arrived_us;
 }
 
-/* Tries the services that are starved, then all by class. */
+/* Runs a placement pass if one is due: starved services first, then all services by class. */
 static void
 queue_tick (MfCore *core)
 {
--- a/libmangofork/rendezvous.h
+++ b/libmangofork/rendezvous.h
@@ -3,8 +3,8 @@
 
 #include "types.h"
 
-/* The score of one node for one subject: the node with the highest score is responsible for the
- * subject. Every instance that knows the same nodes finds the same one. */
+/* Returns the score of a node for a subject in rendezvous hashing. The node with the highest score
+ * is responsible for the subject; all instances that know the same nodes choose the same one. */
 static inline uint64_t
 mf_rendezvous_score (uint64_t node, uint64_t subject)
 {
--- a/libmangofork/request.c
+++ b/libmangofork/request.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The deadline of a request to a service that names none. */
+/* Deadline of requests to a service that configures none. */
 #define DEADLINE_DEFAULT_US (60 * MF_US_PER_S)
 
 const char *
@@ -46,7 +46,7 @@
   return HASH_COUNT (core->board.requests->by_id);
 }
 
-/* Calls func for each request held; func may remove the one it is given. */
+/* Calls func for each request. func may remove the request that it is given. */
 void
 mf_request_foreach (MfCore *core, void (*func) (MfRequest *request, void *data), void *data)
 {
@@ -71,9 +71,9 @@
   request->phase = phase;
 }
 
-/* Sets when MF_INPUT_TIMER comes next; the deadline may come before. Later times cost nothing until
- * the earlier one has come. A time that has passed is moved on, so that no request can keep the
- * core busy in one step. */
+/* Schedules the next MF_INPUT_TIMER; the deadline may fire it earlier. If the timer is already set
+ * to an earlier time, the heap is updated only when that fires. A time in the past is replaced by
+ * the next microsecond, so that no request can loop within one step. */
 void
 mf_request_check_at (MfCore *core, MfRequest *request, uint64_t at_us)
 {
@@ -101,7 +101,7 @@
   mf_trace_note (core->board.trace, &step);
 }
 
-/* Takes the request out of every table and frees it. */
+/* Removes the request from all tables and frees it. */
 void
 mf_request_remove (MfCore *core, MfRequest *request)
 {
@@ -163,7 +163,8 @@
   return request;
 }
 
-/* Finds the service and the customer. Returns the code of a refusal, or MF_CODE_OK. */
+/* Finds the service and the customer of a request. Returns MF_CODE_OK or the code of the
+ * refusal. */
 static MfCode
 resolve (MfCore *core, const MfRequestEvent *event, uint32_t *service, uint32_t *customer)
 {
@@ -178,7 +179,8 @@
   return *service == MF_NONE ? MF_CODE_NO_SERVICE : MF_CODE_OK;
 }
 
-/* Whether an admitted request may go on to be queued. */
+/* Checks the limits that apply before a request is accepted. Returns MF_CODE_OK or the code of the
+ * refusal. */
 static MfCode
 admit (MfCore *core, uint32_t service, uint32_t customer, uint64_t *retry_after_ms)
 {
@@ -265,8 +267,8 @@
     handle_call (core, event);
 }
 
-/* Settles a claim that was begun for a request; a request that is gone or no longer waits for it
- * takes nothing from it. */
+/* Passes the result of a claim to its request. If the request has ended or no longer waits for the
+ * claim, the result is dropped and counted. */
 void
 mf_request_claim_settled (MfCore *core, uint64_t request_id, const MfClaimResult *result)
 {
@@ -299,7 +301,7 @@
     }
 }
 
-/* Gives each request whose time has come its timer. */
+/* Fires all timers that are due. */
 static void
 request_tick (MfCore *core)
 {
--- a/libmangofork/request.h
+++ b/libmangofork/request.h
@@ -6,24 +6,24 @@
 
 #include "table.h"
 
-/* Where a request is. */
+/* The phase of a request. */
 typedef enum
 {
   MF_PHASE_QUEUED,
-  MF_PHASE_CLAIMING, /* a keyed call waits for votes or for its earlier run */
+  MF_PHASE_CLAIMING, /* waits for votes on its idempotency key, or for an earlier run */
   MF_PHASE_PREFILLING,
   MF_PHASE_TRANSFERRING,
   MF_PHASE_DECODING,
   MF_PHASE_RESUMING,
-  MF_PHASE_CONNECTING, /* plain: no byte can have left */
-  MF_PHASE_SENT,       /* plain: the upstream may have the call */
+  MF_PHASE_CONNECTING, /* plain: no byte can have been sent */
+  MF_PHASE_SENT,       /* plain: the upstream may have received the call */
   MF_PHASE_ENDED,
   MF_PHASE_COUNT,
 } MfPhase;
 
 const char *mf_phase_name (MfPhase phase);
 
-/* What can happen to one request; the columns of the table in life.c. */
+/* Inputs to the state machine of a request; the columns of the table in life.c. */
 typedef enum
 {
   MF_INPUT_DEPARTED,
@@ -33,18 +33,18 @@
   MF_INPUT_TOKENS,
   MF_INPUT_DONE,
   MF_INPUT_FAILED,
-  MF_INPUT_CLAIM, /* its claim was settled */
+  MF_INPUT_CLAIM, /* its claim has a result */
   MF_INPUT_TIMER,
   MF_INPUT_COUNT,
 } MfInput;
 
-/* What the claim controller found for a keyed call. */
+/* The decision on a claim of an idempotency key. */
 typedef enum
 {
   MF_CLAIM_GRANTED,   /* run it, once */
-  MF_CLAIM_ANSWERED,  /* an earlier run's recorded answer is in the result */
-  MF_CLAIM_UNKNOWN,   /* an earlier run's fate is unknown */
-  MF_CLAIM_NO_QUORUM, /* too few votes; nothing ran on behalf of this request */
+  MF_CLAIM_ANSWERED,  /* answered by an earlier run, whose answer is in the result */
+  MF_CLAIM_UNKNOWN,   /* the outcome of an earlier run is unknown */
+  MF_CLAIM_NO_QUORUM, /* too few votes; nothing was run for this request */
   MF_CLAIM_BODY_DIFFERS,
   MF_CLAIM_TOO_OLD,
 } MfClaimVerdict;
@@ -60,7 +60,7 @@
   size_t body_bytes;
 } MfClaimResult;
 
-/* Called by the claim controller when a claim begun with mf_claim_begin is settled. May be called
+/* Called by the claim controller when a claim begun with mf_claim_begin has a result. May be called
  * before mf_claim_begin returns. */
 void mf_request_claim_settled (MfCore *core, uint64_t request_id, const MfClaimResult *result);
 
@@ -73,15 +73,15 @@
   MfCallKind kind;
   uint32_t upstream;
   uint32_t attempt;
-  uint32_t pieces; /* held there on its behalf */
+  uint32_t pieces; /* pieces of KV memory used there */
   uint32_t prefill_tokens;
-  uint64_t ahead_tokens; /* prefill: tokens to compute there, its own among them */
+  uint64_t ahead_tokens; /* prefill: uncached tokens in the engine's queue, its own included */
   uint64_t started_us;
   bool sent;
   bool hedge;
   bool suspect;   /* counted in its upstream's suspects */
-  bool held;      /* its pieces are counted at its upstream */
-  bool prefilled; /* its result is the request's now */
+  bool held;      /* its slot and pieces are counted at its upstream */
+  bool prefilled; /* prefill done: its KV belongs to the request */
   MfRequest *request;
   struct MfCall *next;          /* of the request */
   struct MfCall *prev_upstream; /* of the upstream */
@@ -99,8 +99,8 @@
   MfClass class_;
   bool idempotent;
   bool has_key;
-  bool claimed;       /* granted; owes mf_claim_finish */
-  bool departed;      /* the caller is gone, but the call runs on for its key's sake */
+  bool claimed;       /* granted; mf_claim_finish must be called */
+  bool departed;      /* the caller has disconnected, but the call continues for its key */
   bool ran;           /* some of the work has certainly begun at an upstream */
   uint32_t n_unknown; /* ended calls that may have run */
   uint8_t key_digest[MF_DIGEST_BYTES];
@@ -114,10 +114,10 @@
 
   uint64_t arrived_us;
   uint64_t deadline_us;
-  uint64_t check_us; /* when its phase wants a look; the heap may be earlier */
+  uint64_t check_us; /* when the next MF_INPUT_TIMER is due; timer may be earlier */
   uint64_t first_us;
   uint64_t last_us;
-  uint64_t not_before_us; /* backoff */
+  uint64_t not_before_us; /* end of the backoff */
   uint32_t n_gaps;
   uint32_t n_gaps_late;
   uint32_t delivered;
@@ -127,34 +127,34 @@
   bool suspect;
   bool suspect_pending; /* whether its upstream died is not known yet */
   uint8_t n_claims;
-  uint32_t cleared_at; /* tokens at which a suspect is cleared */
+  uint32_t cleared_at; /* tokens delivered when it became a suspect */
 
   MfCall *calls;
-  uint32_t runner_up;     /* prefill engine that was second best when it was placed */
+  uint32_t runner_up;     /* second best prefill engine at its placement */
   uint64_t runner_up_us;  /* its predicted time to the first token; 0 for none */
-  uint32_t cached_tokens; /* of the prompt, at the prefill engine chosen last, as far as known */
+  uint32_t cached_tokens; /* of the prompt, at the last chosen prefill engine, as far as known */
   bool in_window;         /* counted in its pool's window */
-  bool coming;            /* counted as coming to its pool */
-  bool carried;           /* its KV is on its prefill engine's link */
-  bool waits;             /* its KV waits for a decode engine, in the queue's list of those */
-  uint32_t reserved;      /* decode upstream a slot is reserved on, or MF_NONE */
+  bool coming;            /* counted as on its way to a slot of its pool */
+  bool carried;           /* its KV is counted on its prefill engine's link */
+  bool waits;             /* its KV waits for a decode engine, in the queue's list of transfers */
+  uint32_t reserved;      /* decode upstream with a slot reserved for it, or MF_NONE */
   uint32_t pieces;
-  uint64_t prefill_call_id; /* whose KV waits; 0 for none */
+  uint64_t prefill_call_id; /* call whose KV waits; 0 for none */
   uint32_t prefill_upstream;
   uint32_t prefill_attempt;
   uint32_t prefill_pieces;
   uint64_t kv_expires_us;
   uint64_t kv_bytes;
   uint64_t prefilled_us;
-  uint32_t n_refused;     /* by decode engines, of the KV that waits */
-  uint32_t last_upstream; /* the last that failed it; not tried next */
+  uint32_t n_refused;     /* times that decode engines refused the KV that waits */
+  uint32_t last_upstream; /* last that failed it; avoided by the next attempt */
 
   uint32_t prefill_tokens; /* computed for it over all attempts */
   uint32_t wasted_tokens;
 
-  MfRequest *prev; /* of its queue */
+  MfRequest *prev; /* of its list in the queue */
   MfRequest *next;
-  uint8_t queue; /* MfQueueTier */
+  uint8_t queue; /* Tier in queue.c */
   bool queued;
   void *lane;
   UT_hash_handle hh;
@@ -163,61 +163,64 @@
 MfRequest *mf_request_find (const MfCore *core, uint64_t request_id);
 uint32_t mf_request_count (const MfCore *core);
 void mf_request_foreach (MfCore *core, void (*func) (MfRequest *request, void *data), void *data);
-/* The upstream's process is gone: every call on it made before has failed. */
+/* The upstream's process has ended: fails every call on it that was made before. */
 void mf_request_upstream_died (MfCore *core, uint32_t upstream);
-/* Sets when MF_INPUT_TIMER comes next; the deadline may come before. */
+/* Schedules the next MF_INPUT_TIMER; the deadline may fire it earlier. */
 void mf_request_check_at (MfCore *core, MfRequest *request, uint64_t at_us);
 void mf_request_set_phase (MfRequest *request, MfPhase phase);
 const MfServiceRow *mf_request_service (const MfCore *core, const MfRequest *request);
 void mf_request_note (MfCore *core, const MfRequest *request, MfTraceKind kind, uint32_t upstream,
                       uint32_t other, uint64_t value);
-/* Puts a request through the state machine. Returns false when this input means nothing in its
- * phase; the request may be gone afterwards. */
+/* Passes an input to the state machine of a request. Returns false if the input has no handler in
+ * the request's phase. The request may have been freed on return. */
 bool mf_life_input (MfCore *core, MfRequest *request, MfInput input, MfCall *call,
                     const MfEvent *event, const MfClaimResult *claim);
-/* For tests: whether the table has a handler there. */
+/* For tests: whether the table has a handler for the pair. */
 bool mf_life_accepts (MfPhase phase, MfInput input);
 struct MfPlacement; /* policy.h */
 
-/* Starts a request that a place has been found for. */
+/* Starts a request that has been placed. */
 void mf_life_start_model (MfCore *core, MfRequest *request, const struct MfPlacement *placement);
 void mf_life_start_plain (MfCore *core, MfRequest *request, uint32_t upstream);
-/* Sends the waiting KV to a decode engine when there is one. Returns false when it still waits. */
+/* Sends the waiting KV to a decode engine if one has capacity. Returns false if the KV has to
+ * wait. */
 bool mf_life_try_transfer (MfCore *core, MfRequest *request);
-/* Begins a request that has been admitted. */
+/* Starts an admitted request. */
 void mf_life_begin (MfCore *core, MfRequest *request);
 
 /* call.c */
 MfCall *mf_call_start (MfCore *core, MfRequest *request, MfCallKind kind, uint32_t upstream);
-/* The call is over by itself; frees it. */
+/* Frees a call that has ended. */
 void mf_call_end (MfCore *core, MfCall *call);
-/* Closes the call's connection and owes the engine a cancel when it may hold memory for it. */
+/* Closes the call's connection. If the engine may hold memory for it, a cancel is sent until
+ * confirmed. */
 void mf_call_abandon (MfCore *core, MfCall *call);
-/* Takes the mark of a suspect off its running calls. */
+/* Clears the request and its running calls of suspicion. */
 void mf_call_clear_suspect (MfCore *core, MfRequest *request);
 void mf_call_abandon_all (MfCore *core, MfRequest *request);
 MfCall *mf_call_find (const MfCore *core, uint64_t call_id);
-/* Gives up the KV that waits at the prefill engine; when it was not imported it is wasted. */
+/* Releases the KV at the prefill engine; its tokens count as wasted unless it was imported. */
 void mf_call_drop_prefill (MfCore *core, MfRequest *request, bool imported);
 void mf_call_begin_transfer (MfCore *core, MfRequest *request);
 void mf_call_end_transfer (MfCore *core, MfRequest *request);
 void mf_call_unreserve (MfCore *core, MfRequest *request);
-/* Counts the request in its pool's window, or takes it out. */
+/* Starts and stops counting the request in its pool's window. A spare request has a slot beside the
+ * window. */
 void mf_call_enter (MfCore *core, MfRequest *request, bool spare);
 void mf_call_leave (MfCore *core, MfRequest *request);
 void mf_call_arrived (MfCore *core, MfRequest *request);
 void mf_call_reserve (MfCore *core, MfRequest *request, uint32_t upstream);
 
-/* finish.c: the terminal states. Each frees the request. */
+/* finish.c: the terminal states. Each function frees the request. */
 void mf_finish_answered (MfCore *core, MfRequest *request, const MfEvent *event);
 void mf_finish_refused (MfCore *core, MfRequest *request, MfCode code, uint64_t retry_after_ms);
 void mf_finish_departed (MfCore *core, MfRequest *request);
 void mf_finish_replayed (MfCore *core, MfRequest *request, const MfClaimResult *claim);
 MfOutcome mf_finish_outcome (const MfRequest *request);
-/* Refuses what never became a request. */
+/* Refuses an event for which no request was created. */
 void mf_finish_turned_away (MfCore *core, const MfRequestEvent *event, uint32_t service,
                             uint32_t customer, MfCode code, uint64_t retry_after_ms);
-/* Takes the request out of every table and frees it. */
+/* Removes the request from all tables and frees it. */
 void mf_request_remove (MfCore *core, MfRequest *request);
 
 struct MfRequests
--- a/libmangofork/retry.c
+++ b/libmangofork/retry.c
@@ -1,13 +1,14 @@
 #include "retry.h"
 
-/* A retry costs 1000; each request earns a tenth of one, a hedge twentieth. The burst covers the
- * streams of a whole engine. */
+/* Budgets are in thousandths of a call. Each request earns a tenth of a retry and a twentieth of a
+ * hedge. The burst of retries covers all streams of one engine. */
 #define TOKEN_MILLI 1000
 #define RETRY_EARN_MILLI 100
 #define RETRY_BURST_MILLI (64 * TOKEN_MILLI)
 #define HEDGE_EARN_MILLI 50
 #define HEDGE_BURST_MILLI (8 * TOKEN_MILLI)
-/* One more retry is earned by time alone, so that a quiet service recovers too. */
+/* Each period also earns one retry, so that the budget of a service with little traffic
+ * recovers. */
 #define RETRY_PERIOD_US MF_US_PER_S
 #define BACKOFF_BASE_US (5 * MF_US_PER_MS)
 #define BACKOFF_DOUBLINGS_MAX 7
@@ -55,8 +56,9 @@
   earn (&row->hedge, HEDGE_EARN_MILLI, HEDGE_BURST_MILLI);
 }
 
-/* Whether the budget allows the request one more try. The delay doubles with each and has full
- * jitter from the core's own stream. The first try after a break goes at once. */
+/* Takes one retry from the service's budget; returns false if it is exhausted. The first retry has
+ * no delay. The delay then doubles with each and has full jitter from the core's own random
+ * generator. */
 bool
 mf_retry_may (MfCore *core, MfRequest *request, uint64_t *delay_us)
 {
--- a/libmangofork/share.c
+++ b/libmangofork/share.c
@@ -9,16 +9,16 @@
 
 /* Instances whose share of one upstream is known, at most. */
 #define SHARERS_MAX 16
-/* A share that was not told again for so long has lapsed. */
+/* A share that has not been reported again within this time expires. */
 #define SHARER_EXPIRY_US (5 * MF_US_PER_S)
 #define SWEEP_PERIOD_US (500 * MF_US_PER_MS)
-/* A share that fell to nothing is told so many times more. */
+/* A share that has become zero is reported this many more times. */
 #define ZERO_REPEATS 2
 
 /* What another instance uses and wants of one upstream. */
 typedef struct
 {
-  uint64_t instance; /* hash of the slot's name */
+  uint64_t instance; /* hash of the instance's name */
   uint64_t reported_us;
   uint16_t used;
   uint16_t wanted;
@@ -30,7 +30,7 @@
   uint32_t n_sharers;
   uint32_t limit;
   uint32_t own_wanted;
-  uint64_t demand_rose_us; /* when more was wanted than before */
+  uint64_t demand_rose_us; /* when own_wanted was last increased */
   uint16_t reported_used;
   uint16_t reported_wanted;
   uint8_t n_zero_reported;
@@ -39,13 +39,13 @@
 
 struct MfShares
 {
-  ShareRow *rows; /* one an upstream */
+  ShareRow *rows; /* one per upstream */
   uint32_t n_rows;
-  uint32_t *tracked; /* rows that this instance uses or has told of */
+  uint32_t *tracked; /* rows that this instance uses or has reported */
   uint32_t n_tracked;
-  uint32_t cursor;       /* among the watched, where the next digest goes on */
+  uint32_t cursor;       /* index in tracked at which the next digest continues */
   uint32_t n_live;       /* live instances, this one included */
-  uint32_t n_unreported; /* of them, those whose shares are never told here */
+  uint32_t n_unreported; /* live instances whose shares do not reach this one */
   uint64_t sweep_us;
 };
 
@@ -71,7 +71,8 @@
                                                                      : upstream->config.slots;
 }
 
-/* How many of those with more demand than level get one of the odd slots before this instance. */
+/* Returns how many instances with more demand than level come before this one for one of the
+ * remaining slots, in order of their rendezvous scores. */
 static uint32_t
 remainder_rank (const MfCore *core, const ShareRow *row, uint64_t subject, uint32_t level)
 {
@@ -86,9 +87,8 @@
   return rank;
 }
 
-/* When more is wanted than there is: the same level for all, those who want less get what they
- * want, and what they leave raises the level. Who is below it may grow halfway to it, as not all
- * demand is known before it is met. */
+/* The share when demand exceeds the slots, by max-min fairness: instances that want less than the
+ * common level get what they want, and what they leave raises the level for the others. */
 static uint32_t
 max_min_share (const MfCore *core, uint32_t upstream, uint32_t n_slots)
 {
@@ -124,8 +124,8 @@
             < n_remaining - level * n_unsatisfied);
 }
 
-/* When all that is wanted fits: every instance with demand may grow by an equal part of the rest,
- * so that together they cannot overrun it before they have heard of each other. */
+/* The share when all demand fits: every instance with demand may grow by an equal part of the rest,
+ * so that all of them together cannot exceed it before they know of each other's growth. */
 static uint32_t
 slack_share (const MfCore *core, uint32_t upstream, uint32_t n_slots, uint32_t demand)
 {
@@ -140,9 +140,9 @@
          + (remainder_rank (core, row, core->board.upstreams[upstream].name_hash, 0) < remainder);
 }
 
-/* How many slots this instance may hold by what is in use now: an equal part of the free ones is
- * left to everyone who wants more. Until the others can have heard what this instance wants, and it
- * of them, everyone alive may want more. */
+/* The share by the slots in use now: an equal part of the free slots is left to every instance that
+ * wants more. Until two digest periods after this instance's demand has risen, the others may not
+ * know of it, nor this one of theirs; until then every live instance is assumed to want more. */
 static uint32_t
 free_share (const MfCore *core, uint32_t upstream, uint32_t n_slots)
 {
@@ -163,8 +163,8 @@
   return used < n_slots ? own_used + (n_slots - used + n_demanding - 1) / n_demanding : own_used;
 }
 
-/* Computes the limit that the request path reads. Slots that instances not heard of would get in
- * equal parts are left to them. */
+/* Computes the limit that requests are checked against. Equal parts are left to the instances whose
+ * shares do not reach this one. */
 static void
 limit_update (MfCore *core, uint32_t upstream)
 {
@@ -187,7 +187,7 @@
     row->limit = 1;
 }
 
-/* How many of an upstream's slots this instance may hold at once. */
+/* Returns how many of an upstream's slots this instance may use at once. */
 uint32_t
 mf_share_limit (const MfCore *core, uint32_t upstream)
 {
@@ -207,8 +207,8 @@
   shares->tracked[shares->n_tracked++] = upstream;
 }
 
-/* Says how many slots this instance would use of it if it had them. The fleet is told at once when
- * an upstream is wanted anew or twice as much as told. */
+/* Sets how many of the upstream's slots this instance would use if it were not limited. A digest is
+ * sent at once when the demand exceeds both the limit and twice the reported demand. */
 void
 mf_share_want (MfCore *core, uint32_t upstream, uint32_t n_slots)
 {
@@ -261,7 +261,7 @@
          || row->reported_wanted != row->own_wanted;
 }
 
-/* Whether an unchanged share is worth telling again. */
+/* Returns whether an unchanged share is still to be reported. */
 static bool
 needs_repeat (const ShareRow *row)
 {
@@ -269,8 +269,8 @@
          || row->n_zero_reported < ZERO_REPEATS;
 }
 
-/* Writes at most max of this instance's own shares into a digest: those that changed first, the
- * others in turn. */
+/* Writes at most max of this instance's own shares into a digest: changed ones first, then the
+ * others in rotation. */
 void
 mf_share_fill (MfCore *core, MfDigestMessage *digest, uint32_t max)
 {
@@ -340,7 +340,7 @@
     }
 }
 
-/* Drops the shares of the dead and those that have lapsed. */
+/* Removes the shares of dead instances and those that have expired. */
 static void
 row_expire (MfCore *core, ShareRow *row)
 {
@@ -373,8 +373,8 @@
     }
 }
 
-/* Watches the pools' subsets in use, and what was told of until it was told to be free. Their
- * number does not grow with the fleet. */
+/* Rebuilds the list of tracked upstreams: the active subsets of all pools, and those whose share
+ * still has to be reported as free. Its length does not grow with the fleet. */
 static void
 tracked_rebuild (MfCore *core)
 {
--- a/libmangofork/table.h
+++ b/libmangofork/table.h
@@ -3,7 +3,7 @@
 
 #include <xxhash.h>
 
-/* Hash tables throughout are uthash's, keyed by xxHash. */
+/* All hash tables use uthash, with xxHash as the hash function. */
 #define HASH_FUNCTION(key, key_bytes, hash) ((hash) = (unsigned)XXH3_64bits ((key), (key_bytes)))
 
 #include <uthash.h>
--- a/libmangofork/types.c
+++ b/libmangofork/types.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Returns the word a refusal carries for an outcome. */
+/* Returns the name of an outcome as sent to callers. */
 const char *
 mf_outcome_name (MfOutcome outcome)
 {
@@ -15,7 +15,7 @@
   return names[outcome];
 }
 
-/* Returns the word operators use for a role. */
+/* Returns the name of a role as used in the operators' text. */
 const char *
 mf_role_name (MfRole role)
 {
@@ -28,7 +28,7 @@
   return role < MF_ROLE_COUNT ? names[role] : "none";
 }
 
-/* Returns the word operators use for a class of requests. */
+/* Returns the name of a request class as used in the operators' text. */
 const char *
 mf_class_name (MfClass class_)
 {
--- a/libmangofork/types.h
+++ b/libmangofork/types.h
@@ -5,17 +5,17 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Bytes of a name, its closing NUL included. */
+/* Size of a name, with the terminating NUL. */
 #define MF_NAME_BYTES 48
-/* Bytes of an address such as "127.0.0.1:8000", its closing NUL included. */
+/* Size of an address such as "127.0.0.1:8000", with the terminating NUL. */
 #define MF_ADDRESS_BYTES 64
-/* Tokens in one piece of engine memory. */
+/* Tokens in one piece of an engine's KV memory. */
 #define MF_PIECE_TOKENS 2000
-/* Prefix hashes kept for one prompt, one for each whole piece from its start. */
+/* Prefix hashes kept for one prompt, one for each complete piece from its start. */
 #define MF_PREFIX_HASHES_MAX 32
-/* Bytes of the digest of an idempotency key or an API key. */
+/* Size of the digest of an idempotency key or an API key. */
 #define MF_DIGEST_BYTES 32
-/* "No such index" for upstreams, services, customers and pools. */
+/* No index, of upstreams, services, customers and pools. */
 #define MF_NONE UINT32_MAX
 
 #define MF_US_PER_MS UINT64_C (1000)
@@ -23,7 +23,7 @@
 
 #define MF_ARRAY_LEN(array) (sizeof (array) / sizeof ((array)[0]))
 
-/* What a refusal says about the work: whether any of it ran. */
+/* Whether any of a refused request's work ran. */
 typedef enum
 {
   MF_OUTCOME_NOT_RUN,
@@ -40,7 +40,7 @@
   MF_ROLE_COUNT,
 } MfRole;
 
-/* How urgent a request is; the lower value goes first. */
+/* How urgent a request is; lower values are more urgent. */
 typedef enum
 {
   MF_CLASS_READ,
@@ -49,22 +49,23 @@
   MF_CLASS_COUNT,
 } MfClass;
 
-/* The incarnation of one instance: the name is its slot and outlives a restart, the number does
- * not. A higher number is a later process. */
+/* Identifies one process of an instance. The name survives a restart, the incarnation number does
+ * not; a higher number is a later process. */
 typedef struct
 {
   char name[MF_NAME_BYTES];
   uint64_t incarnation;
 } MfOwner;
 
-/* Whether both are the same process. */
+/* Returns whether both are the same process. */
 bool mf_owner_equal (const MfOwner *a, const MfOwner *b);
 
 const char *mf_outcome_name (MfOutcome outcome);
 const char *mf_role_name (MfRole role);
 const char *mf_class_name (MfClass class_);
 
-/* Copies a string into a fixed field, always closing it with NUL. Returns false when it was cut. */
+/* Copies a string into a fixed-size field, always NUL-terminated. Returns false if it was
+ * truncated. */
 bool mf_name_set (char *dst, size_t dst_bytes, const char *src);
 
 #endif
--- a/libmangofork/window.c
+++ b/libmangofork/window.c
@@ -2,22 +2,25 @@
 
 #define MILLI 1000
 #define WINDOW_MIN_MILLI MILLI
-/* A wait for a decode slot that means too many at once, and what it takes off the window. */
+/* A longer wait for a decode slot means too many requests at once; it narrows the window by one
+ * part in WAIT_FALL_DIVISOR. A KV that expires meanwhile narrows it by one part in
+ * KV_EXPIRED_FALL_DIVISOR. */
 #define WAIT_HIGH_US (60 * MF_US_PER_MS)
 #define WAIT_FALL_DIVISOR 40
 #define KV_EXPIRED_FALL_DIVISOR 16
-/* Plain answers this much slower than the fastest mean seen mean that calls wait there. */
+/* A mean answer time of a plain pool above this percentage of the fastest mean seen means that
+ * calls queue there. */
 #define SLOWER_PERCENT 120
 #define PLAIN_RISE_MILLI 20
 #define PLAIN_FALL_DIVISOR 64
 #define MEAN_DIVISOR 32
 #define IDLE_DIVISOR 4
-/* The first window is small, so that the first answers are seen unhindered; it rises faster until
- * it has been narrowed once. */
+/* The initial window is small, so that the first answers are measured without queueing. It grows
+ * faster until it has been narrowed once. */
 #define INIT_DIVISOR 16
 #define INIT_RISE_MILLI 100
 
-/* Begins with a part of what the pool's upstreams hold. */
+/* Sets the initial window to a part of the pool's slots. */
 void
 mf_window_begin (MfPoolRow *pool, uint32_t n_slots)
 {
@@ -25,15 +28,15 @@
     pool->window_milli = n_slots * MILLI / INIT_DIVISOR + WINDOW_MIN_MILLI;
 }
 
-/* Whether one more may be kept there. */
+/* Returns whether one more request may use the pool. */
 bool
 mf_window_allows (const MfPoolRow *pool)
 {
   return pool->n_own * MILLI < pool->window_milli || pool->n_own == 0;
 }
 
-/* Counts one more request there. One that went in beside the window, because there was room, widens
- * it. */
+/* Counts one more request at the pool. A spare one was placed in a free slot beside the window, and
+ * widens it. */
 void
 mf_window_take (MfPoolRow *pool, bool spare)
 {
@@ -56,7 +59,7 @@
                            : WINDOW_MIN_MILLI;
 }
 
-/* Widens the window only while it is what holds requests back. */
+/* Widens the window only if it is what limits requests. */
 static void
 widen (MfPoolRow *pool, uint32_t by_milli)
 {
@@ -64,7 +67,8 @@
     pool->window_milli += by_milli;
 }
 
-/* Narrows by a share of the window, so that wide ones give up more and instances grow alike. */
+/* Narrows by a fraction of the window, so that wide windows give up more and those of the instances
+ * converge. */
 void
 mf_window_note_wait (MfPoolRow *pool, uint64_t wait_us)
 {
@@ -87,8 +91,8 @@
   narrow (pool, pool->window_milli / KV_EXPIRED_FALL_DIVISOR);
 }
 
-/* Keeps the window where answers are hardly slower than the fastest they have been. What they take
- * when hardly any are out is taken as it is. */
+/* Adjusts the window so that answers stay nearly as fast as the fastest mean. The mean is taken as
+ * the new base when few of the window's requests are in flight. */
 void
 mf_window_note_answer (MfPoolRow *pool, uint64_t answer_us)
 {
--- a/tests/one_core.c
+++ b/tests/one_core.c
@@ -43,7 +43,7 @@
   mf_core_step (one->core, event);
 }
 
-/* Lets time pass, with every tick the core asks for. */
+/* Advances the clock with every tick that the core requests. */
 void
 one_core_wait (OneCore *one, uint64_t us)
 {
@@ -152,7 +152,7 @@
       if (json_object_is_type (object, json_type_array))
         object = json_object_array_get_idx (object, strtoul (key, NULL, 10));
       else if (!json_object_object_get_ex (object, key, &object))
-        fail_msg ("no %s", key);
+        fail_msg ("no key %s", key);
     }
   return object;
 }
--- a/tests/one_core.h
+++ b/tests/one_core.h
@@ -6,8 +6,8 @@
 
 #include <json-c/json.h>
 
-/* One core under a virtual clock, serving the plain services "orders" on /orders, which needs
- * "stock" on /stock. Its upstreams "o1" and "s1" do what the test says. */
+/* One core under a virtual clock, with the plain services "orders" on /orders, which depends on
+ * "stock" on /stock. Their upstreams "o1" and "s1" behave as the test specifies. */
 typedef struct
 {
   MfCore *core;
@@ -18,25 +18,25 @@
   uint32_t n_answered;
 } OneCore;
 
-/* What the upstream does with a request. */
+/* How a request ends. */
 typedef enum
 {
   ONE_ANSWERS,
   ONE_FAILS,  /* the connection breaks after the call was sent */
-  ONE_LEAVES, /* the caller goes away after the call was sent */
+  ONE_LEAVES, /* the caller disconnects after the call was sent */
 } OneFate;
 
 OneCore *one_core_new (void);
 void one_core_free (OneCore *one);
 void one_core_step (OneCore *one, MfEvent *event);
 void one_core_wait (OneCore *one, uint64_t us);
-/* Sends GET path under a name; the answer takes answer_us. */
+/* Sends GET path with a request name; the answer arrives after answer_us. */
 void one_core_request (OneCore *one, const char *name, const char *path, OneFate fate,
                        uint64_t answer_us);
 
-/* Parses what a renderer wrote; the caller puts it. */
+/* Parses the output of a renderer; the caller frees the object with json_object_put. */
 json_object *one_core_json (MfBuffer *buffer);
-/* Follows keys, separated by '.', to a value; a number is the place in a list. */
+/* Follows keys, separated by '.', to a value; a number is an index into an array. */
 json_object *one_core_at (json_object *object, const char *path);
 uint64_t one_core_number (json_object *object, const char *path);
 const char *one_core_text (json_object *object, const char *path);
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -7,7 +7,7 @@
 
 #include <cmocka.h>
 
-/* Walks the table of the state machine: every input in every phase. */
+/* Tests the request state machine: every input in every phase. */
 
 static const char text[]
     = "{\"services\":[{\"name\":\"model\",\"kind\":\"model\",\"model\":\"m\",\"class\":\"summary\","
@@ -95,7 +95,7 @@
   step (fixture, &event);
 }
 
-/* Fills the decode engine by its own word, so that a request waits. */
+/* Reports the decode engine as full, so that a request waits. */
 static void
 fill_decode (Fixture *fixture)
 {
@@ -207,7 +207,8 @@
     assert_false (mf_life_accepts (MF_PHASE_ENDED, (MfInput)input));
 }
 
-/* Tokens that come twice or of an older call are dropped and counted; the answer goes on. */
+/* Repeated tokens are ignored, those of an older call are dropped and counted, and the answer
+ * continues. */
 static void
 test_late_and_crossed_tokens_are_dropped (void **state)
 {
@@ -235,7 +236,7 @@
   mf_core_free (fixture.core);
 }
 
-/* A cancel stays owed until the engine confirms it. */
+/* A cancel is repeated until the engine confirms it. */
 static void
 test_cancel_is_repeated_until_confirmed (void **state)
 {
@@ -261,7 +262,7 @@
   mf_core_free (fixture.core);
 }
 
-/* What may not be repeated is sent again only when no byte of it can have left. */
+/* A call that is not idempotent is retried only if no byte of it can have been sent. */
 static void
 test_order_is_sent_again_only_when_nothing_left (void **state)
 {
@@ -282,8 +283,8 @@
   mf_core_free (fixture.core);
 }
 
-/* The process sleeps for 5 s under a stream: the engine is not blamed and the stream goes on. A
- * silence while it is awake is a stall. */
+/* Guards against blaming an engine for a pause of this process. After a pause of 5 s the stream
+ * continues; without a pause, a stream without tokens is a stall. */
 static void
 test_pause_blames_no_upstream (void **state)
 {
@@ -308,8 +309,8 @@
   mf_core_free (fixture.core);
 }
 
-/* A stream broke, and the call that should resume it never left: the engine holds it all the same,
- * and is owed a cancel. */
+/* Guards against KV left at an engine: after a stream breaks, its engine holds the KV even if the
+ * resume was never sent, and must be sent a cancel. */
 static void
 test_resume_that_never_left_is_owed_a_cancel (void **state)
 {
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -15,8 +15,8 @@
 #define N 6
 #define STEP_US (100 * MF_US_PER_MS)
 
-/* Six instances on one engine: each holds what it wants as far as its share goes, and an eighth of
- * what it holds ends with each step. */
+/* Six instances share one engine. Each uses what it wants within its share, and an eighth of its
+ * calls ends with each step. */
 typedef struct
 {
   FakeCores *cores;
@@ -138,8 +138,8 @@
   fake_cores_free (engine.cores);
 }
 
-/* Demand moves from one instance to all others at once: what each may take in the meantime stays
- * near what the engine has. */
+/* Demand moves from one instance to all others at once. Until they know of each other, the slots in
+ * use may exceed the engine's only slightly. */
 static void
 test_moving_demand_overruns_little (void **state)
 {
@@ -155,7 +155,7 @@
   engine_run (&engine, 2 * MF_US_PER_S);
   peak = engine.used_max;
   engine_run (&engine, 3 * MF_US_PER_S);
-  print_message ("most in use while demand moved: %u of %u slots\n", peak, SLOTS);
+  print_message ("peak use while demand moved: %u of %u slots\n", peak, SLOTS);
   assert_true (peak <= SLOTS + 2 * (N - 1));
   assert_int_equal (engine.used_max, SLOTS);
   assert_true (engine.used_sum >= (uint64_t)engine.n_steps * SLOTS * 95 / 100);
@@ -179,7 +179,7 @@
   fake_cores_free (engine.cores);
 }
 
-/* A fresh instance that has heard nobody takes no more than an equal part. */
+/* A newly started instance that gets no digests takes no more than an equal part. */
 static void
 test_unheard_instances_are_left_their_part (void **state)
 {
--- a/tests/test_walk.c
+++ b/tests/test_walk.c
@@ -5,7 +5,8 @@
 
 #include <cmocka.h>
 
-/* Seeded walks over the real core and the engine model, with two faults at a time. */
+/* Random runs of the core against the engine model, reproducible by seed, with two faults at a
+ * time. */
 
 #define WALKS 40
 #define LENGTH_US (12 * MF_US_PER_S)
@@ -183,7 +184,7 @@
     walk (seed);
 }
 
-/* A request that kills every upstream that runs it, sent again and again through both instances. */
+/* A request that kills every upstream that runs it is repeated through both instances. */
 static void
 test_poison_costs_two_deaths_and_refuses_no_innocent (void **state)
 {
@@ -242,7 +243,7 @@
     {
       const RigRequest *request = rig_request (rig, i);
 
-      /* By then the balancer sends it nothing more. */
+      /* After the grace period the load balancer no longer sends requests to this instance. */
       if (request->core == 0 && request->sent_us >= grace_end_us)
         continue;
       if (!request->departed)
@@ -278,7 +279,7 @@
   rig_free (rig);
 }
 
-/* The same seeded input through the naive policy and ours: what both answer is the same. */
+/* The same requests under the naive policy and the router's must get the same answers. */
 static void
 test_answers_equal_those_of_the_naive_policy (void **state)
 {
