--- a/libmangofork/action.h
+++ b/libmangofork/action.h
@@ -8,17 +8,17 @@
 typedef enum
 {
   MF_ACTION_CALL_START,
-  MF_ACTION_CALL_ABORT,    /* close the call's connection; no more events for it */
-  MF_ACTION_ANSWER_TOKENS, /* send tokens to the caller */
-  MF_ACTION_ANSWER_END,    /* the streamed or collected answer is complete */
-  MF_ACTION_ANSWER_WHOLE,  /* the complete answer of a plain call */
-  MF_ACTION_ANSWER_REFUSE, /* a refusal; ends a stream that has begun with an error event */
-  MF_ACTION_CALL_FORGET,   /* discard the call's KV handle */
+  MF_ACTION_CALL_ABORT,     /* close the call's connection; no more events for it */
+  MF_ACTION_ANSWER_TOKENS,  /* send tokens to the caller */
+  MF_ACTION_ANSWER_END,     /* the streamed or collected answer is complete */
+  MF_ACTION_ANSWER_PLAIN,   /* the complete answer of a plain call */
+  MF_ACTION_ANSWER_REFUSE,  /* a refusal; ends a stream that has begun with an error event */
+  MF_ACTION_KV_HANDLE_DROP, /* discard the call's KV handle */
   MF_ACTION_PEER_OPEN,
   MF_ACTION_PEER_CLOSE,
   MF_ACTION_PEER_SEND,
-  MF_ACTION_PLATFORM_TEXT, /* read the operators' text */
-  MF_ACTION_PLATFORM_LIST, /* read the list of instances */
+  MF_ACTION_PLATFORM_READ_TEXT, /* read the operators' text */
+  MF_ACTION_PLATFORM_READ_LIST, /* read the list of instances */
   MF_ACTION_READY,
   MF_ACTION_LOG,
   MF_ACTION_EXIT,
@@ -63,7 +63,7 @@
   uint64_t target_call_id;  /* cancel */
   uint32_t target_attempt;  /* cancel: attempt of the call to free; resume: of the broken stream */
   uint64_t cache_after;     /* load: number of the last cache event seen; 0 for none */
-  MfOwner owner;            /* cancel_owner: instance whose work to free */
+  MfInstanceId owner;       /* cancel_owner: instance whose work to free */
   uint32_t priority;        /* lower values are more urgent */
   uint64_t cache_salt;      /* differs between customers */
   bool fresh_connection;    /* must not be sent on a reused connection */
--- a/libmangofork/adapter.h
+++ b/libmangofork/adapter.h
@@ -40,7 +40,7 @@
 {
   const char *name;
   /* Builds the request of a call. */
-  bool (*build) (const MfCallAction *call, const MfCallMaterial *material, const MfOwner *self,
+  bool (*build) (const MfCallAction *call, const MfCallMaterial *material, const MfInstanceId *self,
                  MfHttpRequest *request, MfError *error);
   /* Takes in bytes of the answer's body as they arrive. */
   bool (*feed) (void *state, const char *data, size_t data_bytes, MfError *error);
--- a/libmangofork/board.h
+++ b/libmangofork/board.h
@@ -7,22 +7,22 @@
 #include "trace.h"
 #include "upstream.h"
 
-typedef struct MfPolls MfPolls;           /* upstream.c */
-typedef struct MfHealthBook MfHealthBook; /* health.c */
-typedef struct MfRequests MfRequests;     /* request.c */
-typedef struct MfQueue MfQueue;           /* queue.c */
-typedef struct MfDebts MfDebts;           /* debt.c */
-typedef struct MfDrain MfDrain;           /* drain.c */
-typedef struct MfSuspects MfSuspects;     /* suspect.c */
-typedef struct MfCaches MfCaches;         /* prefix.c */
-typedef struct MfMembers MfMembers;       /* member.c */
-typedef struct MfClaims MfClaims;         /* claim.c */
-typedef struct MfConfsync MfConfsync;     /* confsync.c */
-typedef struct MfNewsbook MfNewsbook;     /* news.c */
-typedef struct MfDigests MfDigests;       /* digest.c */
-typedef struct MfShares MfShares;         /* share.c */
-typedef struct MfOrders MfOrders;         /* order.c */
-typedef struct MfSeries MfSeries;         /* series.c */
+typedef struct MfPolls MfPolls;             /* upstream.c */
+typedef struct MfHealthState MfHealthState; /* health.c */
+typedef struct MfRequests MfRequests;       /* request.c */
+typedef struct MfQueue MfQueue;             /* queue.c */
+typedef struct MfDebts MfDebts;             /* debt.c */
+typedef struct MfDrain MfDrain;             /* drain.c */
+typedef struct MfSuspects MfSuspects;       /* suspect.c */
+typedef struct MfCaches MfCaches;           /* prefix.c */
+typedef struct MfMembers MfMembers;         /* member.c */
+typedef struct MfClaims MfClaims;           /* claim.c */
+typedef struct MfConfsync MfConfsync;       /* confsync.c */
+typedef struct MfNewsbook MfNewsbook;       /* news.c */
+typedef struct MfDigests MfDigests;         /* digest.c */
+typedef struct MfShares MfShares;           /* share.c */
+typedef struct MfOrders MfOrders;           /* order.c */
+typedef struct MfSeries MfSeries;           /* series.c */
 
 /* The placement and retry policy: the router's, or the naive one that tests and benchmarks compare
  * it with. */
@@ -32,7 +32,7 @@
  * mf_core_options. */
 typedef struct
 {
-  MfOwner self;
+  MfInstanceId self;
   char address[MF_ADDRESS_BYTES]; /* of the own peer port */
   char data_centre[MF_NAME_BYTES];
   uint64_t seed;
@@ -56,9 +56,9 @@
   char source[MF_NAME_BYTES]; /* "platform" or "peer" */
   uint64_t refused_revision;  /* 0 for none */
   uint64_t refused_us;
-  MfError refused_fault;      /* the first of its faults */
-  uint64_t platform_heard_us; /* last answer of the platform; 0 for never */
-  uint64_t platform_lost_us;  /* last read of the platform that failed; 0 for never */
+  MfError refused_fault;         /* the first of its faults */
+  uint64_t platform_answered_us; /* last answer of the platform; 0 for never */
+  uint64_t platform_failed_us;   /* last read of the platform that failed; 0 for never */
 } MfConfigState;
 
 /* The blackboard: the whole state of this instance. Controllers may read any part of it, and write
@@ -67,7 +67,7 @@
 {
   uint64_t now_us;
   uint64_t wall_ms;
-  uint64_t woke_us; /* end of the last pause of this process; 0 for none */
+  uint64_t process_pause_end_us; /* end of the last pause of this process; 0 for none */
   MfOptions options;
   MfConfig *config; /* in force; NULL until one was accepted */
   MfConfigState config_state;
@@ -78,13 +78,13 @@
   MfServices services;
   bool draining; /* no new work is accepted */
   bool ready;
-  bool admitted; /* as a voter for idempotency keys; voter.c */
+  bool voter_admitted; /* as a voter for idempotency keys; voter.c */
   uint64_t list_index;
   MfCounters counters;
   MfTrace *trace;
   MfBurn *burn;
   MfPolls *polls;
-  MfHealthBook *health;
+  MfHealthState *health;
   MfRequests *requests;
   MfQueue *queue;
   MfDebts *debts;
--- a/libmangofork/burn.c
+++ b/libmangofork/burn.c
@@ -499,7 +499,7 @@
 }
 
 static MfBurnPeer *
-peer_need (MfBurn *burn, const MfOwner *owner, uint64_t now_us)
+peer_need (MfBurn *burn, const MfInstanceId *owner, uint64_t now_us)
 {
   MfBurnPeer *free_peer = NULL;
 
@@ -547,7 +547,7 @@
 typedef struct
 {
   MfBurn *burn;
-  const MfOwner *owner;
+  const MfInstanceId *owner;
   uint64_t now_us;
 } Merge;
 
@@ -617,7 +617,7 @@
 }
 
 bool
-mf_burn_merge (MfBurn *burn, const MfOwner *peer, const uint8_t *src, size_t src_bytes,
+mf_burn_merge (MfBurn *burn, const MfInstanceId *peer, const uint8_t *src, size_t src_bytes,
                uint64_t now_us)
 {
   Merge merge = { .burn = burn, .owner = peer, .now_us = now_us };
--- a/libmangofork/burn.h
+++ b/libmangofork/burn.h
@@ -98,7 +98,7 @@
 /* A peer whose counts are merged into the rows. */
 typedef struct
 {
-  MfOwner owner;
+  MfInstanceId owner;
   uint64_t first_us; /* its counts are merged from here on */
   uint64_t last_us;  /* when it was last heard */
 } MfBurnPeer;
@@ -116,7 +116,7 @@
  * next. Returns the bytes written. */
 size_t mf_burn_pack (MfBurn *burn, uint64_t now_us, uint8_t *dst, size_t max_bytes);
 /* Takes in what a peer packed. Malformed input is ignored and returns false. */
-bool mf_burn_merge (MfBurn *burn, const MfOwner *peer, const uint8_t *src, size_t src_bytes,
+bool mf_burn_merge (MfBurn *burn, const MfInstanceId *peer, const uint8_t *src, size_t src_bytes,
                     uint64_t now_us);
 
 #endif
--- a/libmangofork/call.c
+++ b/libmangofork/call.c
@@ -78,7 +78,7 @@
   call->pieces = request->pieces;
   if (call->kind == MF_CALL_PREFILL)
     call->pieces = (request->prompt_tokens + request->delivered) / MF_PIECE_TOKENS + 1;
-  call->held = true;
+  call->holds_pieces = true;
   if (call->kind == MF_CALL_DECODE && request->reserved == call->upstream)
     request->reserved = MF_NONE;
   else
@@ -86,7 +86,7 @@
   if (call->kind == MF_CALL_PREFILL)
     {
       call->prefill_tokens = request->prompt_tokens + request->delivered;
-      call->ahead_tokens
+      call->queued_tokens
           = mf_upstream_prefill_queue (row) + call->prefill_tokens - request->cached_tokens;
       row->own_prefill_tokens += call->prefill_tokens;
     }
@@ -113,7 +113,7 @@
   HASH_ADD (hh, core->board.requests->calls, id, sizeof call->id, call);
   link_to_upstream (core, call);
   account_call (core, request, call);
-  mf_request_note (core, request, MF_TRACE_CALLED, upstream, MF_NONE, kind);
+  mf_request_trace (core, request, MF_TRACE_CALLED, upstream, MF_NONE, kind);
   emit_start (core, request, call);
   return call;
 }
@@ -138,7 +138,7 @@
   *link = call->next;
   HASH_DEL (core->board.requests->calls, call);
   unlink_from_upstream (core, call);
-  if (call->held)
+  if (call->holds_pieces)
     mf_upstream_give (core, call->upstream, call->pieces);
   if (call->kind == MF_CALL_PREFILL && !call->prefilled)
     row->own_prefill_tokens -= call->prefill_tokens;
@@ -194,7 +194,7 @@
   MfUpstream *row = &core->board.upstreams[request->prefill_upstream];
 
   mf_call_end_transfer (core, request);
-  request->carried = true;
+  request->transferring = true;
   row->transfer_bytes += request->kv_bytes;
   if (row->n_transfers++ == 0)
     row->transfer_at_us = core->board.now_us;
@@ -205,9 +205,9 @@
 {
   MfUpstream *row = &core->board.upstreams[request->prefill_upstream];
 
-  if (!request->carried)
+  if (!request->transferring)
     return;
-  request->carried = false;
+  request->transferring = false;
   row->transfer_bytes -= request->kv_bytes;
   row->n_transfers--;
 }
@@ -215,7 +215,7 @@
 void
 mf_call_drop_prefill (MfCore *core, MfRequest *request, bool imported)
 {
-  MfAction action = { .type = MF_ACTION_CALL_FORGET, .call_id = request->prefill_call_id };
+  MfAction action = { .type = MF_ACTION_KV_HANDLE_DROP, .call_id = request->prefill_call_id };
 
   if (request->prefill_call_id == 0)
     return;
@@ -259,30 +259,30 @@
 }
 
 void
-mf_call_enter (MfCore *core, MfRequest *request, bool spare)
+mf_call_enter_window (MfCore *core, MfRequest *request, bool spare)
 {
   MfPoolRow *pool = window_pool (core, request);
 
   request->in_window = true;
-  request->coming = true;
-  pool->n_coming++;
-  mf_window_take (pool, spare);
+  request->in_transit = true;
+  pool->n_in_transit++;
+  mf_window_acquire (pool, spare);
 }
 
 /* The request has its slot, or has given up waiting for one. */
 void
-mf_call_arrived (MfCore *core, MfRequest *request)
+mf_call_end_transit (MfCore *core, MfRequest *request)
 {
-  if (request->coming)
-    window_pool (core, request)->n_coming--;
-  request->coming = false;
+  if (request->in_transit)
+    window_pool (core, request)->n_in_transit--;
+  request->in_transit = false;
 }
 
 void
-mf_call_leave (MfCore *core, MfRequest *request)
+mf_call_leave_window (MfCore *core, MfRequest *request)
 {
-  mf_call_arrived (core, request);
+  mf_call_end_transit (core, request);
   if (request->in_window)
-    mf_window_give (window_pool (core, request));
+    mf_window_release (window_pool (core, request));
   request->in_window = false;
 }
--- a/libmangofork/claim.c
+++ b/libmangofork/claim.c
@@ -123,7 +123,7 @@
 }
 
 static void
-ballot_take (MfCore *core, MfClaim *claim, const MfOwner *voter, const MfVoteMessage *vote)
+ballot_take (MfCore *core, MfClaim *claim, const MfInstanceId *voter, const MfVoteMessage *vote)
 {
   uint32_t i = mf_cell_find (&claim->cell, voter->name);
 
@@ -227,7 +227,7 @@
 {
   MfClaims *claims = core->board.claims;
   MfClaim *claim = calloc (1, sizeof *claim);
-  MfClaimResult result = { .verdict = MF_CLAIM_NO_QUORUM, .outcome = MF_OUTCOME_UNKNOWN };
+  MfClaimResult result = { .decision = MF_CLAIM_NO_QUORUM, .outcome = MF_OUTCOME_UNKNOWN };
 
   if (claim == NULL)
     {
@@ -311,8 +311,9 @@
   uint64_t now_us = core->board.now_us;
   uint64_t until_us = claim->voting_until_us;
 
-  if (core->board.woke_us > 0 && until_us < core->board.woke_us + VOTING_US)
-    until_us = core->board.woke_us + VOTING_US;
+  if (core->board.process_pause_end_us > 0
+      && until_us < core->board.process_pause_end_us + VOTING_US)
+    until_us = core->board.process_pause_end_us + VOTING_US;
   if (now_us < claim->deadline_us && (now_us < until_us || cell_answers (claim)))
     {
       claim_ask (core, claim);
@@ -374,18 +375,18 @@
 }
 
 static void
-claim_asked (MfCore *core, const MfOwner *from, const MfClaimMessage *claim)
+claim_asked (MfCore *core, const MfInstanceId *from, const MfClaimMessage *claim)
 {
   MfPeerMessage message = { .type = MF_PEER_VOTE };
 
-  if (!mf_owner_equal (from, &claim->claimant))
+  if (!mf_instance_id_equal (from, &claim->claimant))
     return;
   mf_voter_vote (core, &core->board.claims->voter, claim, &message.vote);
   mf_member_send (core, from->name, &message);
 }
 
 static void
-vote_take (MfCore *core, const MfOwner *from, const MfVoteMessage *vote)
+vote_take (MfCore *core, const MfInstanceId *from, const MfVoteMessage *vote)
 {
   MfClaim *claim = mf_claim_find (core->board.claims, vote->claim_id);
 
@@ -397,7 +398,7 @@
 message_take (MfCore *core, const MfPeerEvent *event)
 {
   const MfPeerMessage *message = event->message;
-  const MfOwner *from = &event->peer;
+  const MfInstanceId *from = &event->peer;
 
   mf_voter_see (&core->board.claims->voter, from);
   if (message->type == MF_PEER_CLAIM)
@@ -408,7 +409,7 @@
     mf_claim_take_outcome (core, from, &message->outcome);
   else if (message->type == MF_PEER_OUTCOME_ASK)
     mf_claim_answer_ask (core, from, &message->outcome);
-  else if (message->type == MF_PEER_ADMIT && mf_owner_equal (from, &message->admit.applicant))
+  else if (message->type == MF_PEER_ADMIT && mf_instance_id_equal (from, &message->admit.applicant))
     mf_voter_admit (core, &core->board.claims->voter, &message->admit);
   else if (message->type == MF_PEER_ADMITTED)
     mf_voter_admitted (core, &core->board.claims->voter, from, &message->admitted);
--- a/libmangofork/claim_row.h
+++ b/libmangofork/claim_row.h
@@ -20,7 +20,7 @@
 typedef struct
 {
   bool voted;
-  MfOwner voter;
+  MfInstanceId voter;
   MfVoteMessage vote;
 } MfBallot;
 
@@ -38,7 +38,7 @@
   uint64_t granted_us;
   uint64_t waiting_since_us;
   MfClaimState state;
-  MfOwner holder;
+  MfInstanceId holder;
   uint64_t holder_claim_id;
   bool ran; /* waiting: the earlier run is over, but its answer has not been found */
   MfCell cell;
@@ -67,11 +67,11 @@
 void mf_claim_unnumber (MfClaims *claims, MfClaim *claim);
 void mf_claim_free (MfClaims *claims, MfClaim *claim);
 /* Settles the request's claim; the claim is freed unless it was granted. */
-void mf_claim_settle (MfCore *core, MfClaim *claim, MfClaimVerdict verdict, MfCode code,
+void mf_claim_settle (MfCore *core, MfClaim *claim, MfClaimDecision verdict, MfCode code,
                       MfOutcome outcome);
 void mf_claim_settle_recorded (MfCore *core, MfClaim *claim, MfKeyState state,
                                const MfClaimResult *recorded);
-bool mf_claim_is_own (const MfCore *core, const MfOwner *owner);
+bool mf_claim_is_own (const MfCore *core, const MfInstanceId *owner);
 void mf_claim_tell_cell (MfCore *core, const MfCell *cell, const MfPeerMessage *message);
 void mf_claim_fill_outcome (const MfKeyEntry *entry, MfPeerMessage *message);
 void mf_claim_release (MfCore *core, const uint8_t key[MF_DIGEST_BYTES], const MfCell *cell,
@@ -81,7 +81,8 @@
 void mf_claim_settle_waiters (MfCore *core, const MfKeyEntry *entry);
 void mf_claim_wait_tick (MfCore *core, MfClaim *claim);
 /* A peer told of a key's outcome, or asks for it. */
-void mf_claim_take_outcome (MfCore *core, const MfOwner *from, const MfOutcomeMessage *outcome);
-void mf_claim_answer_ask (MfCore *core, const MfOwner *from, const MfOutcomeMessage *ask);
+void mf_claim_take_outcome (MfCore *core, const MfInstanceId *from,
+                            const MfOutcomeMessage *outcome);
+void mf_claim_answer_ask (MfCore *core, const MfInstanceId *from, const MfOutcomeMessage *ask);
 
 #endif
--- a/libmangofork/claim_table.c
+++ b/libmangofork/claim_table.c
@@ -62,16 +62,16 @@
 {
   uint64_t request_id = claim->request_id;
 
-  if (result->verdict != MF_CLAIM_GRANTED)
+  if (result->decision != MF_CLAIM_GRANTED)
     mf_claim_free (core->board.claims, claim);
   mf_request_claim_settled (core, request_id, result);
 }
 
 void
-mf_claim_settle (MfCore *core, MfClaim *claim, MfClaimVerdict verdict, MfCode code,
+mf_claim_settle (MfCore *core, MfClaim *claim, MfClaimDecision verdict, MfCode code,
                  MfOutcome outcome)
 {
-  MfClaimResult result = { .verdict = verdict, .code = code, .outcome = outcome };
+  MfClaimResult result = { .decision = verdict, .code = code, .outcome = outcome };
 
   settle (core, claim, &result);
 }
@@ -85,7 +85,7 @@
 
   if (state == MF_KEY_FINISHED && recorded->body != NULL)
     {
-      result.verdict = MF_CLAIM_ANSWERED;
+      result.decision = MF_CLAIM_ANSWERED;
       settle (core, claim, &result);
       return;
     }
@@ -94,9 +94,9 @@
 }
 
 bool
-mf_claim_is_own (const MfCore *core, const MfOwner *owner)
+mf_claim_is_own (const MfCore *core, const MfInstanceId *owner)
 {
-  return mf_owner_equal (owner, &core->board.options.self);
+  return mf_instance_id_equal (owner, &core->board.options.self);
 }
 
 void
--- a/libmangofork/claim_wait.c
+++ b/libmangofork/claim_wait.c
@@ -26,7 +26,7 @@
 
 /* Whether the incarnation that holds a key can no longer tell. */
 static bool
-holder_is_dead (const MfCore *core, const MfOwner *holder)
+holder_is_dead (const MfCore *core, const MfInstanceId *holder)
 {
   const MfMember *member = mf_member_find (core, holder->name);
 
@@ -109,7 +109,7 @@
 
 /* A claimant speaks of its own claim only. */
 static void
-outcome_take (MfCore *core, const MfOwner *from, const MfOutcomeMessage *outcome)
+outcome_take (MfCore *core, const MfInstanceId *from, const MfOutcomeMessage *outcome)
 {
   MfClaims *claims = core->board.claims;
   MfKeyEntry *entry = mf_keybook_find (&claims->book, outcome->key);
@@ -121,7 +121,7 @@
     .body = outcome->body,
     .body_bytes = outcome->body_bytes,
   };
-  bool is_holder = mf_owner_equal (from, &outcome->claimant);
+  bool is_holder = mf_instance_id_equal (from, &outcome->claimant);
 
   if (entry == NULL || entry->claim_id != outcome->claim_id
       || entry->holder.incarnation != outcome->claimant.incarnation
@@ -135,7 +135,7 @@
 
 /* Serves the requests here that wait for this key. */
 static void
-outcome_serve (MfCore *core, const MfOwner *from, const MfOutcomeMessage *outcome)
+outcome_serve (MfCore *core, const MfInstanceId *from, const MfOutcomeMessage *outcome)
 {
   MfClaimResult result = {
     .status = outcome->status,
@@ -155,13 +155,13 @@
       continue;
     if (outcome->state != MF_KEY_NONE)
       waiting_take (core, claim, outcome->state, &result);
-    else if (mf_owner_equal (from, &claim->holder))
+    else if (mf_instance_id_equal (from, &claim->holder))
       claim_yield (core, claim);
   }
 }
 
 void
-mf_claim_take_outcome (MfCore *core, const MfOwner *from, const MfOutcomeMessage *outcome)
+mf_claim_take_outcome (MfCore *core, const MfInstanceId *from, const MfOutcomeMessage *outcome)
 {
   outcome_take (core, from, outcome);
   outcome_serve (core, from, outcome);
@@ -170,7 +170,7 @@
 /* Tells what this instance knows of a claim, as its claimant or as a voter. A claimant that has
  * given it up says so to the whole cell again, in case a voter missed it. */
 void
-mf_claim_answer_ask (MfCore *core, const MfOwner *from, const MfOutcomeMessage *ask)
+mf_claim_answer_ask (MfCore *core, const MfInstanceId *from, const MfOutcomeMessage *ask)
 {
   MfClaims *claims = core->board.claims;
   MfKeyEntry *entry = mf_keybook_find (&claims->book, ask->key);
--- a/libmangofork/confsync.c
+++ b/libmangofork/confsync.c
@@ -372,7 +372,7 @@
 }
 
 static void
-handle_text (MfCore *core, const MfTextEvent *text)
+handle_text (MfCore *core, const MfPlatformTextEvent *text)
 {
   MfConfsync *sync = core->board.confsync;
 
@@ -427,17 +427,17 @@
   sync->look |= event->type == MF_EVENT_PEER_MESSAGE || event->type == MF_EVENT_PEER_UP;
   switch (event->type)
     {
-    case MF_EVENT_TEXT:
-      core->board.config_state.platform_heard_us = core->board.now_us;
+    case MF_EVENT_PLATFORM_TEXT:
+      core->board.config_state.platform_answered_us = core->board.now_us;
       handle_text (core, &event->text);
       break;
-    case MF_EVENT_LIST:
-      core->board.config_state.platform_heard_us = core->board.now_us;
+    case MF_EVENT_PLATFORM_LIST:
+      core->board.config_state.platform_answered_us = core->board.now_us;
       handle_list (core, event->list.index);
       break;
-    case MF_EVENT_PLATFORM_LOST:
-      core->board.config_state.platform_lost_us = core->board.now_us;
-      mf_platform_reads_lost (core, &sync->reads, &event->lost);
+    case MF_EVENT_PLATFORM_FAILED:
+      core->board.config_state.platform_failed_us = core->board.now_us;
+      mf_platform_reads_lost (core, &sync->reads, &event->platform_failed);
       if (sync->decide_us == 0)
         sync->decide_us = core->board.now_us + PEERS_FIRST_US;
       break;
--- a/libmangofork/confsync.h
+++ b/libmangofork/confsync.h
@@ -36,7 +36,8 @@
 void mf_platform_reads_init (MfCore *core, MfPlatformReads *reads);
 void mf_platform_reads_done (MfCore *core, MfPlatformReads *reads, MfPlatformRead *read,
                              uint64_t index);
-void mf_platform_reads_lost (MfCore *core, MfPlatformReads *reads, const MfLostEvent *lost);
+void mf_platform_reads_lost (MfCore *core, MfPlatformReads *reads,
+                             const MfPlatformFailedEvent *lost);
 void mf_platform_reads_tick (MfCore *core, MfPlatformReads *reads);
 
 #endif
--- a/libmangofork/core.c
+++ b/libmangofork/core.c
@@ -123,7 +123,7 @@
 mf_core_step (MfCore *core, const MfEvent *event)
 {
   if (core->wake_us != UINT64_MAX && event->now_us > core->wake_us + PAUSE_MIN_US)
-    core->board.woke_us = event->now_us;
+    core->board.process_pause_end_us = event->now_us;
   if (event->now_us > core->board.now_us)
     core->board.now_us = event->now_us;
   core->board.wall_ms = event->wall_ms;
--- a/libmangofork/debt.c
+++ b/libmangofork/debt.c
@@ -20,7 +20,7 @@
   uint64_t target_call_id;
   uint32_t target_attempt;
   bool of_owner;
-  MfOwner owner;
+  MfInstanceId owner;
   uint32_t n_tries;
   uint32_t n_confirmed;
   uint64_t call_id; /* the cancel in flight; 0 for none */
@@ -91,7 +91,7 @@
 
   if (debt == NULL)
     abort ();
-  debt->timer.position = MF_HEAP_OUT;
+  debt->timer.position = MF_HEAP_NO_POSITION;
   debt->upstream = upstream;
   debt->next = debts->first;
   if (debts->first != NULL)
@@ -119,7 +119,7 @@
 
 /* Owes the upstream a cancel of all that a dead incarnation of an instance held there. */
 void
-mf_debt_add_owner (MfCore *core, uint32_t upstream, const MfOwner *owner)
+mf_debt_add_owner (MfCore *core, uint32_t upstream, const MfInstanceId *owner)
 {
   Debt *debt = new_debt (core, upstream);
 
--- a/libmangofork/debt.h
+++ b/libmangofork/debt.h
@@ -7,7 +7,7 @@
 void mf_debt_add (MfCore *core, uint32_t upstream, uint64_t request_id, uint64_t call_id,
                   uint32_t attempt);
 /* Owes the upstream a cancel of all that a dead incarnation of an instance held there. */
-void mf_debt_add_owner (MfCore *core, uint32_t upstream, const MfOwner *owner);
+void mf_debt_add_owner (MfCore *core, uint32_t upstream, const MfInstanceId *owner);
 /* The upstream has a new incarnation: what it held is gone, and nothing is owed to it. */
 void mf_debt_upstream_restarted (MfCore *core, uint32_t upstream);
 uint32_t mf_debt_count (const MfCore *core);
--- a/libmangofork/digest.c
+++ b/libmangofork/digest.c
@@ -85,7 +85,7 @@
   digest->config_revision = config != NULL ? config->revision : 0;
   digest->list_index = core->board.list_index;
   digest->leaving = core->board.draining;
-  digest->admitted = core->board.admitted;
+  digest->admitted = core->board.voter_admitted;
   digest->burn_bytes
       = (uint32_t)mf_burn_pack (core->board.burn, core->board.now_us, burn, burn_max);
   digest->burn = burn;
--- a/libmangofork/event.h
+++ b/libmangofork/event.h
@@ -7,21 +7,21 @@
 /* Events that are passed to the core. Pointers in an event are valid only during mf_core_step. */
 typedef enum
 {
-  MF_EVENT_TICK,           /* the time mf_core_next_us has been reached */
-  MF_EVENT_REQUEST,        /* a caller's request has been read completely */
-  MF_EVENT_DEPARTED,       /* the caller's connection is closed */
-  MF_EVENT_CALL_SENT,      /* a byte of the call may have been sent to the upstream */
-  MF_EVENT_CALL_PREFILLED, /* prefill: the KV is ready to be imported */
-  MF_EVENT_CALL_IMPORTED,  /* decode: the engine has imported the KV */
-  MF_EVENT_CALL_TOKENS,    /* decode: tokens, in order */
-  MF_EVENT_CALL_DONE,      /* the upstream's answer is complete */
-  MF_EVENT_CALL_FAILED,    /* no complete answer will arrive */
-  MF_EVENT_LOAD,           /* a load report of an upstream */
-  MF_EVENT_CACHE,          /* cache events of an upstream */
-  MF_EVENT_TEXT,           /* a revision of the operators' text, from the platform */
-  MF_EVENT_LIST,           /* the published list of instances */
-  MF_EVENT_PLATFORM_LOST,  /* a read of the platform failed; MfLostEvent tells which */
-  MF_EVENT_PEER_UP,        /* an authenticated link to a peer */
+  MF_EVENT_TICK,            /* the time mf_core_next_us has been reached */
+  MF_EVENT_REQUEST,         /* a caller's request has been read completely */
+  MF_EVENT_DEPARTED,        /* the caller's connection is closed */
+  MF_EVENT_CALL_SENT,       /* a byte of the call may have been sent to the upstream */
+  MF_EVENT_CALL_PREFILLED,  /* prefill: the KV is ready to be imported */
+  MF_EVENT_CALL_IMPORTED,   /* decode: the engine has imported the KV */
+  MF_EVENT_CALL_TOKENS,     /* decode: tokens, in order */
+  MF_EVENT_CALL_DONE,       /* the upstream's answer is complete */
+  MF_EVENT_CALL_FAILED,     /* no complete answer will arrive */
+  MF_EVENT_LOAD,            /* a load report of an upstream */
+  MF_EVENT_CACHE,           /* cache events of an upstream */
+  MF_EVENT_PLATFORM_TEXT,   /* a revision of the operators' text, from the platform */
+  MF_EVENT_PLATFORM_LIST,   /* the published list of instances */
+  MF_EVENT_PLATFORM_FAILED, /* a read of the platform failed; MfPlatformFailedEvent tells which */
+  MF_EVENT_PEER_UP,         /* an authenticated link to a peer */
   MF_EVENT_PEER_DOWN,
   MF_EVENT_PEER_MESSAGE,
   MF_EVENT_SHUTDOWN, /* the process was asked to exit */
@@ -49,9 +49,9 @@
   uint64_t digest; /* of the body and model, equal when a request is repeated */
   uint64_t prefix_hashes[MF_PREFIX_HASHES_MAX]; /* of the prompt's first 1, 2, ... pieces */
   uint32_t n_prefix_hashes;
-  bool has_key; /* it has an Idempotency-Key */
+  bool has_idempotency_key; /* it has an Idempotency-Key */
   uint8_t key_digest[MF_DIGEST_BYTES];
-  uint64_t key_minted_ms; /* wall clock, from a UUIDv7 key; 0 for an opaque key */
+  uint64_t key_created_ms; /* wall clock, from a UUIDv7 key; 0 for an opaque key */
 } MfRequestEvent;
 
 typedef struct
@@ -111,28 +111,28 @@
   uint64_t revision;
   const char *text;
   size_t text_bytes;
-} MfTextEvent;
+} MfPlatformTextEvent;
 
 typedef struct
 {
   uint64_t index;
   const MfListed *listed;
   uint32_t n_listed;
-} MfListEvent;
+} MfPlatformListEvent;
 
 /* Which reads failed; neither set means both. */
 typedef struct
 {
   bool text;
   bool list;
-} MfLostEvent;
+} MfPlatformFailedEvent;
 
 /* A link that could not be established is reported as PEER_DOWN with link_id 0 and the peer's
  * name. */
 typedef struct
 {
   uint32_t link_id;               /* assigned by the adapter; unique within this process */
-  MfOwner peer;                   /* authenticated by the peer's key */
+  MfInstanceId peer;              /* authenticated by the peer's key */
   char address[MF_ADDRESS_BYTES]; /* of its peer port */
   const MfPeerMessage *message;
 } MfPeerEvent;
@@ -149,9 +149,9 @@
     MfCallEvent call;
     MfLoadEvent load;
     MfCacheEvent cache;
-    MfTextEvent text;
-    MfListEvent list;
-    MfLostEvent lost;
+    MfPlatformTextEvent text;
+    MfPlatformListEvent list;
+    MfPlatformFailedEvent platform_failed;
     MfPeerEvent peer;
   };
 } MfEvent;
--- a/libmangofork/exchange.c
+++ b/libmangofork/exchange.c
@@ -372,7 +372,7 @@
     answer_tokens (exchange, &action->answer);
   else if (action->type == MF_ACTION_ANSWER_END)
     answer_end (exchange);
-  else if (action->type == MF_ACTION_ANSWER_WHOLE)
+  else if (action->type == MF_ACTION_ANSWER_PLAIN)
     answer_whole (exchange, &action->answer);
   else
     answer_refuse (exchange, &action->answer);
--- a/libmangofork/finish.c
+++ b/libmangofork/finish.c
@@ -26,7 +26,7 @@
     .outcome = mf_finish_outcome (request),
     .refused = code != MF_CODE_OK && code != MF_CODE_DEPARTED && request->delivered == 0,
     .departed = code == MF_CODE_DEPARTED,
-    .ttft_us = request->first_us > 0 ? request->first_us - request->arrived_us : 0,
+    .ttft_us = request->first_output_us > 0 ? request->first_output_us - request->arrived_us : 0,
     .n_gaps = request->n_gaps,
     .n_gaps_late = request->n_gaps_late,
     .prefill_tokens = request->prefill_tokens,
@@ -79,9 +79,9 @@
   mf_call_abandon_all (core, request);
   mf_call_drop_prefill (core, request, false);
   mf_call_unreserve (core, request);
-  mf_call_leave (core, request);
-  mf_queue_end_wait (core, request);
-  mf_queue_stir (core);
+  mf_call_leave_window (core, request);
+  mf_queue_remove_transfer (core, request);
+  mf_queue_schedule_pass (core);
 }
 
 /* Ends a request whose answer is complete. For a plain call, event is its last one. */
@@ -90,10 +90,10 @@
 {
   bool plain = event != NULL && mf_request_service (core, request)->config.kind == MF_SERVICE_PLAIN;
   MfAction action = {
-    .type = plain ? MF_ACTION_ANSWER_WHOLE : MF_ACTION_ANSWER_END,
+    .type = plain ? MF_ACTION_ANSWER_PLAIN : MF_ACTION_ANSWER_END,
     .answer = { .request_id = request->id, .status = 200, .outcome = MF_OUTCOME_RAN },
   };
-  MfClaimResult result = { .verdict = MF_CLAIM_ANSWERED, .outcome = MF_OUTCOME_RAN };
+  MfClaimResult result = { .decision = MF_CLAIM_ANSWERED, .outcome = MF_OUTCOME_RAN };
 
   request->ran = true;
   if (plain)
@@ -117,7 +117,7 @@
 mf_finish_replayed (MfCore *core, MfRequest *request, const MfClaimResult *claim)
 {
   MfAction action = {
-    .type = MF_ACTION_ANSWER_WHOLE,
+    .type = MF_ACTION_ANSWER_PLAIN,
     .answer = { .request_id = request->id,
                 .status = claim->status,
                 .content_type = claim->content_type,
@@ -128,7 +128,7 @@
   };
 
   request->ran = true;
-  request->first_us = core->board.now_us;
+  request->first_output_us = core->board.now_us;
   mf_counter_add (&core->board.counters, MF_COUNTER_REPLAYS, 1);
   mf_core_emit (core, &action);
   record_end (core, request, MF_CODE_OK, MF_ENDED_BY_INSTANCE);
@@ -158,7 +158,7 @@
                 .status = info->http_status,
                 .retry_after_ms = retry_after_ms },
   };
-  MfClaimResult result = { .verdict = MF_CLAIM_UNKNOWN, .code = code };
+  MfClaimResult result = { .decision = MF_CLAIM_UNKNOWN, .code = code };
 
   if (code == MF_CODE_KEY_UNKNOWN || code == MF_CODE_KEY_TOO_OLD || code == MF_CODE_POISON)
     outcome = info->outcome;
@@ -177,7 +177,7 @@
 void
 mf_finish_departed (MfCore *core, MfRequest *request)
 {
-  MfClaimResult result = { .verdict = MF_CLAIM_UNKNOWN, .code = MF_CODE_DEPARTED };
+  MfClaimResult result = { .decision = MF_CLAIM_UNKNOWN, .code = MF_CODE_DEPARTED };
 
   result.outcome = mf_finish_outcome (request);
   settle_claim (core, request, &result);
@@ -187,8 +187,8 @@
 }
 
 void
-mf_finish_turned_away (MfCore *core, const MfRequestEvent *event, uint32_t service,
-                       uint32_t customer, MfCode code, uint64_t retry_after_ms)
+mf_finish_not_admitted (MfCore *core, const MfRequestEvent *event, uint32_t service,
+                        uint32_t customer, MfCode code, uint64_t retry_after_ms)
 {
   MfBoard *board = &core->board;
   const MfCodeInfo *info = mf_code_info (code);
--- a/libmangofork/frame_table.c
+++ b/libmangofork/frame_table.c
@@ -24,10 +24,10 @@
                                              .bytes = sizeof (type) }
 
 static const MfFrameField owner_fields[] = {
-  FIELD_MAX (0, MfOwner, name, NAME, MF_NAME_BYTES),
-  FIELD (1, MfOwner, incarnation, U64),
+  FIELD_MAX (0, MfInstanceId, name, NAME, MF_NAME_BYTES),
+  FIELD (1, MfInstanceId, incarnation, U64),
 };
-TABLE (owner, MfOwner);
+TABLE (owner, MfInstanceId);
 
 static const MfFrameField news_fields[] = {
   FIELD_MAX (0, MfNews, kind, ENUM, MF_NEWS_KIND_COUNT),
--- a/libmangofork/guardian.c
+++ b/libmangofork/guardian.c
@@ -117,7 +117,7 @@
 }
 
 static void
-release_all (MfCore *core, const MfOwner *owner)
+release_all (MfCore *core, const MfInstanceId *owner)
 {
   for (uint32_t i = 0; i < core->board.n_upstreams; i++)
     {
@@ -129,7 +129,7 @@
 }
 
 static void
-release_held (MfCore *core, const MfMemberRow *row, const MfOwner *owner)
+release_held (MfCore *core, const MfMemberRow *row, const MfInstanceId *owner)
 {
   for (uint32_t i = 0; i < row->n_held; i++)
     {
@@ -145,7 +145,7 @@
 void
 mf_guardian_owner_died (MfCore *core, MfMemberRow *row, uint64_t incarnation)
 {
-  MfOwner owner = row->member.owner;
+  MfInstanceId owner = row->member.owner;
 
   owner.incarnation = incarnation;
   if (row->guarded && incarnation != 0)
--- a/libmangofork/health.c
+++ b/libmangofork/health.c
@@ -438,7 +438,7 @@
         continue;
       row->died = false;
       row->broke = false;
-      mf_prefix_forget (core, i);
+      mf_prefix_clear (core, i);
       mf_request_upstream_died (core, i);
       mf_suspect_upstream_died (core, i);
     }
@@ -447,7 +447,7 @@
 static void
 health_tick (MfCore *core)
 {
-  MfHealthBook *health = core->board.health;
+  MfHealthState *health = core->board.health;
 
   if (health->n_died > 0)
     settle_deaths (core);
--- a/libmangofork/health.h
+++ b/libmangofork/health.h
@@ -3,7 +3,7 @@
 
 #include "core.h"
 
-struct MfHealthBook
+struct MfHealthState
 {
   uint32_t n_died; /* upstreams found dead in this step */
   uint64_t look_us;
--- a/libmangofork/heap.c
+++ b/libmangofork/heap.c
@@ -47,7 +47,7 @@
 mf_heap_set (MfHeap *heap, MfHeapNode *node, uint64_t at_us)
 {
   node->at_us = at_us;
-  if (node->position == MF_HEAP_OUT)
+  if (node->position == MF_HEAP_NO_POSITION)
     {
       if (heap->n_nodes == heap->n_nodes_max)
         {
@@ -70,7 +70,7 @@
 {
   MfHeapNode *last;
 
-  if (node->position == MF_HEAP_OUT)
+  if (node->position == MF_HEAP_NO_POSITION)
     return;
   last = heap->nodes[--heap->n_nodes];
   if (last != node)
@@ -79,7 +79,7 @@
       sift_up (heap, last);
       sift_down (heap, last);
     }
-  node->position = MF_HEAP_OUT;
+  node->position = MF_HEAP_NO_POSITION;
 }
 
 MfHeapNode *
--- a/libmangofork/heap.h
+++ b/libmangofork/heap.h
@@ -4,7 +4,7 @@
 #include "types.h"
 
 /* Position of a node that is in no heap. */
-#define MF_HEAP_OUT UINT32_MAX
+#define MF_HEAP_NO_POSITION UINT32_MAX
 
 /* A node is embedded in the object that it is the timer of. */
 typedef struct
--- a/libmangofork/http_out.h
+++ b/libmangofork/http_out.h
@@ -10,7 +10,7 @@
 
 typedef struct
 {
-  MfOwner self;                  /* tags the work on engines */
+  MfInstanceId self;             /* tags the work on engines */
   uint64_t answer_bytes_max;     /* of a gathered answer; 0 for the default */
   uint32_t connections_max;      /* to all upstreams; 0 for the default */
   uint32_t host_connections_max; /* to one upstream; 0 for the default */
--- a/libmangofork/intake.c
+++ b/libmangofork/intake.c
@@ -450,8 +450,8 @@
       mf_error_set (error, MF_CODE_KEY_BAD, "Idempotency-Key has no 1 to 255 characters");
       return false;
     }
-  request->has_key = true;
-  request->key_minted_ms = uuid7_minted_ms (text, n_bytes);
+  request->has_idempotency_key = true;
+  request->key_created_ms = uuid7_minted_ms (text, n_bytes);
   crypto_generichash_init (&state, NULL, 0, MF_DIGEST_BYTES);
   crypto_generichash_update (&state, request->api_key_digest, MF_DIGEST_BYTES);
   crypto_generichash_update (&state, (const unsigned char *)text, n_bytes);
--- a/libmangofork/keybook.h
+++ b/libmangofork/keybook.h
@@ -10,9 +10,9 @@
 {
   uint8_t key[MF_DIGEST_BYTES];
   uint64_t body_digest;
-  MfOwner holder;    /* who may run it */
-  uint64_t claim_id; /* the holder's */
-  bool inherited;    /* handed over by another voter: granted to nobody again */
+  MfInstanceId holder; /* who may run it */
+  uint64_t claim_id;   /* the holder's */
+  bool inherited;      /* handed over by another voter: granted to nobody again */
   MfKeyState state;
   uint64_t noted_us;
   MfClaimResult result; /* strings owned by the book */
--- a/libmangofork/life.c
+++ b/libmangofork/life.c
@@ -73,7 +73,7 @@
 static bool
 spans_pause (const MfCore *core, uint64_t since_us)
 {
-  return core->board.woke_us > since_us;
+  return core->board.process_pause_end_us > since_us;
 }
 
 /* Extends the timeout of a request when this process has just resumed after a pause, because the
@@ -83,7 +83,8 @@
 {
   MfCore *core = step->core;
 
-  if (core->board.woke_us == 0 || now_us (step) >= core->board.woke_us + PAUSE_GRACE_US)
+  if (core->board.process_pause_end_us == 0
+      || now_us (step) >= core->board.process_pause_end_us + PAUSE_GRACE_US)
     return false;
   mf_request_check_at (core, step->request, now_us (step) + stall_us (core, step->request));
   return true;
@@ -101,8 +102,8 @@
   mf_call_abandon_all (core, request);
   mf_call_drop_prefill (core, request, false);
   mf_call_unreserve (core, request);
-  mf_call_leave (core, request);
-  mf_queue_end_wait (core, request);
+  mf_call_leave_window (core, request);
+  mf_queue_remove_transfer (core, request);
   request->n_refused = 0;
 }
 
@@ -127,10 +128,10 @@
   request->n_retries++;
   request->not_before_us = core->board.now_us + delay_us;
   mf_counter_add (&core->board.counters, MF_COUNTER_RETRIES, 1);
-  mf_request_note (core, request, MF_TRACE_RETRIED, request->last_upstream, MF_NONE,
-                   request->delivered);
+  mf_request_trace (core, request, MF_TRACE_RETRIED, request->last_upstream, MF_NONE,
+                    request->delivered);
   mf_request_set_phase (request, MF_PHASE_QUEUED);
-  mf_queue_add_again (core, request);
+  mf_queue_requeue (core, request);
 }
 
 /* Queues the request again after an upstream refused it for lack of capacity and ran none of it.
@@ -146,7 +147,7 @@
   release_resources (core, request);
   request->not_before_us = 0;
   mf_request_set_phase (request, MF_PHASE_QUEUED);
-  mf_queue_add_again (core, request);
+  mf_queue_requeue (core, request);
 }
 
 /* The upstream has refused a call for lack of capacity. */
@@ -251,7 +252,7 @@
     mf_finish_refused (step->core, request, MF_CODE_DEADLINE,
                        mf_queue_retry_after_ms (step->core, request->service));
   else
-    mf_queue_stir (step->core);
+    mf_queue_schedule_pass (step->core);
 }
 
 /* Counts work that an earlier request with the same key did, or may have done, as this request's
@@ -286,24 +287,24 @@
   };
   MfRequest *request = step->request;
 
-  mf_request_note (step->core, request, MF_TRACE_CLAIMED, MF_NONE, MF_NONE,
-                   (uint64_t)step->claim->verdict);
-  if (step->claim->verdict == MF_CLAIM_GRANTED)
+  mf_request_trace (step->core, request, MF_TRACE_CLAIMED, MF_NONE, MF_NONE,
+                    (uint64_t)step->claim->decision);
+  if (step->claim->decision == MF_CLAIM_GRANTED)
     {
       request->claimed = true;
       mf_request_set_phase (request, MF_PHASE_QUEUED);
       mf_queue_add (step->core, request);
     }
-  else if (step->claim->verdict == MF_CLAIM_ANSWERED && step->claim->status != 0)
+  else if (step->claim->decision == MF_CLAIM_ANSWERED && step->claim->status != 0)
     mf_finish_replayed (step->core, request, step->claim);
   else
     {
-      MfCode code = step->claim->verdict == MF_CLAIM_ANSWERED ? MF_CODE_KEY_UNKNOWN
-                                                              : codes[step->claim->verdict];
+      MfCode code = step->claim->decision == MF_CLAIM_ANSWERED ? MF_CODE_KEY_UNKNOWN
+                                                               : codes[step->claim->decision];
 
       count_earlier_run (request, step->claim->outcome);
       mf_finish_refused (step->core, request, code,
-                         step->claim->verdict == MF_CLAIM_NO_QUORUM ? 1000 : 0);
+                         step->claim->decision == MF_CLAIM_NO_QUORUM ? 1000 : 0);
     }
 }
 
@@ -334,7 +335,7 @@
     }
   if (upstream == MF_NONE)
     return false;
-  mf_queue_end_wait (core, request);
+  mf_queue_remove_transfer (core, request);
   mf_call_start (core, request, MF_CALL_DECODE, upstream);
   mf_call_begin_transfer (core, request);
   mf_request_check_at (core, request, core->board.now_us + transfer_timeout_us (core, request));
@@ -346,15 +347,15 @@
 static void
 transfer_or_wait (MfCore *core, MfRequest *request)
 {
-  if (!request->waits && mf_life_try_transfer (core, request))
+  if (!request->awaits_decode && mf_life_try_transfer (core, request))
     return;
   if (core->board.now_us + IMPORT_MIN_US >= request->kv_expires_us)
     {
-      mf_window_note_loss (decode_pool (core, request));
+      mf_window_note_kv_expired (decode_pool (core, request));
       retry_or_refuse (core, request, MF_CODE_QUEUE_FULL);
       return;
     }
-  mf_queue_wait_transfer (core, request);
+  mf_queue_add_transfer (core, request);
   mf_request_check_at (core, request, core->board.now_us + TRANSFER_POLL_US);
 }
 
@@ -367,7 +368,7 @@
 
   call->sent = true;
   call->prefilled = true;
-  call->held = false;
+  call->holds_pieces = false;
   request->ran = true;
   request->prefill_call_id = call->id;
   request->prefill_upstream = call->upstream;
@@ -381,10 +382,10 @@
   row->kv_life_us = request->kv_expires_us - now_us (step);
   mf_counter_add (&step->core->board.counters, MF_COUNTER_PREFILL_TOKENS, call->prefill_tokens);
   if (!spans_pause (step->core, call->started_us))
-    mf_health_note_prefill (step->core, call->upstream, call->ahead_tokens,
+    mf_health_note_prefill (step->core, call->upstream, call->queued_tokens,
                             now_us (step) - call->started_us);
-  mf_request_note (step->core, request, MF_TRACE_PREFILLED, call->upstream, MF_NONE,
-                   request->kv_bytes);
+  mf_request_trace (step->core, request, MF_TRACE_PREFILLED, call->upstream, MF_NONE,
+                    request->kv_bytes);
   mf_request_set_phase (request, MF_PHASE_TRANSFERRING);
   transfer_or_wait (step->core, request);
 }
@@ -438,9 +439,9 @@
                              now_us (step) - step->call->started_us);
   mf_window_note_wait (decode_pool (step->core, request),
                        step->call->started_us - request->prefilled_us);
-  mf_call_arrived (step->core, request);
+  mf_call_end_transit (step->core, request);
   mf_call_drop_prefill (step->core, request, true);
-  mf_request_note (step->core, request, MF_TRACE_IMPORTED, step->call->upstream, MF_NONE, 0);
+  mf_request_trace (step->core, request, MF_TRACE_IMPORTED, step->call->upstream, MF_NONE, 0);
   mf_request_set_phase (request, MF_PHASE_DECODING);
   mf_request_check_at (step->core, request, now_us (step) + stall_us (step->core, request));
 }
@@ -456,7 +457,7 @@
   bool usable = mf_upstream_is_usable (&core->board.upstreams[upstream]);
   bool timed_out = step->event->call.timed_out;
 
-  mf_request_note (core, request, MF_TRACE_BROKEN, upstream, MF_NONE, request->delivered);
+  mf_request_trace (core, request, MF_TRACE_BROKEN, upstream, MF_NONE, request->delivered);
   if (mf_policy (core)->resumes && usable && !timed_out && request->phase == MF_PHASE_DECODING)
     {
       request->attempt = step->call->attempt;
@@ -480,22 +481,23 @@
   const MfServiceRow *service = mf_request_service (core, request);
   uint64_t gap_us;
 
-  if (request->first_us == 0)
+  if (request->first_output_us == 0)
     {
-      request->first_us = now;
+      request->first_output_us = now;
       request->n_gaps += n_tokens - 1;
-      mf_request_note (core, request, MF_TRACE_FIRST_TOKEN, call->upstream, MF_NONE,
-                       now - request->arrived_us);
+      mf_request_trace (core, request, MF_TRACE_FIRST_TOKEN, call->upstream, MF_NONE,
+                        now - request->arrived_us);
     }
   else
     {
-      gap_us = (now - request->last_us) / n_tokens;
+      gap_us = (now - request->last_output_us) / n_tokens;
       request->n_gaps += n_tokens;
       request->n_gaps_late += gap_us > service->config.tbt_target_us ? n_tokens : 0;
-      if (call->started_us < request->last_us && !spans_pause (core, request->last_us))
+      if (call->started_us < request->last_output_us
+          && !spans_pause (core, request->last_output_us))
         mf_health_note_gap (core, call->upstream, gap_us);
     }
-  request->last_us = now;
+  request->last_output_us = now;
 }
 
 /* Delivers tokens to the caller if they directly follow the delivered ones; repeated tokens are
@@ -527,7 +529,7 @@
   note_tokens (step->core, request, step->call, event->n_tokens);
   mf_counter_add (&step->core->board.counters, MF_COUNTER_TOKENS, event->n_tokens);
   mf_core_emit (step->core, &action);
-  if (request->suspect && request->delivered >= request->cleared_at + SUSPECT_CLEAR_TOKENS)
+  if (request->suspect && request->delivered >= request->suspected_at_token + SUSPECT_CLEAR_TOKENS)
     mf_suspect_clear (step->core, request);
   mf_request_check_at (step->core, request, now_us (step) + stall_us (step->core, request));
   return true;
@@ -552,8 +554,8 @@
 resuming_tokens (const Step *step)
 {
   mf_counter_add (&step->core->board.counters, MF_COUNTER_RESUMES, 1);
-  mf_request_note (step->core, step->request, MF_TRACE_RESUMED, step->call->upstream, MF_NONE,
-                   step->request->delivered);
+  mf_request_trace (step->core, step->request, MF_TRACE_RESUMED, step->call->upstream, MF_NONE,
+                    step->request->delivered);
   mf_request_set_phase (step->request, MF_PHASE_DECODING);
   deliver_tokens (step);
 }
@@ -710,8 +712,8 @@
       request->last_upstream = call->upstream;
       mf_health_note_stall (step->core, call->upstream);
     }
-  mf_request_note (step->core, request, MF_TRACE_BROKEN, request->last_upstream, MF_NONE,
-                   request->delivered);
+  mf_request_trace (step->core, request, MF_TRACE_BROKEN, request->last_upstream, MF_NONE,
+                    request->delivered);
   retry_or_refuse (step->core, request, MF_CODE_UPSTREAM_STALLED);
 }
 
@@ -747,7 +749,7 @@
   mf_health_note_call (step->core, step->call->upstream, step->event);
   if (request->suspect)
     mf_suspect_clear (step->core, request);
-  request->first_us = now_us (step);
+  request->first_output_us = now_us (step);
   mf_call_end (step->core, step->call);
   mf_finish_answered (step->core, request, step->event);
 }
@@ -789,7 +791,7 @@
       || !mf_retry_may_hedge (core, request->service))
     return;
   mf_counter_add (&core->board.counters, MF_COUNTER_HEDGES, 1);
-  mf_request_note (core, request, MF_TRACE_HEDGED, upstream, request->last_upstream, 0);
+  mf_request_trace (core, request, MF_TRACE_HEDGED, upstream, request->last_upstream, 0);
   mf_call_start (core, request, MF_CALL_PLAIN, upstream)->hedge = true;
 }
 
@@ -883,13 +885,13 @@
 
   if (timeout_us < PREFILL_STALL_MIN_US)
     timeout_us = PREFILL_STALL_MIN_US;
-  mf_request_note (core, request, MF_TRACE_PLACED, placement->prefill, placement->decode,
-                   placement->ttft_us);
-  if (request->runner_up_us > 0)
-    mf_request_note (core, request, MF_TRACE_ALTERNATIVE, request->runner_up, MF_NONE,
-                     request->runner_up_us);
+  mf_request_trace (core, request, MF_TRACE_PLACED, placement->prefill, placement->decode,
+                    placement->ttft_us);
+  if (request->alternative_us > 0)
+    mf_request_trace (core, request, MF_TRACE_ALTERNATIVE, request->alternative, MF_NONE,
+                      request->alternative_us);
   mf_request_set_phase (request, MF_PHASE_PREFILLING);
-  mf_call_enter (core, request, placement->decode != MF_NONE);
+  mf_call_enter_window (core, request, placement->decode != MF_NONE);
   mf_call_reserve (core, request, placement->decode);
   mf_call_start (core, request, MF_CALL_PREFILL, placement->prefill);
   mf_request_check_at (core, request, core->board.now_us + timeout_us);
@@ -899,7 +901,7 @@
 static void
 claim_again (MfCore *core, MfRequest *request)
 {
-  MfClaimResult result = { .verdict = MF_CLAIM_UNKNOWN, .outcome = MF_OUTCOME_NOT_RUN };
+  MfClaimResult result = { .decision = MF_CLAIM_UNKNOWN, .outcome = MF_OUTCOME_NOT_RUN };
 
   if (mf_finish_outcome (request) != MF_OUTCOME_NOT_RUN || ++request->n_claims > CLAIMS_MAX)
     {
@@ -909,7 +911,7 @@
   request->claimed = false;
   mf_claim_finish (core, request->id, &result);
   mf_request_set_phase (request, MF_PHASE_CLAIMING);
-  mf_claim_begin (core, request->id, request->key_digest, request->digest, request->key_minted_ms,
+  mf_claim_begin (core, request->id, request->key_digest, request->digest, request->key_created_ms,
                   request->deadline_us);
 }
 
@@ -925,7 +927,7 @@
       return;
     }
   mf_request_set_phase (request, MF_PHASE_CONNECTING);
-  mf_call_enter (core, request, false);
+  mf_call_enter_window (core, request, false);
   mf_call_start (core, request, MF_CALL_PLAIN, upstream);
   mf_request_check_at (
       core, request,
@@ -940,11 +942,11 @@
 {
   bool plain = mf_request_service (core, request)->config.kind == MF_SERVICE_PLAIN;
 
-  if (plain && request->has_key && !request->idempotent)
+  if (plain && request->has_idempotency_key && !request->idempotent)
     {
       mf_request_set_phase (request, MF_PHASE_CLAIMING);
       mf_claim_begin (core, request->id, request->key_digest, request->digest,
-                      request->key_minted_ms, request->deadline_us);
+                      request->key_created_ms, request->deadline_us);
       return;
     }
   mf_request_set_phase (request, MF_PHASE_QUEUED);
--- a/libmangofork/limit.c
+++ b/libmangofork/limit.c
@@ -26,7 +26,7 @@
 }
 
 bool
-mf_limit_take (MfCore *core, uint32_t customer, uint64_t *retry_after_ms)
+mf_limit_acquire (MfCore *core, uint32_t customer, uint64_t *retry_after_ms)
 {
   MfCustomerRow *row;
 
@@ -43,7 +43,7 @@
 
 /* A request of the customer has ended. */
 void
-mf_limit_give (MfCore *core, const MfRequest *request)
+mf_limit_release (MfCore *core, const MfRequest *request)
 {
   if (request->customer != MF_NONE)
     core->board.services.customers[request->customer].n_in_flight--;
--- a/libmangofork/limit.h
+++ b/libmangofork/limit.h
@@ -5,7 +5,7 @@
 
 /* Counts one more request of the customer. Returns false if a limit is reached, with the time after
  * which the caller may retry. */
-bool mf_limit_take (MfCore *core, uint32_t customer, uint64_t *retry_after_ms);
-void mf_limit_give (MfCore *core, const MfRequest *request);
+bool mf_limit_acquire (MfCore *core, uint32_t customer, uint64_t *retry_after_ms);
+void mf_limit_release (MfCore *core, const MfRequest *request);
 
 #endif
--- a/libmangofork/member.c
+++ b/libmangofork/member.c
@@ -429,7 +429,7 @@
   notice_pause (core);
   switch (event->type)
     {
-    case MF_EVENT_LIST:
+    case MF_EVENT_PLATFORM_LIST:
       mf_member_apply_list (core, event->list.index, event->list.listed, event->list.n_listed);
       break;
     case MF_EVENT_PEER_UP:
--- a/libmangofork/member.h
+++ b/libmangofork/member.h
@@ -14,7 +14,7 @@
 
 typedef struct
 {
-  MfOwner owner;
+  MfInstanceId owner;
   char address[MF_ADDRESS_BYTES];
   char data_centre[MF_NAME_BYTES];
   MfMemberState state;
--- a/libmangofork/metrics.c
+++ b/libmangofork/metrics.c
@@ -128,7 +128,7 @@
   add_gauge (out, "mangofork_ready", "whether the balancer may send callers here", board->ready);
   add_gauge (out, "mangofork_draining", "whether this process is shutting down", board->draining);
   add_gauge (out, "mangofork_votes", "whether this process votes on idempotency keys",
-             board->admitted);
+             board->voter_admitted);
   add_gauge (out, "mangofork_in_flight", "requests held", mf_request_count (core));
   add_gauge (out, "mangofork_queued", "requests that wait for room", mf_queue_length (core));
   add_gauge (out, "mangofork_debts", "cancels owed to engines", mf_debt_count (core));
@@ -140,7 +140,7 @@
              age_s (core, board->config_state.accepted_us));
   add_gauge (out, "mangofork_platform_heard_seconds",
              "since the platform last answered this process; -1 for never",
-             age_s (core, board->config_state.platform_heard_us));
+             age_s (core, board->config_state.platform_answered_us));
   add_members (core, out);
 }
 
--- a/libmangofork/naive.c
+++ b/libmangofork/naive.c
@@ -35,7 +35,7 @@
 }
 
 static bool
-has_spare (MfCore *core, const MfRequest *request)
+has_spare_slots (MfCore *core, const MfRequest *request)
 {
   (void)core;
   (void)request;
@@ -68,7 +68,7 @@
   .name = "naive",
   .place_model = place_model,
   .place_decode = place_decode,
-  .has_spare = has_spare,
+  .has_spare_slots = has_spare_slots,
   .place_plain = place_plain,
   .may_retry = may_retry,
   .unloaded_us = unloaded_us,
--- a/libmangofork/openai.c
+++ b/libmangofork/openai.c
@@ -46,7 +46,7 @@
 
 /* The name under which an engine knows one attempt at a request. */
 static void
-work_id (char *id, const MfOwner *owner, uint64_t request_id, uint32_t attempt)
+work_id (char *id, const MfInstanceId *owner, uint64_t request_id, uint32_t attempt)
 {
   snprintf (id, WORK_ID_BYTES, "%s:%" PRIx64 ":%" PRIu64 ":%" PRIu32, owner->name,
             owner->incarnation, request_id, attempt);
@@ -171,7 +171,7 @@
 }
 
 static json_object *
-work_body (const MfCallAction *call, const MfOwner *self)
+work_body (const MfCallAction *call, const MfInstanceId *self)
 {
   char id[WORK_ID_BYTES];
   json_object *body;
@@ -225,7 +225,7 @@
 }
 
 static json_object *
-call_body (const MfCallAction *call, const MfCallMaterial *material, const MfOwner *self)
+call_body (const MfCallAction *call, const MfCallMaterial *material, const MfInstanceId *self)
 {
   switch (call->kind)
     {
@@ -245,7 +245,7 @@
 }
 
 static bool
-set_headers (MfHttpRequest *request, const MfCallAction *call, const MfOwner *self)
+set_headers (MfHttpRequest *request, const MfCallAction *call, const MfInstanceId *self)
 {
   char id[WORK_ID_BYTES];
   char fence[48] = "";
@@ -280,7 +280,7 @@
 }
 
 static bool
-openai_build (const MfCallAction *call, const MfCallMaterial *material, const MfOwner *self,
+openai_build (const MfCallAction *call, const MfCallMaterial *material, const MfInstanceId *self,
               MfHttpRequest *request, MfError *error)
 {
   bool has_body = call->kind != MF_CALL_LOAD;
--- a/libmangofork/peer.h
+++ b/libmangofork/peer.h
@@ -118,7 +118,7 @@
   uint64_t body_digest;
   uint64_t minted_ms;
   uint64_t epoch; /* of the set of voters */
-  MfOwner claimant;
+  MfInstanceId claimant;
 } MfClaimMessage;
 
 typedef struct
@@ -129,10 +129,11 @@
   bool abstained;
   bool forgotten; /* abstained for good: the voter cannot vouch for so old a key */
   bool body_differs;
-  MfOwner holder; /* who was granted it, when not granted now */
+  MfInstanceId holder; /* who was granted it, when not granted now */
   uint64_t holder_claim_id;
   MfKeyState state;
-  MfOwner view[MF_VOTERS_PER_KEY_MAX]; /* highest incarnation known of each voter of the cell */
+  MfInstanceId
+      view[MF_VOTERS_PER_KEY_MAX]; /* highest incarnation known of each voter of the cell */
   uint32_t n_view;
 } MfVoteMessage;
 
@@ -140,7 +141,7 @@
 {
   uint8_t key[MF_DIGEST_BYTES];
   uint64_t body_digest;
-  MfOwner claimant;
+  MfInstanceId claimant;
   uint64_t claim_id;
   MfKeyState state;
   uint16_t status;
@@ -155,7 +156,7 @@
 {
   uint8_t key[MF_DIGEST_BYTES];
   uint64_t body_digest;
-  MfOwner holder;
+  MfInstanceId holder;
   uint64_t claim_id;
   MfKeyState state;
   uint32_t age_ms;
@@ -165,7 +166,7 @@
 {
   uint64_t admit_id;
   uint64_t epoch;
-  MfOwner applicant;
+  MfInstanceId applicant;
 } MfAdmitMessage;
 
 typedef struct
@@ -176,7 +177,7 @@
   uint64_t cold_ms;        /* wall clock before which the cell forgot its keys; 0 when it has not */
   uint64_t opaque_wait_ms; /* until opaque keys are voted on again */
   uint64_t highest_incarnation; /* of the applicant's slot; the applicant must be above it */
-  MfOwner view[MF_VOTERS_PER_KEY_MAX];
+  MfInstanceId view[MF_VOTERS_PER_KEY_MAX];
   uint32_t n_view;
   uint32_t part; /* an answer too large for one frame comes in parts, from 0 */
   uint32_t n_parts;
--- a/libmangofork/peer_auth.c
+++ b/libmangofork/peer_auth.c
@@ -34,7 +34,7 @@
 {
   uint32_t version_min;
   uint32_t version_max;
-  MfOwner owner;
+  MfInstanceId owner;
   char address[MF_ADDRESS_BYTES];
   char expected[MF_NAME_BYTES];
   uint8_t nonce[crypto_scalarmult_BYTES];
--- a/libmangofork/peer_auth.h
+++ b/libmangofork/peer_auth.h
@@ -18,7 +18,7 @@
 {
   bool initiator;
   uint32_t version; /* agreed */
-  MfOwner peer;
+  MfInstanceId peer;
   char peer_address[MF_ADDRESS_BYTES];
   uint8_t secret[crypto_scalarmult_SCALARBYTES];
   uint8_t nonce[crypto_scalarmult_BYTES]; /* also the ephemeral public key */
--- a/libmangofork/peer_link.h
+++ b/libmangofork/peer_link.h
@@ -22,7 +22,7 @@
 {
   const char *listen;
   const char *address; /* as other instances reach it */
-  MfOwner self;
+  MfInstanceId self;
   MfPeerKeys keys;
 } MfPeerLinkOptions;
 
--- a/libmangofork/place.c
+++ b/libmangofork/place.c
@@ -185,10 +185,11 @@
 static void
 note_alternative (MfRequest *request, uint32_t upstream, uint64_t predicted_us)
 {
-  if (upstream == MF_NONE || (request->runner_up_us != 0 && request->runner_up_us <= predicted_us))
+  if (upstream == MF_NONE
+      || (request->alternative_us != 0 && request->alternative_us <= predicted_us))
     return;
-  request->runner_up = upstream;
-  request->runner_up_us = predicted_us;
+  request->alternative = upstream;
+  request->alternative_us = predicted_us;
 }
 
 /* Returns the sampled prefill engine with the lowest predicted time to the first token, weighted by
@@ -201,7 +202,7 @@
   uint32_t best = MF_NONE;
   Sample sample;
 
-  request->runner_up_us = 0;
+  request->alternative_us = 0;
   sample_pool (core, pool, &sample);
   for (uint32_t i = 0; i < sample.n_rows; i++)
     {
@@ -254,7 +255,7 @@
       n_free = n_free * row->n_active / sample.n_rows;
       *n_slots = *n_slots * row->n_active / sample.n_rows;
     }
-  return n_free - row->n_coming;
+  return n_free - row->n_in_transit;
 }
 
 /* Returns the time from placement to the first token without queueing, at the rates of the pool's
@@ -286,7 +287,7 @@
 
 /* Returns whether the pool has free slots that requests still on time will not need soon. */
 static bool
-has_spare (MfCore *core, const MfRequest *request)
+has_spare_slots (MfCore *core, const MfRequest *request)
 {
   const MfService *service = &mf_request_service (core, request)->config;
   int64_t n_slots;
@@ -375,7 +376,7 @@
   .isolates = true,
   .place_model = place_model,
   .place_decode = place_decode,
-  .has_spare = has_spare,
+  .has_spare_slots = has_spare_slots,
   .place_plain = place_plain,
   .may_retry = mf_retry_may,
   .unloaded_us = unloaded_us,
--- a/libmangofork/plain.c
+++ b/libmangofork/plain.c
@@ -27,7 +27,7 @@
 /* Forwards the caller's method, path, content type and body. A header without a value keeps the
  * HTTP library from adding its own. */
 static bool
-plain_build (const MfCallAction *call, const MfCallMaterial *material, const MfOwner *self,
+plain_build (const MfCallAction *call, const MfCallMaterial *material, const MfInstanceId *self,
              MfHttpRequest *request, MfError *error)
 {
   const char *type = material->content_type != NULL ? material->content_type : "";
--- a/libmangofork/platform.c
+++ b/libmangofork/platform.c
@@ -64,8 +64,8 @@
 emit_lost (MfPlatform *platform, ReadKind kind)
 {
   MfEvent event = {
-    .type = MF_EVENT_PLATFORM_LOST,
-    .lost = { .text = kind == READ_TEXT, .list = kind == READ_LIST },
+    .type = MF_EVENT_PLATFORM_FAILED,
+    .platform_failed = { .text = kind == READ_TEXT, .list = kind == READ_LIST },
   };
 
   emit (platform, &event);
@@ -185,7 +185,8 @@
   size_t body_bytes = mf_buffer_bytes (&read->body);
   void *memory = NULL;
   MfError error = { 0 };
-  MfEvent event = { .type = read->kind == READ_TEXT ? MF_EVENT_TEXT : MF_EVENT_LIST };
+  MfEvent event
+      = { .type = read->kind == READ_TEXT ? MF_EVENT_PLATFORM_TEXT : MF_EVENT_PLATFORM_LIST };
   bool ok;
 
   if (read->kind == READ_TEXT)
@@ -338,7 +339,7 @@
 
 /* A key's value is base64, and ModifyIndex rises each time it is written. */
 static bool
-consul_parse_text (const char *body, size_t body_bytes, uint64_t index, MfTextEvent *text,
+consul_parse_text (const char *body, size_t body_bytes, uint64_t index, MfPlatformTextEvent *text,
                    void **memory, MfError *error)
 {
   json_object *rows = parse_array (body, body_bytes, error);
@@ -399,7 +400,7 @@
 
 /* Rows that make no sense are left out. */
 static bool
-consul_parse_list (const char *body, size_t body_bytes, uint64_t index, MfListEvent *list,
+consul_parse_list (const char *body, size_t body_bytes, uint64_t index, MfPlatformListEvent *list,
                    void **memory, MfError *error)
 {
   json_object *rows = parse_array (body, body_bytes, error);
@@ -407,7 +408,7 @@
   MfListed *listed = calloc (n_rows + 1, sizeof *listed);
 
   *memory = listed;
-  *list = (MfListEvent){ .index = index, .listed = listed };
+  *list = (MfPlatformListEvent){ .index = index, .listed = listed };
   for (size_t i = 0; listed != NULL && i < n_rows; i++)
     {
       if (read_listed (json_object_array_get_idx (rows, i), &listed[list->n_listed]))
--- a/libmangofork/platform.h
+++ b/libmangofork/platform.h
@@ -17,16 +17,16 @@
   bool (*text_path) (const MfSettings *settings, uint64_t index, char *path, size_t path_bytes);
   bool (*list_path) (const MfSettings *settings, uint64_t index, char *path, size_t path_bytes);
   /* Parse an answer. The event borrows from *memory, which the caller frees with free(). */
-  bool (*parse_text) (const char *body, size_t body_bytes, uint64_t index, MfTextEvent *text,
-                      void **memory, MfError *error);
-  bool (*parse_list) (const char *body, size_t body_bytes, uint64_t index, MfListEvent *list,
-                      void **memory, MfError *error);
+  bool (*parse_text) (const char *body, size_t body_bytes, uint64_t index,
+                      MfPlatformTextEvent *text, void **memory, MfError *error);
+  bool (*parse_list) (const char *body, size_t body_bytes, uint64_t index,
+                      MfPlatformListEvent *list, void **memory, MfError *error);
 } MfPlatformTable;
 
 extern const MfPlatformTable mf_platform_consul;
 
-/* on_event gets MF_EVENT_TEXT, MF_EVENT_LIST and MF_EVENT_PLATFORM_LOST, never from within a read
- * function. */
+/* on_event gets MF_EVENT_PLATFORM_TEXT, MF_EVENT_PLATFORM_LIST and MF_EVENT_PLATFORM_FAILED, never
+ * from within a read function. */
 MfPlatform *mf_platform_new (struct ev_loop *loop, const MfSettings *settings,
                              void (*on_event) (const MfEvent *event, void *data), void *data,
                              MfError *error);
--- a/libmangofork/platform_read.c
+++ b/libmangofork/platform_read.c
@@ -70,7 +70,7 @@
 
 /* Reads that failed are tried again, ever more seldom. */
 void
-mf_platform_reads_lost (MfCore *core, MfPlatformReads *reads, const MfLostEvent *lost)
+mf_platform_reads_lost (MfCore *core, MfPlatformReads *reads, const MfPlatformFailedEvent *lost)
 {
   bool both = lost->text == lost->list;
 
@@ -134,6 +134,6 @@
   if (reads->want_text && core->board.config == NULL && !reads->text.reading
       && reads->text.next_us == UINT64_MAX)
     reads->text.next_us = core->board.now_us;
-  read_tick (core, reads, &reads->list, MF_ACTION_PLATFORM_LIST);
-  read_tick (core, reads, &reads->text, MF_ACTION_PLATFORM_TEXT);
+  read_tick (core, reads, &reads->list, MF_ACTION_PLATFORM_READ_LIST);
+  read_tick (core, reads, &reads->text, MF_ACTION_PLATFORM_READ_TEXT);
 }
--- a/libmangofork/policy.h
+++ b/libmangofork/policy.h
@@ -28,7 +28,7 @@
   /* The decode engine for a KV that waits; MF_NONE if none has capacity now. */
   uint32_t (*place_decode) (MfCore *core, MfRequest *request);
   /* Whether there is capacity that requests still on time will not need. */
-  bool (*has_spare) (MfCore *core, const MfRequest *request);
+  bool (*has_spare_slots) (MfCore *core, const MfRequest *request);
   /* MF_NONE if no upstream has capacity now. */
   uint32_t (*place_plain) (MfCore *core, MfRequest *request);
   /* Whether one more retry is allowed, and after what delay. */
--- a/libmangofork/prefix.c
+++ b/libmangofork/prefix.c
@@ -107,7 +107,7 @@
 }
 
 void
-mf_prefix_note (MfCore *core, uint32_t upstream, const MfRequest *request)
+mf_prefix_add (MfCore *core, uint32_t upstream, const MfRequest *request)
 {
   for (uint32_t i = 0; i < request->n_prefix_hashes; i++)
     store (core->board.caches, upstream, request->prefix_hashes[i] ^ request->cache_salt);
@@ -124,7 +124,7 @@
 }
 
 void
-mf_prefix_forget (MfCore *core, uint32_t upstream)
+mf_prefix_clear (MfCore *core, uint32_t upstream)
 {
   Entry *entry;
   Entry *next;
--- a/libmangofork/prefix.h
+++ b/libmangofork/prefix.h
@@ -8,10 +8,10 @@
  * cache entries match another's requests. */
 uint32_t mf_prefix_cached_tokens (const MfCore *core, uint32_t upstream, const MfRequest *request);
 /* Records that the upstream has computed the request's prompt. */
-void mf_prefix_note (MfCore *core, uint32_t upstream, const MfRequest *request);
+void mf_prefix_add (MfCore *core, uint32_t upstream, const MfRequest *request);
 /* Returns the number of the last cache event seen of the upstream; 0 for none. */
 uint64_t mf_prefix_last_event (const MfCore *core, uint32_t upstream);
 /* The upstream has restarted: its cache is empty. */
-void mf_prefix_forget (MfCore *core, uint32_t upstream);
+void mf_prefix_clear (MfCore *core, uint32_t upstream);
 
 #endif
--- a/libmangofork/queue.c
+++ b/libmangofork/queue.c
@@ -9,7 +9,7 @@
  * requests do not starve. */
 #define LATE_ONE_IN 32
 /* Placements in one step over all services, at most. */
-#define PLACE_TRIES_MAX 64
+#define PLACEMENTS_PER_STEP_MAX 64
 #define REQUEUED_TRIES_MAX 4
 /* A service is starved once its oldest request has waited 1/STARVED_DIVISOR of the time from its
  * arrival to its deadline. It is then served before more urgent classes. */
@@ -129,7 +129,7 @@
   customer_queue = calloc (1, sizeof *customer_queue);
   if (customer_queue == NULL)
     abort ();
-  customer_queue->node.position = MF_HEAP_OUT;
+  customer_queue->node.position = MF_HEAP_NO_POSITION;
   customer_queue->key[0] = key[0];
   customer_queue->key[1] = key[1];
   HASH_ADD (hh, core->board.queue->customer_queues, key, sizeof customer_queue->key,
@@ -167,9 +167,9 @@
   customer_queue->head = list.head;
   customer_queue->tail = list.tail;
   customer_queue->n_requests++;
-  request->lane = customer_queue;
+  request->customer_queue = customer_queue;
   queue->n_on_time++;
-  if (customer_queue->node.position == MF_HEAP_OUT)
+  if (customer_queue->node.position == MF_HEAP_NO_POSITION)
     mf_heap_set (&queue->by_virtual_time, &customer_queue->node,
                  customer_queue->node.at_us > queue->virtual_time ? customer_queue->node.at_us
                                                                   : queue->virtual_time);
@@ -178,21 +178,21 @@
 static void
 customer_queue_remove (ServiceQueue *queue, MfRequest *request)
 {
-  CustomerQueue *customer_queue = request->lane;
+  CustomerQueue *customer_queue = request->customer_queue;
   RequestList list = { .head = customer_queue->head, .tail = customer_queue->tail };
 
   list_remove (&list, request);
   customer_queue->head = list.head;
   customer_queue->tail = list.tail;
   customer_queue->n_requests--;
-  request->lane = NULL;
+  request->customer_queue = NULL;
   queue->n_on_time--;
   if (customer_queue->n_requests == 0)
     mf_heap_remove (&queue->by_virtual_time, &customer_queue->node);
 }
 
 void
-mf_queue_stir (MfCore *core)
+mf_queue_schedule_pass (MfCore *core)
 {
   core->board.queue->pass_due = true;
 }
@@ -252,14 +252,14 @@
 {
   ServiceQueue *queue = service_queue (core, request->service);
 
-  request->queue = (uint8_t)tier;
+  request->tier = (uint8_t)tier;
   request->queued = true;
   core->board.queue->n_requests++;
   if (tier == TIER_ON_TIME)
     customer_queue_push (core, queue, request);
   else
     list_push (tier == TIER_REQUEUED ? &queue->requeued : &queue->late, request);
-  mf_queue_stir (core);
+  mf_queue_schedule_pass (core);
 }
 
 void
@@ -267,10 +267,10 @@
 {
   ServiceQueue *queue = service_queue (core, request->service);
 
-  if (request->queue == TIER_ON_TIME)
+  if (request->tier == TIER_ON_TIME)
     customer_queue_remove (queue, request);
   else
-    list_remove (request->queue == TIER_REQUEUED ? &queue->requeued : &queue->late, request);
+    list_remove (request->tier == TIER_REQUEUED ? &queue->requeued : &queue->late, request);
   request->queued = false;
   core->board.queue->n_requests--;
 }
@@ -310,8 +310,8 @@
 void
 mf_queue_add (MfCore *core, MfRequest *request)
 {
-  mf_request_note (core, request, MF_TRACE_QUEUED, MF_NONE, MF_NONE,
-                   mf_queue_service_length (core, request->service));
+  mf_request_trace (core, request, MF_TRACE_QUEUED, MF_NONE, MF_NONE,
+                    mf_queue_service_length (core, request->service));
   if (mf_policy (core)->queues && will_be_late (core, request))
     insert_late (core, request);
   else
@@ -321,7 +321,7 @@
 /* A request that has delivered tokens, or can still meet its first-token target, goes before all
  * others. Other requests are queued as late. */
 void
-mf_queue_add_again (MfCore *core, MfRequest *request)
+mf_queue_requeue (MfCore *core, MfRequest *request)
 {
   bool urgent = request->delivered > 0 || !mf_policy (core)->queues
                 || latest_start_us (core, request) >= core->board.now_us;
@@ -332,20 +332,20 @@
 }
 
 void
-mf_queue_wait_transfer (MfCore *core, MfRequest *request)
+mf_queue_add_transfer (MfCore *core, MfRequest *request)
 {
-  if (request->waits)
+  if (request->awaits_decode)
     return;
-  request->waits = true;
+  request->awaits_decode = true;
   list_push (&core->board.queue->transfers, request);
 }
 
 void
-mf_queue_end_wait (MfCore *core, MfRequest *request)
+mf_queue_remove_transfer (MfCore *core, MfRequest *request)
 {
-  if (!request->waits)
+  if (!request->awaits_decode)
     return;
-  request->waits = false;
+  request->awaits_decode = false;
   list_remove (&core->board.queue->transfers, request);
 }
 
@@ -439,14 +439,14 @@
 static bool
 place_on_time (MfCore *core, ServiceQueue *queue, MfRequest *request)
 {
-  CustomerQueue *customer_queue = request->lane;
+  CustomerQueue *customer_queue = request->customer_queue;
   uint64_t cost = request_cost (core, request);
 
   if (!place (core, request))
     return false;
   queue->virtual_time = customer_queue->node.at_us;
   customer_queue->node.at_us += cost;
-  if (customer_queue->node.position != MF_HEAP_OUT)
+  if (customer_queue->node.position != MF_HEAP_NO_POSITION)
     mf_heap_set (&queue->by_virtual_time, &customer_queue->node, customer_queue->node.at_us);
   return true;
 }
@@ -484,7 +484,7 @@
   on_time = first_on_time (core, queue);
   pick_late = ++queue->n_placements % LATE_ONE_IN == 0;
   if (on_time == NULL && queue->late.head != NULL)
-    pick_late = pick_late || mf_policy (core)->has_spare (core, queue->late.head);
+    pick_late = pick_late || mf_policy (core)->has_spare_slots (core, queue->late.head);
   if (pick_late && queue->late.head != NULL)
     placed = place (core, queue->late.head);
   else
@@ -513,7 +513,7 @@
 queue_tick (MfCore *core)
 {
   MfQueue *queue = core->board.queue;
-  uint32_t n_tries = 0;
+  uint32_t n_placed = 0;
 
   if (!queue->pass_due)
     return;
@@ -526,7 +526,7 @@
     {
       if (is_starved (core, i) && queue->n_starved_checks++ % STARVED_ONE_IN == 0
           && place_next (core, i))
-        n_tries++;
+        n_placed++;
     }
   for (int class_ = 0; class_ < MF_CLASS_COUNT; class_++)
     {
@@ -534,11 +534,11 @@
         {
           if (core->board.services.rows[i].config.class_ != (MfClass)class_)
             continue;
-          while (n_tries < PLACE_TRIES_MAX && place_next (core, i))
-            n_tries++;
+          while (n_placed < PLACEMENTS_PER_STEP_MAX && place_next (core, i))
+            n_placed++;
         }
     }
-  if (n_tries >= PLACE_TRIES_MAX)
+  if (n_placed >= PLACEMENTS_PER_STEP_MAX)
     {
       queue->pass_due = true;
       mf_core_wake_at (core, core->board.now_us);
@@ -549,7 +549,7 @@
 queue_handle (MfCore *core, const MfEvent *event)
 {
   if (event->type == MF_EVENT_LOAD || event->type == MF_EVENT_TICK)
-    mf_queue_stir (core);
+    mf_queue_schedule_pass (core);
 }
 
 static bool
--- a/libmangofork/render.c
+++ b/libmangofork/render.c
@@ -69,7 +69,7 @@
   mf_render_text (instance, "data_centre", options->data_centre);
   mf_render_bool (instance, "ready", core->board.ready);
   mf_render_bool (instance, "draining", core->board.draining);
-  mf_render_bool (instance, "votes", core->board.admitted);
+  mf_render_bool (instance, "votes", core->board.voter_admitted);
   mf_render_number (instance, "wall_ms", core->board.wall_ms);
   json_object_object_add (object, "instance", instance);
 }
--- a/libmangofork/request.c
+++ b/libmangofork/request.c
@@ -85,8 +85,8 @@
 }
 
 void
-mf_request_note (MfCore *core, const MfRequest *request, MfTraceKind kind, uint32_t upstream,
-                 uint32_t other, uint64_t value)
+mf_request_trace (MfCore *core, const MfRequest *request, MfTraceKind kind, uint32_t upstream,
+                  uint32_t other, uint64_t value)
 {
   MfTraceStep step = {
     .request_id = request->id,
@@ -105,7 +105,7 @@
 void
 mf_request_remove (MfCore *core, MfRequest *request)
 {
-  mf_limit_give (core, request);
+  mf_limit_release (core, request);
   mf_heap_remove (&core->board.requests->timers, &request->timer);
   HASH_DEL (core->board.requests->by_id, request);
   free (request);
@@ -135,15 +135,15 @@
   if (request == NULL)
     return NULL;
   *request = (MfRequest){
-    .timer.position = MF_HEAP_OUT,
+    .timer.position = MF_HEAP_NO_POSITION,
     .id = event->request_id,
     .service = service,
     .customer = customer,
     .class_ = event->has_class && event->class_ > config->class_ ? event->class_ : config->class_,
     .idempotent = config->kind == MF_SERVICE_MODEL
                   || (config->get_is_idempotent && method_is_safe (event->method)),
-    .has_key = event->has_key,
-    .key_minted_ms = event->key_minted_ms,
+    .has_idempotency_key = event->has_idempotency_key,
+    .key_created_ms = event->key_created_ms,
     .digest = event->digest,
     .cache_salt = customer_cache_salt (core, customer),
     .prompt_tokens = event->prompt_tokens,
@@ -192,7 +192,7 @@
     return MF_CODE_OVER_LIMIT;
   if (!mf_service_may_wait (core, service, &code))
     return code;
-  return mf_limit_take (core, customer, retry_after_ms) ? MF_CODE_OK : MF_CODE_CUSTOMER_LIMIT;
+  return mf_limit_acquire (core, customer, retry_after_ms) ? MF_CODE_OK : MF_CODE_CUSTOMER_LIMIT;
 }
 
 static void
@@ -215,13 +215,13 @@
     request = request_new (core, event, service, customer);
   if (request == NULL)
     {
-      mf_finish_turned_away (core, event, service, customer,
-                             code != MF_CODE_OK ? code : MF_CODE_NO_MEMORY, retry_after_ms);
+      mf_finish_not_admitted (core, event, service, customer,
+                              code != MF_CODE_OK ? code : MF_CODE_NO_MEMORY, retry_after_ms);
       return;
     }
   HASH_ADD (hh, core->board.requests->by_id, id, sizeof request->id, request);
   mf_heap_set (&core->board.requests->timers, &request->timer, request->deadline_us);
-  mf_request_note (core, request, MF_TRACE_ARRIVED, MF_NONE, MF_NONE, request->prompt_tokens);
+  mf_request_trace (core, request, MF_TRACE_ARRIVED, MF_NONE, MF_NONE, request->prompt_tokens);
   mf_retry_earn (core, service);
   if (!mf_suspect_admit (core, request))
     mf_finish_refused (core, request, MF_CODE_POISON, 0);
--- a/libmangofork/request.h
+++ b/libmangofork/request.h
@@ -47,11 +47,11 @@
   MF_CLAIM_NO_QUORUM, /* too few votes; nothing was run for this request */
   MF_CLAIM_BODY_DIFFERS,
   MF_CLAIM_TOO_OLD,
-} MfClaimVerdict;
+} MfClaimDecision;
 
 typedef struct
 {
-  MfClaimVerdict verdict;
+  MfClaimDecision decision;
   uint16_t status;
   MfCode code;
   MfOutcome outcome;
@@ -75,13 +75,13 @@
   uint32_t attempt;
   uint32_t pieces; /* pieces of KV memory used there */
   uint32_t prefill_tokens;
-  uint64_t ahead_tokens; /* prefill: uncached tokens in the engine's queue, its own included */
+  uint64_t queued_tokens; /* prefill: uncached tokens in the engine's queue, its own included */
   uint64_t started_us;
   bool sent;
   bool hedge;
-  bool suspect;   /* counted in its upstream's suspects */
-  bool held;      /* its slot and pieces are counted at its upstream */
-  bool prefilled; /* prefill done: its KV belongs to the request */
+  bool suspect;      /* counted in its upstream's suspects */
+  bool holds_pieces; /* its slot and pieces are counted at its upstream */
+  bool prefilled;    /* prefill done: its KV belongs to the request */
   MfRequest *request;
   struct MfCall *next;          /* of the request */
   struct MfCall *prev_upstream; /* of the upstream */
@@ -98,13 +98,13 @@
   uint32_t customer; /* MF_NONE: anonymous */
   MfClass class_;
   bool idempotent;
-  bool has_key;
+  bool has_idempotency_key;
   bool claimed;       /* granted; mf_claim_finish must be called */
   bool departed;      /* the caller has disconnected, but the call continues for its key */
   bool ran;           /* some of the work has certainly begun at an upstream */
   uint32_t n_unknown; /* ended calls that may have run */
   uint8_t key_digest[MF_DIGEST_BYTES];
-  uint64_t key_minted_ms;
+  uint64_t key_created_ms;
   uint64_t digest;
   uint64_t cache_salt;
   uint32_t prompt_tokens;
@@ -115,8 +115,8 @@
   uint64_t arrived_us;
   uint64_t deadline_us;
   uint64_t check_us; /* when the next MF_INPUT_TIMER is due; timer may be earlier */
-  uint64_t first_us;
-  uint64_t last_us;
+  uint64_t first_output_us;
+  uint64_t last_output_us;
   uint64_t not_before_us; /* end of the backoff */
   uint32_t n_gaps;
   uint32_t n_gaps_late;
@@ -127,17 +127,17 @@
   bool suspect;
   bool suspect_pending; /* whether its upstream died is not known yet */
   uint8_t n_claims;
-  uint32_t cleared_at; /* tokens delivered when it became a suspect */
+  uint32_t suspected_at_token; /* tokens delivered when it became a suspect */
 
   MfCall *calls;
-  uint32_t runner_up;     /* second best prefill engine at its placement */
-  uint64_t runner_up_us;  /* its predicted time to the first token; 0 for none */
-  uint32_t cached_tokens; /* of the prompt, at the last chosen prefill engine, as far as known */
-  bool in_window;         /* counted in its pool's window */
-  bool coming;            /* counted as on its way to a slot of its pool */
-  bool carried;           /* its KV is counted on its prefill engine's link */
-  bool waits;             /* its KV waits for a decode engine, in the queue's list of transfers */
-  uint32_t reserved;      /* decode upstream with a slot reserved for it, or MF_NONE */
+  uint32_t alternative;    /* second best prefill engine at its placement */
+  uint64_t alternative_us; /* its predicted time to the first token; 0 for none */
+  uint32_t cached_tokens;  /* of the prompt, at the last chosen prefill engine, as far as known */
+  bool in_window;          /* counted in its pool's window */
+  bool in_transit;         /* counted as on its way to a slot of its pool */
+  bool transferring;       /* its KV is counted on its prefill engine's link */
+  bool awaits_decode;      /* its KV waits for a decode engine; listed in the queue */
+  uint32_t reserved;       /* decode upstream with a slot reserved for it, or MF_NONE */
   uint32_t pieces;
   uint64_t prefill_call_id; /* call whose KV waits; 0 for none */
   uint32_t prefill_upstream;
@@ -154,9 +154,9 @@
 
   MfRequest *prev; /* of its list in the queue */
   MfRequest *next;
-  uint8_t queue; /* Tier in queue.c */
+  uint8_t tier; /* Tier in queue.c */
   bool queued;
-  void *lane;
+  void *customer_queue;
   UT_hash_handle hh;
 };
 
@@ -169,8 +169,8 @@
 void mf_request_check_at (MfCore *core, MfRequest *request, uint64_t at_us);
 void mf_request_set_phase (MfRequest *request, MfPhase phase);
 const MfServiceRow *mf_request_service (const MfCore *core, const MfRequest *request);
-void mf_request_note (MfCore *core, const MfRequest *request, MfTraceKind kind, uint32_t upstream,
-                      uint32_t other, uint64_t value);
+void mf_request_trace (MfCore *core, const MfRequest *request, MfTraceKind kind, uint32_t upstream,
+                       uint32_t other, uint64_t value);
 /* Passes an input to the state machine of a request. Returns false if the input has no handler in
  * the request's phase. The request may have been freed on return. */
 bool mf_life_input (MfCore *core, MfRequest *request, MfInput input, MfCall *call,
@@ -206,9 +206,9 @@
 void mf_call_unreserve (MfCore *core, MfRequest *request);
 /* Starts and stops counting the request in its pool's window. A spare request has a slot beside the
  * window. */
-void mf_call_enter (MfCore *core, MfRequest *request, bool spare);
-void mf_call_leave (MfCore *core, MfRequest *request);
-void mf_call_arrived (MfCore *core, MfRequest *request);
+void mf_call_enter_window (MfCore *core, MfRequest *request, bool spare);
+void mf_call_leave_window (MfCore *core, MfRequest *request);
+void mf_call_end_transit (MfCore *core, MfRequest *request);
 void mf_call_reserve (MfCore *core, MfRequest *request, uint32_t upstream);
 
 /* finish.c: the terminal states. Each function frees the request. */
@@ -218,8 +218,8 @@
 void mf_finish_replayed (MfCore *core, MfRequest *request, const MfClaimResult *claim);
 MfOutcome mf_finish_outcome (const MfRequest *request);
 /* Refuses an event for which no request was created. */
-void mf_finish_turned_away (MfCore *core, const MfRequestEvent *event, uint32_t service,
-                            uint32_t customer, MfCode code, uint64_t retry_after_ms);
+void mf_finish_not_admitted (MfCore *core, const MfRequestEvent *event, uint32_t service,
+                             uint32_t customer, MfCode code, uint64_t retry_after_ms);
 /* Removes the request from all tables and frees it. */
 void mf_request_remove (MfCore *core, MfRequest *request);
 
--- a/libmangofork/server.c
+++ b/libmangofork/server.c
@@ -130,19 +130,19 @@
     case MF_ACTION_CALL_ABORT:
       mf_http_out_abort (server->out, action->call_id);
       break;
-    case MF_ACTION_CALL_FORGET:
+    case MF_ACTION_KV_HANDLE_DROP:
       mf_http_out_forget (server->out, action->call_id);
       break;
     case MF_ACTION_ANSWER_TOKENS:
     case MF_ACTION_ANSWER_END:
-    case MF_ACTION_ANSWER_WHOLE:
+    case MF_ACTION_ANSWER_PLAIN:
     case MF_ACTION_ANSWER_REFUSE:
       mf_http_in_answer (server->in, action);
       break;
-    case MF_ACTION_PLATFORM_TEXT:
+    case MF_ACTION_PLATFORM_READ_TEXT:
       mf_platform_read_text (server->platform, action->platform_index);
       break;
-    case MF_ACTION_PLATFORM_LIST:
+    case MF_ACTION_PLATFORM_READ_LIST:
       mf_platform_read_list (server->platform, action->platform_index);
       break;
     case MF_ACTION_LOG:
--- a/libmangofork/service.h
+++ b/libmangofork/service.h
@@ -44,10 +44,10 @@
   uint64_t token_gap_us; /* usual gap, over its members */
   uint64_t answer_us;    /* plain: recent mean time to the answer */
   uint32_t n_answers;
-  bool narrowed;     /* plain: its window has met its limit once */
-  uint64_t base_us;  /* plain: the least that mean has been of late */
-  uint32_t n_own;    /* requests this instance keeps there */
-  uint32_t n_coming; /* of them, those on the way to a decode slot */
+  bool narrowed;         /* plain: its window has met its limit once */
+  uint64_t base_us;      /* plain: the least that mean has been of late */
+  uint32_t n_own;        /* requests this instance keeps there */
+  uint32_t n_in_transit; /* of them, those on the way to a decode slot */
   uint32_t window_milli;
   uint64_t n_waits; /* KVs taken up, and how long they waited */
   uint64_t sum_wait_us;
--- a/libmangofork/share.c
+++ b/libmangofork/share.c
@@ -210,7 +210,7 @@
 /* Sets how many of the upstream's slots this instance would use if it were not limited. A digest is
  * sent at once when the demand exceeds both the limit and twice the reported demand. */
 void
-mf_share_want (MfCore *core, uint32_t upstream, uint32_t n_slots)
+mf_share_set_demand (MfCore *core, uint32_t upstream, uint32_t n_slots)
 {
   MfShares *shares = core->board.shares;
   ShareRow *row;
--- a/libmangofork/status.c
+++ b/libmangofork/status.c
@@ -29,8 +29,8 @@
                     core->board.config != NULL ? core->board.config->revision : 0);
   mf_render_text (config, "source", state->source);
   mf_render_age (config, "age_s", core, state->accepted_us);
-  mf_render_age (config, "platform_heard_s", core, state->platform_heard_us);
-  mf_render_age (config, "platform_lost_s", core, state->platform_lost_us);
+  mf_render_age (config, "platform_heard_s", core, state->platform_answered_us);
+  mf_render_age (config, "platform_lost_s", core, state->platform_failed_us);
   mf_render_number (config, "list_index", core->board.list_index);
   if (state->refused_revision != 0)
     {
--- a/libmangofork/suspect_core.c
+++ b/libmangofork/suspect_core.c
@@ -94,8 +94,8 @@
                                  }))
     return;
   request->suspect_pending = true;
-  request->cleared_at = request->delivered;
-  mf_request_note (core, request, MF_TRACE_SUSPECTED, upstream, MF_NONE, request->n_deaths);
+  request->suspected_at_token = request->delivered;
+  mf_request_trace (core, request, MF_TRACE_SUSPECTED, upstream, MF_NONE, request->n_deaths);
 }
 
 /* What became of a break: its request goes on, or is refused. */
@@ -109,7 +109,7 @@
 
   if (request != NULL)
     request->suspect_pending = false;
-  mf_queue_stir (core);
+  mf_queue_schedule_pass (core);
   if (verdict == MF_SUSPECT_RELEASED || suspect == NULL)
     return;
   if (request != NULL)
--- a/libmangofork/types.c
+++ b/libmangofork/types.c
@@ -55,7 +55,7 @@
 }
 
 bool
-mf_owner_equal (const MfOwner *a, const MfOwner *b)
+mf_instance_id_equal (const MfInstanceId *a, const MfInstanceId *b)
 {
   return a->incarnation == b->incarnation && strcmp (a->name, b->name) == 0;
 }
--- a/libmangofork/types.h
+++ b/libmangofork/types.h
@@ -55,10 +55,10 @@
 {
   char name[MF_NAME_BYTES];
   uint64_t incarnation;
-} MfOwner;
+} MfInstanceId;
 
 /* Returns whether both are the same process. */
-bool mf_owner_equal (const MfOwner *a, const MfOwner *b);
+bool mf_instance_id_equal (const MfInstanceId *a, const MfInstanceId *b);
 
 const char *mf_outcome_name (MfOutcome outcome);
 const char *mf_role_name (MfRole role);
--- a/libmangofork/upstream.c
+++ b/libmangofork/upstream.c
@@ -98,7 +98,7 @@
   row->own_pieces -= pieces;
   row->full_until_us = 0;
   note_change (row, core->board.now_us, -1);
-  mf_queue_stir (core);
+  mf_queue_schedule_pass (core);
 }
 
 /* Counts the own changes that a report true at measured_us cannot have seen. */
@@ -211,8 +211,8 @@
   if (before == health)
     return;
   if (row->role == MF_ROLE_DECODE && before <= MF_HEALTH_SLOW && health > MF_HEALTH_SLOW)
-    mf_window_lose (&core->board.services.pools[row->pool], mf_upstream_slots (row),
-                    pool_slots (core, row->pool));
+    mf_window_note_slots_lost (&core->board.services.pools[row->pool], mf_upstream_slots (row),
+                               pool_slots (core, row->pool));
   row->health = health;
   row->health_reason = reason;
   row->health_since_us = core->board.now_us;
@@ -300,7 +300,7 @@
     {
       rank_members (core, &board->services.pools[i]);
       if (board->services.pools[i].role == MF_ROLE_PLAIN)
-        mf_window_begin (&board->services.pools[i], pool_slots (core, i));
+        mf_window_init (&board->services.pools[i], pool_slots (core, i));
     }
   mf_upstream_refresh_pools (core);
 }
--- a/libmangofork/voter.c
+++ b/libmangofork/voter.c
@@ -11,7 +11,7 @@
 #define CLOCK_SKEW_MS 1000
 
 static void
-view_raise (MfVoterState *voter, const MfOwner *owner)
+view_raise (MfVoterState *voter, const MfInstanceId *owner)
 {
   uint32_t i = mf_cell_find (&voter->cell, owner->name);
 
@@ -20,7 +20,7 @@
 }
 
 static uint32_t
-view_copy (const MfVoterState *voter, MfOwner *dst)
+view_copy (const MfVoterState *voter, MfInstanceId *dst)
 {
   for (uint32_t i = 0; i < voter->cell.n; i++)
     {
@@ -31,7 +31,7 @@
 }
 
 static uint64_t
-view_of (const MfOwner *view, uint32_t n_view, const char *name)
+view_of (const MfInstanceId *view, uint32_t n_view, const char *name)
 {
   for (uint32_t i = 0; i < n_view; i++)
     {
@@ -91,7 +91,7 @@
                  const char *reason)
 {
   voter->admitted = true;
-  core->board.admitted = true;
+  core->board.voter_admitted = true;
   voter->cold_ms = cold_ms;
   voter->cold_until_us = core->board.now_us + voter->key_life_us;
   voter->opaque_from_us = core->board.now_us + opaque_wait_us;
@@ -116,7 +116,7 @@
   voter->epoch = mf_cell_epoch (config);
   cell_replace (core, voter, &cell);
   voter->admitted = voter->index != MF_NONE && near && voter->admitted;
-  core->board.admitted = voter->admitted;
+  core->board.voter_admitted = voter->admitted;
   voter->next_admit_us = core->board.now_us;
   voter->admit_period_us = ADMIT_PERIOD_FIRST_US;
   if (!near)
@@ -229,7 +229,7 @@
 }
 
 void
-mf_voter_see (MfVoterState *voter, const MfOwner *peer)
+mf_voter_see (MfVoterState *voter, const MfInstanceId *peer)
 {
   view_raise (voter, peer);
 }
@@ -275,7 +275,7 @@
       vote->granted = !entry->inherited && entry->state == MF_KEY_RUNNING
                       && entry->claim_id == claim->claim_id && voter->admitted
                       && voter->epoch == claim->epoch
-                      && mf_owner_equal (&entry->holder, &claim->claimant);
+                      && mf_instance_id_equal (&entry->holder, &claim->claimant);
       vote->holder = entry->holder;
       vote->holder_claim_id = entry->claim_id;
       vote->state = entry->state;
@@ -416,7 +416,7 @@
       entry->claim_id = record->claim_id;
       entry->state = record->state;
     }
-  if (!mf_owner_equal (&entry->holder, &core->board.options.self))
+  if (!mf_instance_id_equal (&entry->holder, &core->board.options.self))
     entry->inherited = true;
   return true;
 }
@@ -461,7 +461,7 @@
 }
 
 void
-mf_voter_admitted (MfCore *core, MfVoterState *voter, const MfOwner *from,
+mf_voter_admitted (MfCore *core, MfVoterState *voter, const MfInstanceId *from,
                    const MfAdmittedMessage *answer)
 {
   uint32_t i = mf_cell_find (&voter->cell, from->name);
--- a/libmangofork/voter.h
+++ b/libmangofork/voter.h
@@ -40,13 +40,13 @@
 void mf_voter_config (MfCore *core, MfVoterState *voter);
 void mf_voter_tick (MfCore *core, MfVoterState *voter);
 /* An authenticated message came from this incarnation. */
-void mf_voter_see (MfVoterState *voter, const MfOwner *peer);
+void mf_voter_see (MfVoterState *voter, const MfInstanceId *peer);
 /* Fills vote; granted means that no other claim of this key was ever granted here. */
 void mf_voter_vote (MfCore *core, MfVoterState *voter, const MfClaimMessage *claim,
                     MfVoteMessage *vote);
 /* Answers a peer's request to be admitted; sends the answer. */
 void mf_voter_admit (MfCore *core, MfVoterState *voter, const MfAdmitMessage *admit);
-void mf_voter_admitted (MfCore *core, MfVoterState *voter, const MfOwner *from,
+void mf_voter_admitted (MfCore *core, MfVoterState *voter, const MfInstanceId *from,
                         const MfAdmittedMessage *answer);
 
 #endif
--- a/libmangofork/window.c
+++ b/libmangofork/window.c
@@ -22,7 +22,7 @@
 
 /* Sets the initial window to a part of the pool's slots. */
 void
-mf_window_begin (MfPoolRow *pool, uint32_t n_slots)
+mf_window_init (MfPoolRow *pool, uint32_t n_slots)
 {
   if (pool->window_milli == 0)
     pool->window_milli = n_slots * MILLI / INIT_DIVISOR + WINDOW_MIN_MILLI;
@@ -38,7 +38,7 @@
 /* Counts one more request at the pool. A spare one was placed in a free slot beside the window, and
  * widens it. */
 void
-mf_window_take (MfPoolRow *pool, bool spare)
+mf_window_acquire (MfPoolRow *pool, bool spare)
 {
   pool->n_own++;
   if (spare && pool->window_milli < pool->n_own * MILLI)
@@ -46,7 +46,7 @@
 }
 
 void
-mf_window_give (MfPoolRow *pool)
+mf_window_release (MfPoolRow *pool)
 {
   pool->n_own--;
 }
@@ -79,14 +79,14 @@
 }
 
 void
-mf_window_lose (MfPoolRow *pool, uint32_t n_slots, uint32_t n_slots_before)
+mf_window_note_slots_lost (MfPoolRow *pool, uint32_t n_slots, uint32_t n_slots_before)
 {
   if (n_slots_before > 0)
     narrow (pool, (uint32_t)((uint64_t)pool->window_milli * n_slots / n_slots_before));
 }
 
 void
-mf_window_note_loss (MfPoolRow *pool)
+mf_window_note_kv_expired (MfPoolRow *pool)
 {
   narrow (pool, pool->window_milli / KV_EXPIRED_FALL_DIVISOR);
 }
--- a/tests/fakes/cores.c
+++ b/tests/fakes/cores.c
@@ -84,7 +84,7 @@
 {
   Post *it = calloc (1, sizeof *it);
 
-  it->node.position = MF_HEAP_OUT;
+  it->node.position = MF_HEAP_NO_POSITION;
   it->slot = slot;
   it->incarnation = cores->slots[slot].incarnation;
   it->event = *event;
@@ -111,7 +111,7 @@
 }
 
 static void
-slot_owner (const FakeCores *cores, uint32_t slot, MfOwner *owner)
+slot_owner (const FakeCores *cores, uint32_t slot, MfInstanceId *owner)
 {
   owner->incarnation = cores->slots[slot].incarnation;
   snprintf (owner->name, sizeof owner->name, "n%u", slot);
@@ -199,31 +199,31 @@
 }
 
 static void
-fill_text (const FakeCores *cores, uint32_t slot, MfTextEvent *text)
+fill_text (const FakeCores *cores, uint32_t slot, MfPlatformTextEvent *text)
 {
   uint32_t i = cores->slots[slot].platform == FAKE_PLATFORM_STALE ? 0 : cores->n_texts - 1;
 
-  *text = (MfTextEvent){ cores->revisions[i], cores->texts[i], strlen (cores->texts[i]) };
+  *text = (MfPlatformTextEvent){ cores->revisions[i], cores->texts[i], strlen (cores->texts[i]) };
 }
 
 static void
 platform_read (FakeCores *cores, uint32_t slot, const MfAction *action)
 {
-  MfEvent event = { .type = MF_EVENT_TEXT };
+  MfEvent event = { .type = MF_EVENT_PLATFORM_TEXT };
   uint64_t delay_us = cores->options.delay_us;
   Slot *self = &cores->slots[slot];
-  bool text = action->type == MF_ACTION_PLATFORM_TEXT;
+  bool text = action->type == MF_ACTION_PLATFORM_READ_TEXT;
 
   cores->n_platform_calls++;
   if (self->platform == FAKE_PLATFORM_DOWN || (text && cores->n_texts == 0))
     {
-      event.type = MF_EVENT_PLATFORM_LOST;
-      event.lost = (MfLostEvent){ .text = text, .list = !text };
+      event.type = MF_EVENT_PLATFORM_FAILED;
+      event.platform_failed = (MfPlatformFailedEvent){ .text = text, .list = !text };
       post (cores, slot, delay_us, &event);
     }
   else if (!text)
     {
-      event.type = MF_EVENT_LIST;
+      event.type = MF_EVENT_PLATFORM_LIST;
       event.list.index = 1;
       post (cores, slot, action->platform_index >= 1 ? WATCH_US : delay_us, &event);
     }
@@ -261,15 +261,15 @@
     case MF_ACTION_PEER_SEND:
       peer_send (cores, self->slot, &action->peer);
       break;
-    case MF_ACTION_PLATFORM_TEXT:
-    case MF_ACTION_PLATFORM_LIST:
+    case MF_ACTION_PLATFORM_READ_TEXT:
+    case MF_ACTION_PLATFORM_READ_LIST:
       platform_read (cores, self->slot, action);
       break;
     case MF_ACTION_CALL_START:
       if (cores->options.on_call != NULL)
         cores->options.on_call (cores, self->slot, &action->call, cores->options.data);
       break;
-    case MF_ACTION_ANSWER_WHOLE:
+    case MF_ACTION_ANSWER_PLAIN:
     case MF_ACTION_ANSWER_REFUSE:
       if (cores->options.on_answer != NULL)
         cores->options.on_answer (cores, self->slot, action, cores->options.data);
@@ -392,7 +392,7 @@
 void
 fake_cores_publish (FakeCores *cores, uint64_t revision, const char *text)
 {
-  MfEvent event = { .type = MF_EVENT_TEXT };
+  MfEvent event = { .type = MF_EVENT_PLATFORM_TEXT };
 
   cores->revisions[cores->n_texts] = revision;
   cores->texts[cores->n_texts++] = strdup (text);
@@ -415,7 +415,7 @@
 
   event->now_us = cores->now_us;
   event->wall_ms = WALL_MS + cores->now_us / MF_US_PER_MS;
-  if (event->type == MF_EVENT_LIST)
+  if (event->type == MF_EVENT_PLATFORM_LIST)
     {
       listed = calloc (list_max, sizeof *listed);
       event->list.n_listed = cores->options.n_slots;
--- a/tests/fakes/engine_http.c
+++ b/tests/fakes/engine_http.c
@@ -117,11 +117,11 @@
 }
 
 static bool
-parse_owner (const char *text, MfOwner *owner)
+parse_owner (const char *text, MfInstanceId *owner)
 {
   const char *colon = strchr (text, ':');
 
-  *owner = (MfOwner){ 0 };
+  *owner = (MfInstanceId){ 0 };
   if (colon == NULL || (size_t)(colon - text) >= sizeof owner->name)
     return false;
   memcpy (owner->name, text, (size_t)(colon - text));
@@ -333,7 +333,7 @@
 on_abort (FakeEngineHttp *engine, FakeConn *conn, json_object *body)
 {
   const char *rid = fake_setting_text (body, "rid", "");
-  MfOwner owner;
+  MfInstanceId owner;
   FakeWorkId id;
   Work *work = work_find (engine, rid);
   Work *next;
--- a/tests/fakes/engine_model.c
+++ b/tests/fakes/engine_model.c
@@ -663,13 +663,13 @@
 }
 
 uint32_t
-fake_engine_cancel_owner (FakeEngine *engine, const MfOwner *owner, uint64_t now_us)
+fake_engine_cancel_owner (FakeEngine *engine, const MfInstanceId *owner, uint64_t now_us)
 {
   uint32_t n = 0;
 
   for (uint32_t i = engine->n_works; i-- > 0;)
     {
-      const MfOwner *held = &engine->works[i].work.id.owner;
+      const MfInstanceId *held = &engine->works[i].work.id.owner;
 
       if (held->incarnation != owner->incarnation || strcmp (held->name, owner->name) != 0)
         continue;
--- a/tests/fakes/engine_model.h
+++ b/tests/fakes/engine_model.h
@@ -35,7 +35,7 @@
 /* Who a piece of work belongs to. */
 typedef struct
 {
-  MfOwner owner;
+  MfInstanceId owner;
   uint64_t request_id;
   uint32_t attempt;
 } FakeWorkId;
@@ -127,7 +127,7 @@
 void fake_engine_detach (FakeEngine *engine, const FakeWorkId *id, uint64_t now_us);
 /* Frees work at once; returns whether any was found. Cancelling what is not there is no error. */
 bool fake_engine_cancel (FakeEngine *engine, const FakeWorkId *id, uint64_t now_us);
-uint32_t fake_engine_cancel_owner (FakeEngine *engine, const MfOwner *owner, uint64_t now_us);
+uint32_t fake_engine_cancel_owner (FakeEngine *engine, const MfInstanceId *owner, uint64_t now_us);
 
 /* When fake_engine_run is next due; UINT64_MAX when idle. func must not call the engine back: it
  * notes the event, and what follows from it is done after the run. */
--- a/tests/fakes/rig.c
+++ b/tests/fakes/rig.c
@@ -685,7 +685,7 @@
       note_tokens (rig, &action->answer);
       break;
     case MF_ACTION_ANSWER_END:
-    case MF_ACTION_ANSWER_WHOLE:
+    case MF_ACTION_ANSWER_PLAIN:
       note_end (rig, &action->answer, MF_CODE_OK);
       break;
     case MF_ACTION_ANSWER_REFUSE:
@@ -700,9 +700,9 @@
     case MF_ACTION_EXIT:
       rig->exited[rig->acting] = true;
       break;
-    case MF_ACTION_PLATFORM_LIST:
+    case MF_ACTION_PLATFORM_READ_LIST:
       if (action->platform_index == 0)
-        event_add (rig, rig->acting, MF_EVENT_LIST, rig->now_us + PEER_HOP_US);
+        event_add (rig, rig->acting, MF_EVENT_PLATFORM_LIST, rig->now_us + PEER_HOP_US);
       break;
     default:
       break;
@@ -723,7 +723,8 @@
       mf_name_set (listed[i].address, MF_ADDRESS_BYTES, options->address);
       mf_name_set (listed[i].data_centre, MF_NAME_BYTES, options->data_centre);
     }
-  event->list = (MfListEvent){ .index = 1, .listed = listed, .n_listed = rig->options.n_cores };
+  event->list
+      = (MfPlatformListEvent){ .index = 1, .listed = listed, .n_listed = rig->options.n_cores };
 }
 
 static bool
@@ -748,7 +749,7 @@
           due->event.call.data_bytes = strlen (due->data);
         }
     }
-  else if (due->event.type == MF_EVENT_LIST)
+  else if (due->event.type == MF_EVENT_PLATFORM_LIST)
     give_list (rig, &due->event);
   core_step (rig, due->core, &due->event);
 }
--- a/tests/one_core.c
+++ b/tests/one_core.c
@@ -31,7 +31,7 @@
     one->call_id = action->call.call_id;
   else if (action->type == MF_ACTION_ANSWER_REFUSE)
     one->code = action->answer.code;
-  else if (action->type == MF_ACTION_ANSWER_WHOLE)
+  else if (action->type == MF_ACTION_ANSWER_PLAIN)
     one->n_answered++;
 }
 
@@ -65,20 +65,20 @@
 one_core_new (void)
 {
   OneCore *one = calloc (1, sizeof *one);
-  MfEvent event = { .type = MF_EVENT_TEXT,
+  MfEvent event = { .type = MF_EVENT_PLATFORM_TEXT,
                     .text = { .revision = 7, .text = text, .text_bytes = sizeof text - 1 } };
-  MfListEvent list = { .index = 1 };
+  MfPlatformListEvent list = { .index = 1 };
   MfOptions options;
   MfError error = { 0 };
 
   assert_non_null (one);
   mf_core_options (&options);
-  options.self = (MfOwner){ .name = "entry-1", .incarnation = 9 };
+  options.self = (MfInstanceId){ .name = "entry-1", .incarnation = 9 };
   one->now_us = 1000 * MF_US_PER_S;
   one->core = mf_core_new (&options, one->now_us, 0, on_action, one, &error);
   assert_non_null (one->core);
   one_core_step (one, &event);
-  event = (MfEvent){ .type = MF_EVENT_LIST, .list = list };
+  event = (MfEvent){ .type = MF_EVENT_PLATFORM_LIST, .list = list };
   one_core_step (one, &event);
   one_core_wait (one, 5 * MF_US_PER_S);
   assert_non_null (one->core->board.config);
@@ -93,7 +93,7 @@
 }
 
 void
-one_core_request (OneCore *one, const char *name, const char *path, OneFate fate,
+one_core_request (OneCore *one, const char *name, const char *path, OneResult fate,
                   uint64_t answer_us)
 {
   uint64_t id = ++one->next_request;
@@ -109,7 +109,7 @@
   event = (MfEvent){ .type = MF_EVENT_CALL_SENT, .call = { .call_id = one->call_id } };
   one_core_step (one, &event);
   one_core_wait (one, answer_us);
-  if (fate == ONE_LEAVES)
+  if (fate == ONE_CALLER_LEAVES)
     event = (MfEvent){ .type = MF_EVENT_DEPARTED, .departed_id = id };
   else
     {
--- a/tests/one_core.h
+++ b/tests/one_core.h
@@ -22,16 +22,16 @@
 typedef enum
 {
   ONE_ANSWERS,
-  ONE_FAILS,  /* the connection breaks after the call was sent */
-  ONE_LEAVES, /* the caller disconnects after the call was sent */
-} OneFate;
+  ONE_FAILS,         /* the connection breaks after the call was sent */
+  ONE_CALLER_LEAVES, /* the caller disconnects after the call was sent */
+} OneResult;
 
 OneCore *one_core_new (void);
 void one_core_free (OneCore *one);
 void one_core_step (OneCore *one, MfEvent *event);
 void one_core_wait (OneCore *one, uint64_t us);
 /* Sends GET path with a request name; the answer arrives after answer_us. */
-void one_core_request (OneCore *one, const char *name, const char *path, OneFate fate,
+void one_core_request (OneCore *one, const char *name, const char *path, OneResult fate,
                        uint64_t answer_us);
 
 /* Parses the output of a renderer; the caller frees the object with json_object_put. */
--- a/tests/test_burn.c
+++ b/tests/test_burn.c
@@ -133,7 +133,7 @@
 {
   MfBurn *here = mf_burn_new (START_US);
   MfBurn *there = mf_burn_new (START_US);
-  MfOwner owner = { .name = "entry-2", .incarnation = 7 };
+  MfInstanceId owner = { .name = "entry-2", .incarnation = 7 };
   uint8_t digest[2048];
   size_t n;
 
@@ -169,7 +169,7 @@
 {
   MfBurn *here = mf_burn_new (START_US + 10);
   MfBurn *there = mf_burn_new (START_US);
-  MfOwner owner = { .name = "entry-2", .incarnation = 7 };
+  MfInstanceId owner = { .name = "entry-2", .incarnation = 7 };
   uint8_t digest[2048];
   MfBurnSample sample = good_sample ();
   MfBurnCounts counts;
@@ -199,7 +199,7 @@
 {
   MfBurn *here = mf_burn_new (START_US + MINUTE_US);
   MfBurn *there = mf_burn_new (START_US);
-  MfOwner owner = { .name = "entry-2", .incarnation = 7 };
+  MfInstanceId owner = { .name = "entry-2", .incarnation = 7 };
   uint8_t digest[2048];
   size_t n;
 
@@ -222,7 +222,7 @@
 {
   MfBurn *here = mf_burn_new (START_US);
   MfBurn *there = mf_burn_new (START_US);
-  MfOwner owner = { .name = "entry-2", .incarnation = 7 };
+  MfInstanceId owner = { .name = "entry-2", .incarnation = 7 };
   uint8_t digest[2048];
   uint8_t *copy;
   size_t n;
@@ -260,7 +260,7 @@
   };
   MfBurn *here = mf_burn_new (START_US);
   MfBurn *there = mf_burn_new (START_US);
-  MfOwner owner = { .name = "entry-2", .incarnation = 7 };
+  MfInstanceId owner = { .name = "entry-2", .incarnation = 7 };
   MfCustomer *customers = calloc (N, sizeof *customers);
   MfConfig config
       = { .services = &service, .n_services = 1, .customers = customers, .n_customers = N };
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -163,8 +163,8 @@
                                  .path = "/orders",
                                  .method = "POST",
                                  .digest = body_digest,
-                                 .has_key = true,
-                                 .key_minted_ms = minted_ms } };
+                                 .has_idempotency_key = true,
+                                 .key_created_ms = minted_ms } };
 
   snprintf ((char *)event.request.key_digest, MF_DIGEST_BYTES, "key %u", key);
   desk->requests[id]
@@ -320,11 +320,11 @@
   Desk *desk = *state;
   const MfMember *member;
 
-  assert_true (fake_cores_core (desk->cores, 1)->board.admitted);
+  assert_true (fake_cores_core (desk->cores, 1)->board.voter_admitted);
   fake_cores_start (desk->cores, 1);
-  assert_false (fake_cores_core (desk->cores, 1)->board.admitted);
+  assert_false (fake_cores_core (desk->cores, 1)->board.voter_admitted);
   desk_run (desk, 2 * MF_US_PER_S);
-  assert_true (fake_cores_core (desk->cores, 1)->board.admitted);
+  assert_true (fake_cores_core (desk->cores, 1)->board.voter_admitted);
   member = mf_member_find (fake_cores_core (desk->cores, 0), "n1");
   assert_non_null (member);
   assert_true (member->admitted);
@@ -630,23 +630,24 @@
 {
   MfOptions options;
   MfError error = { 0 };
-  MfEvent event = { .type = MF_EVENT_TEXT, .now_us = 1, .wall_ms = 1700000000000 };
+  MfEvent event = { .type = MF_EVENT_PLATFORM_TEXT, .now_us = 1, .wall_ms = 1700000000000 };
   MfCore *core;
 
   mf_core_options (&options);
   mf_name_set (options.self.name, sizeof options.self.name, "outsider");
   core = mf_core_new (&options, 1, event.wall_ms, note_call, asked, &error);
-  event.text
-      = (MfTextEvent){ .revision = 1, .text = patient_text, .text_bytes = strlen (patient_text) };
+  event.text = (MfPlatformTextEvent){ .revision = 1,
+                                      .text = patient_text,
+                                      .text_bytes = strlen (patient_text) };
   mf_core_step (core, &event);
   event.type = MF_EVENT_REQUEST;
   event.request = (MfRequestEvent){ .request_id = 1,
                                     .name = "order",
                                     .path = "/orders",
                                     .method = "POST",
-                                    .has_key = true,
+                                    .has_idempotency_key = true,
                                     .key_digest = { 'k' },
-                                    .key_minted_ms = event.wall_ms };
+                                    .key_created_ms = event.wall_ms };
   mf_core_step (core, &event);
   memcpy (key, event.request.key_digest, MF_DIGEST_BYTES);
   return core;
--- a/tests/test_http_in.c
+++ b/tests/test_http_in.c
@@ -219,7 +219,7 @@
   fixture->n_requests = 0;
   loop_send (fd, "GET /stock/3?x=1 HTTP/1.1\r\nHost: x\r\n\r\n", 39);
   assert_true (loop_pump (fixture->loop, has_request, fixture));
-  answer (fixture, MF_ACTION_ANSWER_WHOLE, "seven", 0);
+  answer (fixture, MF_ACTION_ANSWER_PLAIN, "seven", 0);
   loop_receive (fixture->loop, fd, "seven", got, sizeof got);
   assert_non_null (strstr (got, "Mangofork-Replayed: yes"));
   assert_non_null (strstr (got, "text/plain"));
--- a/tests/test_intake.c
+++ b/tests/test_intake.c
@@ -160,8 +160,8 @@
   (void)state;
   source.idempotency_key = "01890a5d-ac96-774b-bcce-b302099a8057";
   assert_true (mf_intake_read (&source, 1, &first, &error));
-  assert_true (first.request.has_key);
-  assert_true (first.request.key_minted_ms == UINT64_C (0x01890a5dac96));
+  assert_true (first.request.has_idempotency_key);
+  assert_true (first.request.key_created_ms == UINT64_C (0x01890a5dac96));
   source.idempotency_key = "\"01890a5d-ac96-774b-bcce-b302099a8057\"";
   assert_true (mf_intake_read (&source, 1, &second, &error));
   assert_memory_equal (first.request.key_digest, second.request.key_digest, MF_DIGEST_BYTES);
@@ -170,7 +170,7 @@
   assert_memory_not_equal (first.request.key_digest, second.request.key_digest, MF_DIGEST_BYTES);
   source.idempotency_key = "01890a5d-ac96-474b-bcce-b302099a8057";
   assert_true (mf_intake_read (&source, 1, &second, &error));
-  assert_true (second.request.key_minted_ms == 0);
+  assert_true (second.request.key_created_ms == 0);
   source.idempotency_key = "\"\"";
   assert_int_equal (read_code (&source), MF_CODE_KEY_BAD);
 }
--- a/tests/test_openai.c
+++ b/tests/test_openai.c
@@ -25,7 +25,7 @@
   char text[TEXT_BYTES];
 } Found;
 
-static const MfOwner self = { .name = "entry-1", .incarnation = 0x1f };
+static const MfInstanceId self = { .name = "entry-1", .incarnation = 0x1f };
 static const MfEngineAdapter *const adapter = &mf_openai_adapter;
 
 static void
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -29,7 +29,7 @@
   char text[32];
   MfListed listed[4];
   uint32_t n_listed;
-  MfLostEvent lost;
+  MfPlatformFailedEvent lost;
 } Rig;
 
 static void
@@ -39,20 +39,20 @@
 
   assert_true (rig->n_events < EVENTS_MAX);
   rig->types[rig->n_events++] = event->type;
-  if (event->type == MF_EVENT_TEXT)
+  if (event->type == MF_EVENT_PLATFORM_TEXT)
     {
       rig->revision = event->text.revision;
       rig->text_bytes = event->text.text_bytes;
       snprintf (rig->text, sizeof rig->text, "%.*s", (int)event->text.text_bytes, event->text.text);
     }
-  else if (event->type == MF_EVENT_LIST)
+  else if (event->type == MF_EVENT_PLATFORM_LIST)
     {
       rig->revision = event->list.index;
       rig->n_listed = event->list.n_listed;
       memcpy (rig->listed, event->list.listed, rig->n_listed * sizeof rig->listed[0]);
     }
   else
-    rig->lost = event->lost;
+    rig->lost = event->platform_failed;
 }
 
 static int
@@ -174,7 +174,7 @@
   free (text);
   mf_platform_read_text (rig->platform, 0);
   run_until (rig, 1);
-  assert_int_equal (rig->types[0], MF_EVENT_TEXT);
+  assert_int_equal (rig->types[0], MF_EVENT_PLATFORM_TEXT);
   assert_int_equal (rig->text_bytes, MF_TEXT_BYTES_MAX);
 }
 
@@ -218,7 +218,7 @@
 {
   mf_platform_read_text (rig->platform, 0);
   run_until (rig, n_events);
-  assert_int_equal (rig->types[n_events - 1], MF_EVENT_PLATFORM_LOST);
+  assert_int_equal (rig->types[n_events - 1], MF_EVENT_PLATFORM_FAILED);
   assert_true (rig->lost.text);
   assert_false (rig->lost.list);
 }
@@ -255,7 +255,7 @@
   wait_until_watched (rig);
   fake_platform_fault (rig->fake, "down", 0);
   run_until (rig, 2);
-  assert_int_equal (rig->types[1], MF_EVENT_PLATFORM_LOST);
+  assert_int_equal (rig->types[1], MF_EVENT_PLATFORM_FAILED);
 }
 
 int
--- a/tests/test_report.c
+++ b/tests/test_report.c
@@ -27,7 +27,7 @@
   (void)state;
   one_core_request (one, "a", "/orders/1", ONE_ANSWERS, 10 * MF_US_PER_MS);
   one_core_request (one, "b", "/orders/2", ONE_ANSWERS, 300 * MF_US_PER_MS);
-  one_core_request (one, "c", "/orders/3", ONE_LEAVES, 10 * MF_US_PER_MS);
+  one_core_request (one, "c", "/orders/3", ONE_CALLER_LEAVES, 10 * MF_US_PER_MS);
   one_core_request (one, "d", "/orders/4", ONE_FAILS, 10 * MF_US_PER_MS);
   report = report_of (one);
   assert_string_equal (one_core_text (report, "services.1.service"), "orders");
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -90,7 +90,7 @@
                                  .prompt_tokens = 100,
                                  .max_tokens = 50,
                                  .digest = 5,
-                                 .has_key = keyed } };
+                                 .has_idempotency_key = keyed } };
 
   step (fixture, &event);
 }
@@ -156,7 +156,7 @@
 static void
 check_pair (MfPhase phase, MfInput input)
 {
-  const MfClaimResult claim = { .verdict = MF_CLAIM_NO_QUORUM };
+  const MfClaimResult claim = { .decision = MF_CLAIM_NO_QUORUM };
   MfEvent event = { .type = input == MF_INPUT_DONE ? MF_EVENT_CALL_DONE : MF_EVENT_CALL_FAILED };
   MfEvent departed = { .type = MF_EVENT_DEPARTED, .departed_id = 1 };
   uint32_t n_before;
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -58,7 +58,7 @@
   uint32_t limit;
 
   *used -= (*used + 7) / 8;
-  mf_share_want (core, engine->upstream, engine->demand[slot]);
+  mf_share_set_demand (core, engine->upstream, engine->demand[slot]);
   limit = mf_share_limit (core, engine->upstream);
   while (*used < engine->demand[slot] && *used < limit)
     ++*used;
@@ -198,7 +198,7 @@
   for (uint32_t i = 0; i < 30 && core->board.config == NULL; i++)
     fake_cores_run (engine.cores, 100 * MF_US_PER_MS);
   assert_non_null (core->board.config);
-  mf_share_want (core, engine.upstream, 30);
+  mf_share_set_demand (core, engine.upstream, 30);
   assert_in_range (mf_share_limit (core, engine.upstream), 1, SLOTS / N + 1);
   fake_cores_free (engine.cores);
 }
--- a/tests/test_status.c
+++ b/tests/test_status.c
@@ -48,7 +48,7 @@
 {
   OneCore *one = one_core_new ();
   const char *bad = "{ \"services\": [],\n  \"pools\": 1 }";
-  MfEvent event = { .type = MF_EVENT_TEXT,
+  MfEvent event = { .type = MF_EVENT_PLATFORM_TEXT,
                     .text = { .revision = 8, .text = bad, .text_bytes = strlen (bad) } };
   json_object *status;
 
@@ -73,7 +73,7 @@
   json_object *steps;
 
   (void)state;
-  one_core_request (one, "left", "/orders/1", ONE_LEAVES, 10 * MF_US_PER_MS);
+  one_core_request (one, "left", "/orders/1", ONE_CALLER_LEAVES, 10 * MF_US_PER_MS);
   mf_trace_name (one->core->board.trace, one->next_request, "left");
   assert_false (mf_explain_render (one->core, "nobody", &buffer));
   assert_int_equal (mf_buffer_bytes (&buffer), 0);
