--- a/libmangofork/call.c
+++ b/libmangofork/call.c
@@ -4,8 +4,8 @@
 
 #include <stdlib.h>
 
-/* An engine that computes nothing for us in this long is given up. */
-#define FIRST_BYTE_US (10 * MF_US_PER_S)
+/* Timeout of the first byte of an upstream's answer, unless the request's deadline comes before. */
+#define FIRST_BYTE_TIMEOUT_US (10 * MF_US_PER_S)
 
 static void
 link_to_upstream (MfCore *core, MfCall *call)
@@ -39,14 +39,14 @@
                          ? request->deadline_us - core->board.now_us
                          : MF_US_PER_MS;
 
-  return left_us < FIRST_BYTE_US ? left_us : FIRST_BYTE_US;
+  return left_us < FIRST_BYTE_TIMEOUT_US ? left_us : FIRST_BYTE_TIMEOUT_US;
 }
 
 static void
 emit_start (MfCore *core, const MfRequest *request, const MfCall *call)
 {
   const MfUpstream *row = &core->board.upstreams[call->upstream];
-  uint32_t left
+  uint32_t tokens_left
       = request->max_tokens > request->delivered ? request->max_tokens - request->delivered : 0;
   MfAction action = {
     .type = MF_ACTION_CALL_START,
@@ -58,7 +58,7 @@
               .request_id = request->id,
               .attempt = call->attempt,
               .from_token = request->delivered,
-              .max_tokens = left,
+              .max_tokens = tokens_left,
               .prefill_call_id = request->prefill_call_id,
               .target_attempt = call->attempt,
               .priority = (uint32_t)request->class_,
@@ -71,14 +71,14 @@
 }
 
 static void
-count_held (MfCore *core, MfRequest *request, MfCall *call)
+account_call (MfCore *core, MfRequest *request, MfCall *call)
 {
   MfUpstream *row = &core->board.upstreams[call->upstream];
 
   call->pieces = request->pieces;
   if (call->kind == MF_CALL_PREFILL)
     call->pieces = (request->prompt_tokens + request->delivered) / MF_PIECE_TOKENS + 1;
-  call->held = true;
+  call->holds_pieces = true;
   if (call->kind == MF_CALL_DECODE && request->reserved == call->upstream)
     request->reserved = MF_NONE;
   else
@@ -86,7 +86,7 @@
   if (call->kind == MF_CALL_PREFILL)
     {
       call->prefill_tokens = request->prompt_tokens + request->delivered;
-      call->ahead_tokens
+      call->queued_tokens
           = mf_upstream_prefill_queue (row) + call->prefill_tokens - request->cached_tokens;
       row->own_prefill_tokens += call->prefill_tokens;
     }
@@ -94,7 +94,7 @@
   row->suspects += call->suspect;
 }
 
-/* Makes a call for the request and asks the adapters to start it. */
+/* Creates a call for the request and asks the adapters to start it. */
 MfCall *
 mf_call_start (MfCore *core, MfRequest *request, MfCallKind kind, uint32_t upstream)
 {
@@ -112,8 +112,8 @@
   request->calls = call;
   HASH_ADD (hh, core->board.requests->calls, id, sizeof call->id, call);
   link_to_upstream (core, call);
-  count_held (core, request, call);
-  mf_request_note (core, request, MF_TRACE_CALLED, upstream, MF_NONE, kind);
+  account_call (core, request, call);
+  mf_request_trace (core, request, MF_TRACE_CALLED, upstream, MF_NONE, kind);
   emit_start (core, request, call);
   return call;
 }
@@ -138,7 +138,7 @@
   *link = call->next;
   HASH_DEL (core->board.requests->calls, call);
   unlink_from_upstream (core, call);
-  if (call->held)
+  if (call->holds_pieces)
     mf_upstream_give (core, call->upstream, call->pieces);
   if (call->kind == MF_CALL_PREFILL && !call->prefilled)
     row->own_prefill_tokens -= call->prefill_tokens;
@@ -147,7 +147,7 @@
 }
 
 static bool
-holds_memory (const MfCall *call)
+may_hold_kv (const MfCall *call)
 {
   return call->kind == MF_CALL_PREFILL || call->kind == MF_CALL_DECODE
          || call->kind == MF_CALL_RESUME;
@@ -160,7 +160,7 @@
   MfAction action = { .type = MF_ACTION_CALL_ABORT, .call_id = call->id };
 
   mf_core_emit (core, &action);
-  if ((call->sent || call->kind == MF_CALL_RESUME) && !call->prefilled && holds_memory (call))
+  if ((call->sent || call->kind == MF_CALL_RESUME) && !call->prefilled && may_hold_kv (call))
     mf_debt_add (core, call->upstream, request->id, call->id, call->attempt);
   if (call->kind == MF_CALL_PREFILL && call->sent && !call->prefilled)
     request->wasted_tokens += call->prefill_tokens;
@@ -187,14 +187,14 @@
     mf_call_abandon (core, request->calls);
 }
 
-/* The KV that waits goes onto its prefill engine's link. */
+/* Counts the transfer of the waiting KV on the link of its prefill engine. */
 void
 mf_call_begin_transfer (MfCore *core, MfRequest *request)
 {
   MfUpstream *row = &core->board.upstreams[request->prefill_upstream];
 
   mf_call_end_transfer (core, request);
-  request->carried = true;
+  request->transferring = true;
   row->transfer_bytes += request->kv_bytes;
   if (row->n_transfers++ == 0)
     row->transfer_at_us = core->board.now_us;
@@ -205,9 +205,9 @@
 {
   MfUpstream *row = &core->board.upstreams[request->prefill_upstream];
 
-  if (!request->carried)
+  if (!request->transferring)
     return;
-  request->carried = false;
+  request->transferring = false;
   row->transfer_bytes -= request->kv_bytes;
   row->n_transfers--;
 }
@@ -215,7 +215,7 @@
 void
 mf_call_drop_prefill (MfCore *core, MfRequest *request, bool imported)
 {
-  MfAction action = { .type = MF_ACTION_CALL_FORGET, .call_id = request->prefill_call_id };
+  MfAction action = { .type = MF_ACTION_KV_HANDLE_DROP, .call_id = request->prefill_call_id };
 
   if (request->prefill_call_id == 0)
     return;
@@ -259,30 +259,30 @@
 }
 
 void
-mf_call_enter (MfCore *core, MfRequest *request, bool spare)
+mf_call_enter_window (MfCore *core, MfRequest *request, bool spare)
 {
   MfPoolRow *pool = window_pool (core, request);
 
   request->in_window = true;
-  request->coming = true;
-  pool->n_coming++;
-  mf_window_take (pool, spare);
+  request->in_transit = true;
+  pool->n_in_transit++;
+  mf_window_acquire (pool, spare);
 }
 
-/* The request is in its slot. */
+/* The request has its slot, or has given up waiting for one. */
 void
-mf_call_arrived (MfCore *core, MfRequest *request)
+mf_call_end_transit (MfCore *core, MfRequest *request)
 {
-  if (request->coming)
-    window_pool (core, request)->n_coming--;
-  request->coming = false;
+  if (request->in_transit)
+    window_pool (core, request)->n_in_transit--;
+  request->in_transit = false;
 }
 
 void
-mf_call_leave (MfCore *core, MfRequest *request)
+mf_call_leave_window (MfCore *core, MfRequest *request)
 {
-  mf_call_arrived (core, request);
+  mf_call_end_transit (core, request);
   if (request->in_window)
-    mf_window_give (window_pool (core, request));
+    mf_window_release (window_pool (core, request));
   request->in_window = false;
 }
--- a/libmangofork/finish.c
+++ b/libmangofork/finish.c
@@ -2,7 +2,7 @@
 #include "queue.h"
 
 static void
-note_end (MfCore *core, MfRequest *request, MfCode code, MfEndedBy by)
+record_end (MfCore *core, MfRequest *request, MfCode code, MfEndedBy by)
 {
   MfBoard *board = &core->board;
   const MfServiceRow *service = &board->services.rows[request->service];
@@ -26,7 +26,7 @@
     .outcome = mf_finish_outcome (request),
     .refused = code != MF_CODE_OK && code != MF_CODE_DEPARTED && request->delivered == 0,
     .departed = code == MF_CODE_DEPARTED,
-    .ttft_us = request->first_us > 0 ? request->first_us - request->arrived_us : 0,
+    .ttft_us = request->first_output_us > 0 ? request->first_output_us - request->arrived_us : 0,
     .n_gaps = request->n_gaps,
     .n_gaps_late = request->n_gaps_late,
     .prefill_tokens = request->prefill_tokens,
@@ -44,7 +44,7 @@
     mf_burn_note (board->burn, board->config, &sample, board->now_us);
 }
 
-/* What can be said about whether any of the work ran. Calls still open that were sent count as
+/* Returns whether any of the work ran, as far as known. A running call that was sent counts as
  * unknown. */
 MfOutcome
 mf_finish_outcome (const MfRequest *request)
@@ -70,30 +70,30 @@
   mf_claim_finish (core, request->id, result);
 }
 
-/* Releases all that the request holds, here and at upstreams. */
+/* Releases everything that the request holds, in this instance and at upstreams. */
 static void
-release (MfCore *core, MfRequest *request)
+release_resources (MfCore *core, MfRequest *request)
 {
   if (request->queued)
     mf_queue_remove (core, request);
   mf_call_abandon_all (core, request);
   mf_call_drop_prefill (core, request, false);
   mf_call_unreserve (core, request);
-  mf_call_leave (core, request);
-  mf_queue_end_wait (core, request);
-  mf_queue_stir (core);
+  mf_call_leave_window (core, request);
+  mf_queue_remove_transfer (core, request);
+  mf_queue_schedule_pass (core);
 }
 
-/* The answer is whole. The event is the last of its call. */
+/* Ends a request whose answer is complete. For a plain call, event is its last one. */
 void
 mf_finish_answered (MfCore *core, MfRequest *request, const MfEvent *event)
 {
   bool plain = event != NULL && mf_request_service (core, request)->config.kind == MF_SERVICE_PLAIN;
   MfAction action = {
-    .type = plain ? MF_ACTION_ANSWER_WHOLE : MF_ACTION_ANSWER_END,
+    .type = plain ? MF_ACTION_ANSWER_PLAIN : MF_ACTION_ANSWER_END,
     .answer = { .request_id = request->id, .status = 200, .outcome = MF_OUTCOME_RAN },
   };
-  MfClaimResult result = { .verdict = MF_CLAIM_ANSWERED, .outcome = MF_OUTCOME_RAN };
+  MfClaimResult result = { .decision = MF_CLAIM_ANSWERED, .outcome = MF_OUTCOME_RAN };
 
   request->ran = true;
   if (plain)
@@ -104,19 +104,20 @@
       result.body_bytes = action.answer.data_bytes = event->call.data_bytes;
     }
   settle_claim (core, request, &result);
-  release (core, request);
+  release_resources (core, request);
   if (!request->departed)
     mf_core_emit (core, &action);
-  note_end (core, request, request->departed ? MF_CODE_DEPARTED : MF_CODE_OK, MF_ENDED_BY_UPSTREAM);
+  record_end (core, request, request->departed ? MF_CODE_DEPARTED : MF_CODE_OK,
+              MF_ENDED_BY_UPSTREAM);
   mf_request_remove (core, request);
 }
 
-/* An earlier run's recorded answer is given again. */
+/* Answers a request with the recorded answer of an earlier run under the same key. */
 void
 mf_finish_replayed (MfCore *core, MfRequest *request, const MfClaimResult *claim)
 {
   MfAction action = {
-    .type = MF_ACTION_ANSWER_WHOLE,
+    .type = MF_ACTION_ANSWER_PLAIN,
     .answer = { .request_id = request->id,
                 .status = claim->status,
                 .content_type = claim->content_type,
@@ -127,15 +128,15 @@
   };
 
   request->ran = true;
-  request->first_us = core->board.now_us;
+  request->first_output_us = core->board.now_us;
   mf_counter_add (&core->board.counters, MF_COUNTER_REPLAYS, 1);
   mf_core_emit (core, &action);
-  note_end (core, request, MF_CODE_OK, MF_ENDED_BY_INSTANCE);
+  record_end (core, request, MF_CODE_OK, MF_ENDED_BY_INSTANCE);
   mf_request_remove (core, request);
 }
 
-/* Whether a code blames an upstream. A conviction, and that none is left, are this instance's own
- * decisions. */
+/* Returns whether the code attributes the failure to an upstream. That a request is poison, or that
+ * no upstream is left, is decided by this instance. */
 static bool
 ended_by_upstream (MfCode code)
 {
@@ -143,8 +144,8 @@
          || code == MF_CODE_UPSTREAM_STALLED || code == MF_CODE_ANSWER_TOO_LARGE;
 }
 
-/* Refuses the request. What it says about the work comes from the request's own history, but for
- * codes that are about an earlier run. */
+/* Refuses the request. The outcome follows from the request's own calls, except for codes that
+ * describe an earlier run. */
 void
 mf_finish_refused (MfCore *core, MfRequest *request, MfCode code, uint64_t retry_after_ms)
 {
@@ -157,36 +158,37 @@
                 .status = info->http_status,
                 .retry_after_ms = retry_after_ms },
   };
-  MfClaimResult result = { .verdict = MF_CLAIM_UNKNOWN, .code = code };
+  MfClaimResult result = { .decision = MF_CLAIM_UNKNOWN, .code = code };
 
   if (code == MF_CODE_KEY_UNKNOWN || code == MF_CODE_KEY_TOO_OLD || code == MF_CODE_POISON)
     outcome = info->outcome;
   action.answer.outcome = result.outcome = outcome;
   settle_claim (core, request, &result);
-  release (core, request);
+  release_resources (core, request);
   if (!request->departed)
     mf_core_emit (core, &action);
-  note_end (core, request, request->departed ? MF_CODE_DEPARTED : code,
-            ended_by_upstream (code) ? MF_ENDED_BY_UPSTREAM : MF_ENDED_BY_INSTANCE);
+  record_end (core, request, request->departed ? MF_CODE_DEPARTED : code,
+              ended_by_upstream (code) ? MF_ENDED_BY_UPSTREAM : MF_ENDED_BY_INSTANCE);
   mf_request_remove (core, request);
 }
 
-/* The caller is gone: nothing is answered, and what it held is freed. */
+/* Ends a request whose caller has disconnected: no answer is sent, and what it holds is
+ * released. */
 void
 mf_finish_departed (MfCore *core, MfRequest *request)
 {
-  MfClaimResult result = { .verdict = MF_CLAIM_UNKNOWN, .code = MF_CODE_DEPARTED };
+  MfClaimResult result = { .decision = MF_CLAIM_UNKNOWN, .code = MF_CODE_DEPARTED };
 
   result.outcome = mf_finish_outcome (request);
   settle_claim (core, request, &result);
-  release (core, request);
-  note_end (core, request, MF_CODE_DEPARTED, MF_ENDED_BY_CALLER);
+  release_resources (core, request);
+  record_end (core, request, MF_CODE_DEPARTED, MF_ENDED_BY_CALLER);
   mf_request_remove (core, request);
 }
 
 void
-mf_finish_turned_away (MfCore *core, const MfRequestEvent *event, uint32_t service,
-                       uint32_t customer, MfCode code, uint64_t retry_after_ms)
+mf_finish_not_admitted (MfCore *core, const MfRequestEvent *event, uint32_t service,
+                        uint32_t customer, MfCode code, uint64_t retry_after_ms)
 {
   MfBoard *board = &core->board;
   const MfCodeInfo *info = mf_code_info (code);
--- a/libmangofork/life.c
+++ b/libmangofork/life.c
@@ -7,39 +7,46 @@
 #include "suspect_core.h"
 #include "window.h"
 
-/* A stream without a token for this long is taken to be broken. */
+/* A stream without a token for STALL_BASE_US plus STALL_TOKEN_GAPS times the service's target time
+ * between tokens is considered broken. */
 #define STALL_BASE_US (600 * MF_US_PER_MS)
-#define STALL_GAPS 12
-/* An engine that holds a broken stream answers a resume within this, or is not asked again. */
-#define RESUME_WAIT_US (250 * MF_US_PER_MS)
-/* A prefill is given up after this many times its predicted time, and no sooner than the least. */
+#define STALL_TOKEN_GAPS 12
+/* Time in which an engine must answer a resume; after that the request is retried from a new
+ * prefill. */
+#define RESUME_TIMEOUT_US (250 * MF_US_PER_MS)
+/* A prefill times out after PREFILL_STALL_FACTOR times its predicted time to the first token, but
+ * not before PREFILL_STALL_MIN_US. */
 #define PREFILL_STALL_FACTOR 4
 #define PREFILL_STALL_MIN_US (1500 * MF_US_PER_MS)
-/* Between two looks for a free decode engine while a KV waits. */
-#define TRANSFER_LOOK_US (4 * MF_US_PER_MS)
-/* The time an import takes at least; a KV with less life left is given up. */
+/* Interval of the checks for a free decode engine while a KV waits. */
+#define TRANSFER_POLL_US (4 * MF_US_PER_MS)
+/* Minimum duration of a KV import. A waiting KV with less time left to its expiry is discarded. */
 #define IMPORT_MIN_US (10 * MF_US_PER_MS)
-/* A link that carried nothing of ours for this long, and this many times what the KV should take,
- * is stalled. */
-#define CARRY_PATIENCE_US (150 * MF_US_PER_MS)
-#define CARRY_FACTOR 2
-#define CARRY_RATE_MIN 1e9
-/* Tokens past the place where its upstream died that clear a suspect. */
-#define CLEAR_TOKENS 8
+/* A link is considered stalled when no transfer of this instance on it has ended for
+ * TRANSFER_TIMEOUT_MIN_US plus TRANSFER_TIMEOUT_FACTOR times the expected duration of the transfers
+ * on it. The default rate applies until one has been observed. */
+#define TRANSFER_TIMEOUT_MIN_US (150 * MF_US_PER_MS)
+#define TRANSFER_TIMEOUT_FACTOR 2
+#define LINK_RATE_DEFAULT_BYTES_PER_S 1e9
+/* A suspect is cleared once it has delivered this many tokens more than when its upstream
+ * failed. */
+#define SUSPECT_CLEAR_TOKENS 8
 #define CLAIMS_MAX 3
-/* Time to read what came in during a pause, before anything is called stalled. */
-#define WOKE_GRACE_US (100 * MF_US_PER_MS)
-/* An upstream that refused is not asked again for this long, unless one of our own leaves it. */
-#define FULL_US (40 * MF_US_PER_MS)
-#define HEDGE_MIN_US (10 * MF_US_PER_MS)
-#define HEDGE_ANSWERS 3
-
-/* One input to one request. */
+/* After a pause of this process, time to read the input that arrived meanwhile before an upstream
+ * is considered stalled. */
+#define PAUSE_GRACE_US (100 * MF_US_PER_MS)
+/* An upstream that refused a call for lack of capacity gets no new one for this long, or until a
+ * call of this instance there ends. */
+#define UPSTREAM_FULL_US (40 * MF_US_PER_MS)
+#define HEDGE_DELAY_MIN_US (10 * MF_US_PER_MS)
+#define HEDGE_ANSWER_FACTOR 3
+
+/* One input to the state machine of one request. */
 typedef struct
 {
   MfCore *core;
   MfRequest *request;
-  MfCall *call;         /* NULL unless it comes from a call */
+  MfCall *call;         /* NULL unless the input comes from a call */
   const MfEvent *event; /* NULL for a timer and a claim */
   const MfClaimResult *claim;
 } Step;
@@ -57,25 +64,27 @@
 {
   const MfServiceRow *service = mf_request_service (core, request);
 
-  return STALL_BASE_US + STALL_GAPS * service->config.tbt_target_us;
+  return STALL_BASE_US + STALL_TOKEN_GAPS * service->config.tbt_target_us;
 }
 
-/* Whether this process was paused after that time: what seems to have taken long may have come in
- * meanwhile, and no upstream is to blame. */
+/* Returns whether this process was paused after since_us. A duration that spans a pause is not
+ * counted against an upstream: its event may have arrived during the pause and been read
+ * afterwards. */
 static bool
 spans_pause (const MfCore *core, uint64_t since_us)
 {
-  return core->board.woke_us > since_us;
+  return core->board.process_pause_end_us > since_us;
 }
 
-/* Gives a request more time when this process has only just woken: its answer may be waiting to be
- * read. Returns whether it did. */
+/* Extends the timeout of a request when this process has just resumed after a pause, because the
+ * answer may still be waiting to be read. Returns whether it did. */
 static bool
-bear_with_pause (const Step *step)
+extend_after_pause (const Step *step)
 {
   MfCore *core = step->core;
 
-  if (core->board.woke_us == 0 || now_us (step) >= core->board.woke_us + WOKE_GRACE_US)
+  if (core->board.process_pause_end_us == 0
+      || now_us (step) >= core->board.process_pause_end_us + PAUSE_GRACE_US)
     return false;
   mf_request_check_at (core, step->request, now_us (step) + stall_us (core, step->request));
   return true;
@@ -88,23 +97,24 @@
 }
 
 static void
-let_go (MfCore *core, MfRequest *request)
+release_resources (MfCore *core, MfRequest *request)
 {
   mf_call_abandon_all (core, request);
   mf_call_drop_prefill (core, request, false);
   mf_call_unreserve (core, request);
-  mf_call_leave (core, request);
-  mf_queue_end_wait (core, request);
+  mf_call_leave_window (core, request);
+  mf_queue_remove_transfer (core, request);
   request->n_refused = 0;
 }
 
-/* Sends the request back to its queue for another try, or refuses it when no try is left. */
+/* Queues the request again for a retry. Refuses it if its deadline has passed, or with code if the
+ * policy allows no further retry. */
 static void
-try_again (MfCore *core, MfRequest *request, MfCode code)
+retry_or_refuse (MfCore *core, MfRequest *request, MfCode code)
 {
   uint64_t delay_us;
 
-  let_go (core, request);
+  release_resources (core, request);
   if (core->board.now_us >= request->deadline_us)
     {
       mf_finish_refused (core, request, MF_CODE_DEADLINE, 0);
@@ -118,36 +128,37 @@
   request->n_retries++;
   request->not_before_us = core->board.now_us + delay_us;
   mf_counter_add (&core->board.counters, MF_COUNTER_RETRIES, 1);
-  mf_request_note (core, request, MF_TRACE_RETRIED, request->last_upstream, MF_NONE,
-                   request->delivered);
+  mf_request_trace (core, request, MF_TRACE_RETRIED, request->last_upstream, MF_NONE,
+                    request->delivered);
   mf_request_set_phase (request, MF_PHASE_QUEUED);
-  mf_queue_add_again (core, request);
+  mf_queue_requeue (core, request);
 }
 
-/* An engine had no room and ran nothing: the request waits for its turn again, which is no retry.
- */
+/* Queues the request again after an upstream refused it for lack of capacity and ran none of it.
+ * Under a policy with queues this does not count as a retry. */
 static void
-back_to_queue (MfCore *core, MfRequest *request)
+requeue (MfCore *core, MfRequest *request)
 {
   if (!mf_policy (core)->queues)
     {
-      try_again (core, request, MF_CODE_QUEUE_FULL);
+      retry_or_refuse (core, request, MF_CODE_QUEUE_FULL);
       return;
     }
-  let_go (core, request);
+  release_resources (core, request);
   request->not_before_us = 0;
   mf_request_set_phase (request, MF_PHASE_QUEUED);
-  mf_queue_add_again (core, request);
+  mf_queue_requeue (core, request);
 }
 
-/* The upstream has refused for want of room. */
+/* The upstream has refused a call for lack of capacity. */
 static void
-note_full (MfCore *core, uint32_t upstream)
+note_upstream_full (MfCore *core, uint32_t upstream)
 {
-  core->board.upstreams[upstream].full_until_us = core->board.now_us + FULL_US;
+  core->board.upstreams[upstream].full_until_us = core->board.now_us + UPSTREAM_FULL_US;
 }
 
-/* The call is over without a whole answer. Returns whether it certainly ran nothing. */
+/* Ends a call that got no complete answer. Returns true if the upstream certainly ran none of
+ * it. */
 static bool
 end_failed (const Step *step)
 {
@@ -155,27 +166,28 @@
   MfCall *call = step->call;
   MfRequest *request = step->request;
   uint32_t upstream = call->upstream;
-  bool clean;
-  bool broke;
+  bool not_run;
+  bool connection_broke;
 
   call->sent = call->sent || event->sent;
-  clean = !call->sent || event->refused || event->leaving;
-  broke = !clean && !event->timed_out && step->event->type == MF_EVENT_CALL_FAILED;
-  if (!clean)
+  not_run = !call->sent || event->refused || event->leaving;
+  connection_broke = !not_run && !event->timed_out && step->event->type == MF_EVENT_CALL_FAILED;
+  if (!not_run)
     {
       request->n_unknown++;
       if (call->kind == MF_CALL_PREFILL)
         request->wasted_tokens += call->prefill_tokens;
     }
-  /* What a resume would have continued is held by the engine even if the resume never left. */
-  if (call->kind == MF_CALL_RESUME || (!clean && call->kind != MF_CALL_PLAIN))
+  /* The engine still holds the stream that a resume was to continue, even if the resume was never
+   * sent. */
+  if (call->kind == MF_CALL_RESUME || (!not_run && call->kind != MF_CALL_PLAIN))
     mf_debt_add (step->core, upstream, request->id, call->id, call->attempt);
   request->last_upstream = upstream;
   mf_call_end (step->core, call);
   mf_health_note_call (step->core, upstream, step->event);
-  if (broke)
+  if (connection_broke)
     mf_suspect_broken (step->core, request, upstream);
-  return clean;
+  return not_run;
 }
 
 static void
@@ -192,8 +204,8 @@
   departed (step);
 }
 
-/* A keyed call that may have reached its upstream runs on, so that its outcome is known when the
- * caller asks again. */
+/* A call with an idempotency key that may have reached its upstream continues, so that its outcome
+ * is known when the caller sends the key again. */
 static void
 sent_departed (const Step *step)
 {
@@ -214,7 +226,8 @@
 
 static void claim_again (MfCore *core, MfRequest *request);
 
-/* The call is about to leave. Where the process was paused since the grant, it must not. */
+/* The call is about to be sent. If the grant of its key may have expired because this process was
+ * paused, the call must not be sent: the key is claimed again. */
 static void
 connecting_sent (const Step *step)
 {
@@ -239,10 +252,11 @@
     mf_finish_refused (step->core, request, MF_CODE_DEADLINE,
                        mf_queue_retry_after_ms (step->core, request->service));
   else
-    mf_queue_stir (step->core);
+    mf_queue_schedule_pass (step->core);
 }
 
-/* Counts what an earlier arrival of the same key did, or may have done, as this request's own. */
+/* Counts work that an earlier request with the same key did, or may have done, as this request's
+ * own. */
 static void
 count_earlier_run (MfRequest *request, MfOutcome outcome)
 {
@@ -273,39 +287,42 @@
   };
   MfRequest *request = step->request;
 
-  mf_request_note (step->core, request, MF_TRACE_CLAIMED, MF_NONE, MF_NONE,
-                   (uint64_t)step->claim->verdict);
-  if (step->claim->verdict == MF_CLAIM_GRANTED)
+  mf_request_trace (step->core, request, MF_TRACE_CLAIMED, MF_NONE, MF_NONE,
+                    (uint64_t)step->claim->decision);
+  if (step->claim->decision == MF_CLAIM_GRANTED)
     {
       request->claimed = true;
       mf_request_set_phase (request, MF_PHASE_QUEUED);
       mf_queue_add (step->core, request);
     }
-  else if (step->claim->verdict == MF_CLAIM_ANSWERED && step->claim->status != 0)
+  else if (step->claim->decision == MF_CLAIM_ANSWERED && step->claim->status != 0)
     mf_finish_replayed (step->core, request, step->claim);
   else
     {
-      MfCode code = step->claim->verdict == MF_CLAIM_ANSWERED ? MF_CODE_KEY_UNKNOWN
-                                                              : codes[step->claim->verdict];
+      MfCode code = step->claim->decision == MF_CLAIM_ANSWERED ? MF_CODE_KEY_UNKNOWN
+                                                               : codes[step->claim->decision];
 
       count_earlier_run (request, step->claim->outcome);
       mf_finish_refused (step->core, request, code,
-                         step->claim->verdict == MF_CLAIM_NO_QUORUM ? 1000 : 0);
+                         step->claim->decision == MF_CLAIM_NO_QUORUM ? 1000 : 0);
     }
 }
 
-/* How long a transfer may take before its link is looked at. */
+/* Returns how long a transfer may take before its link is checked for a stall. */
 static uint64_t
-carry_patience_us (const MfCore *core, const MfRequest *request)
+transfer_timeout_us (const MfCore *core, const MfRequest *request)
 {
   const MfUpstream *row = &core->board.upstreams[request->prefill_upstream];
-  double rate = row->link_bytes_per_s > 0 ? (double)row->link_bytes_per_s : CARRY_RATE_MIN;
+  double rate
+      = row->link_bytes_per_s > 0 ? (double)row->link_bytes_per_s : LINK_RATE_DEFAULT_BYTES_PER_S;
   double bytes = (double)(row->transfer_bytes + request->kv_bytes);
 
-  return CARRY_PATIENCE_US + (uint64_t)(CARRY_FACTOR * bytes / rate * (double)MF_US_PER_S);
+  return TRANSFER_TIMEOUT_MIN_US
+         + (uint64_t)(TRANSFER_TIMEOUT_FACTOR * bytes / rate * (double)MF_US_PER_S);
 }
 
-/* Sends the waiting KV to a decode engine when there is one. Returns false when it still waits. */
+/* Sends the waiting KV to a decode engine if one has capacity. Returns false if the KV has to
+ * wait. */
 bool
 mf_life_try_transfer (MfCore *core, MfRequest *request)
 {
@@ -318,27 +335,28 @@
     }
   if (upstream == MF_NONE)
     return false;
-  mf_queue_end_wait (core, request);
+  mf_queue_remove_transfer (core, request);
   mf_call_start (core, request, MF_CALL_DECODE, upstream);
   mf_call_begin_transfer (core, request);
-  mf_request_check_at (core, request, core->board.now_us + carry_patience_us (core, request));
+  mf_request_check_at (core, request, core->board.now_us + transfer_timeout_us (core, request));
   return true;
 }
 
-/* Sends the KV on, or waits for room while it lives. */
+/* Sends the KV to a decode engine, or waits for one while the KV has not expired. A KV about to
+ * expire is discarded and the request is retried. */
 static void
 transfer_or_wait (MfCore *core, MfRequest *request)
 {
-  if (!request->waits && mf_life_try_transfer (core, request))
+  if (!request->awaits_decode && mf_life_try_transfer (core, request))
     return;
   if (core->board.now_us + IMPORT_MIN_US >= request->kv_expires_us)
     {
-      mf_window_note_loss (decode_pool (core, request));
-      try_again (core, request, MF_CODE_QUEUE_FULL);
+      mf_window_note_kv_expired (decode_pool (core, request));
+      retry_or_refuse (core, request, MF_CODE_QUEUE_FULL);
       return;
     }
-  mf_queue_wait_transfer (core, request);
-  mf_request_check_at (core, request, core->board.now_us + TRANSFER_LOOK_US);
+  mf_queue_add_transfer (core, request);
+  mf_request_check_at (core, request, core->board.now_us + TRANSFER_POLL_US);
 }
 
 static void
@@ -350,7 +368,7 @@
 
   call->sent = true;
   call->prefilled = true;
-  call->held = false;
+  call->holds_pieces = false;
   request->ran = true;
   request->prefill_call_id = call->id;
   request->prefill_upstream = call->upstream;
@@ -364,10 +382,10 @@
   row->kv_life_us = request->kv_expires_us - now_us (step);
   mf_counter_add (&step->core->board.counters, MF_COUNTER_PREFILL_TOKENS, call->prefill_tokens);
   if (!spans_pause (step->core, call->started_us))
-    mf_health_note_prefill (step->core, call->upstream, call->ahead_tokens,
+    mf_health_note_prefill (step->core, call->upstream, call->queued_tokens,
                             now_us (step) - call->started_us);
-  mf_request_note (step->core, request, MF_TRACE_PREFILLED, call->upstream, MF_NONE,
-                   request->kv_bytes);
+  mf_request_trace (step->core, request, MF_TRACE_PREFILLED, call->upstream, MF_NONE,
+                    request->kv_bytes);
   mf_request_set_phase (request, MF_PHASE_TRANSFERRING);
   transfer_or_wait (step->core, request);
 }
@@ -376,15 +394,16 @@
 prefill_failed (const Step *step)
 {
   bool refused = step->event->call.refused;
-  bool clean = end_failed (step);
+  bool not_run = end_failed (step);
 
   if (refused)
     {
-      note_full (step->core, step->request->last_upstream);
-      back_to_queue (step->core, step->request);
+      note_upstream_full (step->core, step->request->last_upstream);
+      requeue (step->core, step->request);
     }
   else
-    try_again (step->core, step->request, clean ? MF_CODE_NO_UPSTREAM : MF_CODE_UPSTREAM_DIED);
+    retry_or_refuse (step->core, step->request,
+                     not_run ? MF_CODE_NO_UPSTREAM : MF_CODE_UPSTREAM_DIED);
 }
 
 static void
@@ -401,14 +420,14 @@
       refuse_deadline (step);
       return;
     }
-  if (bear_with_pause (step))
+  if (extend_after_pause (step))
     return;
   step->request->last_upstream = step->request->calls->upstream;
   mf_health_note_stall (step->core, step->request->last_upstream);
-  try_again (step->core, step->request, MF_CODE_UPSTREAM_STALLED);
+  retry_or_refuse (step->core, step->request, MF_CODE_UPSTREAM_STALLED);
 }
 
-/* The decode engine holds the KV: the prefill engine's part is over. */
+/* The decode engine has imported the KV: the copy at the prefill engine is released. */
 static void
 imported (const Step *step)
 {
@@ -420,26 +439,26 @@
                              now_us (step) - step->call->started_us);
   mf_window_note_wait (decode_pool (step->core, request),
                        step->call->started_us - request->prefilled_us);
-  mf_call_arrived (step->core, request);
+  mf_call_end_transit (step->core, request);
   mf_call_drop_prefill (step->core, request, true);
-  mf_request_note (step->core, request, MF_TRACE_IMPORTED, step->call->upstream, MF_NONE, 0);
+  mf_request_trace (step->core, request, MF_TRACE_IMPORTED, step->call->upstream, MF_NONE, 0);
   mf_request_set_phase (request, MF_PHASE_DECODING);
   mf_request_check_at (step->core, request, now_us (step) + stall_us (step->core, request));
 }
 
-/* The stream of a call is broken: it goes on at the same engine when that can be, else elsewhere
- * from a new prefill of the prompt and what was delivered. */
+/* Handles a broken stream. It is resumed at the same engine if possible; otherwise the request is
+ * retried elsewhere with a new prefill of the prompt and the tokens already delivered. */
 static void
 recover_stream (const Step *step, MfCode code)
 {
   MfCore *core = step->core;
   MfRequest *request = step->request;
   uint32_t upstream = step->call->upstream;
-  bool lives = mf_upstream_is_usable (&core->board.upstreams[upstream]);
+  bool usable = mf_upstream_is_usable (&core->board.upstreams[upstream]);
   bool timed_out = step->event->call.timed_out;
 
-  mf_request_note (core, request, MF_TRACE_BROKEN, upstream, MF_NONE, request->delivered);
-  if (mf_policy (core)->resumes && lives && !timed_out && request->phase == MF_PHASE_DECODING)
+  mf_request_trace (core, request, MF_TRACE_BROKEN, upstream, MF_NONE, request->delivered);
+  if (mf_policy (core)->resumes && usable && !timed_out && request->phase == MF_PHASE_DECODING)
     {
       request->attempt = step->call->attempt;
       request->last_upstream = upstream;
@@ -448,11 +467,11 @@
       mf_suspect_broken (core, request, upstream);
       mf_request_set_phase (request, MF_PHASE_RESUMING);
       mf_call_start (core, request, MF_CALL_RESUME, upstream);
-      mf_request_check_at (core, request, now_us (step) + RESUME_WAIT_US);
+      mf_request_check_at (core, request, now_us (step) + RESUME_TIMEOUT_US);
       return;
     }
   end_failed (step);
-  try_again (core, request, code);
+  retry_or_refuse (core, request, code);
 }
 
 static void
@@ -462,28 +481,30 @@
   const MfServiceRow *service = mf_request_service (core, request);
   uint64_t gap_us;
 
-  if (request->first_us == 0)
+  if (request->first_output_us == 0)
     {
-      request->first_us = now;
+      request->first_output_us = now;
       request->n_gaps += n_tokens - 1;
-      mf_request_note (core, request, MF_TRACE_FIRST_TOKEN, call->upstream, MF_NONE,
-                       now - request->arrived_us);
+      mf_request_trace (core, request, MF_TRACE_FIRST_TOKEN, call->upstream, MF_NONE,
+                        now - request->arrived_us);
     }
   else
     {
-      gap_us = (now - request->last_us) / n_tokens;
+      gap_us = (now - request->last_output_us) / n_tokens;
       request->n_gaps += n_tokens;
       request->n_gaps_late += gap_us > service->config.tbt_target_us ? n_tokens : 0;
-      if (call->started_us < request->last_us && !spans_pause (core, request->last_us))
+      if (call->started_us < request->last_output_us
+          && !spans_pause (core, request->last_output_us))
         mf_health_note_gap (core, call->upstream, gap_us);
     }
-  request->last_us = now;
+  request->last_output_us = now;
 }
 
-/* Hands tokens on, when they are the next ones. Returns false when the request is no longer at this
- * call, because tokens are missing. */
+/* Delivers tokens to the caller if they directly follow the delivered ones; repeated tokens are
+ * ignored. If tokens are missing, the calls are ended and the request is retried or refused;
+ * returns false in this case. */
 static bool
-take_tokens (const Step *step)
+deliver_tokens (const Step *step)
 {
   const MfCallEvent *event = &step->event->call;
   MfRequest *request = step->request;
@@ -500,7 +521,7 @@
   if (event->first_index != request->delivered)
     {
       request->last_upstream = step->call->upstream;
-      try_again (step->core, request, MF_CODE_UPSTREAM_ERROR);
+      retry_or_refuse (step->core, request, MF_CODE_UPSTREAM_ERROR);
       return false;
     }
   request->delivered += event->n_tokens;
@@ -508,7 +529,7 @@
   note_tokens (step->core, request, step->call, event->n_tokens);
   mf_counter_add (&step->core->board.counters, MF_COUNTER_TOKENS, event->n_tokens);
   mf_core_emit (step->core, &action);
-  if (request->suspect && request->delivered >= request->cleared_at + CLEAR_TOKENS)
+  if (request->suspect && request->delivered >= request->suspected_at_token + SUSPECT_CLEAR_TOKENS)
     mf_suspect_clear (step->core, request);
   mf_request_check_at (step->core, request, now_us (step) + stall_us (step->core, request));
   return true;
@@ -517,7 +538,7 @@
 static void
 decoding_tokens (const Step *step)
 {
-  take_tokens (step);
+  deliver_tokens (step);
 }
 
 static void
@@ -526,21 +547,21 @@
   if (step->call->kind != MF_CALL_DECODE)
     return;
   imported (step);
-  take_tokens (step);
+  deliver_tokens (step);
 }
 
 static void
 resuming_tokens (const Step *step)
 {
   mf_counter_add (&step->core->board.counters, MF_COUNTER_RESUMES, 1);
-  mf_request_note (step->core, step->request, MF_TRACE_RESUMED, step->call->upstream, MF_NONE,
-                   step->request->delivered);
+  mf_request_trace (step->core, step->request, MF_TRACE_RESUMED, step->call->upstream, MF_NONE,
+                    step->request->delivered);
   mf_request_set_phase (step->request, MF_PHASE_DECODING);
-  take_tokens (step);
+  deliver_tokens (step);
 }
 
 static bool
-stream_is_whole (const Step *step)
+stream_is_complete (const Step *step)
 {
   const MfCallEvent *event = &step->event->call;
   const MfRequest *request = step->request;
@@ -569,7 +590,7 @@
 {
   if (step->call->kind == MF_CALL_PREFILL)
     mf_call_end (step->core, step->call);
-  else if (stream_is_whole (step))
+  else if (stream_is_complete (step))
     finish_stream (step);
   else
     recover_stream (step, MF_CODE_UPSTREAM_ERROR);
@@ -587,26 +608,27 @@
 static void
 resuming_done (const Step *step)
 {
-  if (stream_is_whole (step))
+  if (stream_is_complete (step))
     finish_stream (step);
   else
     recover_stream (step, MF_CODE_UPSTREAM_ERROR);
 }
 
-/* A decode engine did not take the KV: another one may, while it lives. */
+/* A decode call has ended before the import of its KV. The KV is offered to another engine until it
+ * expires, unless the engine may have begun to run the call. */
 static void
 transfer_refused (const Step *step)
 {
   MfRequest *request = step->request;
   uint32_t upstream = step->call->upstream;
-  bool lost = !step->event->call.refused && !step->event->call.leaving;
-  bool clean = end_failed (step);
+  bool failed = !step->event->call.refused && !step->event->call.leaving;
+  bool not_run = end_failed (step);
 
   request->n_refused++;
   if (step->event->call.refused)
-    note_full (step->core, upstream);
-  if (!clean || (lost && step->event->type == MF_EVENT_CALL_DONE))
-    try_again (step->core, request, MF_CODE_UPSTREAM_DIED);
+    note_upstream_full (step->core, upstream);
+  if (!not_run || (failed && step->event->type == MF_EVENT_CALL_DONE))
+    retry_or_refuse (step->core, request, MF_CODE_UPSTREAM_DIED);
   else
     transfer_or_wait (step->core, request);
 }
@@ -616,7 +638,7 @@
 {
   if (step->call->kind == MF_CALL_PREFILL)
     mf_call_end (step->core, step->call);
-  else if (stream_is_whole (step))
+  else if (stream_is_complete (step))
     {
       imported (step);
       finish_stream (step);
@@ -654,12 +676,12 @@
     refuse_deadline (step);
   else if (call == NULL)
     transfer_or_wait (step->core, request);
-  else if (!bear_with_pause (step))
+  else if (!extend_after_pause (step))
     {
       const MfUpstream *row = &step->core->board.upstreams[request->prefill_upstream];
-      uint64_t moved_us
+      uint64_t last_transfer_us
           = row->transfer_at_us > call->started_us ? row->transfer_at_us : call->started_us;
-      uint64_t stalled_us = moved_us + carry_patience_us (step->core, request);
+      uint64_t stalled_us = last_transfer_us + transfer_timeout_us (step->core, request);
 
       if (now_us (step) < stalled_us)
         {
@@ -668,7 +690,7 @@
         }
       mf_health_note_transfer_stall (step->core, request->prefill_upstream);
       request->last_upstream = request->prefill_upstream;
-      try_again (step->core, request, MF_CODE_UPSTREAM_STALLED);
+      retry_or_refuse (step->core, request, MF_CODE_UPSTREAM_STALLED);
     }
 }
 
@@ -683,16 +705,16 @@
       refuse_deadline (step);
       return;
     }
-  if (bear_with_pause (step))
+  if (extend_after_pause (step))
     return;
   if (call != NULL)
     {
       request->last_upstream = call->upstream;
       mf_health_note_stall (step->core, call->upstream);
     }
-  mf_request_note (step->core, request, MF_TRACE_BROKEN, request->last_upstream, MF_NONE,
-                   request->delivered);
-  try_again (step->core, request, MF_CODE_UPSTREAM_STALLED);
+  mf_request_trace (step->core, request, MF_TRACE_BROKEN, request->last_upstream, MF_NONE,
+                    request->delivered);
+  retry_or_refuse (step->core, request, MF_CODE_UPSTREAM_STALLED);
 }
 
 static void
@@ -711,9 +733,9 @@
         {
           end_failed (step);
           if (request->calls == NULL && event->refused)
-            back_to_queue (step->core, request);
+            requeue (step->core, request);
           else if (request->calls == NULL)
-            try_again (step->core, request, MF_CODE_NO_UPSTREAM);
+            retry_or_refuse (step->core, request, MF_CODE_NO_UPSTREAM);
           return;
         }
     }
@@ -727,7 +749,7 @@
   mf_health_note_call (step->core, step->call->upstream, step->event);
   if (request->suspect)
     mf_suspect_clear (step->core, request);
-  request->first_us = now_us (step);
+  request->first_output_us = now_us (step);
   mf_call_end (step->core, step->call);
   mf_finish_answered (step->core, request, step->event);
 }
@@ -737,12 +759,12 @@
 {
   MfRequest *request = step->request;
   bool timed_out = step->event->call.timed_out;
-  bool clean = end_failed (step);
+  bool not_run = end_failed (step);
 
   if (request->calls != NULL)
     return;
-  if (clean || request->idempotent)
-    try_again (step->core, request, clean ? MF_CODE_NO_UPSTREAM : MF_CODE_UPSTREAM_DIED);
+  if (not_run || request->idempotent)
+    retry_or_refuse (step->core, request, not_run ? MF_CODE_NO_UPSTREAM : MF_CODE_UPSTREAM_DIED);
   else
     mf_finish_refused (step->core, request,
                        timed_out ? MF_CODE_UPSTREAM_STALLED : MF_CODE_UPSTREAM_DIED, 0);
@@ -769,11 +791,11 @@
       || !mf_retry_may_hedge (core, request->service))
     return;
   mf_counter_add (&core->board.counters, MF_COUNTER_HEDGES, 1);
-  mf_request_note (core, request, MF_TRACE_HEDGED, upstream, request->last_upstream, 0);
+  mf_request_trace (core, request, MF_TRACE_HEDGED, upstream, request->last_upstream, 0);
   mf_call_start (core, request, MF_CALL_PLAIN, upstream)->hedge = true;
 }
 
-/* Every pair that is not here is an event that came late or crossed another: it is dropped and
+/* An event without a handler in this table arrived late or crossed another one: it is dropped and
  * counted. */
 static const Handler handlers[MF_PHASE_COUNT][MF_INPUT_COUNT] = {
   [MF_PHASE_QUEUED] = {
@@ -840,8 +862,8 @@
   return handlers[phase][input] != NULL;
 }
 
-/* Puts a request through the state machine. Returns false when this input means nothing in its
- * phase; the request may be gone afterwards. */
+/* Passes an input to the state machine of a request. Returns false if the input has no handler in
+ * the request's phase. The request may have been freed on return. */
 bool
 mf_life_input (MfCore *core, MfRequest *request, MfInput input, MfCall *call, const MfEvent *event,
                const MfClaimResult *claim)
@@ -855,31 +877,31 @@
   return true;
 }
 
-/* Starts a model request at the engines chosen for it. */
+/* Starts a model request at the engines of its placement. */
 void
 mf_life_start_model (MfCore *core, MfRequest *request, const MfPlacement *placement)
 {
-  uint64_t patience_us = placement->ttft_us * PREFILL_STALL_FACTOR;
+  uint64_t timeout_us = placement->ttft_us * PREFILL_STALL_FACTOR;
 
-  if (patience_us < PREFILL_STALL_MIN_US)
-    patience_us = PREFILL_STALL_MIN_US;
-  mf_request_note (core, request, MF_TRACE_PLACED, placement->prefill, placement->decode,
-                   placement->ttft_us);
-  if (request->runner_up_us > 0)
-    mf_request_note (core, request, MF_TRACE_ALTERNATIVE, request->runner_up, MF_NONE,
-                     request->runner_up_us);
+  if (timeout_us < PREFILL_STALL_MIN_US)
+    timeout_us = PREFILL_STALL_MIN_US;
+  mf_request_trace (core, request, MF_TRACE_PLACED, placement->prefill, placement->decode,
+                    placement->ttft_us);
+  if (request->alternative_us > 0)
+    mf_request_trace (core, request, MF_TRACE_ALTERNATIVE, request->alternative, MF_NONE,
+                      request->alternative_us);
   mf_request_set_phase (request, MF_PHASE_PREFILLING);
-  mf_call_enter (core, request, placement->decode != MF_NONE);
+  mf_call_enter_window (core, request, placement->decode != MF_NONE);
   mf_call_reserve (core, request, placement->decode);
   mf_call_start (core, request, MF_CALL_PREFILL, placement->prefill);
-  mf_request_check_at (core, request, core->board.now_us + patience_us);
+  mf_request_check_at (core, request, core->board.now_us + timeout_us);
 }
 
-/* Claims the key again when the grant went stale while the call waited. */
+/* Claims the key again after its grant expired while the call waited to be sent. */
 static void
 claim_again (MfCore *core, MfRequest *request)
 {
-  MfClaimResult result = { .verdict = MF_CLAIM_UNKNOWN, .outcome = MF_OUTCOME_NOT_RUN };
+  MfClaimResult result = { .decision = MF_CLAIM_UNKNOWN, .outcome = MF_OUTCOME_NOT_RUN };
 
   if (mf_finish_outcome (request) != MF_OUTCOME_NOT_RUN || ++request->n_claims > CLAIMS_MAX)
     {
@@ -889,7 +911,7 @@
   request->claimed = false;
   mf_claim_finish (core, request->id, &result);
   mf_request_set_phase (request, MF_PHASE_CLAIMING);
-  mf_claim_begin (core, request->id, request->key_digest, request->digest, request->key_minted_ms,
+  mf_claim_begin (core, request->id, request->key_digest, request->digest, request->key_created_ms,
                   request->deadline_us);
 }
 
@@ -897,7 +919,7 @@
 void
 mf_life_start_plain (MfCore *core, MfRequest *request, uint32_t upstream)
 {
-  uint64_t usual_us = mf_request_service (core, request)->answer_us * HEDGE_ANSWERS;
+  uint64_t hedge_delay_us = mf_request_service (core, request)->answer_us * HEDGE_ANSWER_FACTOR;
 
   if (request->claimed && !mf_claim_may_send (core, request->id))
     {
@@ -905,23 +927,26 @@
       return;
     }
   mf_request_set_phase (request, MF_PHASE_CONNECTING);
-  mf_call_enter (core, request, false);
+  mf_call_enter_window (core, request, false);
   mf_call_start (core, request, MF_CALL_PLAIN, upstream);
-  mf_request_check_at (core, request,
-                       core->board.now_us + (usual_us > HEDGE_MIN_US ? usual_us : HEDGE_MIN_US));
+  mf_request_check_at (
+      core, request,
+      core->board.now_us
+          + (hedge_delay_us > HEDGE_DELAY_MIN_US ? hedge_delay_us : HEDGE_DELAY_MIN_US));
 }
 
-/* Begins a request that has been admitted: a call that may not be repeated claims its key first. */
+/* Starts an admitted request. A plain call that is not idempotent and has a key claims the key
+ * first; all other requests are queued. */
 void
 mf_life_begin (MfCore *core, MfRequest *request)
 {
   bool plain = mf_request_service (core, request)->config.kind == MF_SERVICE_PLAIN;
 
-  if (plain && request->has_key && !request->idempotent)
+  if (plain && request->has_idempotency_key && !request->idempotent)
     {
       mf_request_set_phase (request, MF_PHASE_CLAIMING);
       mf_claim_begin (core, request->id, request->key_digest, request->digest,
-                      request->key_minted_ms, request->deadline_us);
+                      request->key_created_ms, request->deadline_us);
       return;
     }
   mf_request_set_phase (request, MF_PHASE_QUEUED);
--- a/libmangofork/limit.c
+++ b/libmangofork/limit.c
@@ -1,11 +1,11 @@
 #include "limit.h"
 
 #define MICRO UINT64_C (1000000)
-/* A customer may spend this much of its rate at once. */
+/* Burst of requests that a customer may send, in seconds of its rate. */
 #define BURST_S 2
 
 static bool
-take_rate (const MfCore *core, MfCustomerRow *row, uint64_t *retry_after_ms)
+take_rate_credit (const MfCore *core, MfCustomerRow *row, uint64_t *retry_after_ms)
 {
   uint64_t rate = row->config.requests_per_s;
   uint64_t now = core->board.now_us;
@@ -26,7 +26,7 @@
 }
 
 bool
-mf_limit_take (MfCore *core, uint32_t customer, uint64_t *retry_after_ms)
+mf_limit_acquire (MfCore *core, uint32_t customer, uint64_t *retry_after_ms)
 {
   MfCustomerRow *row;
 
@@ -35,15 +35,15 @@
   row = &core->board.services.customers[customer];
   if (row->config.in_flight_max > 0 && row->n_in_flight >= row->config.in_flight_max)
     return false;
-  if (!take_rate (core, row, retry_after_ms))
+  if (!take_rate_credit (core, row, retry_after_ms))
     return false;
   row->n_in_flight++;
   return true;
 }
 
-/* One request of the customer has ended. */
+/* A request of the customer has ended. */
 void
-mf_limit_give (MfCore *core, const MfRequest *request)
+mf_limit_release (MfCore *core, const MfRequest *request)
 {
   if (request->customer != MF_NONE)
     core->board.services.customers[request->customer].n_in_flight--;
--- a/libmangofork/naive.c
+++ b/libmangofork/naive.c
@@ -1,12 +1,12 @@
 #include "policy.h"
 
-/* Plain retries, as a client library makes them. */
+/* Retries with a fixed delay, as a simple client library makes them. */
 #define RETRIES_MAX 3
 #define RETRY_DELAY_US (100 * MF_US_PER_MS)
 
-/* The next upstream of a pool in turn, whatever its state. */
+/* Returns the next upstream of a pool in round-robin order, whatever its health. */
 static uint32_t
-next_in_turn (MfCore *core, uint32_t pool)
+next_round_robin (MfCore *core, uint32_t pool)
 {
   MfPoolRow *row = &core->board.services.pools[pool];
 
@@ -18,23 +18,24 @@
 static MfPlaceResult
 place_model (MfCore *core, MfRequest *request, MfPlacement *placement)
 {
-  placement->prefill = next_in_turn (core, mf_request_service (core, request)->config.prefill_pool);
+  placement->prefill
+      = next_round_robin (core, mf_request_service (core, request)->config.prefill_pool);
   placement->decode = MF_NONE;
   placement->ttft_us = MF_US_PER_S;
   return placement->prefill == MF_NONE ? MF_PLACE_WAIT : MF_PLACE_FOUND;
 }
 
-/* Three engines are asked in turn; then the KV is given up. */
+/* Offers the KV to RETRIES_MAX engines in round-robin order; then it is discarded. */
 static uint32_t
 place_decode (MfCore *core, MfRequest *request)
 {
   if (request->n_refused >= RETRIES_MAX)
     return MF_NONE;
-  return next_in_turn (core, mf_request_service (core, request)->config.decode_pool);
+  return next_round_robin (core, mf_request_service (core, request)->config.decode_pool);
 }
 
 static bool
-has_spare (MfCore *core, const MfRequest *request)
+has_spare_slots (MfCore *core, const MfRequest *request)
 {
   (void)core;
   (void)request;
@@ -44,7 +45,7 @@
 static uint32_t
 place_plain (MfCore *core, MfRequest *request)
 {
-  return next_in_turn (core, mf_request_service (core, request)->config.plain_pool);
+  return next_round_robin (core, mf_request_service (core, request)->config.plain_pool);
 }
 
 static bool
@@ -67,7 +68,7 @@
   .name = "naive",
   .place_model = place_model,
   .place_decode = place_decode,
-  .has_spare = has_spare,
+  .has_spare_slots = has_spare_slots,
   .place_plain = place_plain,
   .may_retry = may_retry,
   .unloaded_us = unloaded_us,
--- a/libmangofork/place.c
+++ b/libmangofork/place.c
@@ -6,35 +6,38 @@
 #include "share.h"
 #include "window.h"
 
-/* Up to this many upstreams are all looked at; of more, this many are drawn. */
+/* Upstreams that one decision examines at most; of a larger pool this many are sampled. */
 #define SAMPLE_MAX 8
 #define FULL_WEIGHT_PPM 1000000
-/* Assumed until observed. */
-#define PREFILL_RATE_DEFAULT 50000
+/* Used until a value has been observed. */
+#define PREFILL_RATE_DEFAULT_TOKENS_PER_S 50000
 #define KV_LIFE_DEFAULT_US (500 * MF_US_PER_MS)
-/* Work is kept in our own queue, where it can be reordered, rather than in an engine's. */
+/* A prefill engine with a longer queue than this gets no request. Work waits in this instance's
+ * queue instead, where it can still be reordered. */
 #define PREFILL_WAIT_MAX_US (150 * MF_US_PER_MS)
-/* Slots free beyond one in this many, and beyond a few that other instances may take before a
- * report shows it, are to spare. */
+/* A decode slot is reserved at placement only while more than 1/SPARE_DIVISOR of the pool's slots
+ * plus SPARE_MIN are free. The margin is for slots that other instances take before a load report
+ * shows it. */
 #define SPARE_DIVISOR 20
 #define SPARE_MIN 2
-/* The same for requests that are late already. */
+/* The margin for late requests. */
 #define LATE_SPARE_DIVISOR 7
-/* The time a KV is planned to wait for its slot. */
-#define WAIT_PLANNED_US (100 * MF_US_PER_MS)
-/* Reads may take so many times this instance's share of an upstream. */
-#define READ_SHARES 3
+/* Time that a KV may wait for a decode slot. No further prefill is started for a nearly full pool
+ * once a KV has waited for half of it. */
+#define DECODE_WAIT_PLANNED_US (100 * MF_US_PER_MS)
+/* Requests of class read may use this many times this instance's share of an upstream's slots. */
+#define READ_SHARE_FACTOR 3
 
-/* The upstreams of a pool that one decision looks at. */
+/* The upstreams of a pool that one decision examines. */
 typedef struct
 {
   uint32_t rows[SAMPLE_MAX];
   uint32_t n_rows;
 } Sample;
 
-/* Draws candidates without looking at the whole pool. */
+/* Samples candidates without a scan of the whole pool: evenly spaced ones from a random start. */
 static void
-draw (MfCore *core, uint32_t pool, Sample *sample)
+sample_pool (MfCore *core, uint32_t pool, Sample *sample)
 {
   const MfPoolRow *row = &core->board.services.pools[pool];
   uint32_t n = row->n_active;
@@ -51,7 +54,8 @@
 static uint64_t
 prefill_rate (const MfUpstream *row)
 {
-  return row->prefill_tokens_per_s > 0 ? row->prefill_tokens_per_s : PREFILL_RATE_DEFAULT;
+  return row->prefill_tokens_per_s > 0 ? row->prefill_tokens_per_s
+                                       : PREFILL_RATE_DEFAULT_TOKENS_PER_S;
 }
 
 static uint64_t
@@ -81,9 +85,10 @@
   return ratio_us (kv_bytes (core, request) + row->transfer_bytes, link_rate (row));
 }
 
-/* Whether a suspect may run there: alone among suspects. */
+/* Returns whether the upstream may run the request. A suspect runs only where no other suspect
+ * runs. */
 static bool
-suits_suspect (const MfUpstream *row, const MfRequest *request)
+allows_suspect (const MfUpstream *row, const MfRequest *request)
 {
   return !request->suspect || row->suspects == 0;
 }
@@ -92,12 +97,13 @@
 has_pieces (const MfUpstream *row, uint32_t pieces)
 {
   uint32_t total = row->load.pieces_total > 0 ? row->load.pieces_total : row->config.pieces;
-  uint32_t each = row->own_slots > 0 ? row->own_pieces / row->own_slots : pieces;
+  uint32_t pieces_per_slot = row->own_slots > 0 ? row->own_pieces / row->own_slots : pieces;
   int64_t free_now = total - row->own_pieces;
 
   if (row->load_at_us > 0)
     {
-      int64_t reported = (int64_t)row->load.pieces_free - (int64_t)row->own_since_report * each;
+      int64_t reported
+          = (int64_t)row->load.pieces_free - (int64_t)row->own_since_report * pieces_per_slot;
 
       if (reported < free_now)
         free_now = reported;
@@ -106,17 +112,18 @@
 }
 
 static bool
-has_decode_room (const MfCore *core, const MfRequest *request, uint32_t upstream)
+can_decode (const MfCore *core, const MfRequest *request, uint32_t upstream)
 {
   const MfUpstream *row = &core->board.upstreams[upstream];
   uint32_t used = mf_upstream_slots_used (row);
 
   return mf_upstream_is_usable (row) && row->role == MF_ROLE_DECODE
          && row->full_until_us <= core->board.now_us && used < mf_upstream_slots (row)
-         && has_pieces (row, request->pieces) && suits_suspect (row, request);
+         && has_pieces (row, request->pieces) && allows_suspect (row, request);
 }
 
-/* The least loaded of a few decode engines with room, by the share of its slots in use. */
+/* Returns the sampled decode engine with capacity that has the lowest share of its slots in use,
+ * weighted by health; MF_NONE if there is none. */
 static uint32_t
 place_decode (MfCore *core, MfRequest *request)
 {
@@ -125,14 +132,14 @@
   uint32_t best = MF_NONE;
   Sample sample;
 
-  draw (core, pool, &sample);
+  sample_pool (core, pool, &sample);
   for (uint32_t i = 0; i < sample.n_rows; i++)
     {
       uint32_t upstream = sample.rows[i];
       const MfUpstream *row = &core->board.upstreams[upstream];
       uint64_t load;
 
-      if (!has_decode_room (core, request, upstream))
+      if (!can_decode (core, request, upstream))
         continue;
       load = (uint64_t)(mf_upstream_slots_used (row) + 1) * FULL_WEIGHT_PPM
              / mf_upstream_slots (row) * FULL_WEIGHT_PPM
@@ -148,8 +155,9 @@
   return best;
 }
 
-/* Predicted time from now to the first token when the prompt is prefilled there; UINT64_MAX when it
- * may not be, or when its KV would not be taken up within its life. */
+/* Returns the predicted time from now to the first token if the prompt is prefilled at the
+ * upstream. Returns UINT64_MAX if it cannot be placed there, or if the transfers already on the
+ * upstream's link would take more than half of a KV's lifetime, so that its own KV might expire. */
 static uint64_t
 predict_us (const MfCore *core, const MfRequest *request, uint32_t upstream, uint64_t *wait_us,
             uint32_t *cached)
@@ -157,11 +165,11 @@
   const MfUpstream *row = &core->board.upstreams[upstream];
   uint32_t tokens = request->prompt_tokens + request->delivered;
   uint64_t life_us = row->kv_life_us > 0 ? row->kv_life_us : KV_LIFE_DEFAULT_US;
-  uint64_t carry_us = transfer_us (core, row, request);
+  uint64_t link_us = transfer_us (core, row, request);
 
   *wait_us = UINT64_MAX;
   if (!mf_upstream_is_usable (row) || row->role != MF_ROLE_PREFILL
-      || row->full_until_us > core->board.now_us || !suits_suspect (row, request)
+      || row->full_until_us > core->board.now_us || !allows_suspect (row, request)
       || !has_pieces (row, tokens / MF_PIECE_TOKENS + 1)
       || ratio_us (row->transfer_bytes, link_rate (row)) > life_us / 2)
     return UINT64_MAX;
@@ -169,21 +177,23 @@
   if (*cached >= tokens)
     *cached = tokens - 1;
   *wait_us = ratio_us (mf_upstream_prefill_queue (row), prefill_rate (row));
-  return *wait_us + ratio_us (tokens - *cached, prefill_rate (row)) + carry_us
+  return *wait_us + ratio_us (tokens - *cached, prefill_rate (row)) + link_us
          + mf_request_service (core, request)->config.tbt_target_us;
 }
 
-/* Remembers the second best prefill engine, so that a placement can be explained. */
+/* Records the second best prefill engine, which mangofork explain shows. */
 static void
-note_runner_up (MfRequest *request, uint32_t upstream, uint64_t us)
+note_alternative (MfRequest *request, uint32_t upstream, uint64_t predicted_us)
 {
-  if (upstream == MF_NONE || (request->runner_up_us != 0 && request->runner_up_us <= us))
+  if (upstream == MF_NONE
+      || (request->alternative_us != 0 && request->alternative_us <= predicted_us))
     return;
-  request->runner_up = upstream;
-  request->runner_up_us = us;
+  request->alternative = upstream;
+  request->alternative_us = predicted_us;
 }
 
-/* The prefill engine with the least predicted time to the first token, that would begin soon. */
+/* Returns the sampled prefill engine with the lowest predicted time to the first token, weighted by
+ * health, among those that would begin within PREFILL_WAIT_MAX_US; MF_NONE if there is none. */
 static uint32_t
 place_prefill (MfCore *core, MfRequest *request, uint64_t *ttft_us)
 {
@@ -192,36 +202,36 @@
   uint32_t best = MF_NONE;
   Sample sample;
 
-  request->runner_up_us = 0;
-  draw (core, pool, &sample);
+  request->alternative_us = 0;
+  sample_pool (core, pool, &sample);
   for (uint32_t i = 0; i < sample.n_rows; i++)
     {
       uint32_t upstream = sample.rows[i];
       uint32_t cached = 0;
       uint64_t wait_us;
-      uint64_t us = predict_us (core, request, upstream, &wait_us, &cached);
+      uint64_t predicted_us = predict_us (core, request, upstream, &wait_us, &cached);
 
-      if (us == UINT64_MAX || wait_us > PREFILL_WAIT_MAX_US)
+      if (predicted_us == UINT64_MAX || wait_us > PREFILL_WAIT_MAX_US)
         continue;
-      us = us * FULL_WEIGHT_PPM / (mf_health_weight_ppm (core, upstream) + 1);
+      predicted_us = predicted_us * FULL_WEIGHT_PPM / (mf_health_weight_ppm (core, upstream) + 1);
       if (upstream == request->last_upstream)
-        us *= 2;
-      if (us < best_us)
+        predicted_us *= 2;
+      if (predicted_us < best_us)
         {
-          note_runner_up (request, best, best_us);
-          best_us = us;
+          note_alternative (request, best, best_us);
+          best_us = predicted_us;
           best = upstream;
           request->cached_tokens = cached;
         }
       else
-        note_runner_up (request, upstream, us);
+        note_alternative (request, upstream, predicted_us);
     }
   *ttft_us = best_us;
   return best;
 }
 
-/* Decode slots of the pool that are free by the reports, less those that requests of ours are on
- * the way to. Judged by a sample when the pool is large. */
+/* Returns the free decode slots of the pool by the load reports, less those for which own requests
+ * are in transit. Extrapolated from a sample if the pool is large. */
 static int64_t
 free_slots (MfCore *core, uint32_t pool, int64_t *n_slots)
 {
@@ -230,7 +240,7 @@
   Sample sample;
 
   *n_slots = 0;
-  draw (core, pool, &sample);
+  sample_pool (core, pool, &sample);
   for (uint32_t i = 0; i < sample.n_rows; i++)
     {
       const MfUpstream *upstream = &core->board.upstreams[sample.rows[i]];
@@ -245,10 +255,11 @@
       n_free = n_free * row->n_active / sample.n_rows;
       *n_slots = *n_slots * row->n_active / sample.n_rows;
     }
-  return n_free - row->n_coming;
+  return n_free - row->n_in_transit;
 }
 
-/* Time from placement to the first token when nothing waits, by the pool's usual rates. */
+/* Returns the time from placement to the first token without queueing, at the rates of the pool's
+ * first active engine. */
 static uint64_t
 unloaded_us (const MfCore *core, const MfRequest *request)
 {
@@ -266,17 +277,17 @@
          + ratio_us (kv_bytes (core, request), link_rate (row)) + 2 * service->tbt_target_us;
 }
 
-/* Whether one more request may be on its way to a pool that is nearly full: within the window, and
- * not while a KV of ours already waits there. */
+/* Returns whether one more request may start for a decode pool that is nearly full: the window must
+ * allow it, and no own KV may be waiting for long. */
 static bool
-may_come (const MfCore *core, const MfPoolRow *pool)
+may_start (const MfCore *core, const MfPoolRow *pool)
 {
-  return mf_queue_transfer_wait_us (core) <= WAIT_PLANNED_US / 2 && mf_window_allows (pool);
+  return mf_queue_transfer_wait_us (core) <= DECODE_WAIT_PLANNED_US / 2 && mf_window_allows (pool);
 }
 
-/* Whether there is room to spare, that requests in time will not need soon. */
+/* Returns whether the pool has free slots that requests still on time will not need soon. */
 static bool
-has_spare (MfCore *core, const MfRequest *request)
+has_spare_slots (MfCore *core, const MfRequest *request)
 {
   const MfService *service = &mf_request_service (core, request)->config;
   int64_t n_slots;
@@ -288,9 +299,10 @@
   return n_free > n_slots / LATE_SPARE_DIVISOR + SPARE_MIN;
 }
 
-/* Decode room first; only then is a prefill spent. While the pool has slots to spare, the engines
- * are chosen together and the slot is kept. When it is nearly full, requests start towards slots
- * that are about to be free; the KV's life is what they may wait. */
+/* Checks for decode capacity before a prefill is spent. While the pool has spare slots, both
+ * engines are chosen together and the decode slot is reserved. When the pool is nearly full,
+ * prefills start before a slot is free, and the KV's lifetime limits how long they may wait for
+ * one. */
 static MfPlaceResult
 place_model (MfCore *core, MfRequest *request, MfPlacement *placement)
 {
@@ -300,14 +312,15 @@
 
   if (n_free > n_slots / SPARE_DIVISOR + SPARE_MIN)
     placement->decode = place_decode (core, request);
-  if (placement->decode == MF_NONE && !may_come (core, &core->board.services.pools[pool]))
+  if (placement->decode == MF_NONE && !may_start (core, &core->board.services.pools[pool]))
     return MF_PLACE_WAIT;
   placement->prefill = place_prefill (core, request, &placement->ttft_us);
   return placement->prefill == MF_NONE ? MF_PLACE_WAIT : MF_PLACE_FOUND;
 }
 
-/* Reads pass the window and the share, up to what an upstream holds: the answers they slow down
- * narrow the windows of all instances, and so make orders give way. */
+/* Returns how many slots of the upstream a plain request may use. Reads may exceed the window and
+ * the share, up to the upstream's slots: the answers that they slow down narrow the windows of all
+ * instances, so that orders give way to reads. */
 static uint32_t
 plain_slots (const MfCore *core, const MfRequest *request, uint32_t upstream)
 {
@@ -316,11 +329,12 @@
 
   if (request->class_ != MF_CLASS_READ)
     return share;
-  return share * READ_SHARES < mf_upstream_slots (row) ? share * READ_SHARES
-                                                       : mf_upstream_slots (row);
+  return share * READ_SHARE_FACTOR < mf_upstream_slots (row) ? share * READ_SHARE_FACTOR
+                                                             : mf_upstream_slots (row);
 }
 
-/* The upstream with the least own work and the fastest answers. */
+/* Returns the sampled upstream with the lowest product of own calls and answer time, weighted by
+ * health; MF_NONE if there is none. */
 static uint32_t
 place_plain (MfCore *core, MfRequest *request)
 {
@@ -331,14 +345,14 @@
 
   if (request->class_ != MF_CLASS_READ && !mf_window_allows (&core->board.services.pools[pool]))
     return MF_NONE;
-  draw (core, pool, &sample);
+  sample_pool (core, pool, &sample);
   for (uint32_t i = 0; i < sample.n_rows; i++)
     {
       uint32_t upstream = sample.rows[i];
       const MfUpstream *row = &core->board.upstreams[upstream];
       uint64_t load;
 
-      if (!mf_upstream_is_usable (row) || !suits_suspect (row, request)
+      if (!mf_upstream_is_usable (row) || !allows_suspect (row, request)
           || row->own_slots >= plain_slots (core, request, upstream))
         continue;
       load = (uint64_t)(row->own_slots + 1) * (row->answer_us + MF_US_PER_MS) * 1000
@@ -362,7 +376,7 @@
   .isolates = true,
   .place_model = place_model,
   .place_decode = place_decode,
-  .has_spare = has_spare,
+  .has_spare_slots = has_spare_slots,
   .place_plain = place_plain,
   .may_retry = mf_retry_may,
   .unloaded_us = unloaded_us,
--- a/libmangofork/plain.c
+++ b/libmangofork/plain.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* One answer of a plain upstream, gathered whole. */
+/* The answer of a plain upstream, collected until it is complete. */
 typedef struct
 {
   MfCallEventFunc on_event;
@@ -14,7 +14,7 @@
 } PlainAnswer;
 
 static bool
-has_control (const char *text)
+has_control_char (const char *text)
 {
   for (; text != NULL && *text != '\0'; text++)
     {
@@ -24,10 +24,10 @@
   return false;
 }
 
-/* Relays the caller's method, path, content type and body. A header without a value keeps the HTTP
- * library from adding its own. */
+/* Forwards the caller's method, path, content type and body. A header without a value keeps the
+ * HTTP library from adding its own. */
 static bool
-plain_build (const MfCallAction *call, const MfCallMaterial *material, const MfOwner *self,
+plain_build (const MfCallAction *call, const MfCallMaterial *material, const MfInstanceId *self,
              MfHttpRequest *request, MfError *error)
 {
   const char *type = material->content_type != NULL ? material->content_type : "";
@@ -35,10 +35,13 @@
 
   (void)self;
   *request = (MfHttpRequest){ .method = material->method };
-  if (call->kind != MF_CALL_PLAIN || has_control (material->path) || has_control (material->name)
-      || has_control (type))
+  if (call->kind != MF_CALL_PLAIN || has_control_char (material->path)
+      || has_control_char (material->name) || has_control_char (type))
     {
-      mf_error_set (error, MF_CODE_BAD_HEADER, "the call cannot be put to a plain upstream");
+      mf_error_set (
+          error, MF_CODE_BAD_HEADER,
+          "call not valid for a plain upstream: wrong kind, or a control character in its "
+          "path, content type or request id");
       return false;
     }
   ok = asprintf (&request->url, "http://%s%s", call->address, material->path) >= 0
@@ -87,18 +90,18 @@
 }
 
 static void
-plain_end (void *state, uint16_t status, bool whole, uint64_t now_us)
+plain_end (void *state, uint16_t status, bool complete, uint64_t now_us)
 {
   PlainAnswer *answer = state;
   MfCallEvent event = { .status = status };
 
   (void)now_us;
-  if (whole)
+  if (complete)
     {
       event.data = mf_buffer_data (&answer->body);
       event.data_bytes = mf_buffer_bytes (&answer->body);
     }
-  answer->on_event (whole ? MF_EVENT_CALL_DONE : MF_EVENT_CALL_FAILED, &event, answer->data);
+  answer->on_event (complete ? MF_EVENT_CALL_DONE : MF_EVENT_CALL_FAILED, &event, answer->data);
 }
 
 static void
--- a/libmangofork/request.c
+++ b/libmangofork/request.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The deadline of a request to a service that names none. */
+/* Deadline of requests to a service that configures none. */
 #define DEADLINE_DEFAULT_US (60 * MF_US_PER_S)
 
 const char *
@@ -46,7 +46,7 @@
   return HASH_COUNT (core->board.requests->by_id);
 }
 
-/* Calls func for each request held; func may remove the one it is given. */
+/* Calls func for each request. func may remove the request that it is given. */
 void
 mf_request_foreach (MfCore *core, void (*func) (MfRequest *request, void *data), void *data)
 {
@@ -71,9 +71,9 @@
   request->phase = phase;
 }
 
-/* Sets when MF_INPUT_TIMER comes next; the deadline may come before. Later times cost nothing until
- * the earlier one has come. A time that has passed is moved on, so that no request can keep the
- * core busy in one step. */
+/* Schedules the next MF_INPUT_TIMER; the deadline may fire it earlier. If the timer is already set
+ * to an earlier time, the heap is updated only when that fires. A time in the past is replaced by
+ * the next microsecond, so that no request can loop within one step. */
 void
 mf_request_check_at (MfCore *core, MfRequest *request, uint64_t at_us)
 {
@@ -85,8 +85,8 @@
 }
 
 void
-mf_request_note (MfCore *core, const MfRequest *request, MfTraceKind kind, uint32_t upstream,
-                 uint32_t other, uint64_t value)
+mf_request_trace (MfCore *core, const MfRequest *request, MfTraceKind kind, uint32_t upstream,
+                  uint32_t other, uint64_t value)
 {
   MfTraceStep step = {
     .request_id = request->id,
@@ -101,24 +101,24 @@
   mf_trace_note (core->board.trace, &step);
 }
 
-/* Takes the request out of every table and frees it. */
+/* Removes the request from all tables and frees it. */
 void
 mf_request_remove (MfCore *core, MfRequest *request)
 {
-  mf_limit_give (core, request);
+  mf_limit_release (core, request);
   mf_heap_remove (&core->board.requests->timers, &request->timer);
   HASH_DEL (core->board.requests->by_id, request);
   free (request);
 }
 
 static bool
-method_reads (const char *method)
+method_is_safe (const char *method)
 {
   return method != NULL && (strcmp (method, "GET") == 0 || strcmp (method, "HEAD") == 0);
 }
 
 static uint64_t
-salt_of (const MfCore *core, uint32_t customer)
+customer_cache_salt (const MfCore *core, uint32_t customer)
 {
   uint64_t name = customer == MF_NONE ? 0 : core->board.services.customers[customer].name_hash;
 
@@ -126,7 +126,7 @@
 }
 
 static MfRequest *
-make_request (MfCore *core, const MfRequestEvent *event, uint32_t service, uint32_t customer)
+request_new (MfCore *core, const MfRequestEvent *event, uint32_t service, uint32_t customer)
 {
   const MfService *config = &core->board.services.rows[service].config;
   uint64_t limit_us = config->deadline_us > 0 ? config->deadline_us : DEADLINE_DEFAULT_US;
@@ -135,17 +135,17 @@
   if (request == NULL)
     return NULL;
   *request = (MfRequest){
-    .timer.position = MF_HEAP_OUT,
+    .timer.position = MF_HEAP_NO_POSITION,
     .id = event->request_id,
     .service = service,
     .customer = customer,
     .class_ = event->has_class && event->class_ > config->class_ ? event->class_ : config->class_,
     .idempotent = config->kind == MF_SERVICE_MODEL
-                  || (config->get_is_idempotent && method_reads (event->method)),
-    .has_key = event->has_key,
-    .key_minted_ms = event->key_minted_ms,
+                  || (config->get_is_idempotent && method_is_safe (event->method)),
+    .has_idempotency_key = event->has_idempotency_key,
+    .key_created_ms = event->key_created_ms,
     .digest = event->digest,
-    .cache_salt = salt_of (core, customer),
+    .cache_salt = customer_cache_salt (core, customer),
     .prompt_tokens = event->prompt_tokens,
     .max_tokens = event->max_tokens,
     .arrived_us = core->board.now_us,
@@ -163,7 +163,8 @@
   return request;
 }
 
-/* Finds the service and the customer. Returns the code of a refusal, or MF_CODE_OK. */
+/* Finds the service and the customer of a request. Returns MF_CODE_OK or the code of the
+ * refusal. */
 static MfCode
 resolve (MfCore *core, const MfRequestEvent *event, uint32_t *service, uint32_t *customer)
 {
@@ -178,7 +179,8 @@
   return *service == MF_NONE ? MF_CODE_NO_SERVICE : MF_CODE_OK;
 }
 
-/* Whether an admitted request may go on to be queued. */
+/* Checks the limits that apply before a request is accepted. Returns MF_CODE_OK or the code of the
+ * refusal. */
 static MfCode
 admit (MfCore *core, uint32_t service, uint32_t customer, uint64_t *retry_after_ms)
 {
@@ -190,7 +192,7 @@
     return MF_CODE_OVER_LIMIT;
   if (!mf_service_may_wait (core, service, &code))
     return code;
-  return mf_limit_take (core, customer, retry_after_ms) ? MF_CODE_OK : MF_CODE_CUSTOMER_LIMIT;
+  return mf_limit_acquire (core, customer, retry_after_ms) ? MF_CODE_OK : MF_CODE_CUSTOMER_LIMIT;
 }
 
 static void
@@ -210,16 +212,16 @@
   else if (code != MF_CODE_NO_CONFIG)
     retry_after_ms = 0;
   if (code == MF_CODE_OK)
-    request = make_request (core, event, service, customer);
+    request = request_new (core, event, service, customer);
   if (request == NULL)
     {
-      mf_finish_turned_away (core, event, service, customer,
-                             code != MF_CODE_OK ? code : MF_CODE_NO_MEMORY, retry_after_ms);
+      mf_finish_not_admitted (core, event, service, customer,
+                              code != MF_CODE_OK ? code : MF_CODE_NO_MEMORY, retry_after_ms);
       return;
     }
   HASH_ADD (hh, core->board.requests->by_id, id, sizeof request->id, request);
   mf_heap_set (&core->board.requests->timers, &request->timer, request->deadline_us);
-  mf_request_note (core, request, MF_TRACE_ARRIVED, MF_NONE, MF_NONE, request->prompt_tokens);
+  mf_request_trace (core, request, MF_TRACE_ARRIVED, MF_NONE, MF_NONE, request->prompt_tokens);
   mf_retry_earn (core, service);
   if (!mf_suspect_admit (core, request))
     mf_finish_refused (core, request, MF_CODE_POISON, 0);
@@ -245,12 +247,12 @@
     [MF_EVENT_CALL_DONE] = MF_INPUT_DONE,         [MF_EVENT_CALL_FAILED] = MF_INPUT_FAILED,
   };
   MfCall *call = mf_call_find (core, event->call.call_id);
-  bool ours = event->type == MF_EVENT_CALL_PREFILLED || event->type == MF_EVENT_CALL_IMPORTED
+  bool late = event->type == MF_EVENT_CALL_PREFILLED || event->type == MF_EVENT_CALL_IMPORTED
               || event->type == MF_EVENT_CALL_TOKENS;
 
   if (call != NULL)
-    ours = !mf_life_input (core, call->request, inputs[event->type], call, event, NULL);
-  if (ours)
+    late = !mf_life_input (core, call->request, inputs[event->type], call, event, NULL);
+  if (late)
     mf_counter_add (&core->board.counters, MF_COUNTER_LATE_DROPPED, 1);
 }
 
@@ -265,8 +267,8 @@
     handle_call (core, event);
 }
 
-/* Settles a claim that was begun for a request; a request that is gone or no longer waits for it
- * takes nothing from it. */
+/* Passes the result of a claim to its request. If the request has ended or no longer waits for the
+ * claim, the result is dropped and counted. */
 void
 mf_request_claim_settled (MfCore *core, uint64_t request_id, const MfClaimResult *result)
 {
@@ -279,7 +281,7 @@
 void
 mf_request_upstream_died (MfCore *core, uint32_t upstream)
 {
-  uint64_t newest = core->next_call_id;
+  uint64_t newest_id = core->next_call_id;
   MfCall *call = core->board.upstreams[upstream].calls;
 
   while (call != NULL)
@@ -294,12 +296,12 @@
       mf_core_emit (core, &action);
       mf_life_input (core, call->request, MF_INPUT_FAILED, call, &event, NULL);
       call = core->board.upstreams[upstream].calls;
-      while (call != NULL && call->id > newest)
+      while (call != NULL && call->id > newest_id)
         call = call->next_upstream;
     }
 }
 
-/* Gives each request whose time has come its timer. */
+/* Fires all timers that are due. */
 static void
 request_tick (MfCore *core)
 {
--- a/libmangofork/types.c
+++ b/libmangofork/types.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Returns the word a refusal carries for an outcome. */
+/* Returns the name of an outcome as sent to callers. */
 const char *
 mf_outcome_name (MfOutcome outcome)
 {
@@ -15,7 +15,7 @@
   return names[outcome];
 }
 
-/* Returns the word operators use for a role. */
+/* Returns the name of a role as used in the operators' text. */
 const char *
 mf_role_name (MfRole role)
 {
@@ -28,7 +28,7 @@
   return role < MF_ROLE_COUNT ? names[role] : "none";
 }
 
-/* Returns the word operators use for a class of requests. */
+/* Returns the name of a request class as used in the operators' text. */
 const char *
 mf_class_name (MfClass class_)
 {
@@ -45,17 +45,17 @@
 mf_name_set (char *dst, size_t dst_bytes, const char *src)
 {
   size_t len = strlen (src);
-  bool whole = len < dst_bytes;
+  bool fits = len < dst_bytes;
 
-  if (!whole)
+  if (!fits)
     len = dst_bytes - 1;
   memcpy (dst, src, len);
   dst[len] = '\0';
-  return whole;
+  return fits;
 }
 
 bool
-mf_owner_equal (const MfOwner *a, const MfOwner *b)
+mf_instance_id_equal (const MfInstanceId *a, const MfInstanceId *b)
 {
   return a->incarnation == b->incarnation && strcmp (a->name, b->name) == 0;
 }
