--- a/libmangofork/relay/budget.c
+++ b/libmangofork/relay/budget.c
@@ -1,22 +1,22 @@
 #include "budget.h"
 
-/* Part of the common slack that is divided among the instances, for when they cannot talk. */
+/* Share of the common slack that is divided among the instances in advance, for when they cannot
+ * communicate. */
 #define ALLOWANCE_PERCENT 40
-/* Part of it that is planned to be used; the rest is for instances that are not known, and for
- * sends that could not be foreseen when a repeat was given. */
+/* Share of the slack that is planned to be used. The rest covers unknown instances and sends that
+ * were not foreseen when a retry was granted. */
 #define USED_PERCENT 75
-/* Least part of an instance that has run for a window. */
+/* Minimum allowance of an instance that has run for a window. */
 #define ALLOWANCE_MIN 1
 
-/* Begins a budget without requests. ratio is repeats for each request, window_us what both are
- * counted in. */
+/* Initialises a budget of ratio retries per request, both counted over window_us. */
 void
 mf_budget_init (MfBudget *budget, uint64_t window_us, double ratio)
 {
   *budget = (MfBudget){ .window_us = window_us, .ratio = ratio };
 }
 
-/* Moves on to the part of the window that now is in. */
+/* Advances the window to now_us. */
 static void
 budget_advance (MfBudget *budget, uint64_t now_us)
 {
@@ -35,7 +35,7 @@
     budget->bucket_begun_us = now_us;
 }
 
-/* Counts a request of a caller, at the time now_us. */
+/* Counts a caller's request. */
 void
 mf_budget_note_request (MfBudget *budget, uint64_t now_us)
 {
@@ -43,8 +43,8 @@
   budget->n_requests[budget->bucket]++;
 }
 
-/* Whether the window has room for so many repeats more. floor repeats are allowed whatever the
- * requests. */
+/* Whether n_wanted more retries fit into the window. allowance retries are allowed regardless of
+ * the request count. */
 bool
 mf_budget_allows (MfBudget *budget, uint32_t allowance, uint32_t n_wanted, uint64_t now_us)
 {
@@ -60,8 +60,8 @@
   return (double)(n_retries + n_wanted) <= budget->ratio * (double)n_requests + (double)allowance;
 }
 
-/* Takes so many repeats; returns false, and takes none, when the window has no room for all. floor
- * repeats are allowed whatever the requests. */
+/* Acquires n_wanted retries if all of them fit into the window; otherwise acquires none and returns
+ * false. allowance retries are allowed regardless of the request count. */
 bool
 mf_budget_acquire (MfBudget *budget, uint32_t allowance, uint32_t n_wanted, uint64_t now_us)
 {
@@ -71,7 +71,7 @@
   return true;
 }
 
-/* Counts repeats that were not taken before. */
+/* Counts retries that were sent without being acquired before. */
 void
 mf_budget_charge (MfBudget *budget, uint32_t n_retries, uint64_t now_us)
 {
@@ -79,9 +79,9 @@
   budget->n_retries[budget->bucket] += n_retries;
 }
 
-/* This instance's part of the repeats that all instances together may send whatever their requests.
- * One that has not run for a whole window does not know what it sent before it was started anew: it
- * has none. */
+/* This instance's allowance of the slack, the retries that all instances together may send
+ * regardless of their request counts. An instance that has run for less than a window does not know
+ * what it sent before a restart, and has none. */
 uint32_t
 mf_budget_allowance (uint32_t slack, uint32_t n_instances, uint64_t uptime_us, uint64_t window_us)
 {
@@ -93,7 +93,7 @@
   return allowance > ALLOWANCE_MIN ? allowance : ALLOWANCE_MIN;
 }
 
-/* What is left for the instance that decides for all to give to those that have used their part. */
+/* Retries that the leader may grant to instances that have used up their allowance. */
 uint32_t
 mf_budget_pool (uint32_t slack, uint32_t n_instances, uint64_t window_us)
 {
--- a/libmangofork/relay/budget.h
+++ b/libmangofork/relay/budget.h
@@ -3,11 +3,11 @@
 
 #include "libmangofork/types.h"
 
-/* Parts a window is counted in. */
+/* Buckets of the sliding window. */
 #define MF_BUDGET_BUCKETS 20
 
-/* Repeats that this instance may send to one service. Each keeps to the ratio for the requests it
- * has itself, so that the sum keeps to it as well, whether or not they can talk. */
+/* Retry budget of this instance for one service. Each instance keeps to the ratio for its own
+ * requests, so the sum does too, even without communication. */
 typedef struct
 {
   uint64_t window_us;
--- a/libmangofork/relay/job.c
+++ b/libmangofork/relay/job.c
@@ -9,32 +9,35 @@
 #include <string.h>
 #include <sys/random.h>
 
-/* Requests held at once. At 60 KB each, the largest of the sites, this is half of the smallest
- * instance's memory. */
+/* Maximum number of concurrent requests. At 60 KB each, the largest size at the sites, they take
+ * half of the smallest instance's memory. */
 #define JOBS_MAX 700
-/* Bytes of answers kept at once where the process is not told how much memory it has. */
+/* Limit of buffered answers where the process does not know how much memory it has. */
 #define ANSWERS_BYTES_MAX (64 * 1024 * 1024)
-/* Callers of a stream leave after a pause of two seconds, four objectives or eight pauses,
- * whichever is longest (the platform's page on its clients). */
+/* The caller of a stream disconnects after a pause of two seconds, four latency objectives or eight
+ * gap objectives, whichever is longest (platform documentation of its clients). */
 #define ABANDON_MIN_US (2 * MF_US_PER_S)
 #define ABANDON_OBJECTIVES 4
 #define ABANDON_GAPS 8
-/* The refusal reaches the caller this long before it leaves, and it can still come back. */
+/* A refusal is sent this long before the caller would disconnect, so that it still arrives and the
+ * caller can retry. */
 #define ABANDON_MARGIN_US (300 * MF_US_PER_MS)
-/* First tries of callers give at least this part of the route's time; a shorter time shows a caller
- * that has waited elsewhere before, whose objective has been missed already. */
+/* The deadline of a caller's first try is at least this percentage of the route's timeout. A
+ * shorter one means that the caller has already spent time at another instance and that the latency
+ * objective is missed. */
 #define FIRST_TRY_PERCENT 84
-/* Requests that wait for room look for it this often, besides whenever some comes free. */
+/* Interval at which the dispatcher runs while requests wait, in addition to running whenever a slot
+ * becomes free. */
 #define DISPATCH_INTERVAL_S 0.02
-/* Part of the expected time of an answer without which it is not begun: half of the answers are
- * shorter than expected, few by more than this. */
+/* Minimum share of the expected answer time that must be left to start an answer: half of the
+ * answers are shorter than expected, few of them by more than this. */
 #define ANSWER_TIME_MIN_SHARE 0.5
-/* Weight of one answer's length in the moving average; answers differ by half their length. */
+/* Weight of one answer in the moving averages; answer lengths vary by half. */
 #define ANSWER_WEIGHT 0.05
-/* Weight of one first event's time; it changes with the load within seconds. */
+/* Weight of one sample of the time to the first event, which follows the load within seconds. */
 #define FIRST_EVENT_WEIGHT 0.1
 
-/* A uniform number, not for secrets. */
+/* Returns a uniform random number; not for secrets. */
 uint32_t
 mf_jobs_random (MfJobs *jobs)
 {
@@ -44,7 +47,7 @@
   return (uint32_t)(jobs->random_state >> 32);
 }
 
-/* The first event of a stream has come so long after its place was granted. */
+/* Records the time from a slot's grant to the first event of the stream. */
 void
 mf_jobs_note_first_event (MfJobs *jobs, uint64_t took_us)
 {
@@ -53,7 +56,7 @@
   jobs->mean_first_event_us += FIRST_EVENT_WEIGHT * ((double)took_us - jobs->mean_first_event_us);
 }
 
-/* An engine's answer has come to so many tokens, and taken so long. */
+/* Records the length and duration of an engine's answer. */
 void
 mf_jobs_note_answer (MfJobs *jobs, uint64_t tokens, uint64_t took_us)
 {
@@ -71,7 +74,6 @@
   jobs->mean_token_us += ANSWER_WEIGHT * (token_us - jobs->mean_token_us);
 }
 
-/* Frees an answer that was kept. */
 void
 mf_job_answer_clear (MfJobAnswer *answer)
 {
@@ -80,7 +82,7 @@
   *answer = (MfJobAnswer){ 0 };
 }
 
-/* Whether the request may run a second time. */
+/* Whether the request may be executed more than once. */
 bool
 mf_job_may_retry (const MfJob *job)
 {
@@ -149,7 +151,7 @@
       (unsigned long long)job->routes->version);
 }
 
-/* Gives the caller a whole answer of an upstream. */
+/* Sends an upstream's complete answer to the caller and frees the request. */
 void
 mf_job_reply (MfJob *job, MfJobAnswer *answer)
 {
@@ -164,7 +166,7 @@
   job_free (job);
 }
 
-/* Ends a stream whole, or any request that has nothing more to tell its caller. */
+/* Ends a stream that is complete, and any other request whose caller has received everything. */
 static void
 job_end_stream (MfJob *job)
 {
@@ -187,7 +189,7 @@
   mf_buffer_add_text (headers, line);
 }
 
-/* Answers with an error of the relay's own. */
+/* Sends an error response generated by the relay. */
 static void
 job_reply_error (MfJob *job, uint32_t status, MfCode code, bool may_retry)
 {
@@ -216,7 +218,8 @@
   mf_buffer_clear (&headers);
 }
 
-/* Refuses a request that has not run and will not: the caller may send it again. */
+/* Refuses a request that has not been executed and will not be, so that the caller may safely retry
+ * it. */
 void
 mf_job_refuse (MfJob *job, MfCode code, const char *why)
 {
@@ -236,7 +239,7 @@
   job_free (job);
 }
 
-/* Ends a request that may have run and has no whole answer. */
+/* Ends a request that may have been executed and has no complete answer. */
 void
 mf_job_finish (MfJob *job, MfCode code, const char *why)
 {
@@ -252,7 +255,7 @@
       mf_job_reply (job, &job->fallback_answer);
       return;
     }
-  /* 503 promises that it has not run. */
+  /* Status 503 promises that the request has not been executed. */
   if (status == 503)
     status = 502;
   job->jobs->counters.counts[MF_RELAY_COUNT_FAILED]++;
@@ -269,7 +272,7 @@
   job_free (job);
 }
 
-/* Sets the timer to what is due first. */
+/* Arms the timer for the earliest timeout. */
 void
 mf_job_set_timer (MfJob *job)
 {
@@ -296,14 +299,15 @@
   if (now_us >= job->deadline_us)
     {
       if (job->n_runs == 0 && (job->phase == MF_JOB_WAITING || job->phase == MF_JOB_PREFILL))
-        mf_job_refuse (job, MF_CODE_QUEUE_FULL, "the deadline passed before it ran");
+        mf_job_refuse (job, MF_CODE_QUEUE_FULL,
+                       "deadline exceeded before the request was executed");
       else
-        mf_job_finish (job, MF_CODE_DEADLINE, "the deadline passed");
+        mf_job_finish (job, MF_CODE_DEADLINE, "deadline exceeded");
       return;
     }
   if (job->phase == MF_JOB_WAITING && now_us >= job->give_up_us)
     {
-      mf_job_refuse (job, MF_CODE_QUEUE_FULL, "no room came free in time");
+      mf_job_refuse (job, MF_CODE_QUEUE_FULL, "no engine slot became free in time");
       return;
     }
   if (job->step_deadline_us > 0 && now_us >= job->step_deadline_us)
@@ -315,7 +319,7 @@
   mf_job_set_timer (job);
 }
 
-/* Reads "prompt,output" token counts. */
+/* Parses a header of the form "prompt,output" with token counts. */
 static void
 job_read_token_counts (MfJob *job, const MfHead *head)
 {
@@ -335,7 +339,7 @@
       job->prompt_tokens, hint_tokens, (uint64_t)job->jobs->mean_answer_tokens, job->output_tokens);
 }
 
-/* The least time a whole answer is reckoned to take; 0 before any has been seen. */
+/* Minimum time reserved for a complete answer; 0 before the first sample. */
 static uint64_t
 job_answer_min_us (const MfJob *job)
 {
@@ -343,7 +347,8 @@
                     * ANSWER_TIME_MIN_SHARE);
 }
 
-/* The pause after which the caller of a stream leaves, less the time that word to it takes. */
+/* Time after which a stream without events is refused: shortly before its caller would
+ * disconnect. */
 static uint64_t
 abandon_timeout_us (const MfRoute *route)
 {
@@ -356,7 +361,8 @@
   return abandon_us - ABANDON_MARGIN_US;
 }
 
-/* The caller has had a part of its stream: it waits anew for what follows. */
+/* Restarts the time after which the request is given up, as a part of the stream has been
+ * delivered. */
 void
 mf_job_reset_give_up (MfJob *job)
 {
@@ -425,7 +431,7 @@
   return job;
 }
 
-/* Answers a request that no job was made for. */
+/* Answers a request for which no job exists. */
 static void
 caller_reply_code (MfJobs *jobs, MfCaller *caller, MfCode code, bool may_retry)
 {
@@ -459,7 +465,7 @@
   mf_buffer_clear (&headers);
 }
 
-/* Whether this instance may end before it has the answer to a request that begins now. */
+/* Whether this process may exit before it could answer a request that starts now. */
 static bool
 exits_too_soon (const MfJobs *jobs, const MfRoute *route)
 {
@@ -520,19 +526,19 @@
   mf_budget_note_request (&mf_jobs_budget (jobs, job->service->name)->budget, mf_clock_now_us ());
   if (exits_too_soon (jobs, route))
     {
-      mf_job_refuse (job, MF_CODE_DRAINING, "the instance ends before the answer would");
+      mf_job_refuse (job, MF_CODE_DRAINING, "instance exits before the answer could be complete");
       return;
     }
   if (job->is_engine && job->give_up_us <= job->begun_us)
     {
-      mf_job_refuse (job, MF_CODE_QUEUE_FULL, "the answer would not be whole in time");
+      mf_job_refuse (job, MF_CODE_QUEUE_FULL, "not enough time left for a complete answer");
       return;
     }
   mf_job_advance (job);
 }
 
-/* The caller has left. An order that an upstream has begun is let run to its end, as stopping it
- * midway helps nobody; anything else is stopped. */
+/* The caller has disconnected. A non-idempotent request already sent to an upstream is left to
+ * finish, as aborting it halfway gains nothing; everything else is cancelled. */
 static void
 on_departed (void *data, MfCaller *caller)
 {
@@ -546,7 +552,7 @@
   if (job->route->kind == MF_ROUTE_NON_IDEMPOTENT && job->link != NULL
       && mf_link_has_sent (job->link))
     return;
-  job_record_end (job, MF_CODE_DEPARTED, 0, "the caller left");
+  job_record_end (job, MF_CODE_DEPARTED, 0, "caller disconnected");
   job_free (job);
 }
 
@@ -559,7 +565,7 @@
   if (job == NULL || job->link == NULL)
     return;
   mf_link_hold (job->link, !can_write);
-  /* The upstream's silence is then the caller's doing. */
+  /* A pause of the stream may be caused by the slow caller, so the upstream gets no timeout. */
   job->step_deadline_us = 0;
 }
 
@@ -581,7 +587,7 @@
   .refused = on_refused,
 };
 
-/* What this instance has at the engines has changed. */
+/* Schedules a load report after this instance's load of the engines has changed. */
 void
 mf_jobs_load_changed (MfJobs *jobs)
 {
@@ -589,7 +595,7 @@
     mf_peers_touch (jobs->peers);
 }
 
-/* Looks at what the other instances have at the engines, if that has changed. */
+/* Recomputes the load that other instances put on the engines, if it has changed. */
 void
 mf_jobs_refresh_remote_load (MfJobs *jobs, uint64_t now_us)
 {
@@ -602,8 +608,7 @@
   jobs->remote_load_stale = false;
 }
 
-/* Gives the places that are free to the requests that wait, of all instances that asked this one.
- */
+/* Grants free slots to waiting requests, including those of other instances. */
 void
 mf_jobs_run_dispatch (MfJobs *jobs)
 {
@@ -620,7 +625,7 @@
     ev_timer_stop (jobs->loop, &jobs->dispatch_timer);
 }
 
-/* The same as mf_jobs_wake, from the loop. */
+/* Runs mf_jobs_run_dispatch in the next iteration of the loop. */
 void
 mf_jobs_schedule_dispatch (MfJobs *jobs)
 {
@@ -637,7 +642,7 @@
   mf_jobs_run_dispatch (watcher->data);
 }
 
-/* Begins without a configuration, upstreams and peers. */
+/* Initialises an instance without configuration, upstreams and peers. */
 void
 mf_jobs_init (MfJobs *jobs, struct ev_loop *loop, const MfDialect *dialect, MfLines *log)
 {
@@ -664,7 +669,7 @@
   jobs->dispatch = mf_dispatch_new (&jobs->targets, &mf_job_dispatch_callbacks, jobs);
 }
 
-/* Ends all requests without an answer and forgets everything. */
+/* Drops all requests without an answer and frees everything. */
 void
 mf_jobs_clear (MfJobs *jobs)
 {
@@ -680,7 +685,7 @@
   jobs->routes = NULL;
 }
 
-/* Puts a configuration in force; takes over the reference. */
+/* Applies a configuration and takes ownership of the reference. */
 void
 mf_jobs_configure (MfJobs *jobs, MfRoutes *routes)
 {
--- a/libmangofork/relay/job.h
+++ b/libmangofork/relay/job.h
@@ -9,83 +9,87 @@
 #include "relay_counters.h"
 #include "stage.h"
 
-/* Bytes of a request's id, its closing NUL included. */
+/* Bytes of a request id, including the terminating NUL. */
 #define MF_JOB_ID_BYTES 128
 
 typedef struct MfJob MfJob;
 
-/* Most services whose repeats are counted apart; a further one shares the last one's budget. */
+/* Maximum number of services with a retry budget of their own. Further services share the last
+ * one. */
 #define MF_JOBS_SERVICES_MAX 64
 
-/* The repeats of one service. */
+/* Retry budget of one service. */
 typedef struct
 {
   char service[MF_NAME_BYTES];
   MfBudget budget;
 } MfServiceBudget;
 
-/* Engine services that an instance leads at most: reports name the leaders of so many. */
+/* Maximum number of engine services that this instance leads: a load report carries that many
+ * votes. */
 #define MF_JOBS_LEADERSHIPS_MAX MF_LOAD_VOTES_MAX
 
-/* What this instance does for all about one service's engines, while it leads. */
+/* State of this instance as the leader of one engine service. */
 typedef struct
 {
   char service[MF_NAME_BYTES];
-  uint64_t led_since_us; /* when it came to decide for all; 0: it does not */
-  MfBudget retry_pool;   /* repeats given to instances that have used their part */
+  uint64_t led_since_us; /* start of the leadership; 0: not the leader */
+  MfBudget retry_pool;   /* retries granted to instances that have used up their own allowance */
   MfStageTrend trend;
-  uint64_t fence;      /* of its orders since it leads */
-  uint64_t ordered_us; /* the last order */
+  uint64_t fence;      /* fencing token of the orders given during this leadership */
+  uint64_t ordered_us; /* time of the last order */
 } MfLeadership;
 
-/* An order on its way to an engine. */
+/* A stage change order that is in flight to an engine. */
 typedef struct MfStageOrder MfStageOrder;
 
-/* What the requests of one instance share. */
+/* State shared by all requests of one instance. */
 typedef struct
 {
   struct ev_loop *loop;
   const MfDialect *dialect;
   MfLines *log;
   MfTargets targets;
-  MfSuspects *suspects; /* requests that may end the upstreams that run them */
+  MfSuspects *suspects; /* requests that may crash the upstreams that run them */
   MfDispatch *dispatch;
-  uint64_t n_started; /* requests, since the start */
+  uint64_t n_started; /* requests started since the process started */
   uint64_t last_peer_request_id;
-  MfRelayMessage message; /* room for one that is sent; too large for the stack */
-  MfPeers *peers;         /* NULL: this instance is alone */
-  /* Takes what another instance has read of the platform's store; NULL: nobody does. */
+  MfRelayMessage message; /* buffer for the message being sent; too large for the stack */
+  MfPeers *peers;         /* NULL: this instance runs alone */
+  /* Called with what another instance has read from the platform's store; may be NULL. */
   void (*on_feed) (void *data, uint64_t peer, const MfFeed *feed);
   void *on_feed_data;
-  bool remote_load_stale; /* what the other instances have is to be looked at again */
-  double mean_token_us; /* moving average of an answer's time for each of its tokens; 0: none yet */
-  double
-      mean_first_event_us; /* moving average from a granted place to the first event; 0: none yet */
-  double mean_answer_tokens; /* moving average of engines' answers; 0: none yet */
-  MfRoutes *routes;          /* in force; NULL while none is known */
+  bool remote_load_stale; /* the load of other instances has changed and must be added up again */
+  double mean_token_us;   /* moving average of the answer time per token; 0: no sample yet */
+  /* Moving average of the time from a slot's grant to the first event; 0: no sample yet. */
+  double mean_first_event_us;
+  double mean_answer_tokens; /* moving average of the answer length of engines; 0: no sample yet */
+  MfRoutes *routes;          /* configuration in force; NULL: none yet */
   MfServiceBudget budgets[MF_JOBS_SERVICES_MAX];
   uint32_t n_budgets;
   uint64_t budget_window_us;
   double budget_ratio;
-  uint32_t budget_slack; /* repeats allowed to all instances together, whatever their requests */
+  /* Retries that all instances together may send regardless of their request counts. */
+  uint32_t budget_slack;
   MfLeadership leaderships[MF_JOBS_LEADERSHIPS_MAX];
   uint32_t n_leaderships;
-  MfStageOrder *orders;          /* on their way */
-  uint64_t leadership_ticked_us; /* by a clock that counts the time a machine stands still */
+  MfStageOrder *orders; /* in flight */
+  /* Time of the last tick, on a clock that counts time spent suspended. */
+  uint64_t leadership_ticked_us;
   bool orders_fenced;
   uint64_t order_turn_us;
-  char instance[MF_NAME_BYTES]; /* the name under which it gives orders */
+  char instance[MF_NAME_BYTES]; /* name used as the holder of engine orders */
   uint64_t started_us;
   MfJob *first;
   uint32_t n_jobs;
-  uint64_t n_ended; /* requests, since the start */
+  uint64_t n_ended; /* requests ended since the process started */
   uint32_t jobs_max;
-  uint64_t answer_bytes_max;    /* that the answers kept may come to together */
-  ev_timer dispatch_timer;      /* requests that wait for room look again */
-  ev_timer dispatch_now_timer;  /* the same, at the next turn of the loop */
-  uint64_t random_state;        /* state of the generator */
-  uint64_t no_streams_after_us; /* while shutting down; 0: not */
-  uint64_t exit_by_us;          /* when the process ends at the latest; 0: it does not */
+  uint64_t answer_bytes_max;    /* limit of the memory taken by all buffered answers */
+  ev_timer dispatch_timer;      /* runs the dispatcher periodically while requests wait */
+  ev_timer dispatch_now_timer;  /* runs the dispatcher in the next iteration of the loop */
+  uint64_t random_state;        /* state of the random number generator */
+  uint64_t no_streams_after_us; /* set while draining; 0: not draining */
+  uint64_t exit_by_us; /* latest time of the process's exit while draining; 0: not draining */
   MfRelayCounters counters;
 } MfJobs;
 
@@ -106,10 +110,10 @@
 
 extern const MfDispatchUser mf_job_dispatch_callbacks;
 
-/* Peers are made with this user and the MfJobs as its data. */
+/* Callbacks for the MfPeers of an MfJobs, which is their data. */
 extern const MfPeersUser mf_jobs_peers_callbacks;
 
-/* The doors of callers are opened with this user and the MfJobs as its data. */
+/* Callbacks for the listener for callers; their data is the MfJobs. */
 extern const MfDoorUser mf_job_listener_callbacks;
 
 #endif
--- a/libmangofork/relay/job_answer.c
+++ b/libmangofork/relay/job_answer.c
@@ -2,21 +2,23 @@
 
 #include "libmangofork/clock.h"
 
-/* A stream that may go on elsewhere does so after a pause of so many times the longest in order. */
+/* A resumable stream is moved to another upstream after a pause of this many times the route's
+ * maximum gap between events. */
 #define STALL_GAPS 3
-/* An upstream that is another than was meant is gone; discovery tells within this time. */
+/* Another upstream answers at the address, so the intended one is gone. Discovery reports that
+ * within this time. */
 #define MISDIRECTED_AVOID_US (3 * MF_US_PER_S)
-/* Bytes of an answer that is kept whole before it goes to the caller. */
+/* Limit of an answer that is buffered before it is sent to the caller. */
 #define ANSWER_BYTES_MAX (4 * 1024 * 1024)
-/* The same of an answer to a prefill, which names the memory and no more. */
+/* The same for an answer to a prefill, which contains only the KV handle. */
 #define PREFILL_BYTES_MAX (64 * 1024)
-/* Answers below this size are not counted towards what all requests together may keep: callers'
- * number bounds them. */
+/* Smaller answers do not trigger the check of the common limit; the number of callers bounds their
+ * sum. */
 #define ANSWER_BYTES_SMALL (64 * 1024)
-/* Connections that failed before anything left cost nothing but time; more are not tried. */
+/* Failed connection attempts cost only time; after more than this many the request is refused. */
 #define CONNECT_FAILURES_MAX 5
 
-/* Keeps the headers of an answer that go on to the caller. */
+/* Stores the headers that are forwarded to the caller. */
 static void
 answer_set_head (MfJobAnswer *answer, const MfHead *head, uint32_t status)
 {
@@ -41,7 +43,7 @@
     }
 }
 
-/* A success that is the upstream's own bytes. */
+/* Whether the answer is a success and unmodified by an intermediary. */
 static bool
 answer_is_good (const MfJobAnswer *answer)
 {
@@ -76,7 +78,7 @@
   mf_caller_begin (job->caller, status, &job->answer.headers);
 }
 
-/* Ends an exchange whose answer is not worth reading on: the upstream's connection is closed. */
+/* Aborts an exchange and closes its connection, as the rest of the answer is of no use. */
 static void
 job_abort_exchange (MfJob *job, const char *why)
 {
@@ -87,8 +89,8 @@
   callbacks->end (job, MF_LINK_BROKEN, why);
 }
 
-/* Of the requests with an answer on its way, the one that keeps most of it; NULL while all that is
- * kept together is less than what is allowed. */
+/* Returns the request with the largest answer being received if all buffered answers exceed their
+ * common limit, else NULL. */
 static MfJob *
 jobs_find_largest_answer (const MfJobs *jobs)
 {
@@ -117,7 +119,7 @@
 
   if (mf_buffer_bytes (body) + n_bytes > limit_bytes)
     {
-      job_abort_exchange (job, "the answer is too large to keep");
+      job_abort_exchange (job, "answer exceeds the size limit for buffering");
       return;
     }
   mf_buffer_add (body, bytes, n_bytes);
@@ -125,10 +127,10 @@
     return;
   largest = jobs_find_largest_answer (job->jobs);
   if (largest != NULL)
-    job_abort_exchange (largest, "the answers that are kept have come to more than is allowed");
+    job_abort_exchange (largest, "buffered answers of all requests exceed the memory limit");
 }
 
-/* Reckons with what the answer has come to, once that is more than was expected. */
+/* Accounts for an answer that has become longer than expected. */
 static void
 job_add_tokens (MfJob *job)
 {
@@ -140,7 +142,7 @@
   job->target_tokens = tokens;
 }
 
-/* Gives the caller what has come of a stream. */
+/* Forwards a part of a stream to the caller. */
 static void
 on_run_body (void *data, const char *bytes, size_t n_bytes)
 {
@@ -163,7 +165,7 @@
   if (job->route->resumable)
     {
       mf_events_feed (&job->events, bytes, n_bytes, &complete);
-      /* Bytes that end no event are no progress. */
+      /* Bytes that complete no event do not count as progress. */
       if (mf_buffer_bytes (&complete) > 0)
         job->step_deadline_us = now_us + job->route->target_gap_us * STALL_GAPS;
       mf_caller_write (job->caller, mf_buffer_data (&complete), mf_buffer_bytes (&complete));
@@ -176,10 +178,10 @@
     }
   job_add_tokens (job);
   if (mf_events_is_endless (&job->events))
-    job_abort_exchange (job, "an event has no end");
+    job_abort_exchange (job, "event exceeds the size limit");
 }
 
-/* The upstream declined: the request has not run there. */
+/* The upstream declined the request without executing it. */
 static void
 job_declined (MfJob *job, MfTarget *target)
 {
@@ -201,17 +203,17 @@
                 job->kv_target != NULL ? (double)(now_us - job->prefilled_us) / 1e3 : 0.);
   if (job->caller == NULL)
     {
-      mf_job_finish (job, MF_CODE_DEPARTED, "declined, and the caller has left");
+      mf_job_finish (job, MF_CODE_DEPARTED, "upstream declined and caller disconnected");
       return;
     }
   mf_job_avoid (job, target->id_hash);
   mf_job_retry_or_end (job, &(MfJobDenial){
                                 .code = MF_CODE_RETRY_BUDGET,
-                                .why = "declined, and the retry budget is spent",
+                                .why = "upstream declined and retry budget exhausted",
                             });
 }
 
-/* The request may have run, and has no whole answer. */
+/* The request may have been executed and has no complete answer. */
 static void
 job_failed (MfJob *job, MfTarget *target, const char *why)
 {
@@ -247,12 +249,12 @@
                               });
 }
 
-/* No connection could be made: nothing has left. */
+/* No connection could be made, so nothing was sent. */
 static void
 job_connect_failed (MfJob *job, MfTarget *target, const char *why)
 {
   job->jobs->counters.counts[MF_RELAY_COUNT_UNREACHED]++;
-  /* It did not arrive: the next send takes its place. */
+  /* The send did not arrive; the next one takes its place in the budget. */
   if (job->is_retry)
     job->n_reserved_sends++;
   else if (target->info.role == MF_ROLE_PREFILL)
@@ -276,7 +278,7 @@
     mf_job_advance (job);
 }
 
-/* A whole answer has come to the request. */
+/* A complete answer has arrived. */
 static void
 job_answered (MfJob *job, MfTarget *target)
 {
@@ -291,7 +293,7 @@
   job->n_runs++;
   if (answer->body.failed)
     {
-      mf_job_finish (job, MF_CODE_NO_MEMORY, "no memory to keep the answer");
+      mf_job_finish (job, MF_CODE_NO_MEMORY, "out of memory while buffering the answer");
       return;
     }
   if (answer_is_good (answer))
@@ -303,7 +305,7 @@
   if (answer->status < 300)
     {
       job_failed (job, target,
-                  answer->encoded ? "the answer is encoded" : "the answer has no seal");
+                  answer->encoded ? "answer has a content encoding" : "answer has no seal header");
       return;
     }
   if (answer->status >= 500)
@@ -319,7 +321,7 @@
       return;
     }
   if (job->head_sent)
-    mf_job_finish (job, MF_CODE_UPSTREAM_ERROR, "the upstream failed to go on with the stream");
+    mf_job_finish (job, MF_CODE_UPSTREAM_ERROR, "upstream failed to resume the stream");
   else
     mf_job_reply (job, answer);
 }
@@ -351,7 +353,7 @@
       job->n_runs++;
       job->kv_used = true;
       if (job->route->resumable && !mf_events_at_boundary (&job->events))
-        job_failed (job, target, "the stream ended within an event");
+        job_failed (job, target, "stream ended inside an event");
       else
         {
           mf_target_answered (target, job->first_event_us - job->sent_us, mf_clock_now_us ());
@@ -375,7 +377,7 @@
   .end = on_run_end,
 };
 
-/* The prompt has been read: the request goes on to a decode engine at once. */
+/* The prefill is complete: continues with the decode engine. */
 static void
 job_prefilled (MfJob *job, MfTarget *target)
 {
@@ -426,7 +428,7 @@
       mf_job_retry_after_failure (job, target,
                                   &(MfJobDenial){
                                       .code = MF_CODE_RETRY_BUDGET,
-                                      .why = "the prompt was not read",
+                                      .why = "prefill failed",
                                   });
     }
   mf_target_unref (target);
--- a/libmangofork/relay/job_lead.c
+++ b/libmangofork/relay/job_lead.c
@@ -4,11 +4,11 @@
 
 #include <string.h>
 
-/* Calls of mf_jobs_lead that are further apart show that the machine stood still: what was believed
- * of the others before is then too old to lead by. */
+/* A longer gap between calls of mf_jobs_tick_leadership means that the machine was suspended. What
+ * this instance knows of the others is then too old to lead by. */
 #define TICK_GAP_MAX_US (300 * MF_US_PER_MS)
 
-/* What this instance leads about a service; NULL when it has not looked at it. */
+/* Returns the leadership state of a service; NULL if the service has not been seen yet. */
 MfLeadership *
 mf_jobs_find_leadership (MfJobs *jobs, const char *service)
 {
@@ -33,8 +33,8 @@
   return lead;
 }
 
-/* Begins to lead: what was seen before is another instance's. The fence outgrows all that are
- * known, whatever this machine's time of day is. */
+/* Starts a leadership. Observations from an earlier one are discarded, as another instance has led
+ * since. The fence is higher than all known ones, whatever the local wall clock says. */
 static void
 leadership_begin (const MfJobs *jobs, MfLeadership *lead, uint64_t now_us)
 {
@@ -50,8 +50,8 @@
   mf_stage_reset (&lead->trend);
 }
 
-/* Called about ten times a second: does what falls to this instance where it decides for all.
- * awake_us is of a clock that also counts the time for which the machine stood still. */
+/* Called about ten times a second; performs the leader's duties for each engine service.
+ * boottime_us is a clock that also counts time spent suspended. */
 void
 mf_jobs_tick_leadership (MfJobs *jobs, uint64_t now_us, uint64_t boottime_us)
 {
@@ -73,7 +73,8 @@
           lead->led_since_us = 0;
           continue;
         }
-      /* Who hears of orders that are younger than its lead begins anew. */
+      /* A higher fence than its own means that another instance has led since: starts a new
+       * leadership. */
       if (lead->led_since_us == 0 || mf_peers_fence (jobs->peers, service->name) > lead->fence)
         leadership_begin (jobs, lead, now_us);
       mf_jobs_refresh_remote_load (jobs, now_us);
--- a/libmangofork/relay/job_place.c
+++ b/libmangofork/relay/job_place.c
@@ -4,10 +4,11 @@
 
 #include <string.h>
 
-/* Prefilled memory is taken up to this part of its retention; the rest is for the way. */
+/* Prefilled KV is used up to this percentage of its retention time; the rest covers the
+ * transfer. */
 #define KV_USE_PERCENT 80
 
-/* What is asked of the placing for this request. */
+/* Placement criteria of a request for an upstream of the given role. */
 static MfPlaceAsk
 job_place_query (const MfJob *job, MfRole role)
 {
@@ -29,20 +30,19 @@
   return query;
 }
 
-/* No upstream is left to try. */
+/* Ends a request that has no upstream left to try. */
 static void
 job_end_without_upstream (MfJob *job, bool any_alive)
 {
   if (job->n_runs > 0)
-    mf_job_finish (job, MF_CODE_UPSTREAM_DIED, "no other upstream is left to try");
+    mf_job_finish (job, MF_CODE_UPSTREAM_DIED, "no other upstream to try");
   else if (any_alive)
-    mf_job_refuse (job, MF_CODE_QUEUE_FULL, "every upstream declined");
+    mf_job_refuse (job, MF_CODE_QUEUE_FULL, "all upstreams declined");
   else
-    mf_job_refuse (job, MF_CODE_NO_UPSTREAM, "the service has no upstream");
+    mf_job_refuse (job, MF_CODE_NO_UPSTREAM, "service has no upstream");
 }
 
-/* Notes when the first upstream of a role takes requests again, where all have asked for a pause.
- */
+/* Records when the first upstream of a role accepts requests again, if all of them are paused. */
 static void
 job_note_pause_end (MfJob *job, MfRole role, uint64_t now_us)
 {
@@ -66,7 +66,7 @@
     mf_job_send (job, target, false);
 }
 
-/* Drops memory that an engine no longer keeps: it was taken, or has lapsed. */
+/* Releases prefilled KV that the engine no longer holds because it was used or has expired. */
 static void
 job_check_kv (MfJob *job, uint64_t now_us)
 {
@@ -78,8 +78,8 @@
   mf_job_release_kv (job);
 }
 
-/* The engine that keeps room for this request, if it can still be used; else its room is given
- * back. */
+/* Returns the engine with a slot reserved for this request, if it is still usable; otherwise gives
+ * the slot back. */
 static MfTarget *
 job_use_reserved_target (MfJob *job, uint64_t now_us)
 {
@@ -88,15 +88,14 @@
   if (reserved != NULL && reserved->listed && mf_target_takes (reserved, now_us)
       && !mf_place_avoids (job->avoid, job->n_avoid, reserved))
     return reserved;
-  /* The instance that decides may not know yet; the same engine is not asked for again. */
+  /* The leader may not know yet that the engine is unusable: avoids being granted it again. */
   if (reserved != NULL)
     mf_job_avoid (job, reserved->id_hash);
   mf_job_reserve (job, NULL);
   return NULL;
 }
 
-/* The engine that is to read the prompt: the one that was granted, or the best that is known here.
- */
+/* Chooses the prefill engine: the granted one if usable, else the best one known here. */
 static MfTarget *
 job_choose_prefill (MfJob *job, uint64_t now_us)
 {
@@ -114,8 +113,8 @@
   return prefill != NULL && prefill->suspect_until_us <= now_us ? prefill : NULL;
 }
 
-/* All decode engines have asked for a pause: waits for the first to end, or ends the request when
- * that is too late. */
+/* All decode engines are paused: waits for the end of the first pause, or ends the request if that
+ * is too late. */
 static void
 job_wait_paused (MfJob *job, uint64_t now_us)
 {
@@ -148,7 +147,8 @@
   decode = job_use_reserved_target (job, now_us);
   if (decode == NULL)
     {
-      /* When all have declined or failed, or many, they are asked anew. */
+      /* All engines, or as many as can be listed, have declined or failed: starts over with all of
+       * them. */
       if (job->n_avoid == MF_JOB_AVOID_MAX
           || !mf_place_has_role (targets, job->service->name, MF_ROLE_DECODE, job->avoid,
                                  job->n_avoid))
@@ -173,12 +173,12 @@
   else
     mf_job_retry_or_end (job, &(MfJobDenial){
                                   .code = MF_CODE_RETRY_BUDGET,
-                                  .why = "its prompt is lost, and the retry budget is spent",
+                                  .why = "prefilled KV lost and retry budget exhausted",
                                   .may_have_run = job->n_runs > 0,
                               });
 }
 
-/* Decides what a request does next, and begins it. */
+/* Decides the next step of a request and starts it. */
 void
 mf_job_advance (MfJob *job)
 {
@@ -190,7 +190,7 @@
     job_place_plain (job);
 }
 
-/* The upstream given up for another did not answer in time. */
+/* The current attempt or wait has timed out. */
 void
 mf_job_step_expired (MfJob *job)
 {
@@ -226,13 +226,13 @@
       return;
     }
   mf_lines_add (job->jobs->log, "request.moved",
-                "id=%s from=%s why=\"no answer in time\" waited_ms=%.1f in_flight=%u", job->id,
+                "id=%s from=%s why=\"answer timed out\" waited_ms=%.1f in_flight=%u", job->id,
                 target->info.id, (double)(mf_clock_now_us () - job->sent_us) / 1e3,
                 target->n_active);
   mf_target_failed (target, false, mf_clock_now_us ());
   mf_job_note_failure (job, target);
   mf_job_avoid (job, target->id_hash);
-  /* What was sent and is given up may have run. */
+  /* The abandoned attempt may have been executed. */
   if (job->phase != MF_JOB_PREFILL && mf_link_has_sent (job->link))
     {
       job->n_arrivals++;
--- a/libmangofork/relay/job_retry.c
+++ b/libmangofork/relay/job_retry.c
@@ -4,11 +4,11 @@
 
 #include <string.h>
 
-/* The instance that gives repeats to others answers within a few round trips between data centres
- * and turns of a small instance's loop. */
+/* The leader replies within a few round trips between data centres and loop iterations of a small
+ * instance. */
 #define REPLY_TIMEOUT_US (80 * MF_US_PER_MS)
 
-/* The budget for repeats of a service. */
+/* Returns the retry budget of a service. */
 MfServiceBudget *
 mf_jobs_budget (MfJobs *jobs, const char *service)
 {
@@ -27,7 +27,7 @@
   return budget;
 }
 
-/* This instance's part of the slack in repeats. */
+/* This instance's allowance of the common slack. */
 static uint32_t
 jobs_allowance (const MfJobs *jobs)
 {
@@ -37,7 +37,7 @@
                               mf_clock_now_us () - jobs->started_us, jobs->budget_window_us);
 }
 
-/* Sends beyond its first prefill and its first run that a repeat of the request takes. */
+/* Number of sends that a retry of the request takes besides its first prefill and first run. */
 static uint32_t
 retry_n_sends (const MfJob *job)
 {
@@ -47,7 +47,7 @@
   return n_sends > 0 ? n_sends : 1;
 }
 
-/* Takes sends of this instance's own part: all of them, or none. */
+/* Acquires all sends from this instance's own budget, or none. */
 static bool
 acquire_sends (MfJob *job, uint32_t n_sends)
 {
@@ -60,15 +60,15 @@
   return allowed;
 }
 
-/* Takes a repeat of this instance's own part. */
+/* Acquires a retry of the request from this instance's own budget. */
 bool
 mf_job_acquire_retry (MfJob *job)
 {
   return acquire_sends (job, retry_n_sends (job));
 }
 
-/* Whether the next send of the request is one that it may make: the first prefill or run, one that
- * was given before, or one that this instance's own part still has. */
+/* Whether the next send is allowed: it is the first prefill or run, it was reserved before, or the
+ * instance's own budget has one left. */
 bool
 mf_job_acquire_send (MfJob *job, bool prefill)
 {
@@ -77,8 +77,8 @@
   return n_before == 0 || job->n_reserved_sends > 0 || acquire_sends (job, 1);
 }
 
-/* Asks the instance that leads for the repeats of a request, or tells it of them. Returns who was
- * asked; MF_DISPATCH_SELF when there is nobody to ask. */
+/* Sends a retry message to the leader of the service. Returns the leader; MF_DISPATCH_SELF if this
+ * instance leads or the message could not be sent. */
 static uint64_t
 leader_send (MfJobs *jobs, const char *service, const MfRepeatAsk *retry)
 {
@@ -95,7 +95,7 @@
   return mf_peers_send (jobs->peers, leader, &jobs->message) ? leader : MF_DISPATCH_SELF;
 }
 
-/* Counts sends of another instance, or of this one, that went beyond its own part. */
+/* Charges the leader's pool for sends beyond an instance's own budget. */
 static void
 pool_charge (MfJobs *jobs, const char *service, uint32_t n_sends)
 {
@@ -105,8 +105,8 @@
     mf_budget_charge (&lead->retry_pool, n_sends, mf_clock_now_us ());
 }
 
-/* Counts a send: all but the first prefill and the first run of a request are repeats. One that was
- * not foreseen, and goes beyond this instance's part, is told to the one that gives to others. */
+/* Counts a send. All but the first prefill and the first run of a request are retries. A retry that
+ * was not reserved and exceeds this instance's own budget is reported to the leader. */
 void
 mf_job_note_send (MfJob *job, bool prefill)
 {
@@ -132,8 +132,8 @@
     pool_charge (jobs, job->service->name, 1);
 }
 
-/* Takes sends from what this instance gives to all, where it leads. One that has not led for a
- * whole window does not know what the one before it gave. */
+/* Acquires sends from the leader's pool. An instance that has led for less than a window does not
+ * know what its predecessor granted, and grants nothing. */
 static bool
 pool_acquire (MfJobs *jobs, const char *service, uint32_t n_sends)
 {
@@ -151,7 +151,7 @@
   return true;
 }
 
-/* Ends a request that may not be repeated. */
+/* Ends a request whose retry was denied. */
 void
 mf_job_retry_denied (MfJob *job)
 {
@@ -164,7 +164,7 @@
     mf_job_refuse (job, denial.code, denial.why);
 }
 
-/* Goes on with a repeat that was given. */
+/* Continues with a retry that was granted. */
 static void
 job_retry_granted (MfJob *job)
 {
@@ -175,7 +175,7 @@
   mf_job_advance (job);
 }
 
-/* Asks the instance that leads for a repeat; false when there is none to ask. */
+/* Requests a retry from the leader; returns false if there is none to ask. */
 static bool
 request_retry (MfJob *job)
 {
@@ -194,8 +194,7 @@
   return true;
 }
 
-/* Sends the request once more if a repeat is to be had, of this instance's part or of what the
- * leader gives; else ends it. */
+/* Retries the request if the instance's own budget or the leader's pool allows it, else ends it. */
 void
 mf_job_retry_or_end (MfJob *job, const MfJobDenial *denial)
 {
@@ -208,7 +207,7 @@
     mf_job_retry_denied (job);
 }
 
-/* Takes a question for a repeat, or the answer to one of this instance, from a peer. */
+/* Handles a retry request of another instance, or the reply to one of this instance. */
 void
 mf_jobs_handle_retry_message (MfJobs *jobs, uint64_t peer, const MfRelayMessage *message)
 {
--- a/libmangofork/relay/job_room.c
+++ b/libmangofork/relay/job_room.c
@@ -4,13 +4,13 @@
 
 #include <string.h>
 
-/* The instance that decides for all answers an ask at once, if only that it is queued: a few round
- * trips between data centres and turns of a small instance's loop. */
+/* The leader replies to a slot request at once, with a grant or with "queued": within a few round
+ * trips between data centres and loop iterations of a small instance. */
 #define REPLY_TIMEOUT_US (80 * MF_US_PER_MS)
-/* After so many that do not answer an instance decides for itself: it may be cut off, and a quarter
- * of the shortest objective for a first event has gone. */
+/* After this many requests without a reply the instance grants slots itself: it may be isolated,
+ * and a quarter of the shortest first-event objective has passed. */
 #define UNANSWERED_MAX 3
-/* First events take up to so many times their average; most then come in time. */
+/* Most first events arrive within this multiple of the average time. */
 #define FIRST_EVENT_FACTOR 1.4
 
 static MfJob *
@@ -24,7 +24,7 @@
   return NULL;
 }
 
-/* The age at which a place still lets the first event be in time. */
+/* Maximum age at which a grant still lets the first event meet the objective. */
 static uint64_t
 grant_objective_us (const MfJob *job)
 {
@@ -34,8 +34,8 @@
   return objective_us > first_event_us ? objective_us - first_event_us : 0;
 }
 
-/* Adds the engines that take nothing of this instance, as far as they fit: the instance that
- * decides does not know what they have told this one. */
+/* Excludes the engines that accept no requests of this instance, as far as the list has space: the
+ * leader does not know what they have announced to this instance. */
 static void
 request_avoid_unusable (const MfJob *job, MfAsk *request, uint64_t now_us)
 {
@@ -50,7 +50,7 @@
     }
 }
 
-/* Decode engines of the service that the ask does not name. */
+/* Number of decode engines of the service that the request does not exclude. */
 static uint32_t
 request_n_usable (const MfJob *job, const MfAsk *request)
 {
@@ -63,7 +63,7 @@
   return n_usable;
 }
 
-/* Adds the engines where requests run under which another has ended, while one is left without. */
+/* Excludes the engines that run suspect requests, but leaves at least one usable. */
 static void
 request_avoid_suspects (const MfJob *job, MfAsk *request)
 {
@@ -82,8 +82,8 @@
     }
 }
 
-/* What is asked for this request. A stream that broke off goes before those that have not begun:
- * its caller has been promised the rest. */
+/* Builds a slot request. An interrupted stream takes precedence over streams that have not started,
+ * as its caller has received a part of it. */
 static MfAsk
 request_make (MfJob *job, uint64_t now_us)
 {
@@ -109,7 +109,7 @@
   return request;
 }
 
-/* Asks this instance itself. */
+/* Enqueues the request at the dispatcher of this instance. */
 static void
 request_enqueue_local (MfJob *job)
 {
@@ -125,7 +125,7 @@
   mf_jobs_schedule_dispatch (jobs);
 }
 
-/* Takes back an ask that was not answered. */
+/* Cancels a slot request that has not been granted. */
 void
 mf_job_cancel_slot_request (MfJob *job)
 {
@@ -144,7 +144,7 @@
   job->slot_request_id = 0;
 }
 
-/* Asks for room at an engine, here or at the instance that decides for all. */
+/* Requests a slot from the leader, or from the dispatcher of this instance. */
 void
 mf_job_request_slot (MfJob *job)
 {
@@ -175,8 +175,8 @@
     request_enqueue_local (job);
 }
 
-/* The instance that was asked does not answer: the next one is asked. Were all that wait to decide
- * for themselves, they would take the same places. */
+/* The leader has not replied: asks the next one. If all waiting instances granted slots themselves,
+ * they would take the same ones. */
 void
 mf_job_slot_request_expired (MfJob *job)
 {
@@ -192,7 +192,7 @@
     request_enqueue_local (job);
 }
 
-/* Goes on with the engines that a grant names, as far as this instance can use them. */
+/* Continues with the engines of a grant, as far as this instance can use them. */
 static void
 job_granted (MfJob *job, const MfGrant *grant)
 {
@@ -254,7 +254,7 @@
   .traits = on_service_config,
 };
 
-/* Tells an asker whose ask could not be granted at once that it is kept. */
+/* Enqueues another instance's slot request, and replies "queued" if it is not granted at once. */
 static void
 request_handle (MfJobs *jobs, uint64_t peer, const MfAsk *request)
 {
@@ -270,7 +270,7 @@
   mf_peers_send (jobs->peers, peer, &jobs->message);
 }
 
-/* A message that is no report has come from another instance. */
+/* Handles a message of another instance other than a load report. */
 static void
 on_message (void *data, uint64_t peer, const MfRelayMessage *message)
 {
@@ -301,7 +301,7 @@
       job = job_by_slot_request (jobs, message->grant.id);
       if (job != NULL && job->asked_instance == peer)
         job_granted (job, &message->grant);
-      /* The place shows in the load, or is free again. */
+      /* The slot now shows in this instance's load, or is free again. */
       mf_jobs_load_changed (jobs);
       return;
     case MF_RELAY_MESSAGE_FEED:
@@ -320,14 +320,14 @@
     }
 }
 
-/* Another instance has been reached that may have started anew. */
+/* A peer has connected that may have restarted. */
 static void
 on_peer_reached (void *data, uint64_t peer)
 {
   mf_jobs_send_suspects (data, peer);
 }
 
-/* Another instance is gone. */
+/* A peer has disconnected. */
 static void
 on_peer_gone (void *data, uint64_t peer)
 {
@@ -336,7 +336,7 @@
 
   mf_dispatch_drop (jobs->dispatch, peer);
   jobs->remote_load_stale = true;
-  /* Whoever decides now is to know what this instance has before the asks reach it. */
+  /* The new leader must have received this instance's load before its slot requests. */
   for (uint32_t i = 0; jobs->peers != NULL && jobs->routes != NULL && i < jobs->routes->n_services;
        i++)
     {
--- a/libmangofork/relay/job_row.h
+++ b/libmangofork/relay/job_row.h
@@ -3,23 +3,23 @@
 
 #include "job.h"
 
-/* Upstreams that a request keeps away from by itself; what an ask of it names besides are those
- * that this instance cannot use. */
+/* Upstreams that a request avoids because they declined or failed it. Its slot requests also list
+ * the upstreams that this instance cannot use. */
 #define MF_JOB_AVOID_MAX 6
 
-/* Where a request stands. */
+/* State of a request. */
 typedef enum
 {
-  MF_JOB_WAITING,   /* for room at an upstream */
-  MF_JOB_PREFILL,   /* an engine reads its prompt */
+  MF_JOB_WAITING,   /* for an engine slot, a reply of the leader, a probe or the end of a pause */
+  MF_JOB_PREFILL,   /* an engine prefills its prompt */
   MF_JOB_RUNNING,   /* sent to the upstream that is to answer it */
-  MF_JOB_STREAMING, /* the head of its answer has gone to the caller */
+  MF_JOB_STREAMING, /* the head of the answer has been sent to the caller */
 } MfJobPhase;
 
-/* An answer kept until it is known that no better one comes. */
+/* A buffered answer of an upstream. */
 typedef struct
 {
-  uint32_t status; /* 0: none */
+  uint32_t status; /* 0: no answer */
   MfBuffer headers;
   MfBuffer body;
   bool sealed;
@@ -27,7 +27,7 @@
   bool encoded;
 } MfJobAnswer;
 
-/* How a request ends that may not be repeated. */
+/* How a request ends if its retry is denied. */
 typedef struct
 {
   MfCode code;
@@ -35,33 +35,34 @@
   bool may_have_run;
 } MfJobDenial;
 
-/* One request of a caller. Shared by the files job*.c only. */
+/* One request of a caller. Used only by job*.c. */
 struct MfJob
 {
   MfJobs *jobs;
   MfJob *next;
   MfJob *prev;
-  MfCaller *caller; /* NULL once it has left */
-  MfRoutes *routes; /* the configuration it came under */
+  MfCaller *caller; /* NULL: the caller has disconnected */
+  MfRoutes *routes; /* the configuration in force when the request arrived */
   const MfRoute *route;
   const MfRouteService *service;
   bool is_engine;
   bool is_head_request;
   char id[MF_JOB_ID_BYTES];
-  uint64_t digest; /* the same for each try of a request */
-  uint64_t try_id; /* names this try within the instance */
+  uint64_t digest; /* the same for all tries of a request */
+  uint64_t try_id; /* identifies this try within the instance */
   uint64_t begun_us;
-  uint64_t first_try_us; /* when the caller first asked, as far as its deadline shows */
-  uint64_t deadline_us;  /* the caller's or the route's, whichever is first */
-  uint64_t give_up_us;   /* a stream's caller leaves without a first event by then */
+  /* When the caller sent its first try, estimated from its deadline header. */
+  uint64_t first_try_us;
+  uint64_t deadline_us; /* the earlier of the caller's deadline and the route's timeout */
+  uint64_t give_up_us;  /* a request still waiting at this time is refused */
   uint64_t prompt_tokens;
-  uint64_t output_tokens;   /* at most */
-  uint64_t expected_tokens; /* that are expected */
-  uint64_t kv_tokens;       /* engine memory it is reckoned to need */
+  uint64_t output_tokens;   /* maximum */
+  uint64_t expected_tokens; /* expected length of the answer */
+  uint64_t kv_tokens;       /* expected KV of prompt and answer */
 
   MfJobPhase phase;
   ev_timer timer;
-  uint64_t step_deadline_us; /* the upstream is given up for another then; 0: never */
+  uint64_t step_deadline_us; /* when the current attempt or wait times out; 0: never */
   uint64_t waiting_since_us;
   uint64_t waited_us;
 
@@ -70,39 +71,40 @@
   uint64_t target_tokens;
   char last_upstream[MF_TARGET_ID_BYTES]; /* for the log */
   uint64_t sent_us;
-  MfJobAnswer answer;          /* of the exchange under way */
-  MfJobAnswer fallback_answer; /* a failure of an upstream, for want of a better answer */
+  MfJobAnswer answer; /* of the current exchange */
+  /* Error answer of an upstream, sent if no further attempt succeeds. */
+  MfJobAnswer fallback_answer;
 
   MfPrefillAnswer kv;
-  MfTarget *kv_target;   /* holds the prompt; NULL: none does */
-  uint64_t prefilled_us; /* when it was read */
+  MfTarget *kv_target;   /* engine that holds the prefilled KV; NULL: none */
+  uint64_t prefilled_us; /* when the prefill finished */
   bool kv_used;
   uint32_t n_prefills;
 
-  uint64_t pause_end_us; /* when the first upstream takes requests again; 0: not known */
+  uint64_t pause_end_us; /* end of the first upstream's pause, or of the quarantine; 0: not known */
 
-  MfTarget *reserved_target; /* the engine that keeps room for it; NULL: none does */
+  MfTarget *reserved_target; /* decode engine with a slot reserved for this request; NULL: none */
 
-  uint64_t slot_request_id;       /* of the ask for room that waits for its answer; 0: none */
-  uint64_t asked_instance;        /* the instance that was asked */
-  uint32_t n_unanswered_requests; /* asks in a row that nobody answered */
-  uint64_t granted_us;            /* when it got its place; 0: it has none yet */
-  uint64_t granted_prefill;       /* hash of the engine that is to read the prompt */
+  uint64_t slot_request_id; /* id of the slot request that awaits a reply; 0: none */
+  uint64_t asked_instance;  /* hash of the instance that the slot or retry request was sent to */
+  uint32_t n_unanswered_requests; /* consecutive slot requests without a reply */
+  uint64_t granted_us;            /* when the slot was granted; 0: not granted */
+  uint64_t granted_prefill;       /* hash of the engine that the grant names for the prefill */
 
   uint64_t avoid[MF_JOB_AVOID_MAX]; /* hashes of upstreams that declined or failed */
   uint32_t n_avoid;
   uint32_t n_prefill_sends;
   uint32_t n_run_sends;
-  uint64_t retry_request_id; /* of a repeat that was asked for; 0: none is */
+  uint64_t retry_request_id; /* id of the retry request that awaits a reply; 0: none */
   MfJobDenial denial;
-  uint32_t n_reserved_sends; /* repeats taken from the budget and not sent yet */
-  bool is_retry;             /* the send under way is one */
-  bool was_suspect;          /* when the send under way began */
-  uint32_t n_failures;       /* runs and prefills that broke or were given up */
-  uint64_t
-      awaited_process_id; /* the process of which it is to be known whether it ended; 0: none */
-  uint32_t n_arrivals;    /* sends of the run that reached an upstream */
-  uint32_t n_runs;        /* of these, those that may have run */
+  uint32_t n_reserved_sends; /* sends acquired from the budget but not made yet */
+  bool is_retry;             /* whether the current send is a retry */
+  bool was_suspect;          /* whether the request was a suspect at the time of the current send */
+  uint32_t n_failures;       /* prefills and runs that failed or were abandoned */
+  /* Process whose probe decides whether the request may be retried; 0: none. */
+  uint64_t awaited_process_id;
+  uint32_t n_arrivals; /* runs that reached an upstream */
+  uint32_t n_runs;     /* those of them that may have been executed */
   uint32_t n_connect_failures;
 
   bool head_sent;
@@ -121,7 +123,7 @@
 void mf_jobs_note_first_event (MfJobs *jobs, uint64_t took_us);
 void mf_jobs_note_answer (MfJobs *jobs, uint64_t tokens, uint64_t took_us);
 
-/* job_suspect.c: requests that may end the upstreams that run them. */
+/* job_suspect.c: requests that may crash the upstreams that run them. */
 extern const MfTargetsUser mf_job_targets_callbacks;
 bool mf_jobs_init_suspects (MfJobs *jobs);
 uint64_t mf_job_digest (const MfCaller *caller);
@@ -135,7 +137,7 @@
 void mf_jobs_send_suspects (MfJobs *jobs, uint64_t peer);
 void mf_jobs_handle_suspects (MfJobs *jobs, const MfSuspectNews *update);
 
-/* job_retry.c: the budget for repeats. */
+/* job_retry.c: the retry budget. */
 MfServiceBudget *mf_jobs_budget (MfJobs *jobs, const char *service);
 bool mf_job_acquire_retry (MfJob *job);
 bool mf_job_acquire_send (MfJob *job, bool prefill);
@@ -144,16 +146,16 @@
 void mf_job_retry_denied (MfJob *job);
 void mf_jobs_handle_retry_message (MfJobs *jobs, uint64_t peer, const MfRelayMessage *message);
 
-/* job_room.c: asks for room at an engine, here or at the instance that decides for all. */
+/* job_room.c: slot requests to the leader, or to the dispatcher of this instance. */
 void mf_job_request_slot (MfJob *job);
 void mf_job_cancel_slot_request (MfJob *job);
 void mf_job_slot_request_expired (MfJob *job);
 
-/* job_place.c: decides what a request does next. */
+/* job_place.c: decides the next step of a request. */
 void mf_job_advance (MfJob *job);
 void mf_job_step_expired (MfJob *job);
 
-/* job_send.c: begins an exchange with an upstream, and ends it without its answer. */
+/* job_send.c: starts and cancels exchanges with upstreams. */
 bool mf_job_send (MfJob *job, MfTarget *target, bool prefill);
 void mf_job_cancel (MfJob *job);
 void mf_job_release_kv (MfJob *job);
@@ -161,7 +163,7 @@
 void mf_job_avoid (MfJob *job, uint64_t id_hash);
 void mf_job_release_target (MfJob *job);
 
-/* job_answer.c: what comes back from an upstream, to a prefill and to a run. */
+/* job_answer.c: handles upstreams' answers to prefills and runs. */
 extern const MfLinkUser mf_job_prefill_callbacks;
 extern const MfLinkUser mf_job_run_callbacks;
 
--- a/libmangofork/relay/job_send.c
+++ b/libmangofork/relay/job_send.c
@@ -6,24 +6,27 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An idempotent request is tried elsewhere after this part of its objective, which leaves the
- * second upstream time to be in time; or when it has taken so many times what it takes there. */
+/* An idempotent request is tried elsewhere after this percentage of its latency objective, which
+ * leaves the second upstream time to meet it; or, if later, after this multiple of the upstream's
+ * usual answer time. */
 #define RETRY_OBJECTIVE_PERCENT 45
 #define RETRY_ANSWER_FACTOR 3.
-/* A prompt is read elsewhere when this takes so many times what was expected, and at least this. */
+/* A prefill is retried elsewhere after this multiple of the expected time, but not before the
+ * minimum. */
 #define PREFILL_FACTOR 4.
 #define PREFILL_TIMEOUT_MIN_US (350 * MF_US_PER_MS)
 #define DEFAULT_US_PER_TOKEN 18.
-/* A stream that may go on elsewhere does so when no first event has come for so many objectives. */
+/* A resumable stream is moved to another upstream after this many latency objectives without a
+ * first event. */
 #define FIRST_EVENT_OBJECTIVES 1
-/* Requests that may run only once use no connection that was idle for longer: an upstream may have
- * dropped it without a word. */
+/* A request that may be executed only once is not sent on a connection that was idle for longer:
+ * the upstream may have closed it silently. */
 #define RUN_ONCE_IDLE_MAX_US (2 * MF_US_PER_S)
-/* A call that frees engine memory is given up after this time: what it frees lapses by itself. */
+/* Timeout of a call that frees KV; the KV expires by itself anyway. */
 #define RELEASE_TIMEOUT_US (2 * MF_US_PER_S)
 
-/* Keeps the request from an upstream, named by its hash, that has declined or failed it, or that
- * this instance cannot use. */
+/* Excludes an upstream, named by its hash, that has declined or failed the request or that this
+ * instance cannot use. */
 void
 mf_job_avoid (MfJob *job, uint64_t id_hash)
 {
@@ -31,7 +34,8 @@
     job->avoid[job->n_avoid++] = id_hash;
 }
 
-/* Keeps room at an engine, in place of any kept before; NULL gives it back. */
+/* Reserves a slot at an engine and gives back the one reserved before, if any; NULL only gives it
+ * back. */
 void
 mf_job_reserve (MfJob *job, MfTarget *target)
 {
@@ -48,7 +52,7 @@
   mf_jobs_load_changed (job->jobs);
 }
 
-/* Lets go of the upstream. */
+/* Ends the accounting of the request at its current upstream. */
 void
 mf_job_release_target (MfJob *job)
 {
@@ -62,7 +66,7 @@
     mf_jobs_load_changed (job->jobs);
 }
 
-/* Ends the exchange under way without hearing its end. */
+/* Cancels the current exchange, if any. */
 void
 mf_job_cancel (MfJob *job)
 {
@@ -84,7 +88,7 @@
   .end = on_released,
 };
 
-/* Tells the engine that holds the prompt that nobody will come for it. */
+/* Tells the engine that holds the prefilled KV to free it. */
 void
 mf_job_release_kv (MfJob *job)
 {
@@ -97,14 +101,14 @@
   job->kv_target = NULL;
   if (!job->kv_used && target->paused_until_us > mf_clock_now_us ())
     mf_lines_add (job->jobs->log, "memory.left",
-                  "id=%s upstream=%s handle=%s why=\"the engine asked for a pause\"", job->id,
+                  "id=%s upstream=%s handle=%s why=\"engine requested a pause\"", job->id,
                   target->info.id, job->kv.handle);
   else if (!job->kv_used && target->listed)
     {
       snprintf (path, sizeof path, "%s%s", job->jobs->dialect->release_path, job->kv.handle);
       snprintf (head, sizeof head, "DELETE %s HTTP/1.1\r\nHost: %s\r\nContent-Length: 0\r\n\r\n",
                 path, target->info.address);
-      /* The exchange keeps the reference until it ends. */
+      /* The exchange holds the reference until it ends. */
       if (mf_link_start (&target->pool,
                          &(MfLinkCall){
                              .user = &release_callbacks,
@@ -119,7 +123,7 @@
   mf_target_unref (target);
 }
 
-/* Adds the caller's headers that go on to the upstream. */
+/* Adds the caller's headers that are forwarded to the upstream. */
 static void
 head_add_caller_fields (const MfJob *job, MfBuffer *out)
 {
@@ -165,7 +169,7 @@
   mf_head_write (out, mf_dialect_name (job->jobs->dialect, word), value, strlen (value));
 }
 
-/* Writes the head of the request as the upstream gets it. */
+/* Writes the head of the upstream request. */
 static void
 job_write_head (const MfJob *job, const MfTarget *target, bool prefill, MfBuffer *out)
 {
@@ -205,7 +209,7 @@
   mf_buffer_add_text (out, "\r\n");
 }
 
-/* When the upstream is given up for another; 0: never. */
+/* When the attempt is abandoned for another upstream; 0: never. */
 static uint64_t
 job_send_deadline_us (const MfJob *job, const MfTarget *target, bool prefill, uint64_t now_us)
 {
@@ -234,8 +238,8 @@
   return 0;
 }
 
-/* Begins an exchange with an upstream: reading the prompt only, or the run. Returns false when the
- * request has ended for want of memory. */
+/* Sends a prefill or a run to an upstream. Returns false if the request has ended because memory
+ * ran out. */
 bool
 mf_job_send (MfJob *job, MfTarget *target, bool prefill)
 {
@@ -288,7 +292,7 @@
   if (job->link == NULL)
     {
       mf_job_release_target (job);
-      mf_job_refuse (job, MF_CODE_NO_MEMORY, "no memory to send it");
+      mf_job_refuse (job, MF_CODE_NO_MEMORY, "out of memory while sending the request");
       return false;
     }
   mf_job_set_timer (job);
--- a/libmangofork/relay/job_stage.c
+++ b/libmangofork/relay/job_stage.c
@@ -6,22 +6,24 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Time for the instance that led before to see that it does not any more, besides the age that a
- * vote for it may have. */
+/* Time for the previous leader to notice that it has lost the leadership, in addition to the
+ * lifetime of a vote for it. */
 #define HANDOVER_MARGIN_US (1 * MF_US_PER_S)
-/* Orders of one service are this far apart, so that each shows in what the next is decided on. */
+/* Minimum interval between orders for one service, so that each shows in the load before the next
+ * decision. */
 #define ORDER_INTERVAL_US (500 * MF_US_PER_MS)
-/* Work that an engine ends before it changes: a prompt is read within this time, an answer takes
- * longer. */
+/* Time for an engine to finish its work before it changes: a prefill ends within the first time, an
+ * answer takes longer. */
 #define PREFILL_DRAIN_US (1 * MF_US_PER_S)
 #define DECODE_DRAIN_US (6 * MF_US_PER_S)
-/* A connection to an engine is made within this time, on a slow machine too. */
+/* Time to connect to an engine, on a slow machine too. */
 #define CONNECT_TIME_US (500 * MF_US_PER_MS)
-/* An order is answered at once; one that is not may have been taken. */
+/* Engines reply to an order at once; one without a reply may have been accepted. */
 #define ORDER_TIMEOUT_US (2 * MF_US_PER_S)
-/* One of so many engines changes at a time: what the change brings shows before the next. */
+/* At most one in this many engines changes at a time, so that the effect shows before the next
+ * change. */
 #define CHANGING_DIVISOR 8
-/* An engine that refused so many orders, or did not follow them, is left as it is. */
+/* An engine that has refused or not followed this many orders gets no more. */
 #define ORDERS_FAILED_MAX 2
 
 struct MfStageOrder
@@ -31,18 +33,18 @@
   MfTarget *target;
   MfLink *link;
   MfRole role;
-  uint64_t unavailable_us; /* the engine takes nothing for so long when it follows */
+  uint64_t unavailable_us; /* how long the engine accepts no requests if it follows the order */
   uint32_t status;
 };
 
-/* What an engine is, or is about to be. */
+/* Returns the stage of an engine, or the one it is changing to. */
 static MfRole
 target_stage (const MfTarget *target, uint64_t now_us)
 {
   return target->stage_until_us > now_us ? target->stage_ordered : target->info.role;
 }
 
-/* The part of a decode engine that is taken, by slots or by memory, 0 to 1. */
+/* Share of a decode engine's slots or KV in use, whichever is higher, 0 to 1. */
 static double
 decode_share (const MfTarget *target, const MfRouteService *service)
 {
@@ -77,7 +79,7 @@
   return n_engines;
 }
 
-/* Engines that cannot be reached are left out: they have crashed, and are listed for a while. */
+/* Leaves out unreachable engines: they have crashed but are listed for a while. */
 static MfStageSnapshot
 snapshot_make (const MfJobs *jobs, const MfRouteService *service, uint64_t now_us)
 {
@@ -114,7 +116,8 @@
   return n_engines;
 }
 
-/* The engine to change: one of the data centre that has most of its stage, the least busy. */
+/* Chooses the engine to change: the least loaded one in the data centre with most engines of that
+ * stage. */
 static MfTarget *
 target_choose (const MfJobs *jobs, const MfRouteService *service, MfRole from, uint64_t now_us)
 {
@@ -155,7 +158,7 @@
   free (order);
 }
 
-/* Forgets the orders on their way. */
+/* Cancels all orders in flight. */
 void
 mf_jobs_cancel_orders (MfJobs *jobs)
 {
@@ -175,8 +178,8 @@
   order->status = status;
 }
 
-/* An order without an answer may have been taken; only an answer that refuses it frees the engine
- * for the work it had. */
+/* An order without a reply may have been accepted; only a refusal makes the engine usable in its
+ * old stage again. */
 static void
 on_order_end (void *data, MfLinkEnd end, const char *why)
 {
@@ -251,7 +254,7 @@
   order_free (order);
 }
 
-/* Orders that changed nothing in their time count as failed. */
+/* Orders that have not changed the engine's stage in time count as failed. */
 static void
 orders_expire (MfJobs *jobs, uint64_t now_us)
 {
@@ -264,9 +267,10 @@
     }
 }
 
-/* How long an instance leads before its first order: whoever led before has ceased to order by
- * then, for the platform's turn. Engines that do not check fences take an order of its that is
- * still on its way, so that this is waited for as well. */
+/* How long an instance must lead before its first order. By then the previous leader has stopped
+ * giving orders, and the platform's minimum interval between two holders has passed. Engines that
+ * do not check fences would also accept a delayed order of the previous leader, so its timeout is
+ * added for them. */
 static uint64_t
 first_order_delay_us (const MfJobs *jobs)
 {
@@ -275,7 +279,7 @@
   return jobs->orders_fenced ? wait_us : wait_us + ORDER_TIMEOUT_US + CONNECT_TIME_US;
 }
 
-/* Balances the stages of a service's engines, which this instance leads. */
+/* Balances prefill and decode engines of a service that this instance leads. */
 void
 mf_jobs_balance_stages (MfJobs *jobs, MfLeadership *lead, const MfRouteService *service,
                         uint64_t now_us)
@@ -290,7 +294,8 @@
   orders_expire (jobs, now_us);
   snapshot = snapshot_make (jobs, service, now_us);
   move = mf_stage_decide (&lead->trend, &snapshot, now_us);
-  /* The instance that led before has ceased to order, and all have told whom they follow. */
+  /* Before this delay has passed, the previous leader may still give orders and not all instances
+   * have sent their votes. */
   if (move == MF_STAGE_STAY
       || n_changing (jobs, service, now_us) * CHANGING_DIVISOR
              >= snapshot.n_prefill + snapshot.n_decode
--- a/libmangofork/relay/job_suspect.c
+++ b/libmangofork/relay/job_suspect.c
@@ -5,22 +5,24 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* An upstream that ended shows it within this time of the break: its host refuses connections at
- * once, and where that is silent, discovery tells of the next process at the address. */
+/* A crash becomes known within this time of the failed exchange: the host refuses connections at
+ * once, or, if the host is silent, discovery lists the next process at the address. */
 #define CRASH_WINDOW_US (10 * MF_US_PER_S)
-/* Two deaths may have met an innocent request, whose caller waits no longer than this anyway. */
+/* Quarantine after two crashes: they may be a coincidence, and the callers of an innocent request
+ * wait no longer than this anyway. */
 #define TWO_DEATHS_QUARANTINE_US (30 * MF_US_PER_S)
 #define THREE_DEATHS_QUARANTINE_US (600 * MF_US_PER_S)
-/* A request under which an upstream has ended is not sent again before it is known whether the next
- * one has, or this time has passed: a few round trips, or what connecting may take. */
+/* A suspect request is retried only once it is known whether the last upstream crashed too, or
+ * after this time: a few round trips, or the time a connection may take. */
 #define PROBE_TIMEOUT_US (300 * MF_US_PER_MS)
-/* Breaks are read from the connections of an ended process within so long of each other. */
+/* Failures on the connections of a crashed process are seen within this time of each other. */
 #define SAME_CRASH_US (1 * MF_US_PER_S)
-/* From so many deaths on, all instances are told at once; of fewer when the request ends. */
+/* From this number of deaths on, all instances are informed at once; before, when the request
+ * ends. */
 #define REPORT_AT_ONCE_DEATHS 2
 
-/* Hash of what makes two tries of a caller the same request: its host, method, target and body.
- * Never 0. */
+/* Hash of what identifies a caller's request across tries: host, method, target and body. Never
+ * 0. */
 uint64_t
 mf_job_digest (const MfCaller *caller)
 {
@@ -38,7 +40,7 @@
   return digest != 0 ? digest : 1;
 }
 
-/* Begins without suspects; false without memory. */
+/* Returns false if memory ran out. */
 bool
 mf_jobs_init_suspects (MfJobs *jobs)
 {
@@ -49,7 +51,7 @@
   return jobs->suspects != NULL;
 }
 
-/* Whether an upstream has ended under this request, or may have. */
+/* Whether an upstream has crashed, or may have crashed, while running this request. */
 bool
 mf_job_is_suspect (const MfJob *job)
 {
@@ -59,7 +61,7 @@
   return job->n_failures > 0 || (suspect != NULL && suspect->n_deaths > 0);
 }
 
-/* Ends a request that is not to run any more. Returns whether it was one. */
+/* Ends a request that is quarantined. Returns whether it was. */
 bool
 mf_job_end_quarantined (MfJob *job)
 {
@@ -71,9 +73,9 @@
   jobs->counters.counts[MF_RELAY_COUNT_SUSPECTS_REFUSED]++;
   job->pause_end_us = mf_suspects_find (jobs->suspects, job->digest, now_us)->convicted_until_us;
   if (job->n_runs > 0)
-    mf_job_finish (job, MF_CODE_UPSTREAM_DIED, "upstreams have ended under this request");
+    mf_job_finish (job, MF_CODE_UPSTREAM_DIED, "upstreams crashed while running this request");
   else
-    mf_job_refuse (job, MF_CODE_POISON, "upstreams have ended under this request");
+    mf_job_refuse (job, MF_CODE_POISON, "upstreams crashed while running this request");
   return true;
 }
 
@@ -120,7 +122,7 @@
   mf_peers_send_all (jobs->peers, &jobs->message);
 }
 
-/* Tells all instances what is known of a request, unless they have been told. */
+/* Sends what is known of a request to all instances, unless they have it already. */
 static void
 suspect_send (MfJobs *jobs, uint64_t digest)
 {
@@ -135,7 +137,7 @@
   entry_send (jobs, &entry);
 }
 
-/* The rows of one message, of those that are convicted or of the others. */
+/* Collects the entries of one message, either quarantined requests or the others. */
 typedef struct
 {
   MfSuspectNews *update;
@@ -155,7 +157,7 @@
   return true;
 }
 
-/* Tells an instance that may have started anew what all were told, convictions first. */
+/* Sends all published suspects to an instance that may have restarted, quarantined ones first. */
 void
 mf_jobs_send_suspects (MfJobs *jobs, uint64_t peer)
 {
@@ -213,7 +215,7 @@
     record_quarantine (jobs, entry->digest, "peer");
 }
 
-/* Takes what another instance tells of requests under which upstreams have ended. */
+/* Handles suspect requests reported by another instance. */
 void
 mf_jobs_handle_suspects (MfJobs *jobs, const MfSuspectNews *update)
 {
@@ -221,7 +223,7 @@
     entry_handle (jobs, &update->rows[i]);
 }
 
-/* Whether a try of the request is still being served here. */
+/* Whether a try of the request is in progress at this instance. */
 static bool
 has_job (const MfJobs *jobs, uint64_t digest)
 {
@@ -252,7 +254,7 @@
     suspect_send (jobs, failure->digest);
 }
 
-/* What broke at an upstream that ends in order, as it said that it would, broke of that. */
+/* Failures at an upstream that announced its exit are attributed to the exit, not to requests. */
 static void
 upstream_died (MfJobs *jobs, MfTarget *target)
 {
@@ -278,8 +280,8 @@
   upstream_died (jobs, target);
 }
 
-/* Where a process stands now, what stood there before has ended: those that leave in order are not
- * waited for. */
+/* A new process at an address means that the previous one has ended. Processes that announced their
+ * exit are not waited for. */
 static void
 on_upstream_added (void *data, MfTarget *target)
 {
@@ -290,7 +292,7 @@
                            mf_target_process (target), mf_clock_now_us (), on_failure_result, jobs);
 }
 
-/* A request that waited for the verdict goes on. */
+/* Continues a request that waited for a probe of its last upstream. */
 void
 mf_job_probe_done (MfJob *job)
 {
@@ -329,8 +331,8 @@
   .looked = on_upstream_probed,
 };
 
-/* A run at an upstream broke, or was given up: it may have ended that, unless that leaves in order.
- */
+/* Records a failed or abandoned send, which may have crashed its upstream unless that announced its
+ * exit. */
 void
 mf_job_note_failure (MfJob *job, MfTarget *target)
 {
@@ -354,8 +356,8 @@
     upstream_died (jobs, target);
 }
 
-/* Sends a request whose run broke once more, or ends it. One that has met the end of an upstream
- * before waits until it is known whether this one has ended as well. */
+/* Retries a request after a failure, or ends it. A suspect waits until it is known whether this
+ * upstream has crashed as well. */
 void
 mf_job_retry_after_failure (MfJob *job, MfTarget *target, const MfJobDenial *denial)
 {
@@ -371,7 +373,7 @@
   mf_job_set_timer (job);
 }
 
-/* An upstream answers a request that was sent there after something broke: it lives. */
+/* An answer shows that the upstream has survived failures before that send. */
 void
 mf_job_note_upstream_alive (const MfJob *job)
 {
@@ -382,8 +384,8 @@
                                   on_failure_result, jobs);
 }
 
-/* The request has ended. One that was answered has ended no upstream, whatever it met before;
- * otherwise the others are told what is known of it. */
+/* Records the end of the request. An answered request is no suspect any more; otherwise what is
+ * known of it is sent to the other instances. */
 void
 mf_job_note_outcome (const MfJob *job, bool answered)
 {
@@ -404,7 +406,7 @@
     entry_send (jobs, &(MfSuspectRow){ .digest = job->digest, .cleared = true });
 }
 
-/* Lets go of breaks whose upstreams nobody has heard of since. */
+/* Drops failures whose upstream has shown no crash within the window. */
 void
 mf_jobs_expire_failures (MfJobs *jobs, uint64_t now_us)
 {
--- a/libmangofork/relay/stage.c
+++ b/libmangofork/relay/stage.c
@@ -2,38 +2,38 @@
 
 #include <math.h>
 
-/* Observations count half after this time: shorter than the bursts of the sites (3 to 5 s), longer
- * than the swing of single requests. */
+/* Half-life of an observation: longer than the fluctuation caused by single requests, shorter than
+ * the bursts of the sites (3 to 5 s). */
 #define HALF_LIFE_US (2. * (double)MF_US_PER_S)
-/* Nothing is decided on less than this: half of what the averages weigh was then seen. */
+/* Minimum time observed before the first decision; half of the averages' weight is then covered. */
 #define OBSERVED_MIN_US (2 * MF_US_PER_S)
-/* A move is wanted for so long before it is made: some observations; and to give a decode engine
- * up, about as long as crashed engines are away. */
+/* How long a move must be wanted before it is made: for a few observations or, to give up a decode
+ * engine, for about as long as a crashed engine is away. */
 #define WANTED_MIN_US (500 * MF_US_PER_MS)
 #define WANTED_PREFILL_MIN_US (3 * MF_US_PER_S)
-/* Prefill engines beyond those that are busy on average, as a multiple of the square root of these:
- * prompts then seldom wait, for any number of engines (square-root staffing). While a prompt waits,
- * the place that is kept for it at a decode engine is lost. Measured against 1.0 (docs/POLICY.md).
- */
+/* Prefill engines kept beyond those busy on average, as a multiple of the square root of their
+ * number (square-root staffing): prompts then seldom wait, for any number of engines. While a
+ * prompt waits, the slot reserved for it at a decode engine is wasted. Compared with 1.0 in
+ * docs/POLICY.md. */
 #define PREFILL_MARGIN 0.3
-/* Part of the decode engines' memory that is planned to be taken; they are filled to 0.97. */
+/* Planned share of decode memory in use; the dispatcher fills engines up to 0.97. */
 #define DECODE_USED_SHARE 0.95
-/* Below this part of decode memory in use there is room for a burst of several times the traffic,
- * and nothing is moved. */
+/* Below this share of decode memory in use, a burst of several times the traffic still fits, and no
+ * engine is moved. */
 #define DECODE_PRESSURE_SHARE 0.25
-/* Prompts at each prefill engine, that being read included, from which on they wait for longer than
- * they are read. */
+/* From this number of prompts per prefill engine on, including the one being processed, prompts
+ * wait longer than their prefill takes. */
 #define QUEUE_PROMPTS 1.5
-/* One prefill engine may be taken away and another crash, and prompts still be read. */
+/* Prefill still works after one engine is taken away and another crashes. */
 #define PREFILL_MIN 3
-/* With fewer, the loss of one engine would leave none to answer. */
+/* With fewer, the loss of one engine would leave none to decode. */
 #define DECODE_MIN 2
-/* For so many engines one more prefill engine is kept than wanted, as some are down at any time.
- * Measured with 22 engines, where a spare costs, and with 35, where it pays (docs/POLICY.md). */
+/* One spare prefill engine is kept per this many engines, as some are down at any time. With 22
+ * engines a spare costs more than it gains, with 35 it pays (docs/POLICY.md). */
 #define ENGINES_PER_SPARE 30
 
-/* Prefill engines that a service of so many engines is best served with, where reading a prompt
- * takes prefill_busy engines while its answers take decode_used. */
+/* Best number of prefill engines for a service with n_engines engines whose prefills keep
+ * prefill_busy engines busy and whose answers fill decode_used engines. */
 uint32_t
 mf_stage_optimal_prefill (uint32_t n_engines, double prefill_busy, double decode_used)
 {
@@ -42,7 +42,7 @@
   for (uint32_t n_prefill = PREFILL_MIN; n_prefill < n_engines - DECODE_MIN; n_prefill++)
     {
       uint32_t n_decode = n_engines - n_prefill;
-      /* What is read when this many decode engines are as full as planned. */
+      /* Prefill load when this many decode engines are filled as planned. */
       double busy = prefill_busy * DECODE_USED_SHARE * n_decode / decode_used;
 
       if (busy + PREFILL_MARGIN * sqrt (busy) <= n_prefill)
@@ -51,7 +51,7 @@
   return n_engines - DECODE_MIN;
 }
 
-/* Forgets what was seen, after a gap in the observations. */
+/* Discards all observations, after a gap in them. */
 void
 mf_stage_reset (MfStageTrend *trend)
 {
@@ -77,7 +77,7 @@
   trend->decode_used += weight * (snapshot->decode_used - trend->decode_used);
 }
 
-/* What the averages ask for. */
+/* Returns the move that the averages suggest. */
 static MfStageMove
 trend_wants (const MfStageTrend *trend, const MfStageSnapshot *snapshot)
 {
@@ -91,14 +91,15 @@
       && trend->queued_prompts < QUEUE_PROMPTS * snapshot->n_prefill
       && trend->decode_used > DECODE_PRESSURE_SHARE * snapshot->n_decode)
     return MF_STAGE_TO_DECODE;
-  /* A change takes seconds in which the engine does neither: one that is missing alone is borne. */
+  /* An engine does neither stage for the seconds that a change takes: a lack of only one is
+   * accepted. */
   if (snapshot->n_prefill + 1 < optimal
       && trend->queued_prompts > QUEUE_PROMPTS * snapshot->n_prefill)
     return MF_STAGE_TO_PREFILL;
   return MF_STAGE_STAY;
 }
 
-/* Takes an observation and decides. A move is named each time until it shows in the view. */
+/* Adds an observation and decides. A move is returned each time until it shows in the snapshot. */
 MfStageMove
 mf_stage_decide (MfStageTrend *trend, const MfStageSnapshot *snapshot, uint64_t now_us)
 {
--- a/libmangofork/relay/stage.h
+++ b/libmangofork/relay/stage.h
@@ -3,31 +3,31 @@
 
 #include "libmangofork/types.h"
 
-/* How the engines of one service stand at a moment. */
+/* Load of the engines of one service at one time. */
 typedef struct
 {
-  uint32_t n_prefill;    /* engines that read prompts, those being changed to it included */
+  uint32_t n_prefill;    /* prefill engines, including those changing to prefill */
   uint32_t n_decode;     /* the same for decode engines */
-  double prefill_busy;   /* prefill engines with a prompt to read */
-  double queued_prompts; /* at the prefill engines, those being read included */
-  double decode_used;    /* decode engines' worth of slots or memory that is taken */
+  double prefill_busy;   /* prefill engines that are busy */
+  double queued_prompts; /* at the prefill engines, including those being processed */
+  double decode_used;    /* slots or KV in use, in units of whole decode engines */
 } MfStageSnapshot;
 
-/* What to do about it. */
+/* Decision about the split of the engines. */
 typedef enum
 {
   MF_STAGE_STAY,
-  MF_STAGE_TO_DECODE,  /* one prefill engine is to become a decode engine */
-  MF_STAGE_TO_PREFILL, /* and the other way round */
+  MF_STAGE_TO_DECODE,  /* change one prefill engine to decode */
+  MF_STAGE_TO_PREFILL, /* change one decode engine to prefill */
 } MfStageMove;
 
-/* Moving averages of what was seen, and how long they have asked for a move. */
+/* Moving averages of the load, and how long they have suggested a move. */
 typedef struct
 {
   double prefill_busy;
   double queued_prompts;
   double decode_used;
-  uint64_t first_observed_us; /* of the observations in a row; 0: none yet */
+  uint64_t first_observed_us; /* start of the current series of observations; 0: none */
   uint64_t last_observed_us;
   MfStageMove wanted;
   uint64_t wanted_since_us;
