--- a/tests/relay_fixture.c
+++ b/tests/relay_fixture.c
@@ -63,7 +63,7 @@
   fixture->jobs.budget_window_us = 10 * MF_US_PER_S;
   fixture->jobs.budget_ratio = 0.2;
   fixture->jobs.budget_slack = 2;
-  /* It has run for longer than the window. */
+  /* Makes the uptime exceed the budget's window. */
   fixture->jobs.started_us = 0;
   mf_jobs_configure (&fixture->jobs, make_routes ());
   fixture->listener = mf_door_new (fixture->loop, address, &platform_dialect,
@@ -166,7 +166,7 @@
                         "{\"kvHandle\":\"h1\",\"tokens\":10,\"version\":1}");
 }
 
-/* Breaks off within the second event. */
+/* Breaks the connection inside the second event. */
 void
 relay_fixture_stream_breaks (FakeWireConn *conn, const char *text, const char *id)
 {
--- a/tests/relay_fixture.h
+++ b/tests/relay_fixture.h
@@ -11,7 +11,7 @@
   "HTTP/1.1 200 OK\r\nX-Attempt-Id: t\r\n" RELAY_FIXTURE_SEAL                                      \
   "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-/* What an upstream does with each request. */
+/* Handles a request at an upstream. */
 typedef void (*RelayFixtureHandler) (FakeWireConn *conn, const char *text, const char *id);
 
 typedef struct
@@ -20,7 +20,7 @@
   RelayFixtureHandler handler;
 } RelayFixtureUpstream;
 
-/* One instance's door and requests, and upstreams, on one loop. */
+/* One instance with its listener and upstreams, on one event loop. */
 typedef struct
 {
   struct ev_loop *loop;
@@ -33,22 +33,23 @@
   char received[8192];
 } RelayFixture;
 
-/* Opens the door at a port of the loopback address. Routes by their prefixes: /read/ and /order/ at
- * the plain service "shop", /llm/ and /once/ at the service "engines", the latter not resumable. */
+/* Listens at a port of the loopback address. Routes by path prefix: /read/ (idempotent) and /order/
+ * (non-idempotent) to the plain service "shop", /llm/ and /once/ to the service "engines"; only
+ * /llm/ is resumable. */
 void relay_fixture_setup (RelayFixture *fixture, struct ev_loop *loop, uint16_t port);
-/* The loop stays. */
+/* Does not free the loop. */
 void relay_fixture_teardown (RelayFixture *fixture);
-/* Adds an upstream; the first of a role is preferred as it stands in this data centre. */
+/* Adds an upstream. Numbers 0 and 2 are in the instance's data centre and therefore preferred. */
 void relay_fixture_add_upstream (RelayFixture *fixture, uint32_t index, MfRole role,
                                  RelayFixtureHandler handler);
-/* Tells a town of an upstream that stands elsewhere. */
+/* Lists an upstream that does not belong to this fixture. */
 void relay_fixture_list_upstream (RelayFixture *fixture, const char *id, MfRole role,
                                   const char *address);
-/* Answers of upstreams. */
+/* Sends an answer. The functions after it are handlers for upstreams. */
 void relay_fixture_answer (FakeWireConn *conn, const char *id, const char *status,
                            const char *headers, const char *body);
 void relay_fixture_decline (FakeWireConn *conn, const char *text, const char *id);
-/* Reads the prompt, which a request must ask for; takes back its memory. */
+/* Prefills the prompt, which a request must ask for; accepts calls that free KV. */
 void relay_fixture_prefill (FakeWireConn *conn, const char *text, const char *id);
 void relay_fixture_stream_breaks (FakeWireConn *conn, const char *text, const char *id);
 void relay_fixture_stream_hangs (FakeWireConn *conn, const char *text, const char *id);
--- a/tests/relay_fleet.h
+++ b/tests/relay_fleet.h
@@ -5,23 +5,24 @@
 
 #define RELAY_FLEET_N_INSTANCES 5
 
-/* Instances in one fleet, on one loop. */
+/* The instances of one fleet, on one event loop. */
 typedef struct
 {
   struct ev_loop *loop;
-  uint16_t listen_port; /* of the first; the others follow */
+  uint16_t listen_port; /* port of the first instance; the others follow */
   uint16_t peer_port;
   RelayFixture instances[RELAY_FLEET_N_INSTANCES];
 } RelayFleet;
 
-/* Begins a fleet without upstreams, and waits until all have heard of each other. */
+/* Starts instances without upstreams and waits until they are connected to each other. */
 void relay_fleet_setup (RelayFleet *fleet, uint16_t listen_port, uint16_t peer_port);
 void relay_fleet_teardown (RelayFleet *fleet);
-/* One instance ends and is there again, with nothing of what it knew. */
+/* Stops one instance and starts it again without its state. */
 void relay_fleet_restart (RelayFleet *fleet, uint32_t index);
-/* Runs the loop until all have heard of each other. */
+/* Runs the loop until all instances are connected to each other. */
 void relay_fleet_wait_connected (RelayFleet *fleet);
-/* Decode engines that stand at the first instance, as many as a town takes, all known to all. */
+/* Adds decode engines that belong to the first instance and are listed at all; at most
+ * RELAY_FIXTURE_N_UPSTREAMS. */
 void relay_fleet_add_engines (RelayFleet *fleet, uint32_t n_engines, RelayFixtureHandler handler);
 
 #endif
--- a/tests/test_budget.c
+++ b/tests/test_budget.c
@@ -9,7 +9,7 @@
 #define RATIO 0.2
 #define ALLOWANCE 2
 
-/* Instances that do not talk to each other keep to the bound of all together, in any window. */
+/* Instances that cannot communicate stay within their common limit in any window. */
 static void
 test_any_window_of_any_instances_keeps_to_the_ratio (void **state)
 {
@@ -32,7 +32,7 @@
 
       for (uint32_t i = 0; i < N_INSTANCES; i++)
         {
-          /* Load comes and goes, and every request wants to be repeated three times. */
+          /* The load varies, and every request asks for three retries. */
           uint32_t n_requests = (step / 37 + i) % 4;
 
           for (uint32_t k = 0; k < n_requests; k++)
@@ -58,7 +58,7 @@
         }
       if (n_before > n_requests)
         n_requests = n_before;
-      /* The deployments' bound: 40 for all instances and two for each. */
+      /* The limit of the deployments: 40 for all instances and two for each. */
       assert_true (n_retries <= RATIO * n_requests + 40 + ALLOWANCE * N_INSTANCES);
     }
 }
@@ -77,8 +77,8 @@
   assert_true (mf_budget_acquire (&budget, ALLOWANCE, 1, 2 * MF_US_PER_S + WINDOW_US));
 }
 
-/* The parts of all instances together, and of all of them started anew within a window, keep to
- * what is common, in deployments of any size. */
+/* The allowances of all instances, and of all of them restarted within a window, stay within the
+ * slack for deployments of any size. */
 static void
 test_allowances_keep_to_the_slack (void **state)
 {
@@ -95,12 +95,12 @@
       assert_true (allowance * n_instances <= slack);
       assert_true (startup_allowance * n_instances <= slack);
       assert_true (allowance >= 1);
-      /* What the leader gives is what the parts leave, less a reserve. */
+      /* The leader's pool is what the allowances leave, less a reserve. */
       assert_true (allowance * n_instances + mf_budget_pool (slack, n_instances, WINDOW_US)
                    <= slack * 3 / 4);
       assert_true (mf_budget_pool (slack, n_instances, WINDOW_US) >= slack / 5);
     }
-  /* Where the slack leaves room, a fleet that is started anew has room as well. */
+  /* If the slack suffices, a restarted fleet stays within it as well. */
   assert_true (mf_budget_allowance (52, 6, WINDOW_US, WINDOW_US) * 6
                    + mf_budget_allowance (52, 6, 0, WINDOW_US) * 6
                <= 52);
--- a/tests/test_job.c
+++ b/tests/test_job.c
@@ -80,7 +80,7 @@
   ev_loop_destroy (loop);
 }
 
-/* Sends a request and reads its whole answer. */
+/* Sends a request and reads its complete answer. */
 static void
 call (RelayFixture *fixture, const char *method, const char *path)
 {
@@ -123,7 +123,8 @@
   assert_true (fake_wire_header (fake_wire_last (fixture.upstreams[0].wire), "X-Expect-Instance",
                                  value, sizeof value));
   assert_string_equal (value, "u0");
-  /* What only a router may set is not taken from callers; the route's time bounds the deadline. */
+  /* Headers that only a router may set are not forwarded; the route's timeout bounds the
+   * deadline. */
   assert_false (fake_wire_header (fake_wire_last (fixture.upstreams[0].wire), "X-Kv-Source", value,
                                   sizeof value));
   assert_true (fake_wire_header (fake_wire_last (fixture.upstreams[0].wire), "X-Deadline-Ms", value,
@@ -224,7 +225,8 @@
     }
 }
 
-/* No more upstreams than the route allows, and the last failure is the upstream's own. */
+/* No more attempts are made than the route allows, and the caller gets the last upstream's own
+ * error. */
 static void
 test_read_fails_in_the_end (void **state)
 {
@@ -260,7 +262,7 @@
   teardown (&fixture);
 }
 
-/* A stream that goes on elsewhere is two repeats where its prompt is read apart. */
+/* A stream that is resumed after a separate prefill costs two retries, a prefill and a run. */
 static void
 test_both_sends_of_a_repeat_count (void **state)
 {
@@ -277,9 +279,9 @@
     call (&fixture, "POST", "/llm/1");
   n_sends = relay_fixture_n_requests (&fixture, 0) + relay_fixture_n_requests (&fixture, 1)
             + relay_fixture_n_requests (&fixture, 2);
-  /* A fifth of the requests, 70 in 100 of the slack, and the second send of the last repeat. */
+  /* A fifth of the requests, 70 % of the slack, and the second send of the last retry. */
   assert_in_range (n_sends, 20 * 2 + 6, 20 * 2 + 4 + 4 + 1);
-  /* Memory that was taken is not gone on from again. */
+  /* KV that has been used is not used again. */
   assert_true (relay_fixture_n_requests (&fixture, 0) > 20);
   teardown (&fixture);
 }
@@ -287,7 +289,7 @@
 static uint32_t n_prefills;
 static const FakeWire *full_engine;
 
-/* Counts prompts, and not the calls that free memory. */
+/* Counts prefills but not the calls that free KV. */
 static void
 handle_prefill_counted (FakeWireConn *conn, const char *text, const char *id)
 {
@@ -295,7 +297,7 @@
   relay_fixture_prefill (conn, text, id);
 }
 
-/* Holds as many streams as an engine takes, and serves those that come later. */
+/* Leaves the first four streams open, which fills the engine, and serves the later ones. */
 static void
 handle_full_at_first (FakeWireConn *conn, const char *text, const char *id)
 {
@@ -305,8 +307,8 @@
     handle_stream (conn, text, id);
 }
 
-/* The engine that was to go on is not there, and the next has room after the memory has lapsed: the
- * prompt is read there, as reading it apart once more would be a repeat. */
+/* The granted decode engine is unreachable, and the next one has a free slot only after the KV has
+ * expired. That engine prefills the prompt itself, as another separate prefill would be a retry. */
 static void
 test_prompt_is_not_read_again_beyond_the_budget (void **state)
 {
@@ -340,7 +342,7 @@
   teardown (&fixture);
 }
 
-/* A stream that goes on has its prompt read again and runs again. */
+/* A resumed stream needs a second prefill and a second run. */
 static void
 test_repeat_of_two_sends_needs_room_for_both (void **state)
 {
@@ -400,7 +402,7 @@
   teardown (&fixture);
 }
 
-/* The memory of a prompt that no engine decodes is given back. */
+/* KV that no engine decodes from is freed. */
 static void
 test_unused_memory_is_released (void **state)
 {
@@ -457,8 +459,8 @@
   teardown (&fixture);
 }
 
-/* A stream that breaks off later than its caller would have waited for its beginning still goes on:
- * the caller waits anew since the last event. */
+/* A stream that fails later than its caller would have waited for its first event is still resumed:
+ * the caller's time limit starts again with each event. */
 static void
 test_stream_that_breaks_late_goes_on (void **state)
 {
@@ -477,7 +479,7 @@
   while (mf_clock_now_us () < until_us)
     {
       loop_spin (fixture.loop, 5);
-      /* Events keep coming, so that it is not given up for its silence. */
+      /* Bytes keep arriving, so that the stream is not abandoned for its silence. */
       fake_wire_send (fake_wire_last_conn (fixture.upstreams[0].wire), "3\r\n:\n\n\r\n");
     }
   relay_fixture_add_upstream (&fixture, 1, MF_ROLE_DECODE, handle_stream);
@@ -506,7 +508,8 @@
   teardown (&fixture);
 }
 
-/* A stream that could not be whole before its caller gives up is refused at once and not begun. */
+/* A stream that cannot be complete before its caller gives up is refused at once and not
+ * started. */
 static void
 test_stream_without_time_is_refused_at_once (void **state)
 {
@@ -532,7 +535,8 @@
   return ((RelayFixture *)data)->jobs.n_jobs == 0;
 }
 
-/* Stops the work of callers who leave in each phase, while nothing and while events arrive. */
+/* A caller that disconnects before or during its stream has its request cancelled at the
+ * upstream. */
 static void
 test_departed_caller_stops_its_work (void **state)
 {
@@ -594,7 +598,8 @@
   relay_fixture_answer (conn, id, "503 Service Unavailable", headers, "");
 }
 
-/* One answer tells, good or not, at once and for all that is not sent yet. */
+/* A single answer, successful or not, announces the exit; it applies at once to all requests not
+ * sent yet. */
 static void
 test_upstream_that_says_it_leaves_gets_no_more (void **state)
 {
@@ -623,7 +628,7 @@
     }
 }
 
-/* The engine that reads prompts says so: later prompts are read elsewhere. */
+/* A prefill engine announces its exit: later prompts go to another one. */
 static void
 handle_prefill_leaving (FakeWireConn *conn, const char *text, const char *id)
 {
@@ -652,7 +657,8 @@
   teardown (&fixture);
 }
 
-/* A pause is kept to: other upstreams take the requests; without any, callers are told when. */
+/* During a pause requests go to other upstreams; without any, callers get the end of the pause as
+ * Retry-After. */
 static void
 test_upstream_that_asks_for_a_pause_gets_it (void **state)
 {
@@ -684,7 +690,7 @@
   teardown (&fixture);
 }
 
-/* Streams wait for the first pause to end when their callers have the time. */
+/* Streams wait for the end of the first pause if their callers have enough time. */
 static void
 test_streams_wait_for_the_end_of_a_pause (void **state)
 {
@@ -765,7 +771,7 @@
   teardown (&fixture);
 }
 
-/* Ten callers want four slots: all are answered, never five at once. */
+/* Ten callers for four slots: all are answered, but never more than four at once. */
 static void
 test_requests_wait_for_a_free_slot (void **state)
 {
--- a/tests/test_job_answer.c
+++ b/tests/test_job_answer.c
@@ -16,10 +16,10 @@
 
 #define PORT 21811
 #define N_CALLERS 20
-/* The longest route takes 3 s. */
+/* The longest timeout of a route is 3 s. */
 #define ANSWER_TIMEOUT_US (4 * MF_US_PER_S)
-/* A stream that makes no progress must have gone on elsewhere by then: half of its route
- * time. */
+/* A stream without progress must have been resumed elsewhere by then: half of its route's
+ * timeout. */
 #define STALL_TIMEOUT_US (1500 * MF_US_PER_MS)
 
 #define PLAIN_HEAD "HTTP/1.1 200 OK\r\nX-Attempt-Id: t\r\n" RELAY_FIXTURE_SEAL
@@ -29,7 +29,7 @@
   "zzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzz" \
   "zz"
 
-/* How an upstream that is in trouble answers: a beginning, and then a piece without end. */
+/* A faulty answer: a beginning, followed by endless copies of a piece. */
 typedef struct
 {
   const char *begin;
@@ -37,20 +37,21 @@
 } Flood;
 
 static const Flood floods[] = {
-  { "", JUNK },                                                         /* no HTTP at all */
-  { "HTTP/1.1 200 ", JUNK },                                            /* a reason */
-  { "HTTP/1.1 200 OK\r\nX-A: ", JUNK },                                 /* a header's value */
-  { "HTTP/1.1 200 OK\r\n", JUNK },                                      /* a header's name */
+  { "", JUNK },                                                         /* no HTTP */
+  { "HTTP/1.1 200 ", JUNK },                                            /* status reason */
+  { "HTTP/1.1 200 OK\r\nX-A: ", JUNK },                                 /* header value */
+  { "HTTP/1.1 200 OK\r\n", JUNK },                                      /* header name */
   { "HTTP/1.1 200 OK\r\n", "X-A: b\r\n" },                              /* headers */
-  { PLAIN_HEAD "\r\n", JUNK },                                          /* a body without length */
-  { PLAIN_HEAD "Content-Length: 99999999999\r\n\r\n", JUNK },           /* one with a length */
+  { PLAIN_HEAD "\r\n", JUNK },                                          /* body without length */
+  { PLAIN_HEAD "Content-Length: 99999999999\r\n\r\n", JUNK },           /* body with length */
   { PLAIN_HEAD "Transfer-Encoding: chunked\r\n\r\n", "1\r\nz\r\n" },    /* chunks */
-  { PLAIN_HEAD "Transfer-Encoding: chunked\r\n\r\n1;x=", JUNK },        /* an extension */
-  { PLAIN_HEAD "Transfer-Encoding: chunked\r\n\r\n0\r\nX: ", JUNK },    /* a trailer */
+  { PLAIN_HEAD "Transfer-Encoding: chunked\r\n\r\n1;x=", JUNK },        /* chunk extension */
+  { PLAIN_HEAD "Transfer-Encoding: chunked\r\n\r\n0\r\nX: ", JUNK },    /* trailer */
   { PLAIN_HEAD "Transfer-Encoding: chunked\r\n\r\n0\r\n", "X: y\r\n" }, /* trailers */
-  { "", "HTTP/1.1 102 Processing\r\n\r\n" },                            /* interim answers */
+  { "", "HTTP/1.1 102 Processing\r\n\r\n" },                            /* interim responses */
   { "",
-    "HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\nContent-Length: 1\r\n\r\nz" }, /* others' answers */
+    /* answers to another request */
+    "HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\nContent-Length: 1\r\n\r\nz" },
 };
 
 static const Flood *flood;
@@ -104,7 +105,7 @@
   return fd;
 }
 
-/* Reads a whole answer. A flood makes turns of the loop short, so that time bounds it. */
+/* Reads the complete answer. Loop iterations are short during a flood, so the limit is a time. */
 static void
 call (RelayFixture *fixture, const char *method, const char *path)
 {
@@ -145,7 +146,8 @@
   return fake_wire_n_left (((RelayFixture *)data)->upstreams[0].wire) > 0;
 }
 
-/* An order ends without a promise, by its deadline at the latest; the connection is closed. */
+/* The request fails by its deadline, without a promise that it was not executed, and the upstream's
+ * connection is closed. */
 static void
 test_endless_answer_ends_a_non_idempotent_request (void **state)
 {
@@ -167,7 +169,7 @@
     }
 }
 
-/* What may run again is answered by another upstream. */
+/* Another upstream answers the request. */
 static void
 test_endless_answer_to_an_idempotent_request_is_retried (void **state)
 {
@@ -187,7 +189,7 @@
     }
 }
 
-/* The same of an engine that is to read a prompt: another one reads it. */
+/* Another engine prefills the prompt. */
 static void
 test_endless_answer_to_a_prefill_is_retried (void **state)
 {
@@ -208,8 +210,8 @@
     }
 }
 
-/* A stream that may go on elsewhere does so; one that may not does not look whole. Nothing of the
- * event without end reaches the first caller. */
+/* A resumable stream is resumed elsewhere; one that is not ends in a way that cannot be taken for a
+ * complete answer. No part of the endless event reaches the first caller. */
 static void
 test_endless_event_ends_the_stream (void **state)
 {
@@ -222,7 +224,7 @@
   relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
   relay_fixture_add_upstream (&fixture, 0, MF_ROLE_DECODE, handle_flood);
   relay_fixture_add_upstream (&fixture, 1, MF_ROLE_DECODE, handle_stream);
-  /* No event has come, so that it cannot go on. */
+  /* No event has arrived, so the stream cannot be resumed. */
   call (&fixture, "POST", "/llm/1");
   assert_null (strstr (fixture.received, JUNK));
   assert_null (strstr (fixture.received, "\r\n0\r\n\r\n"));
@@ -239,7 +241,7 @@
   teardown (&fixture);
 }
 
-/* The upstream may be forgotten by discovery while it floods its last request. */
+/* Discovery may drop an upstream while it still sends its last, endless answer. */
 static void
 test_endless_answer_of_a_removed_upstream (void **state)
 {
@@ -260,7 +262,8 @@
   teardown (&fixture);
 }
 
-/* Bytes that end no event are no progress: the stream goes on elsewhere, as after silence. */
+/* Bytes that complete no event do not count as progress: the stream is resumed elsewhere, as after
+ * silence. */
 static void
 test_stream_that_trickles_goes_on_elsewhere (void **state)
 {
@@ -291,7 +294,7 @@
   teardown (&fixture);
 }
 
-/* An engine that answers the freeing of its memory without end is left after a while. */
+/* An engine whose answer to the release of KV never ends is disconnected after a timeout. */
 static void
 test_endless_answer_to_a_release_times_out (void **state)
 {
@@ -311,7 +314,8 @@
   teardown (&fixture);
 }
 
-/* Many large answers at once keep to what they may take together; small ones beside them come. */
+/* Many large answers at the same time stay within their common memory limit, and a small answer
+ * still gets through. */
 static void
 test_buffered_answers_keep_to_the_memory_limit (void **state)
 {
--- a/tests/test_job_room.c
+++ b/tests/test_job_room.c
@@ -39,7 +39,7 @@
   return fd;
 }
 
-/* The instance that decides for all. */
+/* Returns the index of the leader. */
 static uint32_t
 find_leader (RelayFleet *fleet)
 {
@@ -53,8 +53,8 @@
   return 0;
 }
 
-/* The instance that decides ends while requests of all others wait. They ask the next one: were
- * each to decide for itself, all would take the same place. */
+/* The leader exits while requests of all other instances wait. They must send their slot requests
+ * to the next leader: if each granted slots itself, all would take the same slot. */
 static void
 test_waiting_requests_ask_the_next_leader (void **state)
 {
@@ -77,7 +77,7 @@
   mf_peers_free (peers);
   loop_spin (fleet.loop, 40);
   assert_int_equal (relay_fixture_n_requests (&fleet.instances[0], 0), SLOTS);
-  /* One place comes free, and one request takes it. */
+  /* One slot becomes free, and exactly one request gets it. */
   close (running[0]);
   loop_spin (fleet.loop, 40);
   assert_int_equal (relay_fixture_n_requests (&fleet.instances[0], 0), SLOTS + 1);
@@ -89,8 +89,8 @@
   relay_fleet_teardown (&fleet);
 }
 
-/* Sends beyond the first of each stage, for ten requests. A leader that has led for long may give
- * repeats. */
+/* Returns the number of sends beyond the first of each stage for ten requests. Only a leader that
+ * has led for a whole window may grant retries. */
 static uint32_t
 n_retries_of_ten (bool led_for_window, RelayFixtureHandler handler, bool with_prefill)
 {
@@ -116,7 +116,7 @@
       fleet.instances[i].jobs.budget_ratio = 0.;
       fleet.instances[i].jobs.budget_slack = SLACK;
     }
-  /* Votes come with the reports after the first question who leads. */
+  /* Votes arrive with the reports that follow the first query for the leader. */
   for (uint32_t i = 0; i < 200; i++)
     {
       for (uint32_t k = 0; k < N_INSTANCES; k++)
@@ -143,8 +143,8 @@
   return n_sends - (uint32_t)MF_ARRAY_LEN (calls) * (with_prefill ? 2 : 1);
 }
 
-/* Instances that have used their part get more from the one that leads, and all together keep to
- * what is common; one that has led for less than a window gives nothing. */
+/* Instances that have used up their own allowance get retries from the leader, and the sum stays
+ * within the common slack. A leader of less than a window grants none. */
 static void
 test_leader_gives_repeats_that_others_do_not_use (void **state)
 {
@@ -153,7 +153,7 @@
   assert_in_range (n_retries_of_ten (true, relay_fixture_decline, false), N_INSTANCES + 1, SLACK);
 }
 
-/* A stream that goes on has its prompt read again and runs again: both are beyond the first. */
+/* A resumed stream needs a second prefill and a second run, and both count as retries. */
 static void
 test_repeats_of_two_sends_keep_to_what_is_common (void **state)
 {
@@ -161,8 +161,8 @@
   assert_in_range (n_retries_of_ten (true, relay_fixture_stream_breaks, true), 2, SLACK);
 }
 
-/* An engine that the instance which decides knows first is granted to one that does not know it
- * yet: that one asks for another at once, and not for the same again and again. */
+/* The leader may grant an engine that the requester does not know yet. The requester then asks for
+ * another one at once, and not for the same one again and again. */
 static void
 test_engine_that_the_requester_does_not_know_is_avoided (void **state)
 {
@@ -177,7 +177,7 @@
   fleet_setup (&fleet, 1, relay_fixture_stream_hangs);
   leader = find_leader (&fleet);
   requester = (leader + 1) % N_INSTANCES;
-  /* The engine that all know has room for one more, the other none of its. */
+  /* The engine known to all has one free slot; the other one has all of its slots free. */
   for (uint32_t i = 0; i < SLOTS - 1; i++)
     running[i] = start_call (&fleet, requester);
   relay_fixture_list_upstream (&fleet.instances[leader], "new", MF_ROLE_DECODE, "127.0.0.1:1");
--- a/tests/test_job_stage.c
+++ b/tests/test_job_stage.c
@@ -15,7 +15,7 @@
 #define PEER_ADDRESS "127.0.0.1:21802"
 #define STEP_US (100 * MF_US_PER_MS)
 
-/* One instance that is alone with four engines. */
+/* One instance without other instances, and its clocks. */
 typedef struct
 {
   RelayFixture relay;
@@ -56,8 +56,8 @@
   fake_wire_close (conn, true);
 }
 
-/* Five prefill engines, of which one is known to be out of reach, and four decode engines that are
- * full. */
+/* Five prefill engines, one of them known to be unreachable, and four decode engines without free
+ * slots. */
 static void
 order_fixture_setup (OrderFixture *fixture, RelayFixtureHandler handler)
 {
@@ -101,7 +101,7 @@
   ev_loop_destroy (loop);
 }
 
-/* Lets so much time pass, in the steps of the process. */
+/* Lets duration_us pass in steps as long as the interval between ticks. */
 static void
 order_fixture_advance (OrderFixture *fixture, uint64_t duration_us)
 {
@@ -143,8 +143,8 @@
   return fake_wire_last (relay->upstreams[index].wire);
 }
 
-/* The instance that leads orders an idle prefill engine, once, and only after the leader before it
- * has surely ceased to order. */
+/* The leader orders one idle prefill engine to decode, and only after the previous leader has
+ * certainly stopped giving orders. */
 static void
 test_idle_prefill_engine_is_ordered_to_decode (void **state)
 {
@@ -164,12 +164,12 @@
   assert_non_null (strstr (last_order (&fixture), "\"holder\":\"front-1\""));
   fence = strstr (last_order (&fixture), "\"fencingToken\":");
   assert_non_null (fence);
-  /* It outgrows any that was given in a millisecond before. */
+  /* The fence exceeds every fence from more than a minute ago. */
   assert_true (strtoull (fence + 15, NULL, 10) > (mf_clock_wall_ms () - 60000) << 10);
   order_fixture_teardown (&fixture);
 }
 
-/* A machine that stood still believes what held before: it leads anew. */
+/* A leader that was suspended relies on outdated votes: it must start a new leadership. */
 static void
 test_suspended_leader_waits_again (void **state)
 {
@@ -186,8 +186,8 @@
   order_fixture_teardown (&fixture);
 }
 
-/* Engines that check no fences take an order of whoever led before that is still on its way: the
- * first order waits for that, too. */
+/* Engines that do not check fences accept a delayed order of the previous leader, so the first
+ * order waits for that as well. */
 static void
 test_first_order_waits_longer_without_fences (void **state)
 {
@@ -211,8 +211,8 @@
   return fence == NULL ? 0 : strtoull (fence + 15, NULL, 10);
 }
 
-/* Whatever the time of day of two machines is, who orders next has the higher fence; and who hears
- * of a higher one than its own waits anew. */
+/* The next leader's fence is higher whatever the wall clocks of the two machines say, and a leader
+ * that learns of a higher fence than its own waits again. */
 static void
 test_new_fence_exceeds_all_known_fences (void **state)
 {
@@ -235,7 +235,7 @@
   assert_int_equal (n_orders (&fixture), 1);
   assert_true (last_fence (&fixture) > ahead);
   order_fixture_teardown (&fixture);
-  /* A fence that no clock of the fleet shows is nonsense, and stops nobody. */
+  /* A fence that no clock of the fleet can have produced is ignored. */
   order_fixture_setup (&fixture, handle_accept);
   mf_peers_note_fence (fixture.relay.jobs.peers, "engines", UINT64_MAX);
   order_fixture_advance (&fixture, 6600 * MF_US_PER_MS);
@@ -243,7 +243,7 @@
   order_fixture_teardown (&fixture);
 }
 
-/* An engine that refuses keeps its work, and is not asked for ever. */
+/* An engine that refuses an order keeps its stage, and gets no more orders after the second. */
 static void
 test_refused_orders_end (void **state)
 {
@@ -253,14 +253,14 @@
   order_fixture_setup (&fixture, handle_refuse);
   order_fixture_advance (&fixture, 30 * MF_US_PER_S);
   loop_spin (fixture.relay.loop, 20);
-  /* Two at each engine that can be reached. */
+  /* Two for each reachable engine. */
   assert_int_equal (n_orders (&fixture), 8);
   assert_int_equal (n_changing (&fixture), 0);
   assert_int_equal (fixture.relay.jobs.counters.counts[MF_RELAY_COUNT_ORDERS_REFUSED], 8);
   order_fixture_teardown (&fixture);
 }
 
-/* An order without an answer may have been taken: the engine is left alone. */
+/* An order without a reply may have been accepted, so the engine gets no other order. */
 static void
 test_order_without_an_answer_counts_as_taken (void **state)
 {
--- a/tests/test_job_suspect.c
+++ b/tests/test_job_suspect.c
@@ -20,10 +20,10 @@
 #define N_CALLS 20
 #define CRASHER_HOST 0x7f000002
 #define INNOCENT_HOST 0x7f000003
-/* Of what it may send later than the grace after the third crash. */
+/* Maximum number of sends of a crashing request later than the grace time after its third crash. */
 #define LATE_SENDS_MAX 3
 
-/* A fleet before upstreams that crash under some requests, and come back under new ids. */
+/* A fleet of instances with upstreams that crash on certain requests and return with new ids. */
 typedef struct
 {
   RelayFleet fleet;
@@ -54,7 +54,7 @@
                                soak_upstream_address (fixture->upstreams[index]));
 }
 
-/* An upstream that is back has a new id, and all instances are told. */
+/* Gives an upstream that has returned a new id, and lists it at all instances. */
 static void
 on_down_changed (void *data, SoakUpstream *upstream, bool down)
 {
@@ -123,7 +123,7 @@
   return fd;
 }
 
-/* The status of the answer; 0 when there is none. */
+/* Returns the status of the answer; 0 if there is none. */
 static uint32_t
 finish_call (CrashFixture *fixture, int fd)
 {
@@ -140,8 +140,8 @@
   return finish_call (fixture, start_call (fixture, instance, host, path, body));
 }
 
-/* Sends a request of one caller that crashes upstreams to one instance after the other, and
- * another caller's to each beside it. Returns how many of the latter were answered. */
+/* Sends a caller's crashing request to one instance after the other, each time beside a request of
+ * another caller. Returns how many of the latter were answered. */
 static uint32_t
 n_served_beside_crasher (CrashFixture *fixture, const char *path)
 {
@@ -182,7 +182,7 @@
     }
 }
 
-/* Makes all instances refuse one caller's order. */
+/* Gets a request of one caller quarantined at all instances. */
 static void
 quarantine_request (CrashFixture *fixture)
 {
@@ -218,7 +218,7 @@
   crash_fixture_teardown (&fixture);
 }
 
-/* More suspects than one message tells of do not keep a conviction back. */
+/* A quarantine must be sent even if there are more suspects than fit into one message. */
 static void
 test_quarantines_are_sent_before_suspicions (void **state)
 {
@@ -247,7 +247,8 @@
   crash_fixture_teardown (&fixture);
 }
 
-/* An instance without peers finds out for itself, and is told when it is back among them. */
+/* An instance without peers must quarantine the request itself, or receive the quarantine once it
+ * is connected again. */
 static void
 test_isolated_instance_receives_quarantines (void **state)
 {
@@ -275,7 +276,8 @@
   crash_fixture_teardown (&fixture);
 }
 
-/* Another caller's request of the same content is another request, and so is another content. */
+/* The same content from another caller, or other content from the same caller, is another
+ * request. */
 static void
 test_other_requests_are_served (void **state)
 {
@@ -293,7 +295,7 @@
   crash_fixture_teardown (&fixture);
 }
 
-/* Upstreams that end under a request by themselves, with an answer between: nobody is blamed. */
+/* If a request is answered between two crashes, it has not caused them. */
 static void
 test_request_that_is_answered_between_crashes_is_not_refused (void **state)
 {
@@ -315,7 +317,8 @@
   crash_fixture_teardown (&fixture);
 }
 
-/* Upstreams that fall silent with all they run, and are followed by others at their addresses. */
+/* A request that silences its upstreams is recognised when new processes take over their
+ * addresses. */
 static void
 test_request_that_silences_upstreams_is_found_out (void **state)
 {
@@ -337,7 +340,8 @@
   crash_fixture_teardown (&fixture);
 }
 
-/* Discovery names the process before once more, which ends nothing. */
+/* Discovery lists a previous process once more. This does not mean that the current one has
+ * ended. */
 static void
 test_late_entry_of_a_predecessor_is_no_crash (void **state)
 {
@@ -368,7 +372,7 @@
   crash_fixture_teardown (&fixture);
 }
 
-/* An upstream that resets connections, and is there all the while, has not ended. */
+/* An upstream that resets connections but keeps running has not crashed. */
 static void
 test_resets_quarantine_no_request (void **state)
 {
@@ -391,7 +395,7 @@
   crash_fixture_teardown (&fixture);
 }
 
-/* What an upstream runs as it stops in order breaks of that. */
+/* Failures at an upstream that has announced its exit are caused by the exit. */
 static void
 test_graceful_exit_is_no_crash (void **state)
 {
--- a/tests/test_refuse.c
+++ b/tests/test_refuse.c
@@ -26,7 +26,7 @@
     }
 }
 
-/* Callers that are refused together do not return together. */
+/* Callers that are refused at the same time must not retry at the same time. */
 static void
 test_returns_are_spread (void **state)
 {
@@ -51,8 +51,8 @@
   assert_int_equal (mf_refuse_retry_after_us (&refusal), 0);
 }
 
-/* An instance that has just started is asked again at once; one that has none for longer cannot
- * reach the store, and a caller that comes back only once had better come later. */
+/* An instance that has just started may be retried at once. One without a configuration for longer
+ * cannot reach the store, and a caller that retries only once should do so later. */
 static void
 test_without_configuration (void **state)
 {
--- a/tests/test_stage.c
+++ b/tests/test_stage.c
@@ -14,16 +14,16 @@
 test_engines_are_split_as_their_work_is (void **state)
 {
   (void)state;
-  /* Twenty decode engines' worth of answers to three of prompts, of 35 engines. */
+  /* 35 engines; the answers need 20 decode engines while the prompts need 3 prefill engines. */
   assert_in_range (mf_stage_optimal_prefill (35, 3., 20.), 5, 7);
   assert_in_range (mf_stage_optimal_prefill (35, 10., 10.), 18, 21);
-  /* Three that read and two that answer are left, whatever the work. */
+  /* At least three prefill and two decode engines are kept under any load. */
   assert_int_equal (mf_stage_optimal_prefill (35, 0.01, 20.), 3);
   assert_int_equal (mf_stage_optimal_prefill (35, 20., 0.01), 33);
   assert_int_equal (mf_stage_optimal_prefill (3, 1., 1.), 1);
 }
 
-/* Shows the same view for some time. Returns when it first asked for the move; 0: it did not. */
+/* Passes the same snapshot for a time. Returns when the move was first suggested; 0: never. */
 static uint64_t
 first_move_us (MfStageTrend *trend, const MfStageSnapshot *snapshot, MfStageMove move,
                uint64_t from_us, uint64_t duration_us)
@@ -52,13 +52,13 @@
   at_us = first_move_us (&trend, &busy, MF_STAGE_TO_DECODE, BEGIN_US + 10 * MF_US_PER_S,
                          10 * MF_US_PER_S);
   assert_in_range (at_us, BEGIN_US + 10 * MF_US_PER_S, BEGIN_US + 14 * MF_US_PER_S);
-  /* Prompts that wait for two seconds after a crash make no decode engine change. */
+  /* Prompts that wait for two seconds after a crash must not move a decode engine. */
   mf_stage_reset (&trend);
   first_move_us (&trend, &busy, MF_STAGE_TO_PREFILL, BEGIN_US, 5 * MF_US_PER_S);
   assert_int_equal (first_move_us (&trend, &crash, MF_STAGE_TO_PREFILL, BEGIN_US + 5 * MF_US_PER_S,
                                    2 * MF_US_PER_S),
                     0);
-  /* Prompts that go on waiting do, though places kept for them fill the decode engines. */
+  /* Prompts that keep waiting do, even if slots reserved for them fill the decode engines. */
   mf_stage_reset (&trend);
   assert_true (
       first_move_us (&trend, &too_few_prefill, MF_STAGE_TO_PREFILL, BEGIN_US, 8 * MF_US_PER_S)
@@ -81,8 +81,8 @@
                     0);
 }
 
-/* A played load: engines of which a decode holds eight answers of 3.5 s, and a prefill reads one
- * prompt after the other in 95 ms; half of the engines begin as prefill engines. */
+/* Simulated load: a decode engine holds eight answers of 3.5 s, a prefill engine prefills one
+ * prompt at a time in 95 ms, and half of the engines start as prefill engines. */
 #define N_ENGINES 16
 #define N_PREFILL 8
 #define SLOTS_USABLE 8
@@ -98,7 +98,7 @@
 typedef struct
 {
   uint64_t begun_us;
-  uint64_t prefilled_us; /* its prompt has been read; 0: it has no place */
+  uint64_t prefilled_us; /* end of the prefill; 0: no slot granted yet */
   uint32_t prefill;
   uint32_t decode;
 } Call;
@@ -107,7 +107,7 @@
 {
   MfTargets targets;
   MfTarget engines[N_ENGINES];
-  uint64_t free_us[N_ENGINES]; /* when a prefill engine has read what it was given */
+  uint64_t free_us[N_ENGINES]; /* when a prefill engine finishes its last prompt */
   MfDispatch *dispatch;
   Call calls[N_CALLS_MAX];
   uint32_t n_calls;
@@ -171,7 +171,7 @@
   assert_non_null (simulation->dispatch);
 }
 
-/* What ends now: prompts read, answers, changes of stage. */
+/* Ends prefills, answers and stage changes that are due. */
 static void
 simulation_finish_due (Simulation *simulation)
 {
@@ -230,8 +230,8 @@
   simulation->n_moves++;
 }
 
-/* Streams come for 40 s, at the start as many as the decode engines hold, then a third more than
- * that. Returns how many callers get their first event within the objective. */
+/* Streams arrive for 40 s: at first as many as the decode engines hold, then a third more. Returns
+ * how many callers get their first event within the objective. */
 static uint32_t
 simulation_run (Simulation *simulation, bool balanced)
 {
@@ -266,8 +266,8 @@
   return simulation->n_in_time;
 }
 
-/* More streams than the decode engines hold, beside prefill engines that idle: engines that change
- * their stage serve more callers in time. */
+/* With more streams than the decode engines hold and idle prefill engines, changing the stage of
+ * engines serves more callers in time. */
 static void
 test_callers_are_served_in_time_by_engines_that_change (void **state)
 {
