--- a/libmangofork/relay/job.h
+++ b/libmangofork/relay/job.h
@@ -77,7 +77,7 @@
   /* Time of the last tick, on a clock that counts time spent suspended. */
   uint64_t leadership_ticked_us;
   bool orders_fenced;
-  uint64_t order_turn_us;
+  uint64_t order_interval_us;
   char instance[MF_NAME_BYTES]; /* name used as the holder of engine orders */
   uint64_t started_us;
   MfJob *first;
--- a/libmangofork/relay/job_stage.c
+++ b/libmangofork/relay/job_stage.c
@@ -274,7 +274,7 @@
 static uint64_t
 first_order_delay_us (const MfJobs *jobs)
 {
-  uint64_t wait_us = jobs->order_turn_us + mf_peers_fresh_us (jobs->peers) + HANDOVER_MARGIN_US;
+  uint64_t wait_us = jobs->order_interval_us + mf_peers_fresh_us (jobs->peers) + HANDOVER_MARGIN_US;
 
   return jobs->orders_fenced ? wait_us : wait_us + ORDER_TIMEOUT_US + CONNECT_TIME_US;
 }
--- a/libmangofork/relay/relay.c
+++ b/libmangofork/relay/relay.c
@@ -384,7 +384,7 @@
   relay->jobs.budget_ratio = relay->settings.retry_ratio;
   relay->jobs.budget_slack = relay->settings.retry_slack;
   relay->jobs.orders_fenced = relay->settings.orders_fenced;
-  relay->jobs.order_turn_us = relay->settings.order_turn_us;
+  relay->jobs.order_interval_us = relay->settings.order_turn_us;
   relay->follow.bound_us = relay->settings.change_us;
   if (relay->settings.memory_bytes > 0)
     relay->jobs.answer_bytes_max = relay->settings.memory_bytes / ANSWERS_MEMORY_PART;
--- a/tests/test_job_stage.c
+++ b/tests/test_job_stage.c
@@ -69,7 +69,7 @@
       = mf_peers_new (relay->loop, PEER_ADDRESS, &callbacks, relay, relay->log, &error);
   assert_non_null (relay->jobs.peers);
   relay->jobs.orders_fenced = true;
-  relay->jobs.order_turn_us = 3 * MF_US_PER_S;
+  relay->jobs.order_interval_us = 3 * MF_US_PER_S;
   mf_name_set (relay->jobs.instance, sizeof relay->jobs.instance, "front-1");
   for (uint32_t i = 0; i < RELAY_FIXTURE_N_UPSTREAMS; i++)
     relay_fixture_add_upstream (relay, i, MF_ROLE_PREFILL, handler);
