--- a/libmangofork/relay/job.h
+++ b/libmangofork/relay/job.h
@@ -76,8 +76,8 @@
   MfStageOrder *orders; /* in flight */
   /* Time of the last tick, on a clock that counts time spent suspended. */
   uint64_t leadership_ticked_us;
-  bool orders_fenced;
-  uint64_t order_interval_us;
+  bool orders_fenced;           /* engines check the fences of orders */
+  uint64_t order_interval_us;   /* minimum time between the orders of two instances */
   char instance[MF_NAME_BYTES]; /* name used as the holder of engine orders */
   uint64_t started_us;
   MfJob *first;
