--- a/libmangofork/relay/relay.c
+++ b/libmangofork/relay/relay.c
@@ -69,7 +69,7 @@
   uint64_t keep_until_us;  /* upstreams without an entry are kept until then */
   uint64_t drain_begun_us; /* 0: no shutdown */
   bool idle_closed;
-  MfFollow follow;
+  MfFollow freshness;
   uint64_t settings_checked_us; /* last check of the settings file */
   struct timespec settings_mtime;
 };
@@ -287,16 +287,16 @@
 uint64_t
 mf_relay_read_delay_us (MfRelay *relay, MfFeedRole role)
 {
-  return mf_follow_rest_us (&relay->follow, role, mf_clock_awake_us (),
+  return mf_follow_rest_us (&relay->freshness, role, mf_clock_awake_us (),
                             mf_jobs_random (&relay->jobs));
 }
 
-/* Returns how long a request to the source waits for changes; alone_us where no other instance
+/* Returns how long a request to the source waits for changes; standalone_us where no other instance
  * depends on it. */
 uint64_t
-mf_relay_watch_timeout_us (const MfRelay *relay, MfFeedRole role, uint64_t alone_us)
+mf_relay_watch_timeout_us (const MfRelay *relay, MfFeedRole role, uint64_t standalone_us)
 {
-  return mf_follow_wait_us (&relay->follow, role, alone_us);
+  return mf_follow_wait_us (&relay->freshness, role, standalone_us);
 }
 
 /* Returns the delay after a failed request to the source; last_us is the previous one. is_known
@@ -304,8 +304,9 @@
 uint64_t
 mf_relay_retry_delay_us (MfRelay *relay, bool is_known, uint64_t last_us)
 {
-  return mf_follow_retry_us (&relay->follow, is_known ? mf_relay_feed_role (relay) : MF_FEED_ALONE,
-                             last_us, mf_jobs_random (&relay->jobs));
+  return mf_follow_retry_us (&relay->freshness,
+                             is_known ? mf_relay_feed_role (relay) : MF_FEED_ALONE, last_us,
+                             mf_jobs_random (&relay->jobs));
 }
 
 /* Returns a random time below max_us. */
@@ -326,7 +327,7 @@
   feed->sent_us = mf_clock_awake_us ();
   feed->as_of_us = feed->sent_us - mf_feed_way_us (took_us, wait_us);
   feed->keep_us = relay->keep_until_us > now_us ? relay->keep_until_us - now_us : 0;
-  mf_follow_note (&relay->follow, feed->as_of_us);
+  mf_follow_note (&relay->freshness, feed->as_of_us);
   if (relay->jobs.peers == NULL || mf_relay_feed_role (relay) != MF_FEED_READER)
     return;
   message->kind = MF_RELAY_MESSAGE_FEED;
@@ -342,7 +343,7 @@
 {
   MfRelay *relay = data;
   uint64_t now_us = mf_clock_now_us ();
-  uint64_t as_of_us = mf_follow_as_of_us (&relay->follow, peer, feed, mf_clock_awake_us ());
+  uint64_t as_of_us = mf_follow_as_of_us (&relay->freshness, peer, feed, mf_clock_awake_us ());
 
   if (relay->source == NULL)
     return;
@@ -351,7 +352,7 @@
     relay->keep_until_us = now_us + feed->keep_us;
   if (!relay->deployment->source->apply_feed (relay->source, feed) || as_of_us == 0)
     return;
-  mf_follow_note (&relay->follow, as_of_us);
+  mf_follow_note (&relay->freshness, as_of_us);
   mf_relay_source_up (relay);
 }
 
@@ -389,7 +390,7 @@
   relay->jobs.budget_slack = relay->settings.retry_slack;
   relay->jobs.orders_fenced = relay->settings.orders_fenced;
   relay->jobs.order_interval_us = relay->settings.order_interval_us;
-  relay->follow.bound_us = relay->settings.change_bound_us;
+  relay->freshness.bound_us = relay->settings.change_bound_us;
   if (relay->settings.memory_bytes > 0)
     relay->jobs.answer_bytes_max = relay->settings.memory_bytes / KEPT_ANSWERS_MEMORY_DIVISOR;
   if (relay->listener != NULL)
--- a/libmangofork/relay/relay.h
+++ b/libmangofork/relay/relay.h
@@ -67,7 +67,7 @@
 void mf_relay_source_up (MfRelay *relay);
 MfFeedRole mf_relay_feed_role (MfRelay *relay);
 uint64_t mf_relay_read_delay_us (MfRelay *relay, MfFeedRole role);
-uint64_t mf_relay_watch_timeout_us (const MfRelay *relay, MfFeedRole role, uint64_t alone_us);
+uint64_t mf_relay_watch_timeout_us (const MfRelay *relay, MfFeedRole role, uint64_t standalone_us);
 uint64_t mf_relay_retry_delay_us (MfRelay *relay, bool is_known, uint64_t last_us);
 uint64_t mf_relay_jitter_us (MfRelay *relay, uint64_t max_us);
 void mf_relay_source_read (MfRelay *relay, MfFeed *feed, uint64_t took_us, uint64_t wait_us);
--- a/tests/test_caller.c
+++ b/tests/test_caller.c
@@ -257,7 +257,7 @@
 }
 
 static void
-test_stream_that_breaks_does_not_look_whole (void **state)
+test_aborted_stream_is_not_complete (void **state)
 {
   Fixture fixture;
   int fd;
@@ -301,7 +301,7 @@
 }
 
 static void
-test_retired_door_closes_after_answers (void **state)
+test_connections_close_after_the_response_once_keep_alive_ended (void **state)
 {
   Fixture fixture;
   int busy;
@@ -349,9 +349,9 @@
     cmocka_unit_test (test_idle_connections_close_in_time),
     cmocka_unit_test (test_no_more_callers_than_allowed),
     cmocka_unit_test (test_caller_who_leaves_while_its_request_waits),
-    cmocka_unit_test (test_stream_that_breaks_does_not_look_whole),
+    cmocka_unit_test (test_aborted_stream_is_not_complete),
     cmocka_unit_test (test_stream_that_ends_goes_on_to_the_next_request),
-    cmocka_unit_test (test_retired_door_closes_after_answers),
+    cmocka_unit_test (test_connections_close_after_the_response_once_keep_alive_ended),
     cmocka_unit_test (test_continue_is_answered),
   };
 
--- a/tests/test_message.c
+++ b/tests/test_message.c
@@ -173,7 +173,7 @@
 }
 
 static void
-test_headers_of_one_connection (void **state)
+test_hop_by_hop_headers (void **state)
 {
   static const char text[] = "GET / HTTP/1.1\r\nHost: a\r\nConnection: keep-alive , "
                              "X-Own\r\nX-Own: 1\r\nX-On: 2\r\n\r\n";
@@ -199,7 +199,7 @@
     cmocka_unit_test (test_request_is_the_same_however_it_is_cut),
     cmocka_unit_test (test_reading_stops_at_the_end_of_a_message),
     cmocka_unit_test (test_answers),
-    cmocka_unit_test (test_headers_of_one_connection),
+    cmocka_unit_test (test_hop_by_hop_headers),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_platform_settings.c
+++ b/tests/test_platform_settings.c
@@ -18,7 +18,7 @@
 }
 
 static void
-test_all_of_the_page (void **state)
+test_all_keys (void **state)
 {
   static const char text[] = REQUIRED
       "unknown=1\nno line\nlisten.control=10.1.0.35:8146\ninternalPorts=7660,7675\n"
@@ -88,7 +88,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_all_of_the_page),
+    cmocka_unit_test (test_all_keys),
     cmocka_unit_test (test_bounds_may_be_missing),
     cmocka_unit_test (test_faults_name_their_key),
   };
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -258,7 +258,7 @@
 }
 
 static void
-test_the_store_is_away_in_every_way (void **state)
+test_store_outages_of_every_kind (void **state)
 {
   static const FakeStoreMood states[]
       = { FAKE_STORE_BUSY, FAKE_STORE_MANY, FAKE_STORE_RESETS, FAKE_STORE_SILENT };
@@ -444,7 +444,7 @@
 /* While it is told, the relay leaves the store alone and acts on what it is told; when it is told
  * no more, or has missed something, it reads for itself within the bound. */
 static void
-test_who_is_told_leaves_the_store_alone (void **state)
+test_follower_does_not_read_the_store_while_it_is_fed (void **state)
 {
   PeerFixture peer_fixture;
   Fixture *fixture = &peer_fixture.fixture;
@@ -505,7 +505,7 @@
 
 /* The first of a data centre read, and tell the others what they have read. */
 static void
-test_who_reads_tells_the_others (void **state)
+test_reader_sends_changes_to_other_instances (void **state)
 {
   PeerFixture peer_fixture;
 
@@ -618,10 +618,10 @@
     cmocka_unit_test (test_newer_versions_replace_older_ones_only),
     cmocka_unit_test (test_leaving_upstreams_get_nothing),
     cmocka_unit_test (test_lists_have_pages),
-    cmocka_unit_test (test_the_store_is_away_in_every_way),
+    cmocka_unit_test (test_store_outages_of_every_kind),
     cmocka_unit_test (test_lapsed_entries_are_kept_for_a_while),
-    cmocka_unit_test (test_who_is_told_leaves_the_store_alone),
-    cmocka_unit_test (test_who_reads_tells_the_others),
+    cmocka_unit_test (test_follower_does_not_read_the_store_while_it_is_fed),
+    cmocka_unit_test (test_reader_sends_changes_to_other_instances),
     cmocka_unit_test (test_shutdown),
     cmocka_unit_test (test_settings_are_read_again),
   };
