--- a/tests/test_caller.c
+++ b/tests/test_caller.c
@@ -18,13 +18,13 @@
 #define PORT 21731
 #define ADDRESS "127.0.0.1:21731"
 
-/* A door, and what it has told its user. */
+/* A listener, and what its callbacks have recorded. */
 typedef struct
 {
   struct ev_loop *loop;
   MfListener *listener;
-  bool replies_at_once; /* each request at once, with its own body */
-  MfCaller *waiting;    /* the last request that was not answered */
+  bool replies_at_once; /* each request is answered at once with its own body */
+  MfCaller *waiting;    /* the caller of the last request */
   uint32_t n_requests;
   uint32_t n_departed;
   uint32_t n_refused;
@@ -105,7 +105,7 @@
   ev_loop_destroy (fixture->loop);
 }
 
-/* Sends a text on a new connection and reads until it closes or the needle has come. */
+/* Sends a text on a new connection and reads until the needle arrives or the connection closes. */
 static int
 send_and_receive (Fixture *fixture, const char *text, const char *needle)
 {
@@ -141,7 +141,8 @@
   fixture_end (&fixture);
 }
 
-/* What hides a second request in the first gets 400, and nothing after it is read. */
+/* Requests with ambiguous framing could smuggle a second request past the router. They get 400, and
+ * nothing after them is parsed. */
 static void
 test_smuggled_requests_are_not_read (void **state)
 {
--- a/tests/test_events.c
+++ b/tests/test_events.c
@@ -31,7 +31,7 @@
     }
 }
 
-/* A stream that goes on elsewhere repeats no event and leaves no half of one. */
+/* A stream that is resumed at another upstream contains no event twice and no incomplete event. */
 static void
 test_cut_event_comes_once (void **state)
 {
--- a/tests/test_house_libraries.c
+++ b/tests/test_house_libraries.c
@@ -12,9 +12,10 @@
 
 #include <cmocka.h>
 
-/* Why the general door and its links stand on an HTTP parser and not on the house's libraries: what
- * these do where a rule asks for something else. When a test here fails because a newer library
- * does better, the choice may be looked at again; docs/DESIGN.md names it. */
+/* The relay's listener and its connections to upstreams use an HTTP parser instead of libmicrohttpd
+ * and libcurl, because these behave in ways that the relay's requirements forbid. The tests show
+ * this behaviour. When one fails with a newer version of a library, the choice, which
+ * docs/DESIGN.md describes, can be reconsidered. */
 
 #define MHD_TEST_PORT 21771
 
@@ -54,8 +55,8 @@
   return result;
 }
 
-/* libmicrohttpd passes over a length with a space before its colon: an order would run without its
- * body, and the body would be read as the next request. */
+/* libmicrohttpd ignores a Content-Length with a space before the colon: a request would run without
+ * its body, and the body would be parsed as the next request. */
 static void
 test_microhttpd_reads_a_hidden_request (void **state)
 {
@@ -81,8 +82,8 @@
   ev_loop_destroy (loop);
 }
 
-/* The upstream answers the first request twice, as one that is at fault does: the second time late.
- */
+/* The upstream responds to the first request twice, as a faulty one does; the test sends the second
+ * response late. */
 static void
 on_upstream_request (FakeWireConn *conn, const char *text, void *data)
 {
@@ -102,7 +103,7 @@
   return size * n_bytes;
 }
 
-/* Runs one request to its end, or for a bounded number of turns. */
+/* Runs one request to its end, for a bounded number of iterations. Returns whether it has ended. */
 static bool
 curl_run (struct ev_loop *loop, CURLM *multi, CURL *easy)
 {
@@ -118,8 +119,8 @@
   return n_running == 0;
 }
 
-/* libcurl gives a late answer to an earlier request to the next request on the connection; it
- * offers no way to pass it over and read on. */
+/* libcurl takes a late response to an earlier request for the response to the next request on the
+ * connection, and has no way to skip it. */
 static void
 test_curl_takes_the_answer_to_another_request (void **state)
 {
--- a/tests/test_link.c
+++ b/tests/test_link.c
@@ -18,13 +18,13 @@
   "HTTP/1.1 200 OK\r\nX-Attempt-Id: " id                                                           \
   "\r\nKeep-Alive: timeout=5\r\nContent-Length: 2\r\n\r\n" body
 
-/* One exchange and what its user has heard. */
+/* An exchange with a fake upstream, and what its callbacks have recorded. */
 typedef struct
 {
   struct ev_loop *loop;
   FakeWire *wire;
   MfLinkPool pool;
-  const char *responses; /* what the upstream answers */
+  const char *responses; /* sent by the upstream for each request */
   bool close_after;
   bool reset_after;
   uint32_t n_heads;
@@ -150,7 +150,7 @@
   exchange_end (&exchange);
 }
 
-/* A late answer to an earlier request stands before the right one. */
+/* The late response to an earlier request arrives before the right one. */
 static void
 test_answer_to_another_request_is_passed_over (void **state)
 {
@@ -224,7 +224,7 @@
   exchange_end (&exchange);
 }
 
-/* An answer without length ends with its connection, unless that is reset. */
+/* A response without a length ends when the connection closes; a reset leaves it incomplete. */
 static void
 test_answer_without_length (void **state)
 {
@@ -277,8 +277,8 @@
   exchange_end (&exchange);
 }
 
-/* A call without an id, such as one that frees memory, gets no answer that names another request;
- * an upstream has no id to echo for it. */
+/* A request without an id, such as the one that releases KV, must not take the late response to
+ * another request, which has an id, for its own. */
 static void
 test_answer_with_an_id_to_a_call_without_one_is_passed_over (void **state)
 {
--- a/tests/test_message.c
+++ b/tests/test_message.c
@@ -40,7 +40,7 @@
   mf_buffer_clear (&reader->body);
 }
 
-/* The fault of a request; MF_CODE_OK when it is whole. */
+/* Returns the code for which a request is rejected, MF_CODE_OK when it is complete. */
 static MfCode
 error_of (const char *text, uint64_t head_bytes_max)
 {
--- a/tests/test_platform_decode.c
+++ b/tests/test_platform_decode.c
@@ -42,7 +42,7 @@
   assert_int_equal (info.role, MF_ROLE_DECODE);
 }
 
-/* Entries of other writers name no upstream. */
+/* Malformed and incomplete entries are rejected. */
 static void
 test_entries_that_cannot_be_used (void **state)
 {
--- a/tests/test_platform_settings.c
+++ b/tests/test_platform_settings.c
@@ -55,7 +55,7 @@
   MfError error;
 
   (void)state;
-  /* The lower of two bounds, in either order. */
+  /* The lower of the two bounds applies, in either order. */
   assert_true (
       parse (REQUIRED "bounds.configApplyMs=3000\nbounds.drainMs=4000\n", &settings, &error));
   assert_int_equal (settings.change_bound_us, 3 * MF_US_PER_S);
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -21,15 +21,15 @@
 #define PORT 21761
 #define READY_PORT 21762
 #define METRICS_PORT 21763
-/* The first tried for instances. */
+/* The first port that is tried for instances. */
 #define PEER_PORT 21821
 #define N_PEERS 8
 #define CHANGE_MS 1000
-/* As the relay ranks the instances of a data centre. */
+/* The factor with which the relay ranks the instances of a data centre. */
 #define RANK_FACTOR UINT64_C (0x9e3779b97f4a7c15)
 #define SETTINGS "relay-test.conf"
 
-/* A relay with its store and two upstreams of one plain service, on one loop. */
+/* A relay with its store and two upstreams of a plain service, on one event loop. */
 typedef struct
 {
   struct ev_loop *loop;
@@ -79,7 +79,7 @@
                            "", state);
 }
 
-/* peers is the address for other instances; empty: there are none. */
+/* peers is the address for other instances; empty: none. */
 static void
 fixture_begin_with (Fixture *fixture, const char *peers)
 {
@@ -121,7 +121,7 @@
   unlink (SETTINGS);
 }
 
-/* The status of a request at a port; 0 when the connection ends without one. */
+/* Returns the status of the response to a request; 0 when the connection closes without one. */
 static int
 status_of (Fixture *fixture, int port, const char *path)
 {
@@ -138,7 +138,6 @@
   return strncmp (fixture->received, "HTTP/1.1 ", 9) == 0 ? atoi (fixture->received + 9) : 0;
 }
 
-/* What is waited for: a status of a path at a port. */
 typedef struct
 {
   Fixture *fixture;
@@ -152,7 +151,7 @@
 {
   StatusWait *wait = data;
 
-  /* Some time passes between two questions, which are answered at once. */
+  /* A delay between the requests, which are answered at once. */
   loop_spin (wait->fixture->loop, 5);
   return status_of (wait->fixture, wait->port, wait->path) == wait->status;
 }
@@ -173,7 +172,7 @@
   (void)state;
   fixture_begin (&fixture);
   assert_int_equal (status_of (&fixture, READY_PORT, "/ready"), 503);
-  /* Not 404: a configuration may have the route. */
+  /* Not 404, since the configuration that is not read yet may have the route. */
   assert_int_equal (status_of (&fixture, PORT, "/a/1"), 503);
   assert_non_null (strstr (fixture.received, "Retry-After"));
   config_put (&fixture, 1, "/a/");
@@ -226,7 +225,7 @@
     assert_int_equal (status_of (&fixture, PORT, "/a/1"), 200);
   assert_int_equal (fake_wire_n_requests (fixture.upstreams[0]), n_before);
   assert_true (fake_wire_n_requests (fixture.upstreams[1]) >= 10);
-  /* An entry that ends without a word, and one that cannot be read. */
+  /* An entry that is removed without a drain, and an invalid entry. */
   fake_store_remove (fixture.store, "servers/u1");
   wait_for (&fixture, PORT, "/a/1", 503);
   upstream_put (&fixture, 1, "ready");
@@ -236,7 +235,7 @@
   fixture_end (&fixture);
 }
 
-/* Pages of a list: more upstreams than one page holds are all known. */
+/* Lists of more upstreams than one page holds are read completely. */
 static void
 test_lists_have_pages (void **state)
 {
@@ -280,7 +279,7 @@
       loop_spin (fixture.loop, 100);
       assert_int_equal (status_of (&fixture, READY_PORT, "/ready"), 200);
       config_put (&fixture, i + 2, prefix);
-      /* The history is gone by the time it is back. */
+      /* After the outage the history of changes is not available. */
       fake_store_forget (fixture.store);
       fake_store_mood (fixture.store, FAKE_STORE_SERVES);
       wait_for (&fixture, PORT, path, 200);
@@ -288,8 +287,8 @@
   fixture_end (&fixture);
 }
 
-/* An entry that lapsed while the store was away is used on for a while, and dropped when it is not
- * back by then. */
+/* An upstream whose entry expired during an outage of the store stays in use for a while, and is
+ * removed when it has not registered again by then. */
 static void
 test_lapsed_entries_are_kept_for_a_while (void **state)
 {
@@ -316,12 +315,12 @@
   fixture_end (&fixture);
 }
 
-/* Eight instances more in the data centre of the relay. */
+/* A relay and N_PEERS other instances in its data centre. */
 typedef struct
 {
   Fixture fixture;
   MfPeers *peers[N_PEERS];
-  MfFeedRole role; /* the relay's */
+  MfFeedRole role; /* reader when the relay has sent a feed */
 } PeerFixture;
 
 static void
@@ -374,7 +373,8 @@
   return true;
 }
 
-/* The relay's address decides by its rank whether it reads for others or is told. */
+/* Looks for addresses whose ranks give the relay the wanted role: it reads for the others, or
+ * receives what they read. */
 static void
 peer_fixture_begin (PeerFixture *peer_fixture, MfFeedRole role)
 {
@@ -427,7 +427,7 @@
   fixture_end (&peer_fixture->fixture);
 }
 
-/* Tells the relay, as a reader, that all up to a revision is as in the feed. */
+/* Sends a feed to the relay, as a reader that knows everything up to a revision. */
 static void
 feed_send (PeerFixture *peer_fixture, MfFeed *feed, uint64_t to_revision)
 {
@@ -441,8 +441,8 @@
   mf_peers_send_near (peer_fixture->peers[0], &message);
 }
 
-/* While it is told, the relay leaves the store alone and acts on what it is told; when it is told
- * no more, or has missed something, it reads for itself within the bound. */
+/* A follower applies the feeds that it receives and does not read the store. It reads the store
+ * within the bound when the feeds stop or one is missing. */
 static void
 test_follower_does_not_read_the_store_while_it_is_fed (void **state)
 {
@@ -459,7 +459,7 @@
   peer_fixture_begin (&peer_fixture, MF_FEED_FOLLOWER);
   revision = fake_store_revision (fixture->store);
   mf_feed_begin (&feed, revision);
-  /* Its last call ends within 300 ms. */
+  /* The last watch request of the relay ends within 300 ms. */
   for (uint32_t i = 0; i < 10; i++)
     {
       feed_send (&peer_fixture, &feed, revision);
@@ -482,19 +482,19 @@
   feed_send (&peer_fixture, &feed, revision + 1);
   wait_for (fixture, PORT, "/a/1", 503);
   assert_int_equal (fake_store_n_calls (fixture->store), n_calls);
-  /* The reader falls silent. */
+  /* No more feeds arrive. */
   until_us = mf_clock_now_us () + CHANGE_MS * MF_US_PER_MS;
   while (mf_clock_now_us () < until_us && fake_store_n_calls (fixture->store) == n_calls)
     loop_spin (fixture->loop, 5);
   assert_true (fake_store_n_calls (fixture->store) > n_calls);
-  /* A feed that goes on from what the relay has not heard of. */
+  /* A feed that starts after a revision unknown to the relay. */
   mf_feed_begin (&gap_feed, revision + 7);
   for (uint32_t i = 0; i < 10; i++)
     {
       feed_send (&peer_fixture, &gap_feed, revision + 8);
       loop_spin (fixture->loop, 50);
     }
-  /* The store's own revision of what was told before it, and what the relay reads. */
+  /* The store now has the change of the first feed, and one that the relay has to read. */
   upstream_put (fixture, 0, "draining");
   upstream_put (fixture, 1, "ready");
   wait_for (fixture, PORT, "/a/1", 200);
@@ -503,7 +503,7 @@
   peer_fixture_end (&peer_fixture);
 }
 
-/* The first of a data centre read, and tell the others what they have read. */
+/* The first instances of a data centre read the store and send the changes to the others. */
 static void
 test_reader_sends_changes_to_other_instances (void **state)
 {
@@ -530,8 +530,9 @@
   return fd < 0;
 }
 
-/* SIGTERM: the balancer is told at once and callers are served on; late in the grace no request is
- * taken any more that the end would cut, on new connections or on kept ones. */
+/* On SIGTERM the readiness check fails at once while callers are still served. Late in the grace
+ * period no request is accepted that the end of the process would cut off, on new connections or on
+ * open ones. */
 static void
 test_shutdown (void **state)
 {
@@ -551,7 +552,7 @@
   kept = loop_connect (PORT);
   assert_true (loop_pump (fixture.loop, cannot_connect, &fixture));
   assert_int_equal (status_of (&fixture, READY_PORT, "/ready"), 503);
-  /* For some moments more an answer would still come before the end. */
+  /* Before this, a response could still be complete before the exit. */
   loop_spin (fixture.loop, 100);
   loop_send (kept, request, strlen (request));
   loop_receive (fixture.loop, kept, NULL, fixture.received, sizeof fixture.received);
@@ -559,7 +560,7 @@
   close (kept);
   mf_relay_run (fixture.relay);
   fixture_end (&fixture);
-  /* A signal that comes while the process ends does not end it in another way. */
+  /* A second signal during the exit does not kill the process. */
   raise (SIGTERM);
   signal (SIGTERM, SIG_IGN);
 }
@@ -588,7 +589,7 @@
   raise (SIGHUP);
   loop_spin (fixture.loop, 300);
   assert_true (fake_store_n_calls (other) > 0);
-  /* Without a signal it takes a look at the file. */
+  /* A changed file is noticed without a signal. */
   file = fopen (SETTINGS, "w");
   assert_non_null (file);
   fprintf (file,
@@ -599,7 +600,7 @@
   n_before = fake_store_n_calls (fixture.store);
   loop_spin (fixture.loop, 900);
   assert_true (fake_store_n_calls (fixture.store) > n_before);
-  /* Faulty settings change nothing. */
+  /* Invalid settings are ignored. */
   file = fopen (SETTINGS, "w");
   assert_non_null (file);
   fclose (file);
