--- a/libmangofork/relay/link.c
+++ b/libmangofork/relay/link.c
@@ -152,7 +152,7 @@
 }
 
 /* Keeps the connection for the next request, or closes it when its reuse would not be safe.
- * has_surplus tells that bytes have followed the response. */
+ * has_surplus is true when bytes have followed the response. */
 static void
 link_recycle (MfLink *link, bool has_surplus)
 {
--- a/libmangofork/relay/relay.c
+++ b/libmangofork/relay/relay.c
@@ -300,7 +300,7 @@
 }
 
 /* Returns the delay after a failed request to the source; last_us is the previous one. is_known
- * tells that everything has been read once. */
+ * is true when everything has been read once. */
 uint64_t
 mf_relay_retry_delay_us (MfRelay *relay, bool is_known, uint64_t last_us)
 {
--- a/libmangofork/relay/relay.h
+++ b/libmangofork/relay/relay.h
@@ -7,7 +7,7 @@
 /* Bytes of a path, its closing NUL included. */
 #define MF_RELAY_PATH_BYTES 256
 
-/* Settings of a relay process. */
+/* Settings of a relay process. Times are bounds set by the deployment. */
 typedef struct
 {
   char name[MF_NAME_BYTES];
