--- a/libmangofork/relay/relay.c
+++ b/libmangofork/relay/relay.c
@@ -275,11 +275,11 @@
 MfFeedRole
 mf_relay_feed_role (MfRelay *relay)
 {
-  MfFeedStanding standing = { .n_instances = 1 };
+  MfFeedStanding rank = { .n_instances = 1 };
 
   if (relay->jobs.peers != NULL)
-    standing = mf_peers_standing (relay->jobs.peers, mf_clock_now_us ());
-  return mf_feed_role (&standing);
+    rank = mf_peers_standing (relay->jobs.peers, mf_clock_now_us ());
+  return mf_feed_role (&rank);
 }
 
 /* Returns how long the source need not be read, because other instances send what they read; 0: it
