--- a/libmangofork/relay/relay.c
+++ b/libmangofork/relay/relay.c
@@ -69,7 +69,7 @@
   uint64_t keep_until_us;  /* upstreams without an entry are kept until then */
   uint64_t drain_begun_us; /* 0: no shutdown */
   bool idle_closed;
-  MfFeedFreshness follow;
+  MfFeedFreshness freshness;
   uint64_t settings_checked_us; /* last check of the settings file */
   struct timespec settings_mtime;
 };
@@ -276,11 +276,11 @@
 MfFeedRole
 mf_relay_feed_role (MfRelay *relay)
 {
-  MfFeedRank standing = { .n_instances = 1 };
+  MfFeedRank rank = { .n_instances = 1 };
 
   if (relay->jobs.peers != NULL)
-    standing = mf_peers_feed_rank (relay->jobs.peers, mf_clock_now_us ());
-  return mf_feed_role (&standing);
+    rank = mf_peers_feed_rank (relay->jobs.peers, mf_clock_now_us ());
+  return mf_feed_role (&rank);
 }
 
 /* Returns how long the source need not be read, because other instances send what they read; 0: it
@@ -288,25 +288,25 @@
 uint64_t
 mf_relay_read_delay_us (MfRelay *relay, MfFeedRole role)
 {
-  return mf_feed_freshness_read_delay_us (&relay->follow, role, mf_clock_awake_us (),
+  return mf_feed_freshness_read_delay_us (&relay->freshness, role, mf_clock_awake_us (),
                                           mf_jobs_random (&relay->jobs));
 }
 
-/* Returns how long a request to the source waits for changes; alone_us where no other instance
+/* Returns how long a request to the source waits for changes; standalone_us where no other instance
  * depends on it. */
 uint64_t
-mf_relay_watch_timeout_us (const MfRelay *relay, MfFeedRole role, uint64_t alone_us)
+mf_relay_watch_timeout_us (const MfRelay *relay, MfFeedRole role, uint64_t standalone_us)
 {
-  return mf_feed_freshness_watch_timeout_us (&relay->follow, role, alone_us);
+  return mf_feed_freshness_watch_timeout_us (&relay->freshness, role, standalone_us);
 }
 
 /* Returns the delay after a failed request to the source; last_us is the previous one. is_known
- * tells that everything has been read once. */
+ * is true when everything has been read once. */
 uint64_t
 mf_relay_retry_delay_us (MfRelay *relay, bool is_known, uint64_t last_us)
 {
   return mf_feed_freshness_retry_delay_us (
-      &relay->follow, is_known ? mf_relay_feed_role (relay) : MF_FEED_STANDALONE, last_us,
+      &relay->freshness, is_known ? mf_relay_feed_role (relay) : MF_FEED_STANDALONE, last_us,
       mf_jobs_random (&relay->jobs));
 }
 
@@ -328,7 +328,7 @@
   feed->sent_us = mf_clock_awake_us ();
   feed->as_of_us = feed->sent_us - mf_feed_answer_age_us (took_us, wait_us);
   feed->keep_us = relay->keep_until_us > now_us ? relay->keep_until_us - now_us : 0;
-  mf_feed_freshness_advance (&relay->follow, feed->as_of_us);
+  mf_feed_freshness_advance (&relay->freshness, feed->as_of_us);
   if (relay->jobs.peers == NULL || mf_relay_feed_role (relay) != MF_FEED_READER)
     return;
   message->kind = MF_RELAY_MESSAGE_FEED;
@@ -344,7 +344,8 @@
 {
   MfRelay *relay = data;
   uint64_t now_us = mf_clock_now_us ();
-  uint64_t as_of_us = mf_feed_freshness_as_of_us (&relay->follow, peer, feed, mf_clock_awake_us ());
+  uint64_t as_of_us
+      = mf_feed_freshness_as_of_us (&relay->freshness, peer, feed, mf_clock_awake_us ());
 
   if (relay->source == NULL)
     return;
@@ -353,7 +354,7 @@
     relay->keep_until_us = now_us + feed->keep_us;
   if (!relay->deployment->source->apply_feed (relay->source, feed) || as_of_us == 0)
     return;
-  mf_feed_freshness_advance (&relay->follow, as_of_us);
+  mf_feed_freshness_advance (&relay->freshness, as_of_us);
   mf_relay_source_up (relay);
 }
 
@@ -391,7 +392,7 @@
   relay->jobs.budget_slack = relay->settings.retry_slack;
   relay->jobs.orders_fenced = relay->settings.orders_fenced;
   relay->jobs.order_interval_us = relay->settings.order_interval_us;
-  relay->follow.staleness_max_us = relay->settings.change_bound_us;
+  relay->freshness.staleness_max_us = relay->settings.change_bound_us;
   if (relay->settings.memory_bytes > 0)
     relay->jobs.answer_bytes_max = relay->settings.memory_bytes / KEPT_ANSWERS_MEMORY_DIVISOR;
   if (relay->listener != NULL)
--- a/tests/test_caller.c
+++ b/tests/test_caller.c
@@ -18,13 +18,13 @@
 #define PORT 21731
 #define ADDRESS "127.0.0.1:21731"
 
-/* A door, and what it has told its user. */
+/* A listener, and what its callbacks have recorded. */
 typedef struct
 {
   struct ev_loop *loop;
   MfListener *listener;
-  bool replies_at_once; /* each request at once, with its own body */
-  MfCaller *waiting;    /* the last request that was not answered */
+  bool replies_at_once; /* each request is answered at once with its own body */
+  MfCaller *waiting;    /* the caller of the last request */
   uint32_t n_requests;
   uint32_t n_departed;
   uint32_t n_refused;
@@ -105,7 +105,7 @@
   ev_loop_destroy (fixture->loop);
 }
 
-/* Sends a text on a new connection and reads until it closes or the needle has come. */
+/* Sends a text on a new connection and reads until the needle arrives or the connection closes. */
 static int
 send_and_receive (Fixture *fixture, const char *text, const char *needle)
 {
@@ -141,7 +141,8 @@
   fixture_end (&fixture);
 }
 
-/* What hides a second request in the first gets 400, and nothing after it is read. */
+/* Requests with ambiguous framing could smuggle a second request past the router. They get 400, and
+ * nothing after them is parsed. */
 static void
 test_smuggled_requests_are_not_read (void **state)
 {
@@ -257,7 +258,7 @@
 }
 
 static void
-test_stream_that_breaks_does_not_look_whole (void **state)
+test_aborted_stream_is_not_complete (void **state)
 {
   Fixture fixture;
   int fd;
@@ -301,7 +302,7 @@
 }
 
 static void
-test_retired_door_closes_after_answers (void **state)
+test_connections_close_after_the_response_once_keep_alive_ended (void **state)
 {
   Fixture fixture;
   int busy;
@@ -349,9 +350,9 @@
     cmocka_unit_test (test_idle_connections_close_in_time),
     cmocka_unit_test (test_no_more_callers_than_allowed),
     cmocka_unit_test (test_caller_who_leaves_while_its_request_waits),
-    cmocka_unit_test (test_stream_that_breaks_does_not_look_whole),
+    cmocka_unit_test (test_aborted_stream_is_not_complete),
     cmocka_unit_test (test_stream_that_ends_goes_on_to_the_next_request),
-    cmocka_unit_test (test_retired_door_closes_after_answers),
+    cmocka_unit_test (test_connections_close_after_the_response_once_keep_alive_ended),
     cmocka_unit_test (test_continue_is_answered),
   };
 
--- a/tests/test_platform_settings.c
+++ b/tests/test_platform_settings.c
@@ -18,7 +18,7 @@
 }
 
 static void
-test_all_of_the_page (void **state)
+test_all_keys (void **state)
 {
   static const char text[] = REQUIRED
       "unknown=1\nno line\nlisten.control=10.1.0.35:8146\ninternalPorts=7660,7675\n"
@@ -55,7 +55,7 @@
   MfError error;
 
   (void)state;
-  /* The lower of two bounds, in either order. */
+  /* The lower of the two bounds applies, in either order. */
   assert_true (
       parse (REQUIRED "bounds.configApplyMs=3000\nbounds.drainMs=4000\n", &settings, &error));
   assert_int_equal (settings.change_bound_us, 3 * MF_US_PER_S);
@@ -88,7 +88,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_all_of_the_page),
+    cmocka_unit_test (test_all_keys),
     cmocka_unit_test (test_bounds_may_be_missing),
     cmocka_unit_test (test_faults_name_their_key),
   };
