--- a/tests/test_dispatch.c
+++ b/tests/test_dispatch.c
@@ -104,7 +104,7 @@
 }
 
 static void
-test_those_in_time_go_first_then_the_oldest (void **state)
+test_requests_in_time_go_first_then_the_oldest (void **state)
 {
   Fixture fixture;
   MfSlotRequest late = request_make (1, 2 * OBJECTIVE_US, 8000);
@@ -131,7 +131,7 @@
 /* A burst of twice the capacity of the engines, from twenty instances at once, fills every engine
  * and none beyond its KV capacity. */
 static void
-test_burst_fills_no_engine_beyond_its_memory (void **state)
+test_burst_fills_no_engine_beyond_its_kv_capacity (void **state)
 {
   Fixture fixture;
   uint64_t tokens[N_ENGINES + 1] = { 0 };
@@ -156,7 +156,7 @@
 
 /* A slot that becomes free is granted once, however many requests wait for it. */
 static void
-test_free_place_goes_to_one (void **state)
+test_free_slot_is_granted_once (void **state)
 {
   Fixture fixture;
 
@@ -180,7 +180,7 @@
 }
 
 static void
-test_grants_count_until_the_askers_load_shows_them (void **state)
+test_grants_count_until_the_requester_reports_them (void **state)
 {
   Fixture fixture;
   MfSlotRequest request = request_make (1, 0, 8000);
@@ -205,7 +205,7 @@
 }
 
 static void
-test_lost_grants_and_gone_askers_free_their_places (void **state)
+test_lost_grants_and_gone_requesters_free_their_slots (void **state)
 {
   Fixture fixture;
   MfSlotRequest one = request_make (1, 0, 8000);
@@ -237,7 +237,7 @@
 
 /* A request too large for the capacity that ever becomes free blocks no other request. */
 static void
-test_oversized_request_holds_up_nobody (void **state)
+test_oversized_request_does_not_block_others (void **state)
 {
   Fixture fixture;
   MfSlotRequest huge = request_make (1, OBJECTIVE_US / 2, 90000);
@@ -301,7 +301,7 @@
 /* Engines that have crashed look empty, and each instance would find that out with requests of its
  * own. When two instances could not reach an engine, all avoid it. */
 static void
-test_engines_out_of_reach_of_others_are_not_promised (void **state)
+test_engines_unreachable_for_others_get_no_grants (void **state)
 {
   Fixture fixture;
 
@@ -331,7 +331,7 @@
 
 /* Instances that are partitioned from some engines do not keep all others from using them. */
 static void
-test_instances_that_are_cut_off_do_not_speak_for_others (void **state)
+test_partitioned_instances_do_not_decide_for_others (void **state)
 {
   Fixture fixture;
 
@@ -350,7 +350,7 @@
 /* A different process at the address of an engine is no network fault: the report of one instance
  * is enough for all. */
 static void
-test_engine_that_was_replaced_is_not_promised (void **state)
+test_replaced_engine_gets_no_grants (void **state)
 {
   Fixture fixture;
 
@@ -482,7 +482,7 @@
 /* Slots go to requests that can still meet the objective after their prefill, not to those that are
  * about to miss it. More callers are then served within the objective. */
 static void
-test_burst_serves_more_in_time_when_reading_is_reckoned_with (void **state)
+test_burst_serves_more_in_time_when_prefill_time_counts (void **state)
 {
   uint64_t first_event_us = 250 * MF_US_PER_MS;
   uint32_t before = simulate_burst (first_event_us, OBJECTIVE_US);
@@ -493,7 +493,7 @@
 }
 
 static void
-test_memory_is_reckoned_between_hint_and_usual (void **state)
+test_kv_estimate_is_between_hint_and_typical (void **state)
 {
   uint64_t typical = mf_load_kv_tokens (5000, 0, 4000, 7540);
 
@@ -509,21 +509,21 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_those_in_time_go_first_then_the_oldest),
-    cmocka_unit_test (test_burst_fills_no_engine_beyond_its_memory),
-    cmocka_unit_test (test_free_place_goes_to_one),
-    cmocka_unit_test (test_grants_count_until_the_askers_load_shows_them),
-    cmocka_unit_test (test_lost_grants_and_gone_askers_free_their_places),
-    cmocka_unit_test (test_oversized_request_holds_up_nobody),
+    cmocka_unit_test (test_requests_in_time_go_first_then_the_oldest),
+    cmocka_unit_test (test_burst_fills_no_engine_beyond_its_kv_capacity),
+    cmocka_unit_test (test_free_slot_is_granted_once),
+    cmocka_unit_test (test_grants_count_until_the_requester_reports_them),
+    cmocka_unit_test (test_lost_grants_and_gone_requesters_free_their_slots),
+    cmocka_unit_test (test_oversized_request_does_not_block_others),
     cmocka_unit_test (test_unreachable_engines_are_not_promised),
-    cmocka_unit_test (test_engines_out_of_reach_of_others_are_not_promised),
-    cmocka_unit_test (test_instances_that_are_cut_off_do_not_speak_for_others),
-    cmocka_unit_test (test_engine_that_was_replaced_is_not_promised),
+    cmocka_unit_test (test_engines_unreachable_for_others_get_no_grants),
+    cmocka_unit_test (test_partitioned_instances_do_not_decide_for_others),
+    cmocka_unit_test (test_replaced_engine_gets_no_grants),
     cmocka_unit_test (test_request_that_avoids_all_engines_holds_up_nobody),
     cmocka_unit_test (test_callers_that_have_left_are_not_served),
     cmocka_unit_test (test_services_do_not_hold_up_each_other),
-    cmocka_unit_test (test_burst_serves_more_in_time_when_reading_is_reckoned_with),
-    cmocka_unit_test (test_memory_is_reckoned_between_hint_and_usual),
+    cmocka_unit_test (test_burst_serves_more_in_time_when_prefill_time_counts),
+    cmocka_unit_test (test_kv_estimate_is_between_hint_and_typical),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_feed.c
+++ b/tests/test_feed.c
@@ -60,7 +60,7 @@
 }
 
 static void
-test_few_read_for_many (void **state)
+test_large_data_centres_have_few_readers (void **state)
 {
   (void)state;
   assert_int_equal (mf_feed_role (&(MfFeedRank){ .n_instances = 1 }), MF_FEED_STANDALONE);
@@ -72,7 +72,7 @@
 
 /* The time that a feed was delayed on the way adds to its age, whatever the clocks show. */
 static void
-test_time_on_the_way_counts (void **state)
+test_transit_time_adds_to_the_age (void **state)
 {
   MfFeedFreshness freshness = { .staleness_max_us = STALENESS_MAX_US };
   MfFeed feed = { .sent_us = 5000000, .as_of_us = 4900000 };
@@ -99,7 +99,7 @@
 
 /* An answer that a process reads after it was suspended may be as old as its call. */
 static void
-test_answers_found_late_are_old (void **state)
+test_answers_read_late_are_old (void **state)
 {
   (void)state;
   assert_int_equal (mf_feed_answer_age_us (3000, 800000), 3000);
@@ -108,7 +108,7 @@
 }
 
 static void
-test_followers_rest_while_they_are_told (void **state)
+test_followers_do_not_read_while_fresh (void **state)
 {
   MfFeedFreshness freshness = { .staleness_max_us = STALENESS_MAX_US };
   uint64_t rest_us;
@@ -129,7 +129,7 @@
 }
 
 static void
-test_readers_ask_more_often (void **state)
+test_readers_poll_more_often (void **state)
 {
   MfFeedFreshness freshness = { .staleness_max_us = STALENESS_MAX_US };
 
@@ -147,7 +147,7 @@
 
 /* Followers are notified when the store is back and need not check often; readers must. */
 static void
-test_followers_look_for_the_store_seldom (void **state)
+test_followers_retry_the_store_less_often (void **state)
 {
   MfFeedFreshness freshness = { .staleness_max_us = STALENESS_MAX_US };
   uint64_t pause_us = 0;
@@ -311,12 +311,12 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_items_come_back_as_they_were_added),
     cmocka_unit_test (test_feeds_are_bounded),
-    cmocka_unit_test (test_few_read_for_many),
-    cmocka_unit_test (test_time_on_the_way_counts),
-    cmocka_unit_test (test_answers_found_late_are_old),
-    cmocka_unit_test (test_followers_rest_while_they_are_told),
-    cmocka_unit_test (test_readers_ask_more_often),
-    cmocka_unit_test (test_followers_look_for_the_store_seldom),
+    cmocka_unit_test (test_large_data_centres_have_few_readers),
+    cmocka_unit_test (test_transit_time_adds_to_the_age),
+    cmocka_unit_test (test_answers_read_late_are_old),
+    cmocka_unit_test (test_followers_do_not_read_while_fresh),
+    cmocka_unit_test (test_readers_poll_more_often),
+    cmocka_unit_test (test_followers_retry_the_store_less_often),
     cmocka_unit_test (test_readers_spare_the_store),
   };
 
--- a/tests/test_peers.c
+++ b/tests/test_peers.c
@@ -162,7 +162,7 @@
 
 /* All instances name the same leader, which names itself. */
 static void
-test_one_instance_decides (void **state)
+test_one_instance_is_leader (void **state)
 {
   Fleet fleet;
   uint64_t leader = 0;
@@ -339,7 +339,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_instances_find_each_other_by_one_seed),
-    cmocka_unit_test (test_one_instance_decides),
+    cmocka_unit_test (test_one_instance_is_leader),
     cmocka_unit_test (test_who_leads_is_named_by_more_than_half),
     cmocka_unit_test (test_messages_name_their_sender),
     cmocka_unit_test (test_an_instance_ends_and_comes_back),
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -61,7 +61,7 @@
 }
 
 static void
-test_plain_requests_stay_near (void **state)
+test_plain_requests_stay_in_their_data_centre (void **state)
 {
   Fleet fleet;
 
@@ -73,7 +73,7 @@
 }
 
 static void
-test_slow_failing_and_silent_upstreams_are_left (void **state)
+test_slow_failing_and_silent_upstreams_are_avoided (void **state)
 {
   Fleet fleet;
 
@@ -147,7 +147,7 @@
 }
 
 static void
-test_decodes_go_where_memory_is_free (void **state)
+test_decodes_go_where_kv_is_free (void **state)
 {
   Fleet fleet;
 
@@ -160,7 +160,7 @@
 }
 
 static void
-test_decodes_go_where_their_memory_lies (void **state)
+test_decodes_go_where_their_kv_is (void **state)
 {
   Fleet fleet;
 
@@ -183,7 +183,7 @@
 
 /* An engine that has just declined a prompt is chosen last. */
 static void
-test_prompts_leave_engines_that_declined (void **state)
+test_prompts_avoid_engines_that_declined (void **state)
 {
   Fleet fleet;
 
@@ -202,15 +202,15 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_plain_requests_stay_near),
-    cmocka_unit_test (test_slow_failing_and_silent_upstreams_are_left),
+    cmocka_unit_test (test_plain_requests_stay_in_their_data_centre),
+    cmocka_unit_test (test_slow_failing_and_silent_upstreams_are_avoided),
     cmocka_unit_test (test_leaving_and_tried_upstreams_are_not_chosen),
     cmocka_unit_test (test_paused_upstreams_are_not_chosen),
     cmocka_unit_test (test_suspects_only_when_there_is_no_other),
-    cmocka_unit_test (test_decodes_go_where_memory_is_free),
-    cmocka_unit_test (test_decodes_go_where_their_memory_lies),
+    cmocka_unit_test (test_decodes_go_where_kv_is_free),
+    cmocka_unit_test (test_decodes_go_where_their_kv_is),
     cmocka_unit_test (test_prompts_go_to_the_shortest_queue),
-    cmocka_unit_test (test_prompts_leave_engines_that_declined),
+    cmocka_unit_test (test_prompts_avoid_engines_that_declined),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_target.c
+++ b/tests/test_target.c
@@ -22,7 +22,7 @@
 }
 
 static void
-test_a_process_started_anew_has_no_past (void **state)
+test_a_restarted_process_has_no_statistics (void **state)
 {
   MfTargets targets = { 0 };
   MfTargetInfo info = info_make ("u1", "127.0.0.1:1");
@@ -64,7 +64,7 @@
 }
 
 static void
-test_missing_entries_are_kept_while_asked (void **state)
+test_unlisted_entries_are_kept_until_they_expire (void **state)
 {
   MfTargets targets = { 0 };
   MfTargetInfo one = info_make ("u1", "127.0.0.1:1");
@@ -218,7 +218,7 @@
 /* An engine that declines without any load is busy with something else, and is tried less and less
  * often, within bounds. A full engine has capacity again as soon as a request ends. */
 static void
-test_who_declines_while_idle_is_asked_seldom (void **state)
+test_an_engine_that_declines_while_idle_is_tried_less_often (void **state)
 {
   MfTarget target = { 0 };
   uint64_t first_us;
@@ -261,16 +261,16 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_a_process_started_anew_has_no_past),
+    cmocka_unit_test (test_a_restarted_process_has_no_statistics),
     cmocka_unit_test (test_only_the_last_process_at_an_address_is_used),
-    cmocka_unit_test (test_missing_entries_are_kept_while_asked),
+    cmocka_unit_test (test_unlisted_entries_are_kept_until_they_expire),
     cmocka_unit_test (test_requests_outlast_their_upstream),
     cmocka_unit_test (test_failures_fade),
     cmocka_unit_test (test_suspicion_grows_to_a_bound_and_ends_with_a_sign_of_life),
     cmocka_unit_test (test_a_process_that_said_it_leaves_is_not_used_again),
     cmocka_unit_test (test_departures_are_bounded),
     cmocka_unit_test (test_pauses_are_bounded_and_never_shortened),
-    cmocka_unit_test (test_who_declines_while_idle_is_asked_seldom),
+    cmocka_unit_test (test_an_engine_that_declines_while_idle_is_tried_less_often),
     cmocka_unit_test (test_load_is_that_of_all_instances),
   };
 
