--- a/libmangofork/relay/peers_lead.c
+++ b/libmangofork/relay/peers_lead.c
@@ -120,7 +120,7 @@
 }
 
 /* Whether this instance is the leader of a service by the votes of more than half of all known
- * instances. The majority ensures that a network partition cannot produce two leaders. */
+ * instances. With a majority, two instances that cannot reach each other are not both leader. */
 bool
 mf_peers_is_leader (MfPeers *peers, const char *service, uint64_t now_us)
 {
