--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -45,7 +45,7 @@
     }
 }
 
-/* Which of the three is chosen; -1 for none. */
+/* Returns the index of the chosen upstream; -1 for none. */
 static int
 choose (const Fleet *fleet, MfPlaceQuery query)
 {
@@ -61,7 +61,7 @@
 }
 
 static void
-test_plain_requests_stay_near (void **state)
+test_plain_requests_stay_in_their_data_centre (void **state)
 {
   Fleet fleet;
 
@@ -73,7 +73,7 @@
 }
 
 static void
-test_slow_failing_and_silent_upstreams_are_left (void **state)
+test_slow_failing_and_silent_upstreams_are_avoided (void **state)
 {
   Fleet fleet;
 
@@ -88,7 +88,7 @@
   fleet_make (&fleet, MF_ROLE_DECODE);
   mf_target_begin_request (&fleet.upstreams[1], 100, NOW_US - 2 * MF_US_PER_S);
   assert_int_not_equal (choose (&fleet, (MfPlaceQuery){ 0 }), 1);
-  /* What another instance has seen counts as well. */
+  /* Failures that another instance reports count as well. */
   fleet_make (&fleet, MF_ROLE_DECODE);
   fleet.upstreams[1].remote_failure_share = 0.5;
   assert_int_not_equal (choose (&fleet, (MfPlaceQuery){ 0 }), 1);
@@ -109,7 +109,8 @@
   assert_int_equal (choose (&fleet, query), -1);
 }
 
-/* Not even as the last one left: the pause is asked for by an upstream that cannot take more. */
+/* A paused upstream is not chosen even when it is the only one: it asked for the pause because it
+ * cannot take more. */
 static void
 test_paused_upstreams_are_not_chosen (void **state)
 {
@@ -146,7 +147,7 @@
 }
 
 static void
-test_decodes_go_where_memory_is_free (void **state)
+test_decodes_go_where_kv_is_free (void **state)
 {
   Fleet fleet;
 
@@ -159,7 +160,7 @@
 }
 
 static void
-test_decodes_go_where_their_memory_lies (void **state)
+test_decodes_go_where_their_kv_is (void **state)
 {
   Fleet fleet;
 
@@ -180,9 +181,9 @@
   assert_int_equal (choose (&fleet, (MfPlaceQuery){ .tokens = 5000 }), 2);
 }
 
-/* One that has just declined a prompt is asked last. */
+/* An engine that has just declined a prompt is chosen last. */
 static void
-test_prompts_leave_engines_that_declined (void **state)
+test_prompts_avoid_engines_that_declined (void **state)
 {
   Fleet fleet;
 
@@ -201,15 +202,15 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_plain_requests_stay_near),
-    cmocka_unit_test (test_slow_failing_and_silent_upstreams_are_left),
+    cmocka_unit_test (test_plain_requests_stay_in_their_data_centre),
+    cmocka_unit_test (test_slow_failing_and_silent_upstreams_are_avoided),
     cmocka_unit_test (test_leaving_and_tried_upstreams_are_not_chosen),
     cmocka_unit_test (test_paused_upstreams_are_not_chosen),
     cmocka_unit_test (test_suspects_only_when_there_is_no_other),
-    cmocka_unit_test (test_decodes_go_where_memory_is_free),
-    cmocka_unit_test (test_decodes_go_where_their_memory_lies),
+    cmocka_unit_test (test_decodes_go_where_kv_is_free),
+    cmocka_unit_test (test_decodes_go_where_their_kv_is),
     cmocka_unit_test (test_prompts_go_to_the_shortest_queue),
-    cmocka_unit_test (test_prompts_leave_engines_that_declined),
+    cmocka_unit_test (test_prompts_avoid_engines_that_declined),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_target.c
+++ b/tests/test_target.c
@@ -22,7 +22,7 @@
 }
 
 static void
-test_a_process_started_anew_has_no_past (void **state)
+test_a_restarted_process_has_no_statistics (void **state)
 {
   MfTargets targets = { 0 };
   MfTargetInfo info = info_make ("u1", "127.0.0.1:1");
@@ -41,8 +41,8 @@
   mf_targets_clear (&targets);
 }
 
-/* After a crash the next process at an address is listed beside the last one for a while; an entry
- * of the last one that comes late changes nothing. */
+/* After a crash, the next process at an address is listed beside the last one for a while. A late
+ * entry of the last one changes nothing. */
 static void
 test_only_the_last_process_at_an_address_is_used (void **state)
 {
@@ -64,7 +64,7 @@
 }
 
 static void
-test_missing_entries_are_kept_while_asked (void **state)
+test_unlisted_entries_are_kept_until_they_expire (void **state)
 {
   MfTargets targets = { 0 };
   MfTargetInfo one = info_make ("u1", "127.0.0.1:1");
@@ -77,7 +77,7 @@
   assert_true (mf_targets_remove (&targets, "u2", false, NOW_US));
   assert_false (mf_targets_remove (&targets, "u3", false, NOW_US));
   assert_int_equal (targets.n_targets, 2);
-  /* u2 is back before the time is over. */
+  /* u2 is listed again before the time is over. */
   assert_true (mf_targets_update (&targets, &two));
   assert_int_equal (mf_targets_expire (&targets, NOW_US - 1), 0);
   assert_int_equal (mf_targets_expire (&targets, NOW_US), 1);
@@ -136,8 +136,8 @@
   assert_int_equal (target.n_failures, 0);
 }
 
-/* What a process says of its own end outlasts its entry, and ends with the next process of its id.
- */
+/* The announcement of a process that it will stop outlasts its entry, and does not apply to the
+ * next process with its id. */
 static void
 test_a_process_that_said_it_leaves_is_not_used_again (void **state)
 {
@@ -154,7 +154,7 @@
   mf_targets_remove (&targets, "u1", true, NOW_US);
   mf_targets_update (&targets, &info);
   assert_true (mf_target_is_leaving (mf_targets_find (&targets, "u1")));
-  /* An entry that names no birth is no proof of a new process. */
+  /* An entry without a start time is no proof of a new process. */
   mf_targets_remove (&targets, "u1", true, NOW_US);
   info.started_ms = 0;
   mf_targets_update (&targets, &info);
@@ -165,7 +165,7 @@
   mf_targets_clear (&targets);
 }
 
-/* More departures than are remembered push out the oldest only. */
+/* With more departures than are kept, only the oldest are dropped. */
 static void
 test_departures_are_bounded (void **state)
 {
@@ -215,10 +215,10 @@
   mf_targets_clear (&targets);
 }
 
-/* An engine that declines with nothing there is busy with something else, and is asked ever more
- * seldom, within bounds; one that is full has room again as soon as a request ends. */
+/* An engine that declines without any load is busy with something else, and is tried less and less
+ * often, within bounds. A full engine has capacity again as soon as a request ends. */
 static void
-test_who_declines_while_idle_is_asked_seldom (void **state)
+test_an_engine_that_declines_while_idle_is_tried_less_often (void **state)
 {
   MfTarget target = { 0 };
   uint64_t first_us;
@@ -261,16 +261,16 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_a_process_started_anew_has_no_past),
+    cmocka_unit_test (test_a_restarted_process_has_no_statistics),
     cmocka_unit_test (test_only_the_last_process_at_an_address_is_used),
-    cmocka_unit_test (test_missing_entries_are_kept_while_asked),
+    cmocka_unit_test (test_unlisted_entries_are_kept_until_they_expire),
     cmocka_unit_test (test_requests_outlast_their_upstream),
     cmocka_unit_test (test_failures_fade),
     cmocka_unit_test (test_suspicion_grows_to_a_bound_and_ends_with_a_sign_of_life),
     cmocka_unit_test (test_a_process_that_said_it_leaves_is_not_used_again),
     cmocka_unit_test (test_departures_are_bounded),
     cmocka_unit_test (test_pauses_are_bounded_and_never_shortened),
-    cmocka_unit_test (test_who_declines_while_idle_is_asked_seldom),
+    cmocka_unit_test (test_an_engine_that_declines_while_idle_is_tried_less_often),
     cmocka_unit_test (test_load_is_that_of_all_instances),
   };
 
