--- a/libmangofork/claim.c
+++ b/libmangofork/claim.c
@@ -6,16 +6,16 @@
 #include <string.h>
 
 /* A claim is asked again of voters that are silent for so long. */
-#define RETRY_US (50 * MF_US_PER_MS)
+#define VOTE_RETRY_INTERVAL_US (50 * MF_US_PER_MS)
 /* A claim finds its quorum within this or is refused. */
-#define VOTING_US (2 * MF_US_PER_S)
+#define VOTING_TIMEOUT_US (2 * MF_US_PER_S)
 /* A granted call is sent within this or not at all. */
 #define GRANT_LIFE_US (5 * MF_US_PER_S)
 
 /* Whether another ballot shows a higher incarnation of this ballot's voter: the voter was replaced,
  * and its successor may have voted otherwise. */
 static bool
-ballot_is_void (const MfClaim *claim, const MfBallot *ballot)
+vote_is_superseded (const MfClaim *claim, const MfBallot *ballot)
 {
   for (uint32_t i = 0; i < claim->cell.n; i++)
     {
@@ -34,7 +34,7 @@
 }
 
 static void
-claim_granted (MfCore *core, MfClaim *claim)
+claim_grant (MfCore *core, MfClaim *claim)
 {
   MfClaims *claims = core->board.claims;
   MfKeyEntry *entry = mf_keybook_find (&claims->book, claim->key);
@@ -71,14 +71,14 @@
 }
 
 static bool
-refuses_for_good (const MfVoteMessage *vote)
+refusal_is_final (const MfVoteMessage *vote)
 {
   return vote->state == MF_KEY_FINISHED || vote->state == MF_KEY_UNKNOWN;
 }
 
 /* Decides a claim from the ballots at hand. */
 static void
-claim_count (MfCore *core, MfClaim *claim)
+claim_count_votes (MfCore *core, MfClaim *claim)
 {
   const MfVoteMessage *refusal = NULL;
   uint32_t n_granted = 0;
@@ -94,17 +94,17 @@
         continue;
       if (ballot->vote.granted)
         {
-          n_granted += !ballot_is_void (claim, ballot);
+          n_granted += !vote_is_superseded (claim, ballot);
           continue;
         }
       n_refused++;
-      if (refusal == NULL || refuses_for_good (&ballot->vote))
+      if (refusal == NULL || refusal_is_final (&ballot->vote))
         refusal = &ballot->vote;
     }
   if (n_granted >= claim->cell.quorum)
-    claim_granted (core, claim);
+    claim_grant (core, claim);
   else if (refusal != NULL
-           && (refuses_for_good (refusal) || n_refused > claim->cell.n - claim->cell.quorum))
+           && (refusal_is_final (refusal) || n_refused > claim->cell.n - claim->cell.quorum))
     {
       if (refusal->body_differs)
         {
@@ -123,7 +123,7 @@
 }
 
 static void
-ballot_take (MfCore *core, MfClaim *claim, const MfOwner *voter, const MfVoteMessage *vote)
+claim_record_vote (MfCore *core, MfClaim *claim, const MfOwner *voter, const MfVoteMessage *vote)
 {
   uint32_t i = mf_cell_find (&claim->cell, voter->name);
 
@@ -132,13 +132,13 @@
   if (claim->ballots[i].voted && claim->ballots[i].voter.incarnation > voter->incarnation)
     return;
   claim->ballots[i] = (MfBallot){ .voted = true, .voter = *voter, .vote = *vote };
-  claim_count (core, claim);
+  claim_count_votes (core, claim);
 }
 
 /* Asks every voter that has not yet given a vote. The own vote comes last and may settle the
  * claim. */
 static void
-claim_ask (MfCore *core, MfClaim *claim)
+claim_request_votes (MfCore *core, MfClaim *claim)
 {
   MfPeerMessage message = {
     .type = MF_PEER_CLAIM,
@@ -159,35 +159,35 @@
       if (i != own && (!ballot->voted || ballot->vote.abstained))
         mf_member_send (core, claim->cell.names[i], &message);
     }
-  mf_claim_due (core, claim, core->board.now_us + RETRY_US);
+  mf_claim_due (core, claim, core->board.now_us + VOTE_RETRY_INTERVAL_US);
   if (own == MF_NONE)
     return;
   mf_voter_vote (core, &core->board.claims->voter, &message.claim, &vote);
-  ballot_take (core, claim, &core->board.options.self, &vote);
+  claim_record_vote (core, claim, &core->board.options.self, &vote);
 }
 
 static void
-claim_vote (MfCore *core, MfClaim *claim)
+claim_start_voting (MfCore *core, MfClaim *claim)
 {
   claim->state = MF_CLAIM_VOTING;
-  claim->voting_until_us = core->board.now_us + VOTING_US;
+  claim->voting_until_us = core->board.now_us + VOTING_TIMEOUT_US;
   memset (claim->ballots, 0, sizeof claim->ballots);
   mf_cell_members (core->board.config, mf_cell_of_key (core->board.config, claim->key),
                    &claim->cell);
   mf_claim_number (core->board.claims, claim);
-  claim_ask (core, claim);
+  claim_request_votes (core, claim);
 }
 
 /* With no voters in the text, keys are kept by each instance for itself. */
 static void
-claim_alone (MfCore *core, MfClaim *claim)
+claim_start_local (MfCore *core, MfClaim *claim)
 {
   MfKeyEntry *entry = mf_keybook_find (&core->board.claims->book, claim->key);
 
   if (entry == NULL)
     {
       mf_claim_number (core->board.claims, claim);
-      claim_granted (core, claim);
+      claim_grant (core, claim);
     }
   else if (entry->body_digest != claim->body_digest)
     mf_claim_settle (core, claim, MF_CLAIM_BODY_DIFFERS, MF_CODE_KEY_BODY_DIFFERS,
@@ -207,14 +207,14 @@
 claim_start (MfCore *core, MfClaim *claim)
 {
   if (mf_cell_count (core->board.config) == 0)
-    claim_alone (core, claim);
+    claim_start_local (core, claim);
   else
-    claim_vote (core, claim);
+    claim_start_voting (core, claim);
 }
 
 /* Whether a key minted then is older than keys are kept. */
 static bool
-is_too_old (const MfCore *core, uint64_t minted_ms)
+key_is_too_old (const MfCore *core, uint64_t minted_ms)
 {
   uint64_t life_ms = core->board.config->key_life_us / MF_US_PER_MS;
 
@@ -240,7 +240,7 @@
   claim->deadline_us = deadline_us;
   memcpy (claim->key, key, MF_DIGEST_BYTES);
   HASH_ADD (by_request, claims->by_request, request_id, sizeof claim->request_id, claim);
-  if (is_too_old (core, minted_ms))
+  if (key_is_too_old (core, minted_ms))
     mf_claim_settle (core, claim, MF_CLAIM_TOO_OLD, MF_CODE_KEY_TOO_OLD, MF_OUTCOME_UNKNOWN);
   else
     claim_start (core, claim);
@@ -293,7 +293,7 @@
 
 /* Whether a quorum of the cell can be reached, though some of it may still be fresh. */
 static bool
-cell_answers (const MfClaim *claim)
+quorum_is_reachable (const MfClaim *claim)
 {
   uint32_t n = 0;
 
@@ -311,11 +311,11 @@
   uint64_t now_us = core->board.now_us;
   uint64_t until_us = claim->voting_until_us;
 
-  if (core->board.woke_us > 0 && until_us < core->board.woke_us + VOTING_US)
-    until_us = core->board.woke_us + VOTING_US;
-  if (now_us < claim->deadline_us && (now_us < until_us || cell_answers (claim)))
+  if (core->board.woke_us > 0 && until_us < core->board.woke_us + VOTING_TIMEOUT_US)
+    until_us = core->board.woke_us + VOTING_TIMEOUT_US;
+  if (now_us < claim->deadline_us && (now_us < until_us || quorum_is_reachable (claim)))
     {
-      claim_ask (core, claim);
+      claim_request_votes (core, claim);
       return;
     }
   mf_counter_add (&core->board.counters, MF_COUNTER_CLAIMS_NO_QUORUM, 1);
@@ -324,12 +324,12 @@
 }
 
 static void
-yielding_tick (MfCore *core, MfClaim *claim)
+backoff_tick (MfCore *core, MfClaim *claim)
 {
   if (core->board.now_us >= claim->deadline_us)
     mf_claim_settle (core, claim, MF_CLAIM_NO_QUORUM, MF_CODE_KEY_NO_QUORUM, MF_OUTCOME_UNKNOWN);
   else
-    claim_vote (core, claim);
+    claim_start_voting (core, claim);
 }
 
 static void
@@ -347,7 +347,7 @@
   else if (claim->state == MF_CLAIM_WAITING)
     mf_claim_wait_tick (core, claim);
   else
-    yielding_tick (core, claim);
+    backoff_tick (core, claim);
 }
 
 static void
@@ -374,7 +374,7 @@
 }
 
 static void
-claim_asked (MfCore *core, const MfOwner *from, const MfClaimMessage *claim)
+handle_claim (MfCore *core, const MfOwner *from, const MfClaimMessage *claim)
 {
   MfPeerMessage message = { .type = MF_PEER_VOTE };
 
@@ -385,25 +385,25 @@
 }
 
 static void
-vote_take (MfCore *core, const MfOwner *from, const MfVoteMessage *vote)
+handle_vote (MfCore *core, const MfOwner *from, const MfVoteMessage *vote)
 {
   MfClaim *claim = mf_claim_find (core->board.claims, vote->claim_id);
 
   if (claim != NULL && memcmp (claim->key, vote->key, MF_DIGEST_BYTES) == 0)
-    ballot_take (core, claim, from, vote);
+    claim_record_vote (core, claim, from, vote);
 }
 
 static void
-message_take (MfCore *core, const MfPeerEvent *event)
+handle_message (MfCore *core, const MfPeerEvent *event)
 {
   const MfPeerMessage *message = event->message;
   const MfOwner *from = &event->peer;
 
   mf_voter_see (&core->board.claims->voter, from);
   if (message->type == MF_PEER_CLAIM)
-    claim_asked (core, from, &message->claim);
+    handle_claim (core, from, &message->claim);
   else if (message->type == MF_PEER_VOTE)
-    vote_take (core, from, &message->vote);
+    handle_vote (core, from, &message->vote);
   else if (message->type == MF_PEER_OUTCOME)
     mf_claim_take_outcome (core, from, &message->outcome);
   else if (message->type == MF_PEER_OUTCOME_ASK)
@@ -420,7 +420,7 @@
   if (event->type == MF_EVENT_PEER_UP)
     mf_voter_see (&core->board.claims->voter, &event->peer.peer);
   else if (event->type == MF_EVENT_PEER_MESSAGE)
-    message_take (core, &event->peer);
+    handle_message (core, &event->peer);
 }
 
 static bool
@@ -460,7 +460,7 @@
 }
 
 static void
-claims_config (MfCore *core)
+claims_apply_config (MfCore *core)
 {
   mf_voter_config (core, &core->board.claims->voter);
 }
@@ -471,5 +471,5 @@
   .finish = claims_finish,
   .handle = claims_handle,
   .tick = claims_tick,
-  .config = claims_config,
+  .config = claims_apply_config,
 };
--- a/libmangofork/claim_wait.c
+++ b/libmangofork/claim_wait.c
@@ -6,9 +6,9 @@
 
 /* Voters get so long to tell the outcome of a holder that is dead, or the answer of a call that is
  * known to have run. */
-#define LAST_WORD_US (300 * MF_US_PER_MS)
+#define OUTCOME_GRACE_US (300 * MF_US_PER_MS)
 /* Two claims that split the votes both give way for a random time up to this. */
-#define BACKOFF_US (20 * MF_US_PER_MS)
+#define BACKOFF_MAX_US (20 * MF_US_PER_MS)
 
 /* Gives the outcome to the requests of this instance that waited for it. */
 void
@@ -38,19 +38,19 @@
 
 /* Claims again after a random while. */
 static void
-claim_yield (MfCore *core, MfClaim *claim)
+claim_back_off (MfCore *core, MfClaim *claim)
 {
   claim->state = MF_CLAIM_YIELDING;
-  mf_claim_due (core, claim, core->board.now_us + mf_core_random_below (core, BACKOFF_US) + 1);
+  mf_claim_due (core, claim, core->board.now_us + mf_core_random_below (core, BACKOFF_MAX_US) + 1);
 }
 
 /* Takes what is told of the earlier run. A voter may know that it is over without having its
  * answer, which another may still have. */
 static void
-waiting_take (MfCore *core, MfClaim *claim, MfKeyState state, const MfClaimResult *result)
+waiting_apply_outcome (MfCore *core, MfClaim *claim, MfKeyState state, const MfClaimResult *result)
 {
   if (state == MF_KEY_FINISHED && result->body == NULL
-      && core->board.now_us < claim->waiting_since_us + LAST_WORD_US)
+      && core->board.now_us < claim->waiting_since_us + OUTCOME_GRACE_US)
     claim->ran = true;
   else if (state == MF_KEY_FINISHED || state == MF_KEY_UNKNOWN)
     mf_claim_settle_recorded (core, claim, state, result);
@@ -64,19 +64,19 @@
       || mf_claim_find (core->board.claims, claim->holder_claim_id) != NULL)
     return false;
   mf_claim_release (core, claim->key, &claim->cell, claim->holder_claim_id);
-  claim_yield (core, claim);
+  claim_back_off (core, claim);
   return true;
 }
 
 /* Ends a wait that has lasted long enough. Returns whether it did. */
 static bool
-waiting_end (MfCore *core, MfClaim *claim)
+waiting_expire (MfCore *core, MfClaim *claim)
 {
   uint64_t now_us = core->board.now_us;
-  bool last_word = now_us >= claim->waiting_since_us + LAST_WORD_US;
+  bool grace_over = now_us >= claim->waiting_since_us + OUTCOME_GRACE_US;
 
   if (now_us < claim->deadline_us
-      && !(last_word && (claim->ran || holder_is_dead (core, &claim->holder))))
+      && !(grace_over && (claim->ran || holder_is_dead (core, &claim->holder))))
     return false;
   mf_claim_settle (core, claim, MF_CLAIM_UNKNOWN, MF_CODE_KEY_UNKNOWN,
                    claim->ran ? MF_OUTCOME_RAN : MF_OUTCOME_UNKNOWN);
@@ -94,8 +94,8 @@
   };
 
   if (entry != NULL)
-    waiting_take (core, claim, entry->state, &entry->result);
-  if (mf_claim_of_request (core->board.claims, request_id) != claim || waiting_end (core, claim))
+    waiting_apply_outcome (core, claim, entry->state, &entry->result);
+  if (mf_claim_of_request (core->board.claims, request_id) != claim || waiting_expire (core, claim))
     return;
   if ((entry == NULL || entry->state == MF_KEY_RUNNING) && waiting_restart (core, claim))
     return;
@@ -109,7 +109,7 @@
 
 /* A claimant speaks of its own claim only. */
 static void
-outcome_take (MfCore *core, const MfOwner *from, const MfOutcomeMessage *outcome)
+record_outcome (MfCore *core, const MfOwner *from, const MfOutcomeMessage *outcome)
 {
   MfClaims *claims = core->board.claims;
   MfKeyEntry *entry = mf_keybook_find (&claims->book, outcome->key);
@@ -135,7 +135,7 @@
 
 /* Serves the requests here that wait for this key. */
 static void
-outcome_serve (MfCore *core, const MfOwner *from, const MfOutcomeMessage *outcome)
+settle_waiting_claims (MfCore *core, const MfOwner *from, const MfOutcomeMessage *outcome)
 {
   MfClaimResult result = {
     .status = outcome->status,
@@ -154,17 +154,17 @@
         || memcmp (claim->key, outcome->key, MF_DIGEST_BYTES) != 0)
       continue;
     if (outcome->state != MF_KEY_NONE)
-      waiting_take (core, claim, outcome->state, &result);
+      waiting_apply_outcome (core, claim, outcome->state, &result);
     else if (mf_owner_equal (from, &claim->holder))
-      claim_yield (core, claim);
+      claim_back_off (core, claim);
   }
 }
 
 void
 mf_claim_take_outcome (MfCore *core, const MfOwner *from, const MfOutcomeMessage *outcome)
 {
-  outcome_take (core, from, outcome);
-  outcome_serve (core, from, outcome);
+  record_outcome (core, from, outcome);
+  settle_waiting_claims (core, from, outcome);
 }
 
 /* Tells what this instance knows of a claim, as its claimant or as a voter. A claimant that has
--- a/libmangofork/guardian.c
+++ b/libmangofork/guardian.c
@@ -6,10 +6,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define GUARDIANS 3
+#define GUARDIANS_MAX 3
 /* Work told of no later than this may still hold engine memory. */
-#define HELD_LIFE_US (60 * MF_US_PER_S)
-#define HELD_MAX 512
+#define HELD_WORK_LIFE_US (60 * MF_US_PER_S)
+#define HELD_WORK_MAX 512
 /* With so few upstreams a guardian releases the dead one's work on all of them, and so also work
  * that no digest had told of. */
 #define RELEASE_ALL_MAX 64
@@ -18,7 +18,7 @@
 struct MfHeldWork
 {
   uint64_t upstream; /* hash of its name */
-  uint64_t told_us;
+  uint64_t reported_us;
 };
 
 static bool
@@ -30,7 +30,7 @@
 
 /* Returns the best neighbour that is no guardian yet; of another data centre when asked for. */
 static MfMemberRow *
-best_guardian (const MfCore *core, bool elsewhere)
+best_guardian (const MfCore *core, bool other_data_centre)
 {
   const MfMembers *members = core->board.members;
   MfMemberRow *best = NULL;
@@ -42,7 +42,8 @@
       uint64_t score;
 
       if (!row_can_guard (row)
-          || (elsewhere && strcmp (row->member.data_centre, core->board.options.data_centre) == 0))
+          || (other_data_centre
+              && strcmp (row->member.data_centre, core->board.options.data_centre) == 0))
         continue;
       score = mf_rendezvous_score (row->name_hash, members->self_hash);
       if (best == NULL || score > best_score)
@@ -66,7 +67,7 @@
       if (members->neighbours[i] != NULL)
         members->neighbours[i]->guards_us = false;
     }
-  for (uint32_t i = 0; i < GUARDIANS; i++)
+  for (uint32_t i = 0; i < GUARDIANS_MAX; i++)
     {
       MfMemberRow *row = i == 0 ? best_guardian (core, true) : NULL;
 
@@ -88,10 +89,10 @@
     {
       if (row->held[i].upstream == upstream)
         return &row->held[i];
-      if (row->held[i].told_us < oldest->told_us)
+      if (row->held[i].reported_us < oldest->reported_us)
         oldest = &row->held[i];
     }
-  return row->n_held < HELD_MAX ? &row->held[row->n_held++] : oldest;
+  return row->n_held < HELD_WORK_MAX ? &row->held[row->n_held++] : oldest;
 }
 
 /* Remembers which upstreams a neighbour holds work on, when it made us its guardian. */
@@ -101,7 +102,7 @@
   if (!digest->guardian)
     return;
   if (row->held == NULL)
-    row->held = calloc (HELD_MAX, sizeof *row->held);
+    row->held = calloc (HELD_WORK_MAX, sizeof *row->held);
   if (row->held == NULL)
     return;
   for (uint32_t i = 0; i < digest->n_shares; i++)
@@ -112,7 +113,7 @@
         continue;
       held = held_find (row, digest->shares[i].upstream);
       held->upstream = digest->shares[i].upstream;
-      held->told_us = core->board.now_us;
+      held->reported_us = core->board.now_us;
     }
 }
 
@@ -135,7 +136,7 @@
     {
       uint32_t upstream = mf_upstream_find (core, row->held[i].upstream);
 
-      if (upstream != MF_NONE && core->board.now_us - row->held[i].told_us < HELD_LIFE_US)
+      if (upstream != MF_NONE && core->board.now_us - row->held[i].reported_us < HELD_WORK_LIFE_US)
         mf_debt_add_owner (core, upstream, owner);
     }
 }
--- a/libmangofork/member.c
+++ b/libmangofork/member.c
@@ -15,12 +15,12 @@
 /* A gap between two turns that is longer than this many periods was a pause. */
 #define PAUSE_PERIODS 3
 #define PAUSE_MIN_US (500 * MF_US_PER_MS)
-#define DOUBT_MAX 7
-#define DOUBT_FALL_US (10 * MF_US_PER_S)
-#define REFUTED_MAX 5
+#define HEALTH_PENALTY_MAX 7
+#define PENALTY_DECAY_US (10 * MF_US_PER_S)
+#define REFUTATIONS_MAX 5
 /* Doubt and refuted suspicions together make suspicion at most so many times slower. */
-#define PATIENCE_MAX 16
-#define SWEEP_US (2 * MF_US_PER_S)
+#define TIMEOUT_MULTIPLIER_MAX 16
+#define SWEEP_PERIOD_US (2 * MF_US_PER_S)
 /* A neighbour that we did not choose is one as long as its digests come. */
 #define UNCHOSEN_LIFE_US (10 * MF_US_PER_S)
 /* A link that carries no digests is closed when nothing used it for so long. */
@@ -237,30 +237,30 @@
 }
 
 static uint64_t
-periods_us (const MfCore *core, const MfMemberRow *row, uint32_t n_periods)
+scaled_periods_us (const MfCore *core, const MfMemberRow *row, uint32_t n_periods)
 {
-  uint64_t patience = (uint64_t)(1 + core->board.members->self_doubt) << row->n_refuted;
+  uint64_t multiplier = (uint64_t)(1 + core->board.members->self_doubt) << row->n_refuted;
 
-  if (patience > PATIENCE_MAX)
-    patience = PATIENCE_MAX;
-  return n_periods * core->board.options.digest_period_us * patience;
+  if (multiplier > TIMEOUT_MULTIPLIER_MAX)
+    multiplier = TIMEOUT_MULTIPLIER_MAX;
+  return n_periods * core->board.options.digest_period_us * multiplier;
 }
 
 /* News about this very process: when it is thought dead, it says that it lives. */
 static void
-take_news_of_self (MfCore *core, const MfNews *news)
+refute_own_death (MfCore *core, const MfNews *news)
 {
   if (news->kind != MF_NEWS_INSTANCE_ALIVE && news->value == core->board.options.self.incarnation)
     mf_news_note (core, MF_NEWS_INSTANCE_ALIVE, news->subject, news->value);
 }
 
 static void
-take_death (MfCore *core, MfMemberRow *row, const MfNews *news, uint64_t origin_us)
+apply_death (MfCore *core, MfMemberRow *row, const MfNews *news, uint64_t origin_us)
 {
   if (news->value < row->member.owner.incarnation)
     return;
   if (row->neighbour != MF_NONE && row->member.link_id != 0
-      && row->member.heard_us + periods_us (core, row, SUSPECT_PERIODS) > core->board.now_us
+      && row->member.heard_us + scaled_periods_us (core, row, SUSPECT_PERIODS) > core->board.now_us
       && row->member.owner.incarnation == news->value)
     {
       mf_news_note (core, MF_NEWS_INSTANCE_ALIVE, news->subject, news->value);
@@ -279,21 +279,21 @@
 
   if (news->subject == core->board.members->self_hash)
     {
-      take_news_of_self (core, news);
+      refute_own_death (core, news);
       return;
     }
   if (row == NULL)
     return;
   if (news->kind != MF_NEWS_INSTANCE_ALIVE)
     {
-      take_death (core, row, news, origin_us);
+      apply_death (core, row, news, origin_us);
       return;
     }
   if (news->value > row->member.owner.incarnation)
     incarnation_raise (core, row, news->value);
   else if (news->value < row->member.owner.incarnation || origin_us < row->state_us)
     return;
-  if (row->member.state == MF_MEMBER_SUSPECT && row->n_refuted < REFUTED_MAX)
+  if (row->member.state == MF_MEMBER_SUSPECT && row->n_refuted < REFUTATIONS_MAX)
     row->n_refuted++;
   row->member.heard_us = core->board.now_us;
   if (row->member.state == MF_MEMBER_DEAD || row->member.state == MF_MEMBER_SUSPECT)
@@ -302,7 +302,7 @@
 
 /* A process that was paused has heard nobody: it doubts itself and starts to listen afresh. */
 static void
-notice_pause (MfCore *core)
+detect_pause (MfCore *core)
 {
   MfMembers *members = core->board.members;
   uint64_t now_us = core->board.now_us;
@@ -313,14 +313,14 @@
   if (members->self_doubt > 0 && now_us >= members->doubt_us)
     {
       members->self_doubt--;
-      members->doubt_us = now_us + DOUBT_FALL_US;
+      members->doubt_us = now_us + PENALTY_DECAY_US;
     }
   if (gap_us <= (limit_us > PAUSE_MIN_US ? limit_us : PAUSE_MIN_US))
     return;
   mf_counter_add (&core->board.counters, MF_COUNTER_PAUSES, 1);
   members->paused_us = now_us;
-  members->doubt_us = now_us + DOUBT_FALL_US;
-  if (members->self_doubt < DOUBT_MAX)
+  members->doubt_us = now_us + PENALTY_DECAY_US;
+  if (members->self_doubt < HEALTH_PENALTY_MAX)
     members->self_doubt++;
   for (uint32_t i = 0; i < MF_NEIGHBOURS_MAX; i++)
     {
@@ -394,7 +394,7 @@
 }
 
 static void
-take_digest (MfCore *core, MfMemberRow *row, const MfDigestMessage *digest)
+apply_digest (MfCore *core, MfMemberRow *row, const MfDigestMessage *digest)
 {
   row->digest_us = core->board.now_us;
   row->config_revision = digest->config_revision;
@@ -426,7 +426,7 @@
 {
   MfMemberRow *row;
 
-  notice_pause (core);
+  detect_pause (core);
   switch (event->type)
     {
     case MF_EVENT_LIST:
@@ -444,7 +444,7 @@
         break;
       row->used_us = core->board.now_us;
       if (event->peer.message->type == MF_PEER_DIGEST)
-        take_digest (core, row, &event->peer.message->digest);
+        apply_digest (core, row, &event->peer.message->digest);
       break;
     default:
       break;
@@ -453,7 +453,7 @@
 
 /* A neighbour that is not heard is suspected; when nobody objects in time, it is declared dead. */
 static void
-watch_neighbour (MfCore *core, MfMemberRow *row)
+check_neighbour (MfCore *core, MfMemberRow *row)
 {
   uint64_t now_us = core->board.now_us;
   MfMemberState state = row->member.state;
@@ -471,13 +471,13 @@
   if (row->member.link_id == 0 && row->wanted)
     mf_member_open (core, row);
   if (state != MF_MEMBER_SUSPECT
-      && now_us - row->member.heard_us >= periods_us (core, row, SUSPECT_PERIODS))
+      && now_us - row->member.heard_us >= scaled_periods_us (core, row, SUSPECT_PERIODS))
     {
       mf_member_set_state (core, row, MF_MEMBER_SUSPECT, now_us, "silent");
       mf_news_note (core, MF_NEWS_INSTANCE_SUSPECT, row->name_hash, row->member.owner.incarnation);
     }
   else if (state == MF_MEMBER_SUSPECT
-           && now_us - row->suspected_us >= periods_us (core, row, CONFIRM_PERIODS))
+           && now_us - row->suspected_us >= scaled_periods_us (core, row, CONFIRM_PERIODS))
     {
       mf_member_close (core, row);
       mf_member_set_state (core, row, MF_MEMBER_DEAD, now_us, "silent");
@@ -528,14 +528,15 @@
       for (uint32_t i = 0; i < MF_NEIGHBOURS_MAX; i++)
         {
           if (members->neighbours[i] != NULL)
-            watch_neighbour (core, members->neighbours[i]);
+            check_neighbour (core, members->neighbours[i]);
         }
       members->watch_us = now_us + core->board.options.digest_period_us / 2;
     }
   if (now_us >= members->sweep_us)
     {
       sweep (core);
-      members->sweep_us = now_us + SWEEP_US / 2 + mf_core_random_below (core, SWEEP_US);
+      members->sweep_us
+          = now_us + SWEEP_PERIOD_US / 2 + mf_core_random_below (core, SWEEP_PERIOD_US);
     }
   mf_core_wake_at (core, members->watch_us);
   if (members->rows != NULL)
--- a/libmangofork/member_link.c
+++ b/libmangofork/member_link.c
@@ -9,7 +9,7 @@
 #include <string.h>
 
 /* An open that has not ended by then has failed. */
-#define OPEN_LIMIT_US MF_US_PER_S
+#define OPEN_TIMEOUT_US MF_US_PER_S
 #define OPEN_BACKOFF_MIN_US (200 * MF_US_PER_MS)
 #define OPEN_BACKOFF_MAX_US MF_US_PER_S
 /* How long a message waits for its link. */
@@ -40,7 +40,7 @@
 /* The next member on the ring keeps the graph whole; the best scores make it shallow. Each side
  * chooses half of its links, and the others choose as many of it. */
 static void
-choose_some (MfMembers *members, Candidate *candidates, uint32_t n_candidates, uint32_t n_wanted)
+choose_subset (MfMembers *members, Candidate *candidates, uint32_t n_candidates, uint32_t n_wanted)
 {
   MfMemberRow *next = NULL;
 
@@ -83,7 +83,7 @@
         candidates[i].row->wanted = true;
     }
   else
-    choose_some (members, candidates, n_candidates, (links_max + 1) / 2);
+    choose_subset (members, candidates, n_candidates, (links_max + 1) / 2);
   for (uint32_t i = 0; i < n_candidates; i++)
     {
       if (!candidates[i].row->wanted)
@@ -143,7 +143,7 @@
 
   if (row->member.link_id != 0 || row->member.address[0] == '\0')
     return;
-  if (row->opening && now_us >= row->open_us + OPEN_LIMIT_US)
+  if (row->opening && now_us >= row->open_us + OPEN_TIMEOUT_US)
     mf_member_link_down (core, row, 0);
   if (row->opening)
     return;
@@ -179,7 +179,7 @@
 }
 
 static void
-send_over (MfCore *core, MfMemberRow *row, const MfPeerMessage *message)
+send_on_link (MfCore *core, MfMemberRow *row, const MfPeerMessage *message)
 {
   MfAction action = {
     .type = MF_ACTION_PEER_SEND,
@@ -219,7 +219,7 @@
       if (!mf_frame_decode (pending->frame + MF_FRAME_LENGTH_BYTES,
                             pending->frame_bytes - MF_FRAME_LENGTH_BYTES, &frame, &error))
         continue;
-      send_over (core, row, &frame.message);
+      send_on_link (core, row, &frame.message);
       mf_frame_clear (&frame);
     }
   mf_member_clear_pending (row);
@@ -258,7 +258,7 @@
 {
   if (row->member.link_id != 0)
     {
-      send_over (core, row, message);
+      send_on_link (core, row, message);
       return true;
     }
   if (row->member.address[0] == '\0' || !pending_add (core, row, message))
--- a/libmangofork/suspect.c
+++ b/libmangofork/suspect.c
@@ -5,35 +5,35 @@
 #include <stdlib.h>
 
 /* How long what is known of a request is kept, and of how many. */
-#define KEPT_US (UINT64_C (600) * MF_US_PER_S)
+#define ENTRY_LIFE_US (UINT64_C (600) * MF_US_PER_S)
 #define SUSPECTS_MAX 4096
 /* Breaks waiting to be told from deaths. */
-#define BREAKS_MAX 4096
+#define FAILURES_MAX 4096
 /* Deaths that convict a request that ran apart from other suspects when the last one came. */
-#define DEATHS_APART 2
+#define DEATHS_ISOLATED 2
 
 typedef struct
 {
   MfSuspect suspect;
   UT_hash_handle hh;
-} Row;
+} Entry;
 
 struct MfSuspects
 {
-  MfSuspectTerms terms;
-  Row *rows;
-  MfSuspectBreak breaks[BREAKS_MAX];
-  uint32_t n_breaks;
+  MfSuspectTerms limits;
+  Entry *entries;
+  MfSuspectBreak failures[FAILURES_MAX];
+  uint32_t n_failures;
 };
 
 /* Begins without suspects. NULL without memory. */
 MfSuspects *
-mf_suspects_new (const MfSuspectTerms *terms)
+mf_suspects_new (const MfSuspectTerms *limits)
 {
   MfSuspects *suspects = calloc (1, sizeof *suspects);
 
   if (suspects != NULL)
-    suspects->terms = *terms;
+    suspects->limits = *limits;
   return suspects;
 }
 
@@ -41,82 +41,82 @@
 void
 mf_suspects_free (MfSuspects *suspects)
 {
-  Row *row;
-  Row *next;
+  Entry *entry;
+  Entry *next;
 
   if (suspects == NULL)
     return;
-  HASH_ITER (hh, suspects->rows, row, next)
+  HASH_ITER (hh, suspects->entries, entry, next)
   {
-    HASH_DEL (suspects->rows, row);
-    free (row);
+    HASH_DEL (suspects->entries, entry);
+    free (entry);
   }
   free (suspects);
 }
 
-static Row *
-row_find (const MfSuspects *suspects, uint64_t digest)
+static Entry *
+entry_find (const MfSuspects *suspects, uint64_t digest)
 {
-  Row *row;
+  Entry *entry;
 
-  HASH_FIND (hh, suspects->rows, &digest, sizeof digest, row);
-  return row;
+  HASH_FIND (hh, suspects->entries, &digest, sizeof digest, entry);
+  return entry;
 }
 
 static void
-row_drop (MfSuspects *suspects, Row *row)
+entry_remove (MfSuspects *suspects, Entry *entry)
 {
-  HASH_DEL (suspects->rows, row);
-  free (row);
+  HASH_DEL (suspects->entries, entry);
+  free (entry);
 }
 
 /* Makes room: the row that has been there longest goes, of those without a conviction if any. */
 static void
-rows_evict (MfSuspects *suspects, uint64_t now_us)
+evict_entry (MfSuspects *suspects, uint64_t now_us)
 {
-  Row *oldest = suspects->rows;
+  Entry *oldest = suspects->entries;
 
-  for (Row *row = suspects->rows; row != NULL; row = row->hh.next)
+  for (Entry *entry = suspects->entries; entry != NULL; entry = entry->hh.next)
     {
-      if (row->suspect.convicted_until_us > now_us)
+      if (entry->suspect.convicted_until_us > now_us)
         continue;
-      oldest = row;
+      oldest = entry;
       break;
     }
-  row_drop (suspects, oldest);
+  entry_remove (suspects, oldest);
 }
 
 static MfSuspect *
 find_or_add (MfSuspects *suspects, uint64_t digest, uint64_t now_us)
 {
-  Row *row = row_find (suspects, digest);
+  Entry *entry = entry_find (suspects, digest);
 
-  if (row != NULL && now_us - row->suspect.at_us > KEPT_US)
+  if (entry != NULL && now_us - entry->suspect.at_us > ENTRY_LIFE_US)
     {
-      row_drop (suspects, row);
-      row = NULL;
+      entry_remove (suspects, entry);
+      entry = NULL;
     }
-  if (row == NULL)
+  if (entry == NULL)
     {
-      if (HASH_COUNT (suspects->rows) >= SUSPECTS_MAX)
-        rows_evict (suspects, now_us);
-      row = calloc (1, sizeof *row);
-      if (row == NULL)
+      if (HASH_COUNT (suspects->entries) >= SUSPECTS_MAX)
+        evict_entry (suspects, now_us);
+      entry = calloc (1, sizeof *entry);
+      if (entry == NULL)
         abort ();
-      row->suspect.digest = digest;
-      HASH_ADD (hh, suspects->rows, suspect.digest, sizeof row->suspect.digest, row);
+      entry->suspect.digest = digest;
+      HASH_ADD (hh, suspects->entries, suspect.digest, sizeof entry->suspect.digest, entry);
     }
-  row->suspect.at_us = now_us;
-  return &row->suspect;
+  entry->suspect.at_us = now_us;
+  return &entry->suspect;
 }
 
 /* What is known of a request; NULL when nothing is, or nothing recent. */
 MfSuspect *
 mf_suspects_find (const MfSuspects *suspects, uint64_t digest, uint64_t now_us)
 {
-  Row *row = row_find (suspects, digest);
+  Entry *entry = entry_find (suspects, digest);
 
-  return row == NULL || now_us - row->suspect.at_us > KEPT_US ? NULL : &row->suspect;
+  return entry == NULL || now_us - entry->suspect.at_us > ENTRY_LIFE_US ? NULL : &entry->suspect;
 }
 
 /* Whether a request is to be refused. */
@@ -132,16 +132,16 @@
 void
 mf_suspects_foreach (const MfSuspects *suspects, uint64_t now_us, MfSuspectFunc func, void *data)
 {
-  for (const Row *row = suspects->rows; row != NULL; row = row->hh.next)
+  for (const Entry *entry = suspects->entries; entry != NULL; entry = entry->hh.next)
     {
-      if (now_us - row->suspect.at_us <= KEPT_US && row->suspect.n_deaths > 0
-          && !func (data, &row->suspect))
+      if (now_us - entry->suspect.at_us <= ENTRY_LIFE_US && entry->suspect.n_deaths > 0
+          && !func (data, &entry->suspect))
         return;
     }
 }
 
 static uint64_t
-last_process (const MfSuspect *suspect)
+last_death_process (const MfSuspect *suspect)
 {
   return suspect->n_deaths > 0 ? suspect->deaths[suspect->n_deaths - 1].process : 0;
 }
@@ -151,14 +151,15 @@
 static bool
 shares_last_death (MfSuspects *suspects, const MfSuspect *suspect)
 {
-  uint64_t process = last_process (suspect);
+  uint64_t process = last_death_process (suspect);
   bool shares = false;
 
-  for (Row *row = suspects->rows; row != NULL && process != 0; row = row->hh.next)
+  for (Entry *entry = suspects->entries; entry != NULL && process != 0; entry = entry->hh.next)
     {
-      MfSuspect *other = &row->suspect;
+      MfSuspect *other = &entry->suspect;
 
-      if (other == suspect || other->n_deaths < DEATHS_APART || last_process (other) != process)
+      if (other == suspect || other->n_deaths < DEATHS_ISOLATED
+          || last_death_process (other) != process)
         continue;
       shares = true;
       if (other->n_deaths < MF_SUSPECT_DEATHS_MAX)
@@ -194,7 +195,7 @@
 /* Whether a death tells nothing new: of one process under several tries, or of several processes at
  * once, each of which ran the request before the first was known to have ended. */
 static bool
-death_is_known (const MfSuspect *suspect, const MfSuspectDeath *death)
+death_is_duplicate (const MfSuspect *suspect, const MfSuspectDeath *death)
 {
   for (uint32_t i = 0; i < suspect->n_deaths; i++)
     {
@@ -207,21 +208,21 @@
 /* Counts an upstream that ended under a request; apart tells that no other suspect ran there. */
 MfSuspectVerdict
 mf_suspects_add_death (MfSuspects *suspects, uint64_t digest, const MfSuspectDeath *death,
-                       bool apart, uint64_t now_us)
+                       bool isolated, uint64_t now_us)
 {
   MfSuspect *suspect = find_or_add (suspects, digest, now_us);
-  uint64_t for_us;
+  uint64_t duration_us;
 
-  if (death_is_known (suspect, death))
+  if (death_is_duplicate (suspect, death))
     return MF_SUSPECT_KNOWN;
   if (suspect->n_deaths < MF_SUSPECT_DEATHS_MAX)
     suspect->deaths[suspect->n_deaths++] = *death;
-  if (suspect->n_deaths < (apart ? DEATHS_APART : MF_SUSPECT_DEATHS_MAX))
+  if (suspect->n_deaths < (isolated ? DEATHS_ISOLATED : MF_SUSPECT_DEATHS_MAX))
     return MF_SUSPECT_COUNTED;
-  for_us = suspect->n_deaths < MF_SUSPECT_DEATHS_MAX ? suspects->terms.two_deaths_us
-                                                     : suspects->terms.three_deaths_us;
-  return mf_suspects_convict (suspects, digest, now_us + for_us, now_us) ? MF_SUSPECT_CONVICTED
-                                                                         : MF_SUSPECT_COUNTED;
+  duration_us = suspect->n_deaths < MF_SUSPECT_DEATHS_MAX ? suspects->limits.two_deaths_us
+                                                          : suspects->limits.three_deaths_us;
+  return mf_suspects_convict (suspects, digest, now_us + duration_us, now_us) ? MF_SUSPECT_CONVICTED
+                                                                              : MF_SUSPECT_COUNTED;
 }
 
 /* The request was answered: what ended under it ended of something else. Returns whether anything
@@ -229,48 +230,48 @@
 bool
 mf_suspects_clear (MfSuspects *suspects, uint64_t digest)
 {
-  Row *row = row_find (suspects, digest);
+  Entry *entry = entry_find (suspects, digest);
 
-  if (row == NULL)
+  if (entry == NULL)
     return false;
-  row_drop (suspects, row);
+  entry_remove (suspects, entry);
   return true;
 }
 
 /* Keeps a break until it is known whether the upstream ended. Returns false when that of this try
  * there is kept already. */
 bool
-mf_suspects_add_break (MfSuspects *suspects, const MfSuspectBreak *broken)
+mf_suspects_add_break (MfSuspects *suspects, const MfSuspectBreak *failure)
 {
-  for (uint32_t i = 0; i < suspects->n_breaks; i++)
+  for (uint32_t i = 0; i < suspects->n_failures; i++)
     {
-      if (suspects->breaks[i].request == broken->request
-          && suspects->breaks[i].upstream == broken->upstream)
+      if (suspects->failures[i].request == failure->request
+          && suspects->failures[i].upstream == failure->upstream)
         return false;
     }
-  if (suspects->n_breaks == BREAKS_MAX)
-    suspects->breaks[0] = suspects->breaks[--suspects->n_breaks];
-  suspects->breaks[suspects->n_breaks++] = *broken;
+  if (suspects->n_failures == FAILURES_MAX)
+    suspects->failures[0] = suspects->failures[--suspects->n_failures];
+  suspects->failures[suspects->n_failures++] = *failure;
   return true;
 }
 
 uint32_t
 mf_suspects_n_breaks (const MfSuspects *suspects)
 {
-  return suspects->n_breaks;
+  return suspects->n_failures;
 }
 
 /* Takes a break at an upstream off the list; 0 stands for any upstream. */
 static bool
-break_take (MfSuspects *suspects, uint64_t upstream, uint64_t before_us, MfSuspectBreak *broken)
+take_failure (MfSuspects *suspects, uint64_t upstream, uint64_t before_us, MfSuspectBreak *failure)
 {
-  for (uint32_t i = 0; i < suspects->n_breaks; i++)
+  for (uint32_t i = 0; i < suspects->n_failures; i++)
     {
-      if ((upstream != 0 && suspects->breaks[i].upstream != upstream)
-          || suspects->breaks[i].at_us >= before_us)
+      if ((upstream != 0 && suspects->failures[i].upstream != upstream)
+          || suspects->failures[i].at_us >= before_us)
         continue;
-      *broken = suspects->breaks[i];
-      suspects->breaks[i] = suspects->breaks[--suspects->n_breaks];
+      *failure = suspects->failures[i];
+      suspects->failures[i] = suspects->failures[--suspects->n_failures];
       return true;
     }
   return false;
@@ -281,8 +282,8 @@
 {
   uint32_t n = 0;
 
-  for (uint32_t i = 0; i < suspects->n_breaks; i++)
-    n += suspects->breaks[i].upstream == upstream && suspects->breaks[i].suspect;
+  for (uint32_t i = 0; i < suspects->n_failures; i++)
+    n += suspects->failures[i].upstream == upstream && suspects->failures[i].suspect;
   return n;
 }
 
@@ -293,18 +294,18 @@
                           uint64_t now_us, MfSuspectBreakFunc func, void *data)
 {
   uint32_t n_suspects = count_suspects_at (suspects, upstream);
-  MfSuspectBreak broken;
+  MfSuspectBreak failure;
 
-  while (break_take (suspects, upstream, UINT64_MAX, &broken))
+  while (take_failure (suspects, upstream, UINT64_MAX, &failure))
     {
       MfSuspectDeath death
-          = { .process = process, .sent_us = broken.sent_us, .at_us = broken.at_us };
+          = { .process = process, .sent_us = failure.sent_us, .at_us = failure.at_us };
       MfSuspectVerdict verdict = MF_SUSPECT_RELEASED;
 
-      if (now_us - broken.at_us < suspects->terms.break_us)
-        verdict = mf_suspects_add_death (suspects, broken.digest, &death,
-                                         broken.suspect && n_suspects == 1, now_us);
-      func (data, &broken, verdict);
+      if (now_us - failure.at_us < suspects->limits.break_us)
+        verdict = mf_suspects_add_death (suspects, failure.digest, &death,
+                                         failure.suspect && n_suspects == 1, now_us);
+      func (data, &failure, verdict);
     }
 }
 
@@ -312,12 +313,12 @@
  * none.
  */
 static uint64_t
-upstream_before (const MfSuspects *suspects, uint64_t place, uint64_t successor)
+find_predecessor (const MfSuspects *suspects, uint64_t place, uint64_t successor)
 {
-  for (uint32_t i = 0; i < suspects->n_breaks; i++)
+  for (uint32_t i = 0; i < suspects->n_failures; i++)
     {
-      if (suspects->breaks[i].place == place && suspects->breaks[i].upstream != successor)
-        return suspects->breaks[i].upstream;
+      if (suspects->failures[i].place == place && suspects->failures[i].upstream != successor)
+        return suspects->failures[i].upstream;
     }
   return 0;
 }
@@ -330,7 +331,7 @@
 {
   uint64_t upstream;
 
-  while ((upstream = upstream_before (suspects, place, successor)) != 0)
+  while ((upstream = find_predecessor (suspects, place, successor)) != 0)
     mf_suspects_end_upstream (suspects, upstream, upstream, now_us, func, data);
 }
 
@@ -339,10 +340,10 @@
 mf_suspects_release_upstream (MfSuspects *suspects, uint64_t upstream, uint64_t before_us,
                               MfSuspectBreakFunc func, void *data)
 {
-  MfSuspectBreak broken;
+  MfSuspectBreak failure;
 
-  while (break_take (suspects, upstream, before_us, &broken))
-    func (data, &broken, MF_SUSPECT_RELEASED);
+  while (take_failure (suspects, upstream, before_us, &failure))
+    func (data, &failure, MF_SUSPECT_RELEASED);
 }
 
 /* Lets go of breaks that have waited for long. */
--- a/libmangofork/suspect_core.c
+++ b/libmangofork/suspect_core.c
@@ -6,44 +6,44 @@
 #include <xxhash.h>
 
 /* Suspects run apart here, so that two deaths say as much as three. */
-#define SENTENCE_US (UINT64_C (600) * MF_US_PER_S)
-#define BREAK_US (3 * MF_US_PER_S)
+#define QUARANTINE_US (UINT64_C (600) * MF_US_PER_S)
+#define CRASH_WINDOW_US (3 * MF_US_PER_S)
 /* An upstream that neither answers nor is found dead in this time keeps nobody waiting. */
-#define PENDING_US (1500 * MF_US_PER_MS)
+#define FAILURE_TIMEOUT_US (1500 * MF_US_PER_MS)
 
 /* The requests that have a convicted digest. */
 typedef struct
 {
   MfCore *core;
   uint64_t digest;
-} Mark;
+} Quarantine;
 
 /* How an upstream is named in the list of breaks. */
 static uint64_t
-upstream_name (uint32_t upstream)
+upstream_id (uint32_t upstream)
 {
   return (uint64_t)upstream + 1;
 }
 
 /* Ends the requests held that have a convicted digest, wherever they run. */
 static void
-mark_request (MfRequest *request, void *data)
+refuse_matching (MfRequest *request, void *data)
 {
-  const Mark *mark = data;
+  const Quarantine *quarantine = data;
 
-  if (request->digest != mark->digest)
+  if (request->digest != quarantine->digest)
     return;
-  mf_finish_refused (mark->core, request, MF_CODE_POISON, 0);
+  mf_finish_refused (quarantine->core, request, MF_CODE_POISON, 0);
 }
 
 static void
-end_convicted (MfCore *core, uint64_t digest)
+refuse_quarantined (MfCore *core, uint64_t digest)
 {
-  Mark mark = { .core = core, .digest = digest };
+  Quarantine quarantine = { .core = core, .digest = digest };
 
   mf_counter_add (&core->board.counters, MF_COUNTER_CONVICTIONS, 1);
   mf_core_log (core, "request", "", "suspect", "convicted", mf_code_info (MF_CODE_POISON)->name);
-  mf_request_foreach (core, mark_request, &mark);
+  mf_request_foreach (core, refuse_matching, &quarantine);
 }
 
 /* What another instance saw. It is taken as it is: a conviction took two deaths. */
@@ -53,8 +53,9 @@
   uint64_t now_us = core->board.now_us;
 
   mf_suspects_raise (core->board.suspects, digest, n_deaths, now_us);
-  if (convicted && mf_suspects_convict (core->board.suspects, digest, now_us + SENTENCE_US, now_us))
-    end_convicted (core, digest);
+  if (convicted
+      && mf_suspects_convict (core->board.suspects, digest, now_us + QUARANTINE_US, now_us))
+    refuse_quarantined (core, digest);
 }
 
 /* A request has arrived: what is known of its digest is put on it. Returns whether it may run. */
@@ -86,7 +87,7 @@
                                  &(MfSuspectBreak){
                                      .digest = request->digest,
                                      .request = request->id,
-                                     .upstream = upstream_name (upstream),
+                                     .upstream = upstream_id (upstream),
                                      .suspect = request->suspect,
                                      /* Of one that was no suspect, no earlier death was known. */
                                      .sent_us = request->suspect ? now_us : 0,
@@ -100,47 +101,48 @@
 
 /* What became of a break: its request goes on, or is refused. */
 static void
-on_verdict (void *data, const MfSuspectBreak *broken, MfSuspectVerdict verdict)
+on_failure_resolved (void *data, const MfSuspectBreak *failure, MfSuspectVerdict result)
 {
   MfCore *core = data;
-  MfRequest *request = mf_request_find (core, broken->request);
+  MfRequest *request = mf_request_find (core, failure->request);
   const MfSuspect *suspect
-      = mf_suspects_find (core->board.suspects, broken->digest, core->board.now_us);
+      = mf_suspects_find (core->board.suspects, failure->digest, core->board.now_us);
 
   if (request != NULL)
     request->suspect_pending = false;
   mf_queue_stir (core);
-  if (verdict == MF_SUSPECT_RELEASED || suspect == NULL)
+  if (result == MF_SUSPECT_RELEASED || suspect == NULL)
     return;
   if (request != NULL)
     {
       request->suspect = suspect->n_deaths > 0;
       request->n_deaths = suspect->n_deaths;
     }
-  if (verdict == MF_SUSPECT_COUNTED)
+  if (result == MF_SUSPECT_COUNTED)
     mf_news_note (core, MF_NEWS_SUSPECT, suspect->digest, suspect->n_deaths);
-  if (verdict != MF_SUSPECT_CONVICTED)
+  if (result != MF_SUSPECT_CONVICTED)
     return;
   mf_news_note (core, MF_NEWS_CONVICTED, suspect->digest, suspect->n_deaths);
-  end_convicted (core, suspect->digest);
+  refuse_quarantined (core, suspect->digest);
 }
 
 /* The upstream is known to have died: what broke there just before is suspected of it. */
 void
 mf_suspect_upstream_died (MfCore *core, uint32_t upstream)
 {
-  uint64_t life[] = { upstream_name (upstream), core->board.now_us };
+  uint64_t process[] = { upstream_id (upstream), core->board.now_us };
 
-  mf_suspects_end_upstream (core->board.suspects, upstream_name (upstream),
-                            XXH3_64bits (life, sizeof life), core->board.now_us, on_verdict, core);
+  mf_suspects_end_upstream (core->board.suspects, upstream_id (upstream),
+                            XXH3_64bits (process, sizeof process), core->board.now_us,
+                            on_failure_resolved, core);
 }
 
 /* The upstream lives on: what broke there broke of something else. */
 void
 mf_suspect_upstream_lives (MfCore *core, uint32_t upstream)
 {
-  mf_suspects_release_upstream (core->board.suspects, upstream_name (upstream), UINT64_MAX,
-                                on_verdict, core);
+  mf_suspects_release_upstream (core->board.suspects, upstream_id (upstream), UINT64_MAX,
+                                on_failure_resolved, core);
 }
 
 /* The request got further than where its upstream died, or was answered. */
@@ -186,15 +188,17 @@
 {
   uint64_t now_us = core->board.now_us;
 
-  if (now_us > PENDING_US)
-    mf_suspects_release_before (core->board.suspects, now_us - PENDING_US, on_verdict, core);
+  if (now_us > FAILURE_TIMEOUT_US)
+    mf_suspects_release_before (core->board.suspects, now_us - FAILURE_TIMEOUT_US,
+                                on_failure_resolved, core);
 }
 
 static bool
 suspect_init (MfCore *core, MfError *error)
 {
-  core->board.suspects = mf_suspects_new (&(MfSuspectTerms){
-      .break_us = BREAK_US, .two_deaths_us = SENTENCE_US, .three_deaths_us = SENTENCE_US });
+  core->board.suspects = mf_suspects_new (&(MfSuspectTerms){ .break_us = CRASH_WINDOW_US,
+                                                             .two_deaths_us = QUARANTINE_US,
+                                                             .three_deaths_us = QUARANTINE_US });
   if (core->board.suspects == NULL)
     mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the suspects");
   return core->board.suspects != NULL;
--- a/libmangofork/voter.c
+++ b/libmangofork/voter.c
@@ -31,7 +31,7 @@
 }
 
 static uint64_t
-view_of (const MfOwner *view, uint32_t n_view, const char *name)
+view_incarnation (const MfOwner *view, uint32_t n_view, const char *name)
 {
   for (uint32_t i = 0; i < n_view; i++)
     {
@@ -44,7 +44,7 @@
 /* Whether the cell kept all but at most one of its voters, so that a quorum of either cell shares a
  * voter with every quorum of the other. */
 static bool
-cell_is_near (const MfCell *before, const MfCell *after)
+cells_overlap (const MfCell *before, const MfCell *after)
 {
   uint32_t n_common = 0;
 
@@ -55,7 +55,7 @@
 }
 
 static void
-answers_clear (MfVoterState *voter)
+clear_answers (MfVoterState *voter)
 {
   for (uint32_t i = 0; i < MF_VOTERS_PER_KEY_MAX; i++)
     voter->answer_from[i] = 0;
@@ -83,12 +83,12 @@
   memcpy (voter->view, view, sizeof view);
   voter->index = mf_cell_find (cell, core->board.options.self.name);
   view_raise (voter, &core->board.options.self);
-  answers_clear (voter);
+  clear_answers (voter);
 }
 
 static void
-become_admitted (MfCore *core, MfVoterState *voter, uint64_t cold_ms, uint64_t opaque_wait_us,
-                 const char *reason)
+set_admitted (MfCore *core, MfVoterState *voter, uint64_t cold_ms, uint64_t opaque_wait_us,
+              const char *reason)
 {
   voter->admitted = true;
   core->board.admitted = true;
@@ -104,30 +104,30 @@
   const MfConfig *config = core->board.config;
   uint32_t index = mf_cell_of_voter (config, core->board.options.self.name);
   MfCell cell = { .n = 0 };
-  bool near;
+  bool overlaps;
 
   voter->key_life_us = config->key_life_us;
   if (voter->configured && voter->epoch == mf_cell_epoch (config))
     return;
   if (index != MF_NONE)
     mf_cell_members (config, index, &cell);
-  near = voter->configured && voter->index != MF_NONE && cell_is_near (&voter->cell, &cell);
+  overlaps = voter->configured && voter->index != MF_NONE && cells_overlap (&voter->cell, &cell);
   voter->configured = true;
   voter->epoch = mf_cell_epoch (config);
   cell_replace (core, voter, &cell);
-  voter->admitted = voter->index != MF_NONE && near && voter->admitted;
+  voter->admitted = voter->index != MF_NONE && overlaps && voter->admitted;
   core->board.admitted = voter->admitted;
   voter->next_admit_us = core->board.now_us;
   voter->admit_period_us = ADMIT_PERIOD_FIRST_US;
-  if (!near)
+  if (!overlaps)
     voter->born_us = core->board.now_us;
   if (voter->cell.n == 1)
-    become_admitted (core, voter, core->board.wall_ms, voter->key_life_us, "alone in its cell");
+    set_admitted (core, voter, core->board.wall_ms, voter->key_life_us, "alone in its cell");
 }
 
 /* Merges what the answers told: incarnations, and the cell's own cold start. */
 static void
-answers_merge (MfCore *core, MfVoterState *voter, const char *reason)
+merge_answers (MfCore *core, MfVoterState *voter, const char *reason)
 {
   uint64_t cold_ms = 0;
   uint64_t opaque_wait_ms = 0;
@@ -145,12 +145,12 @@
       if (answer->opaque_wait_ms > opaque_wait_ms)
         opaque_wait_ms = answer->opaque_wait_ms;
     }
-  become_admitted (core, voter, cold_ms, opaque_wait_ms * MF_US_PER_MS, reason);
+  set_admitted (core, voter, cold_ms, opaque_wait_ms * MF_US_PER_MS, reason);
 }
 
 /* Whether the voter that answered holds keys from before this cell's latest beginning. */
 static bool
-remembers_more (const MfCore *core, const MfAdmittedMessage *answer)
+predates_cold_start (const MfCore *core, const MfAdmittedMessage *answer)
 {
   uint64_t cold_ms = core->board.options.cold_start_us / MF_US_PER_MS;
 
@@ -163,31 +163,31 @@
  * - nobody that can be reached remembers: the cell takes itself for new;
  * - else some keys may be forgotten, and none from before is voted on. */
 static void
-start_cold (MfCore *core, MfVoterState *voter)
+try_cold_start (MfCore *core, MfVoterState *voter)
 {
   uint64_t age_us = core->board.now_us - voter->born_us;
   uint64_t cold_us = core->board.options.cold_start_us;
   uint32_t n_answers = 1;
-  uint32_t n_remember = 0;
+  uint32_t n_older = 0;
 
   for (uint32_t i = 0; i < voter->cell.n; i++)
     {
       n_answers += voter->answer_from[i] != 0;
-      n_remember += voter->answer_from[i] != 0 && remembers_more (core, &voter->answers[i]);
+      n_older += voter->answer_from[i] != 0 && predates_cold_start (core, &voter->answers[i]);
     }
   if (n_answers < voter->cell.quorum)
     return;
-  if (n_remember == 0 && age_us >= (n_answers == voter->cell.n ? cold_us / 4 : cold_us))
-    become_admitted (core, voter, core->board.wall_ms, cold_us, "new cell");
-  else if (age_us >= cold_us && n_remember > voter->cell.n - voter->cell.quorum)
-    answers_merge (core, voter, "handed over by the survivors");
+  if (n_older == 0 && age_us >= (n_answers == voter->cell.n ? cold_us / 4 : cold_us))
+    set_admitted (core, voter, core->board.wall_ms, cold_us, "new cell");
+  else if (age_us >= cold_us && n_older > voter->cell.n - voter->cell.quorum)
+    merge_answers (core, voter, "handed over by the survivors");
   else if (age_us >= cold_us)
-    become_admitted (core, voter, core->board.wall_ms, voter->key_life_us, "cold start");
+    set_admitted (core, voter, core->board.wall_ms, voter->key_life_us, "cold start");
 }
 
 /* Sends a request to be admitted to every voter of the cell that has not agreed yet. */
 static void
-admission_ask (MfCore *core, MfVoterState *voter)
+request_admission (MfCore *core, MfVoterState *voter)
 {
   MfPeerMessage message = {
     .type = MF_PEER_ADMIT,
@@ -215,7 +215,7 @@
     return;
   if (now_us >= voter->next_admit_us)
     {
-      start_cold (core, voter);
+      try_cold_start (core, voter);
       if (voter->admitted)
         return;
       voter->admit_id++;
@@ -223,7 +223,7 @@
       voter->admit_period_us *= 2;
       if (voter->admit_period_us > ADMIT_PERIOD_MAX_US)
         voter->admit_period_us = ADMIT_PERIOD_MAX_US;
-      admission_ask (core, voter);
+      request_admission (core, voter);
     }
   mf_core_wake_at (core, voter->next_admit_us);
 }
@@ -236,7 +236,7 @@
 
 /* Whether this voter's memory covers the whole life of the key up to now. */
 static bool
-remembers (const MfCore *core, const MfVoterState *voter, const MfClaimMessage *claim)
+covers_key_life (const MfCore *core, const MfVoterState *voter, const MfClaimMessage *claim)
 {
   uint64_t now_ms = core->board.wall_ms;
 
@@ -250,7 +250,7 @@
 }
 
 static bool
-grant (MfCore *core, MfVoterState *voter, const MfClaimMessage *claim)
+record_grant (MfCore *core, MfVoterState *voter, const MfClaimMessage *claim)
 {
   MfKeyEntry *entry = mf_keybook_add (voter->book, claim->key, core->board.now_us);
 
@@ -283,8 +283,8 @@
       return;
     }
   vote->abstained = !voter->admitted || voter->epoch != claim->epoch;
-  vote->forgotten = !vote->abstained && !remembers (core, voter, claim);
-  if (vote->forgotten || (!vote->abstained && !grant (core, voter, claim)))
+  vote->forgotten = !vote->abstained && !covers_key_life (core, voter, claim);
+  if (vote->forgotten || (!vote->abstained && !record_grant (core, voter, claim)))
     vote->abstained = true;
   vote->granted = !vote->abstained;
 }
@@ -341,7 +341,7 @@
 
 /* Sends every key of the cell, so that no vote given here is forgotten by the applicant. */
 static void
-handover_run (Handover *handover, const MfKeybook *book)
+handover_send_all (Handover *handover, const MfKeybook *book)
 {
   MfAdmittedMessage *answer = &handover->message.admitted;
 
@@ -395,14 +395,14 @@
   handover.records = calloc (MF_RECORDS_PER_PART_MAX, sizeof *handover.records);
   if (handover.records == NULL)
     return;
-  handover_run (&handover, voter->book);
+  handover_send_all (&handover, voter->book);
   free (handover.records);
 }
 
 /* Takes over what another voter remembers. An entry that is there already stays, but is granted to
  * nobody again. Returns false when it could not be kept. */
 static bool
-inherit (MfCore *core, MfVoterState *voter, const MfKeyRecord *record)
+inherit_record (MfCore *core, MfVoterState *voter, const MfKeyRecord *record)
 {
   MfKeyEntry *entry = mf_keybook_find (voter->book, record->key);
 
@@ -424,7 +424,7 @@
 /* Counts the answers that no other answer contradicts: an answer from an incarnation that another
  * one knows to be replaced is void. */
 static uint32_t
-answers_count (const MfVoterState *voter)
+count_valid_answers (const MfVoterState *voter)
 {
   uint32_t n = 0;
 
@@ -437,7 +437,8 @@
           const MfAdmittedMessage *other = &voter->answers[k];
 
           if (voter->answer_from[k] != 0
-              && view_of (other->view, other->n_view, voter->cell.names[i]) > voter->answer_from[i])
+              && view_incarnation (other->view, other->n_view, voter->cell.names[i])
+                     > voter->answer_from[i])
             valid = false;
         }
       n += valid;
@@ -475,7 +476,7 @@
     return;
   for (uint32_t k = 0; k < answer->n_records; k++)
     {
-      if (!inherit (core, voter, &answer->records[k]))
+      if (!inherit_record (core, voter, &answer->records[k]))
         return;
     }
   if (answer->part + 1 < answer->n_parts)
@@ -484,6 +485,6 @@
   voter->answers[i].records = NULL;
   voter->answers[i].n_records = 0;
   voter->answer_from[i] = from->incarnation;
-  if (answers_count (voter) >= needed)
-    answers_merge (core, voter, "handed over");
+  if (count_valid_answers (voter) >= needed)
+    merge_answers (core, voter, "handed over");
 }
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -74,7 +74,7 @@
 
 /* Marks what a walk over the neighbours reaches. */
 static void
-walk (FakeCores *cores, uint32_t slot, bool *reached)
+mark_reachable (FakeCores *cores, uint32_t slot, bool *reached)
 {
   const MfMembers *members = fake_cores_core (cores, slot)->board.members;
 
@@ -87,7 +87,7 @@
         continue;
       other = (uint32_t)strtoul (members->neighbours[i]->member.owner.name + 1, NULL, 10);
       if (!reached[other])
-        walk (cores, other, reached);
+        mark_reachable (cores, other, reached);
     }
 }
 
@@ -99,7 +99,7 @@
   bool reached[60] = { false };
 
   (void)state;
-  walk (cores, 0, reached);
+  mark_reachable (cores, 0, reached);
   for (uint32_t i = 0; i < 60; i++)
     {
       assert_true (reached[i]);
@@ -149,7 +149,7 @@
 /* The one that was paused was thought dead; it does not think so of the others, and is believed
  * alive again. */
 static void
-test_paused_instance_doubts_itself_and_comes_back (void **state)
+test_paused_instance_suspects_nobody_and_is_alive_again (void **state)
 {
   FakeCores *cores = fleet_new (7, 3);
 
@@ -284,7 +284,7 @@
     cmocka_unit_test (test_many_instances_stay_connected_with_few_links),
     cmocka_unit_test (test_death_is_known_everywhere),
     cmocka_unit_test (test_pause_shorter_than_suspicion_harms_nobody),
-    cmocka_unit_test (test_paused_instance_doubts_itself_and_comes_back),
+    cmocka_unit_test (test_paused_instance_suspects_nobody_and_is_alive_again),
     cmocka_unit_test (test_one_way_cut_kills_nobody),
     cmocka_unit_test (test_partition_heals_without_a_storm),
     cmocka_unit_test (test_list_travels_between_peers),
--- a/tests/test_news.c
+++ b/tests/test_news.c
@@ -60,7 +60,7 @@
 
 /* Upstreams that answered a load report are in use; a later report tells that one is leaving. */
 static void
-report (FakeCores *cores, uint32_t slot, const char *name, bool leaving)
+report_load (FakeCores *cores, uint32_t slot, const char *name, bool leaving)
 {
   MfCore *core = fake_cores_core (cores, slot);
   uint32_t upstream = mf_upstream_find (core, mf_hash_name (name));
@@ -109,9 +109,9 @@
       FakeCores *cores = fleet_new (sizes[i], 4, &calls);
 
       for (uint32_t slot = 0; slot < sizes[i]; slot++)
-        report (cores, slot, "d1", false);
+        report_load (cores, slot, "d1", false);
       assert_int_equal (count_usable (cores, sizes[i], "d1"), sizes[i]);
-      report (cores, 3, "d1", true);
+      report_load (cores, 3, "d1", true);
       fake_cores_run (cores, 3 * MF_US_PER_S);
       assert_int_equal (count_usable (cores, sizes[i], "d1"), 0);
       fake_cores_free (cores);
@@ -130,14 +130,14 @@
 
   (void)state;
   for (uint32_t slot = 0; slot < 3; slot++)
-    report (cores, slot, "d1", false);
-  report (cores, 0, "d1", true);
+    report_load (cores, slot, "d1", false);
+  report_load (cores, 0, "d1", true);
   fake_cores_run (cores, MF_US_PER_S);
-  report (cores, 1, "d1", false);
+  report_load (cores, 1, "d1", false);
   assert_int_equal (count_usable (cores, 3, "d1"), 0);
   fake_cores_run (cores, 3 * MF_US_PER_S);
   for (uint32_t slot = 0; slot < 3; slot++)
-    report (cores, slot, "d1", false);
+    report_load (cores, slot, "d1", false);
   assert_int_equal (count_usable (cores, 3, "d1"), 3);
   mf_upstream_note_leaving (core, upstream, 77);
   assert_int_equal (count_usable (cores, 3, "d1"), 3);
@@ -147,7 +147,7 @@
 }
 
 static void
-test_each_item_is_told_once (void **state)
+test_each_item_is_sent_once (void **state)
 {
   Calls calls = { 0 };
   FakeCores *cores = fleet_new (7, 4, &calls);
@@ -185,7 +185,7 @@
     mf_news_note (core, MF_NEWS_SUSPECT, 1000 + i, 1);
   mf_news_note (core, MF_NEWS_UPSTREAM_LEAVING, mf_hash_name ("d1"), 0);
   for (uint32_t slot = 0; slot < 7; slot++)
-    report (cores, slot, "d1", false);
+    report_load (cores, slot, "d1", false);
   n_bytes = fake_cores_bytes_out (cores, 0);
   fake_cores_run (cores, 500 * MF_US_PER_MS);
   assert_int_equal (count_usable (cores, 7, "d1"), 1); /* only the one that was told nothing */
@@ -242,7 +242,7 @@
 
 /* With many upstreams only those it told its guardians of are asked. */
 static void
-test_only_told_upstreams_are_released_when_there_are_many (void **state)
+test_only_reported_upstreams_are_released_when_there_are_many (void **state)
 {
   Calls calls = { 0 };
   FakeCores *cores = fleet_new (7, 200, &calls);
@@ -280,11 +280,11 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_leaving_upstream_is_unused_everywhere),
     cmocka_unit_test (test_upstream_that_stays_is_used_again),
-    cmocka_unit_test (test_each_item_is_told_once),
+    cmocka_unit_test (test_each_item_is_sent_once),
     cmocka_unit_test (test_flood_is_bounded_and_urgent_goes_first),
     cmocka_unit_test (test_work_of_a_dead_instance_is_released),
     cmocka_unit_test (test_replacement_releases_at_once),
-    cmocka_unit_test (test_only_told_upstreams_are_released_when_there_are_many),
+    cmocka_unit_test (test_only_reported_upstreams_are_released_when_there_are_many),
     cmocka_unit_test (test_wrong_suspicion_releases_and_recovers),
   };
 
--- a/tests/test_suspect.c
+++ b/tests/test_suspect.c
@@ -9,7 +9,7 @@
 #define OTHER_DIGEST 8
 #define S MF_US_PER_S
 
-static const MfSuspectTerms terms
+static const MfSuspectTerms limits
     = { .break_us = 10 * S, .two_deaths_us = 30 * S, .three_deaths_us = 600 * S };
 
 /* The verdicts on the breaks of one upstream, by digest. */
@@ -18,23 +18,23 @@
   MfSuspectVerdict own;
   MfSuspectVerdict other;
   uint32_t n;
-} Seen;
+} Results;
 
 static void
-on_verdict (void *data, const MfSuspectBreak *broken, MfSuspectVerdict verdict)
+on_result (void *data, const MfSuspectBreak *failure, MfSuspectVerdict result)
 {
-  Seen *seen = data;
+  Results *results = data;
 
-  seen->n++;
-  if (broken->digest == DIGEST)
-    seen->own = verdict;
+  results->n++;
+  if (failure->digest == DIGEST)
+    results->own = result;
   else
-    seen->other = verdict;
+    results->other = result;
 }
 
 static void
-run_breaks (MfSuspects *suspects, uint64_t digest, uint64_t upstream, bool suspect,
-            uint64_t sent_us)
+add_failure (MfSuspects *suspects, uint64_t digest, uint64_t upstream, bool suspect,
+             uint64_t sent_us)
 {
   mf_suspects_add_break (suspects, &(MfSuspectBreak){ .digest = digest,
                                                       .request = digest * 100 + upstream,
@@ -44,60 +44,60 @@
                                                       .at_us = sent_us + S / 10 });
 }
 
-static Seen
-upstream_ends (MfSuspects *suspects, uint64_t upstream, uint64_t now_us)
+static Results
+upstream_dies (MfSuspects *suspects, uint64_t upstream, uint64_t now_us)
 {
-  Seen seen = { 0 };
+  Results results = { 0 };
 
-  mf_suspects_end_upstream (suspects, upstream, upstream, now_us, on_verdict, &seen);
-  return seen;
+  mf_suspects_end_upstream (suspects, upstream, upstream, now_us, on_result, &results);
+  return results;
 }
 
 /* Ends one upstream after the other under the digest; returns the last verdict. */
 static MfSuspectVerdict
-die_at (MfSuspects *suspects, uint64_t upstream, bool apart)
+fail_and_die_at (MfSuspects *suspects, uint64_t upstream, bool isolated)
 {
-  run_breaks (suspects, DIGEST, upstream, upstream > 1, upstream * S);
-  if (!apart)
-    run_breaks (suspects, OTHER_DIGEST + upstream, upstream, upstream > 1, upstream * S);
-  return upstream_ends (suspects, upstream, upstream * S + S / 5).own;
+  add_failure (suspects, DIGEST, upstream, upstream > 1, upstream * S);
+  if (!isolated)
+    add_failure (suspects, OTHER_DIGEST + upstream, upstream, upstream > 1, upstream * S);
+  return upstream_dies (suspects, upstream, upstream * S + S / 5).own;
 }
 
 static void
-test_second_death_apart_from_other_suspects_convicts (void **state)
+test_second_death_isolated_from_other_suspects_quarantines (void **state)
 {
-  MfSuspects *suspects = mf_suspects_new (&terms);
+  MfSuspects *suspects = mf_suspects_new (&limits);
 
   (void)state;
-  assert_int_equal (die_at (suspects, 1, false), MF_SUSPECT_COUNTED);
-  assert_int_equal (die_at (suspects, 2, true), MF_SUSPECT_CONVICTED);
+  assert_int_equal (fail_and_die_at (suspects, 1, false), MF_SUSPECT_COUNTED);
+  assert_int_equal (fail_and_die_at (suspects, 2, true), MF_SUSPECT_CONVICTED);
   assert_true (mf_suspects_is_convicted (suspects, DIGEST, 3 * S));
   assert_false (mf_suspects_is_convicted (suspects, OTHER_DIGEST + 1, 3 * S));
   mf_suspects_free (suspects);
 }
 
 static void
-test_third_death_convicts_in_any_company (void **state)
+test_third_death_quarantines_beside_other_suspects (void **state)
 {
-  MfSuspects *suspects = mf_suspects_new (&terms);
+  MfSuspects *suspects = mf_suspects_new (&limits);
 
   (void)state;
-  assert_int_equal (die_at (suspects, 1, false), MF_SUSPECT_COUNTED);
-  assert_int_equal (die_at (suspects, 2, false), MF_SUSPECT_COUNTED);
-  assert_int_equal (die_at (suspects, 3, false), MF_SUSPECT_CONVICTED);
+  assert_int_equal (fail_and_die_at (suspects, 1, false), MF_SUSPECT_COUNTED);
+  assert_int_equal (fail_and_die_at (suspects, 2, false), MF_SUSPECT_COUNTED);
+  assert_int_equal (fail_and_die_at (suspects, 3, false), MF_SUSPECT_CONVICTED);
   mf_suspects_free (suspects);
 }
 
 /* Two instances each had one suspect at a process that ended; what the other tells comes later. */
 static void
-test_suspects_of_two_instances_at_one_end_are_not_convicted (void **state)
+test_suspects_of_two_instances_at_one_death_are_not_quarantined (void **state)
 {
   static const uint64_t processes[] = { 5, 2 };
-  MfSuspects *suspects = mf_suspects_new (&terms);
+  MfSuspects *suspects = mf_suspects_new (&limits);
 
   (void)state;
-  die_at (suspects, 1, false);
-  assert_int_equal (die_at (suspects, 2, true), MF_SUSPECT_CONVICTED);
+  fail_and_die_at (suspects, 1, false);
+  assert_int_equal (fail_and_die_at (suspects, 2, true), MF_SUSPECT_CONVICTED);
   for (size_t i = 0; i < MF_ARRAY_LEN (processes); i++)
     mf_suspects_add_death (
         suspects, OTHER_DIGEST,
@@ -105,22 +105,22 @@
         false, 5 * S);
   assert_false (mf_suspects_convict (suspects, OTHER_DIGEST, 30 * S, 5 * S));
   assert_false (mf_suspects_is_convicted (suspects, DIGEST, 5 * S));
-  assert_int_equal (die_at (suspects, 6, true), MF_SUSPECT_CONVICTED);
+  assert_int_equal (fail_and_die_at (suspects, 6, true), MF_SUSPECT_CONVICTED);
   mf_suspects_free (suspects);
 }
 
 /* A sentence for two deaths ends; the next death is the third, and its sentence the long one. */
 static void
-test_conviction_ends_and_comes_back (void **state)
+test_quarantine_expires_and_third_death_renews_it (void **state)
 {
-  MfSuspects *suspects = mf_suspects_new (&terms);
+  MfSuspects *suspects = mf_suspects_new (&limits);
 
   (void)state;
-  die_at (suspects, 1, true);
-  die_at (suspects, 2, true);
+  fail_and_die_at (suspects, 1, true);
+  fail_and_die_at (suspects, 2, true);
   assert_true (mf_suspects_is_convicted (suspects, DIGEST, 30 * S));
   assert_false (mf_suspects_is_convicted (suspects, DIGEST, 40 * S));
-  assert_int_equal (die_at (suspects, 40, false), MF_SUSPECT_CONVICTED);
+  assert_int_equal (fail_and_die_at (suspects, 40, false), MF_SUSPECT_CONVICTED);
   assert_true (mf_suspects_is_convicted (suspects, DIGEST, 600 * S));
   assert_null (mf_suspects_find (suspects, DIGEST, 641 * S));
   mf_suspects_free (suspects);
@@ -128,16 +128,16 @@
 
 /* Tries of one request at three upstreams that lose power together are one death. */
 static void
-test_deaths_at_once_are_one (void **state)
+test_simultaneous_deaths_count_once (void **state)
 {
-  MfSuspects *suspects = mf_suspects_new (&terms);
+  MfSuspects *suspects = mf_suspects_new (&limits);
 
   (void)state;
   for (uint64_t upstream = 1; upstream <= 3; upstream++)
-    run_breaks (suspects, DIGEST, upstream, false, S);
-  assert_int_equal (upstream_ends (suspects, 1, 2 * S).own, MF_SUSPECT_COUNTED);
-  assert_int_equal (upstream_ends (suspects, 2, 2 * S).own, MF_SUSPECT_KNOWN);
-  assert_int_equal (upstream_ends (suspects, 3, 2 * S).own, MF_SUSPECT_KNOWN);
+    add_failure (suspects, DIGEST, upstream, false, S);
+  assert_int_equal (upstream_dies (suspects, 1, 2 * S).own, MF_SUSPECT_COUNTED);
+  assert_int_equal (upstream_dies (suspects, 2, 2 * S).own, MF_SUSPECT_KNOWN);
+  assert_int_equal (upstream_dies (suspects, 3, 2 * S).own, MF_SUSPECT_KNOWN);
   assert_int_equal (mf_suspects_find (suspects, DIGEST, 2 * S)->n_deaths, 1);
   mf_suspects_free (suspects);
 }
@@ -145,12 +145,12 @@
 static void
 test_answer_clears (void **state)
 {
-  MfSuspects *suspects = mf_suspects_new (&terms);
+  MfSuspects *suspects = mf_suspects_new (&limits);
 
   (void)state;
   for (uint64_t upstream = 1; upstream < 10; upstream++)
     {
-      assert_int_equal (die_at (suspects, upstream, true), MF_SUSPECT_COUNTED);
+      assert_int_equal (fail_and_die_at (suspects, upstream, true), MF_SUSPECT_COUNTED);
       assert_true (mf_suspects_clear (suspects, DIGEST));
       assert_false (mf_suspects_clear (suspects, DIGEST));
     }
@@ -159,22 +159,22 @@
 
 /* A break is not counted when the upstream has answered since, or ended long after. */
 static void
-test_breaks_at_living_upstreams_are_released (void **state)
+test_failures_at_living_upstreams_are_not_counted (void **state)
 {
-  MfSuspects *suspects = mf_suspects_new (&terms);
-  Seen seen = { 0 };
+  MfSuspects *suspects = mf_suspects_new (&limits);
+  Results results = { 0 };
 
   (void)state;
-  run_breaks (suspects, DIGEST, 1, false, S);
-  mf_suspects_release_upstream (suspects, 1, S, on_verdict, &seen);
-  assert_int_equal (seen.n, 0);
-  mf_suspects_release_upstream (suspects, 1, 2 * S, on_verdict, &seen);
-  assert_int_equal (seen.n, 1);
-  assert_int_equal (upstream_ends (suspects, 1, 3 * S).n, 0);
-  run_breaks (suspects, DIGEST, 2, false, S);
-  assert_int_equal (upstream_ends (suspects, 2, 20 * S).own, MF_SUSPECT_RELEASED);
-  run_breaks (suspects, DIGEST, 3, false, S);
-  mf_suspects_release_before (suspects, 2 * S, on_verdict, &seen);
+  add_failure (suspects, DIGEST, 1, false, S);
+  mf_suspects_release_upstream (suspects, 1, S, on_result, &results);
+  assert_int_equal (results.n, 0);
+  mf_suspects_release_upstream (suspects, 1, 2 * S, on_result, &results);
+  assert_int_equal (results.n, 1);
+  assert_int_equal (upstream_dies (suspects, 1, 3 * S).n, 0);
+  add_failure (suspects, DIGEST, 2, false, S);
+  assert_int_equal (upstream_dies (suspects, 2, 20 * S).own, MF_SUSPECT_RELEASED);
+  add_failure (suspects, DIGEST, 3, false, S);
+  mf_suspects_release_before (suspects, 2 * S, on_result, &results);
   assert_int_equal (mf_suspects_n_breaks (suspects), 0);
   assert_null (mf_suspects_find (suspects, DIGEST, 20 * S));
   mf_suspects_free (suspects);
@@ -182,13 +182,13 @@
 
 /* Many suspects push out those that were never convicted, and no conviction. */
 static void
-test_convictions_outlast_many_suspects (void **state)
+test_quarantines_survive_eviction (void **state)
 {
-  MfSuspects *suspects = mf_suspects_new (&terms);
+  MfSuspects *suspects = mf_suspects_new (&limits);
 
   (void)state;
-  die_at (suspects, 1, true);
-  die_at (suspects, 2, true);
+  fail_and_die_at (suspects, 1, true);
+  fail_and_die_at (suspects, 2, true);
   for (uint64_t digest = 100; digest < 20000; digest++)
     mf_suspects_add_death (suspects, digest, &(MfSuspectDeath){ .process = 1, .at_us = 3 * S },
                            false, 3 * S);
@@ -201,14 +201,14 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_second_death_apart_from_other_suspects_convicts),
-    cmocka_unit_test (test_third_death_convicts_in_any_company),
-    cmocka_unit_test (test_suspects_of_two_instances_at_one_end_are_not_convicted),
-    cmocka_unit_test (test_conviction_ends_and_comes_back),
-    cmocka_unit_test (test_deaths_at_once_are_one),
+    cmocka_unit_test (test_second_death_isolated_from_other_suspects_quarantines),
+    cmocka_unit_test (test_third_death_quarantines_beside_other_suspects),
+    cmocka_unit_test (test_suspects_of_two_instances_at_one_death_are_not_quarantined),
+    cmocka_unit_test (test_quarantine_expires_and_third_death_renews_it),
+    cmocka_unit_test (test_simultaneous_deaths_count_once),
     cmocka_unit_test (test_answer_clears),
-    cmocka_unit_test (test_breaks_at_living_upstreams_are_released),
-    cmocka_unit_test (test_convictions_outlast_many_suspects),
+    cmocka_unit_test (test_failures_at_living_upstreams_are_not_counted),
+    cmocka_unit_test (test_quarantines_survive_eviction),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_suspect_core.c
+++ b/tests/test_suspect_core.c
@@ -41,7 +41,7 @@
 /* The upstream is found dead and comes back; what waited for it is called again. Returns the call.
  */
 static uint64_t
-die (OneCore *one)
+restart_upstream (OneCore *one)
 {
   uint32_t s1 = mf_upstream_find (one->core, mf_hash_name ("s1"));
   MfEvent event = { .type = MF_EVENT_CALL_SENT };
@@ -54,7 +54,7 @@
 }
 
 static uint64_t
-n_convictions (const OneCore *one)
+n_quarantines (const OneCore *one)
 {
   return one->core->board.counters.values[MF_COUNTER_CONVICTIONS];
 }
@@ -71,23 +71,23 @@
     calls[i] = send_read (one, i + 1);
   for (uint64_t i = 0; i < 3; i++)
     end_call (one, calls[i], MF_EVENT_CALL_FAILED);
-  die (one);
+  restart_upstream (one);
   assert_int_equal (mf_suspect_count (one->core), 1);
-  assert_int_equal (n_convictions (one), 0);
+  assert_int_equal (n_quarantines (one), 0);
   assert_int_equal (one->code, MF_CODE_OK);
   one_core_free (one);
 }
 
 static void
-test_second_death_alone_convicts (void **state)
+test_second_isolated_death_quarantines (void **state)
 {
   OneCore *one = one_core_new ();
 
   (void)state;
   end_call (one, send_read (one, 1), MF_EVENT_CALL_FAILED);
-  end_call (one, die (one), MF_EVENT_CALL_FAILED);
-  die (one);
-  assert_int_equal (n_convictions (one), 1);
+  end_call (one, restart_upstream (one), MF_EVENT_CALL_FAILED);
+  restart_upstream (one);
+  assert_int_equal (n_quarantines (one), 1);
   assert_int_equal (one->code, MF_CODE_POISON);
   one->code = MF_CODE_OK;
   send_read (one, 2);
@@ -97,21 +97,21 @@
 
 /* What has run to its end is not blamed for later deaths. */
 static void
-test_innocent_stays_innocent (void **state)
+test_answered_request_is_no_suspect (void **state)
 {
   OneCore *one = one_core_new ();
 
   (void)state;
   end_call (one, send_read (one, 1), MF_EVENT_CALL_FAILED);
-  end_call (one, die (one), MF_EVENT_CALL_DONE);
+  end_call (one, restart_upstream (one), MF_EVENT_CALL_DONE);
   assert_int_equal (one->n_answered, 1);
   assert_int_equal (mf_suspect_count (one->core), 0);
   for (uint64_t id = 2; id < 6; id++)
     {
       end_call (one, send_read (one, id), MF_EVENT_CALL_FAILED);
-      end_call (one, die (one), MF_EVENT_CALL_DONE);
+      end_call (one, restart_upstream (one), MF_EVENT_CALL_DONE);
     }
-  assert_int_equal (n_convictions (one), 0);
+  assert_int_equal (n_quarantines (one), 0);
   assert_int_equal (one->n_answered, 5);
   one_core_free (one);
 }
@@ -121,8 +121,8 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_one_death_under_many_is_one_death),
-    cmocka_unit_test (test_second_death_alone_convicts),
-    cmocka_unit_test (test_innocent_stays_innocent),
+    cmocka_unit_test (test_second_isolated_death_quarantines),
+    cmocka_unit_test (test_answered_request_is_no_suspect),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
