--- a/libmangofork/suspect.c
+++ b/libmangofork/suspect.c
@@ -4,12 +4,12 @@
 
 #include <stdlib.h>
 
-/* How long what is known of a request is kept, and of how many. */
+/* Entries expire this long after their last update. */
 #define ENTRY_LIFE_US (UINT64_C (600) * MF_US_PER_S)
 #define SUSPECTS_MAX 4096
-/* Breaks waiting to be told from deaths. */
+/* Failed calls whose upstream may have died, at most. */
 #define FAILURES_MAX 4096
-/* Deaths that convict a request that ran apart from other suspects when the last one came. */
+/* Deaths after which a request is quarantined when no other suspect ran at the last upstream. */
 #define DEATHS_ISOLATED 2
 
 typedef struct
@@ -26,7 +26,7 @@
   uint32_t n_failures;
 };
 
-/* Begins without suspects. NULL without memory. */
+/* Returns an empty table, or NULL when out of memory. */
 MfSuspects *
 mf_suspects_new (const MfSuspectTerms *limits)
 {
@@ -70,7 +70,7 @@
   free (entry);
 }
 
-/* Makes room: the row that has been there longest goes, of those without a conviction if any. */
+/* Evicts the oldest entry that is not quarantined, or the oldest one when all are. */
 static void
 evict_entry (MfSuspects *suspects, uint64_t now_us)
 {
@@ -110,7 +110,7 @@
   return &entry->suspect;
 }
 
-/* What is known of a request; NULL when nothing is, or nothing recent. */
+/* Returns the entry of a request, or NULL when there is none or it has expired. */
 MfSuspect *
 mf_suspects_find (const MfSuspects *suspects, uint64_t digest, uint64_t now_us)
 {
@@ -119,7 +119,7 @@
   return entry == NULL || now_us - entry->suspect.at_us > ENTRY_LIFE_US ? NULL : &entry->suspect;
 }
 
-/* Whether a request is to be refused. */
+/* Returns whether a request is to be refused at this time. */
 bool
 mf_suspects_is_convicted (const MfSuspects *suspects, uint64_t digest, uint64_t now_us)
 {
@@ -128,7 +128,7 @@
   return suspect != NULL && suspect->convicted_until_us > now_us;
 }
 
-/* Calls func for each request under which an upstream has ended, until it returns false. */
+/* Calls func for each request with a counted death, until it returns false. */
 void
 mf_suspects_foreach (const MfSuspects *suspects, uint64_t now_us, MfSuspectFunc func, void *data)
 {
@@ -146,8 +146,9 @@
   return suspect->n_deaths > 0 ? suspect->deaths[suspect->n_deaths - 1].process : 0;
 }
 
-/* Whether another suspect met its last death at the same process, maybe at another instance: either
- * may have caused it. The other is let go as well where it was convicted by no more than that. */
+/* Returns whether the last death of another suspect was of the same process, possibly reported by
+ * another instance: then either request may have caused it. Ends the quarantine of the other as
+ * well unless it has MF_SUSPECT_DEATHS_MAX deaths. */
 static bool
 shares_last_death (MfSuspects *suspects, const MfSuspect *suspect)
 {
@@ -168,7 +169,7 @@
   return shares;
 }
 
-/* Refuses a request until a moment. Returns whether that is new. */
+/* Refuses a request until the given time. Returns whether it was not quarantined before. */
 bool
 mf_suspects_convict (MfSuspects *suspects, uint64_t digest, uint64_t until_us, uint64_t now_us)
 {
@@ -182,7 +183,7 @@
   return is_new && until_us > now_us;
 }
 
-/* Another instance has counted so many deaths, without their names. */
+/* Raises the number of deaths to what another instance has counted; the processes are unknown. */
 void
 mf_suspects_raise (MfSuspects *suspects, uint64_t digest, uint32_t n_deaths, uint64_t now_us)
 {
@@ -192,8 +193,8 @@
     suspect->deaths[suspect->n_deaths++] = (MfSuspectDeath){ .at_us = now_us };
 }
 
-/* Whether a death tells nothing new: of one process under several tries, or of several processes at
- * once, each of which ran the request before the first was known to have ended. */
+/* Returns whether a death adds no evidence: several attempts ran at one process, or the request was
+ * sent to several processes before the first was known to have died. */
 static bool
 death_is_duplicate (const MfSuspect *suspect, const MfSuspectDeath *death)
 {
@@ -205,7 +206,8 @@
   return suspect->n_deaths > 0 && death->sent_us < suspect->deaths[suspect->n_deaths - 1].at_us;
 }
 
-/* Counts an upstream that ended under a request; apart tells that no other suspect ran there. */
+/* Counts an upstream that died while it ran a request. isolated means that no other suspect ran
+ * there. */
 MfSuspectVerdict
 mf_suspects_add_death (MfSuspects *suspects, uint64_t digest, const MfSuspectDeath *death,
                        bool isolated, uint64_t now_us)
@@ -225,8 +227,8 @@
                                                                               : MF_SUSPECT_COUNTED;
 }
 
-/* The request was answered: what ended under it ended of something else. Returns whether anything
- * was known of it. */
+/* Removes a request that was answered: its upstreams died of another cause. Returns whether it had
+ * an entry. */
 bool
 mf_suspects_clear (MfSuspects *suspects, uint64_t digest)
 {
@@ -238,8 +240,8 @@
   return true;
 }
 
-/* Keeps a break until it is known whether the upstream ended. Returns false when that of this try
- * there is kept already. */
+/* Keeps a failed call until it is known whether its upstream died. Returns false when a failure of
+ * this attempt at this upstream is kept already. */
 bool
 mf_suspects_add_break (MfSuspects *suspects, const MfSuspectBreak *failure)
 {
@@ -261,7 +263,7 @@
   return suspects->n_failures;
 }
 
-/* Takes a break at an upstream off the list; 0 stands for any upstream. */
+/* Removes one failure at an upstream, or at any when it is 0, that is older than before_us. */
 static bool
 take_failure (MfSuspects *suspects, uint64_t upstream, uint64_t before_us, MfSuspectBreak *failure)
 {
@@ -287,8 +289,9 @@
   return n;
 }
 
-/* An upstream has ended: what broke there lately is suspected of it, or convicted. process names
- * what ended, where an upstream may be started anew under its name. */
+/* Handles the death of an upstream: counts it against the requests whose calls failed there within
+ * the crash window. process identifies the incarnation that died, since an upstream may restart
+ * under the same id. */
 void
 mf_suspects_end_upstream (MfSuspects *suspects, uint64_t upstream, uint64_t process,
                           uint64_t now_us, MfSuspectBreakFunc func, void *data)
@@ -309,9 +312,8 @@
     }
 }
 
-/* The upstream where a run broke that stands at a place, and is not its successor; 0: there is
- * none.
- */
+/* Returns an upstream with a failed call at an address other than the one that now has the address,
+ * or 0. */
 static uint64_t
 find_predecessor (const MfSuspects *suspects, uint64_t place, uint64_t successor)
 {
@@ -323,8 +325,8 @@
   return 0;
 }
 
-/* A process has come to a place, whatever was there before has ended. The upstream's name is that
- * of the process there. */
+/* Handles a new process at an address: any other process that had the address has died. Here the id
+ * of an upstream is the id of its process. */
 void
 mf_suspects_end_place (MfSuspects *suspects, uint64_t place, uint64_t successor, uint64_t now_us,
                        MfSuspectBreakFunc func, void *data)
@@ -335,7 +337,7 @@
     mf_suspects_end_upstream (suspects, upstream, upstream, now_us, func, data);
 }
 
-/* An upstream has given a sign of life: what broke there before broke of something else. */
+/* Handles a sign of life from an upstream: calls that failed there earlier had another cause. */
 void
 mf_suspects_release_upstream (MfSuspects *suspects, uint64_t upstream, uint64_t before_us,
                               MfSuspectBreakFunc func, void *data)
@@ -346,7 +348,7 @@
     func (data, &failure, MF_SUSPECT_RELEASED);
 }
 
-/* Lets go of breaks that have waited for long. */
+/* Resolves failures older than before_us as unrelated to any death. */
 void
 mf_suspects_release_before (MfSuspects *suspects, uint64_t before_us, MfSuspectBreakFunc func,
                             void *data)
--- a/libmangofork/suspect.h
+++ b/libmangofork/suspect.h
@@ -3,37 +3,38 @@
 
 #include "types.h"
 
-/* Requests that may end the upstreams that run them, known by a digest that is the same for each
- * try of a request. A run that breaks waits here until it is known whether its upstream ended. All
- * times are given by the user, on one monotonic clock. */
+/* Tracks requests that may crash the upstreams that run them ("poison" requests). A request is
+ * identified by a digest that is the same for each of its attempts. A failed call is kept here
+ * until it is known whether its upstream died. The caller passes in all times, read from one
+ * monotonic clock. */
 typedef struct MfSuspects MfSuspects;
 
-/* Deaths that convict in any case. */
+/* Deaths after which a request is quarantined even if other suspects ran at the same upstreams. */
 #define MF_SUSPECT_DEATHS_MAX 3
 
 typedef struct
 {
-  uint64_t break_us;        /* a break this long before the end of its upstream has to do with it */
-  uint64_t two_deaths_us;   /* a request that was alone under suspicion is refused for so long */
-  uint64_t three_deaths_us; /* one that has ended three upstreams */
+  uint64_t break_us;        /* a failure counts as caused by a death at most this long after it */
+  uint64_t two_deaths_us;   /* quarantine after two deaths, the last without other suspects */
+  uint64_t three_deaths_us; /* quarantine after three deaths */
 } MfSuspectTerms;
 
-/* A run that broke. */
+/* A call that failed. */
 typedef struct
 {
   uint64_t digest;
-  uint64_t request;  /* names the try */
-  uint64_t upstream; /* where it ran; not 0 */
-  uint64_t place;    /* where that stands; 0: not told */
-  bool suspect;      /* it was known as a suspect when it was sent */
+  uint64_t request;  /* identifies the attempt */
+  uint64_t upstream; /* that ran it; not 0 */
+  uint64_t place;    /* of the upstream; 0 when unknown */
+  bool suspect;      /* the request was a suspect when it was sent */
   uint64_t sent_us;
   uint64_t at_us;
 } MfSuspectBreak;
 
-/* An upstream that ended under a request. */
+/* An upstream that died while it ran a request. */
 typedef struct
 {
-  uint64_t process; /* that ended; 0: not known here */
+  uint64_t process; /* that died; 0 when another instance reported it */
   uint64_t sent_us;
   uint64_t at_us;
 } MfSuspectDeath;
@@ -41,20 +42,20 @@
 typedef struct
 {
   uint64_t digest;
-  MfSuspectDeath deaths[MF_SUSPECT_DEATHS_MAX]; /* in their order */
+  MfSuspectDeath deaths[MF_SUSPECT_DEATHS_MAX]; /* oldest first */
   uint32_t n_deaths;
-  uint32_t n_told; /* of these, told to other instances; kept for the user */
+  uint32_t n_told; /* of these, reported to other instances; set by the caller */
   uint64_t convicted_until_us;
-  uint64_t at_us; /* the last news of it */
+  uint64_t at_us; /* last update */
 } MfSuspect;
 
-/* What became of a break. */
+/* How a failed call was resolved. */
 typedef enum
 {
-  MF_SUSPECT_RELEASED,  /* the upstream lives, or nobody knows */
-  MF_SUSPECT_KNOWN,     /* it ended, which tells nothing new of this request */
-  MF_SUSPECT_COUNTED,   /* it ended, and that was counted */
-  MF_SUSPECT_CONVICTED, /* the same, and the request is refused from now on */
+  MF_SUSPECT_RELEASED,  /* the upstream is alive, or its state stayed unknown */
+  MF_SUSPECT_KNOWN,     /* the upstream died, but that death adds no evidence */
+  MF_SUSPECT_COUNTED,   /* the upstream died, and the death was counted */
+  MF_SUSPECT_CONVICTED, /* the death was counted, and the request is refused from now on */
 } MfSuspectVerdict;
 
 typedef void (*MfSuspectBreakFunc) (void *data, const MfSuspectBreak *broken,
--- a/libmangofork/suspect_core.c
+++ b/libmangofork/suspect_core.c
@@ -5,27 +5,29 @@
 
 #include <xxhash.h>
 
-/* Suspects run apart here, so that two deaths say as much as three. */
+/* The same after two and after three deaths: each suspect runs without other suspects at its
+ * upstream, so that two deaths are as strong evidence as three. */
 #define QUARANTINE_US (UINT64_C (600) * MF_US_PER_S)
 #define CRASH_WINDOW_US (3 * MF_US_PER_S)
-/* An upstream that neither answers nor is found dead in this time keeps nobody waiting. */
+/* A request stops waiting for an upstream that has neither answered nor been declared dead within
+ * this time. */
 #define FAILURE_TIMEOUT_US (1500 * MF_US_PER_MS)
 
-/* The requests that have a convicted digest. */
+/* Argument of refuse_matching. */
 typedef struct
 {
   MfCore *core;
   uint64_t digest;
 } Quarantine;
 
-/* How an upstream is named in the list of breaks. */
+/* Returns the id of an upstream in the list of failures, where 0 means none. */
 static uint64_t
 upstream_id (uint32_t upstream)
 {
   return (uint64_t)upstream + 1;
 }
 
-/* Ends the requests held that have a convicted digest, wherever they run. */
+/* Refuses a request that has the quarantined digest, whatever its phase. */
 static void
 refuse_matching (MfRequest *request, void *data)
 {
@@ -46,7 +48,8 @@
   mf_request_foreach (core, refuse_matching, &quarantine);
 }
 
-/* What another instance saw. It is taken as it is: a conviction took two deaths. */
+/* Applies what another instance reports. A reported quarantine is accepted without own evidence, as
+ * it took two deaths. */
 void
 mf_suspect_note (MfCore *core, uint64_t digest, uint32_t n_deaths, bool convicted)
 {
@@ -58,7 +61,8 @@
     refuse_quarantined (core, digest);
 }
 
-/* A request has arrived: what is known of its digest is put on it. Returns whether it may run. */
+/* Marks a new request with the deaths known for its digest. Returns false when it is quarantined.
+ */
 bool
 mf_suspect_admit (MfCore *core, MfRequest *request)
 {
@@ -74,32 +78,33 @@
   return suspect->convicted_until_us <= now_us;
 }
 
-/* A call of the request broke, as it would when its upstream died. Until it is known whether the
- * upstream died, the request waits: were it the cause, the next upstream would die before the first
- * death was counted. A stream that breaks and then cannot be resumed has met one death, not two. */
+/* Handles a call that failed as it would when its upstream died. The request waits until it is
+ * known whether the upstream died: if the request was the cause, the next upstream would die before
+ * the first death was counted. A stream that fails and then cannot be resumed counts as one death.
+ */
 void
 mf_suspect_broken (MfCore *core, MfRequest *request, uint32_t upstream)
 {
   uint64_t now_us = core->board.now_us;
 
   if (core->board.options.naive || request->digest == 0
-      || !mf_suspects_add_break (core->board.suspects,
-                                 &(MfSuspectBreak){
-                                     .digest = request->digest,
-                                     .request = request->id,
-                                     .upstream = upstream_id (upstream),
-                                     .suspect = request->suspect,
-                                     /* Of one that was no suspect, no earlier death was known. */
-                                     .sent_us = request->suspect ? now_us : 0,
-                                     .at_us = now_us,
-                                 }))
+      || !mf_suspects_add_break (
+          core->board.suspects, &(MfSuspectBreak){
+                                    .digest = request->digest,
+                                    .request = request->id,
+                                    .upstream = upstream_id (upstream),
+                                    .suspect = request->suspect,
+                                    /* No earlier death is known of a request that is no suspect. */
+                                    .sent_us = request->suspect ? now_us : 0,
+                                    .at_us = now_us,
+                                }))
     return;
   request->suspect_pending = true;
   request->cleared_at = request->delivered;
   mf_request_note (core, request, MF_TRACE_SUSPECTED, upstream, MF_NONE, request->n_deaths);
 }
 
-/* What became of a break: its request goes on, or is refused. */
+/* Lets the request of a resolved failure continue, or refuses it. */
 static void
 on_failure_resolved (void *data, const MfSuspectBreak *failure, MfSuspectVerdict result)
 {
@@ -126,7 +131,8 @@
   refuse_quarantined (core, suspect->digest);
 }
 
-/* The upstream is known to have died: what broke there just before is suspected of it. */
+/* Handles the death of an upstream: requests whose calls failed there shortly before are suspected
+ * of it. */
 void
 mf_suspect_upstream_died (MfCore *core, uint32_t upstream)
 {
@@ -137,7 +143,7 @@
                             on_failure_resolved, core);
 }
 
-/* The upstream lives on: what broke there broke of something else. */
+/* Handles an upstream that proved to be alive: calls that failed there had another cause. */
 void
 mf_suspect_upstream_lives (MfCore *core, uint32_t upstream)
 {
@@ -145,7 +151,8 @@
                                 on_failure_resolved, core);
 }
 
-/* The request got further than where its upstream died, or was answered. */
+/* Removes the suspicion of a request that got past the point where its upstream died, or that was
+ * answered. */
 void
 mf_suspect_clear (MfCore *core, MfRequest *request)
 {
@@ -165,7 +172,7 @@
   return true;
 }
 
-/* Returns how many are suspected or convicted. */
+/* Returns how many digests are suspected or quarantined. */
 uint32_t
 mf_suspect_count (const MfCore *core)
 {
@@ -175,14 +182,14 @@
   return n;
 }
 
-/* Calls func for each digest that is suspected or convicted, until it returns false. */
+/* Calls func for each digest that is suspected or quarantined, until it returns false. */
 void
 mf_suspect_foreach (const MfCore *core, MfSuspectFunc func, void *data)
 {
   mf_suspects_foreach (core->board.suspects, core->board.now_us, func, data);
 }
 
-/* Lets go of what has waited long enough. */
+/* Resolves failures whose upstream gave no sign of life or death in time. */
 static void
 suspect_tick (MfCore *core)
 {
@@ -200,7 +207,7 @@
                                                              .two_deaths_us = QUARANTINE_US,
                                                              .three_deaths_us = QUARANTINE_US });
   if (core->board.suspects == NULL)
-    mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the suspects");
+    mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the suspected requests");
   return core->board.suspects != NULL;
 }
 
