--- a/libmangofork/board.h
+++ b/libmangofork/board.h
@@ -11,14 +11,14 @@
 typedef struct MfHealthBook MfHealthBook; /* health.c */
 typedef struct MfRequests MfRequests;     /* request.c */
 typedef struct MfQueue MfQueue;           /* queue.c */
-typedef struct MfDebts MfDebts;           /* debt.c */
+typedef struct MfCancels MfCancels;       /* debt.c */
 typedef struct MfDrain MfDrain;           /* drain.c */
 typedef struct MfSuspects MfSuspects;     /* suspect.c */
 typedef struct MfCaches MfCaches;         /* prefix.c */
 typedef struct MfMembers MfMembers;       /* member.c */
 typedef struct MfClaims MfClaims;         /* claim.c */
 typedef struct MfConfsync MfConfsync;     /* confsync.c */
-typedef struct MfNewsbook MfNewsbook;     /* news.c */
+typedef struct MfGossipLog MfGossipLog;   /* news.c */
 typedef struct MfDigests MfDigests;       /* digest.c */
 typedef struct MfShares MfShares;         /* share.c */
 typedef struct MfOrders MfOrders;         /* order.c */
@@ -85,14 +85,14 @@
   MfHealthBook *health;
   MfRequests *requests;
   MfQueue *queue;
-  MfDebts *debts;
+  MfCancels *cancels;
   MfDrain *drain;
   MfSuspects *suspects;
   MfCaches *caches;
   MfMembers *members;
   MfClaims *claims;
   MfConfsync *confsync;
-  MfNewsbook *newsbook;
+  MfGossipLog *gossip_log;
   MfDigests *digests;
   MfShares *shares;
   MfOrders *orders;
--- a/libmangofork/call.c
+++ b/libmangofork/call.c
@@ -161,7 +161,7 @@
 
   mf_core_emit (core, &action);
   if ((call->sent || call->kind == MF_CALL_RESUME) && !call->prefilled && holds_memory (call))
-    mf_debt_add (core, call->upstream, request->id, call->id, call->attempt);
+    mf_cancel_add (core, call->upstream, request->id, call->id, call->attempt);
   if (call->kind == MF_CALL_PREFILL && call->sent && !call->prefilled)
     request->wasted_tokens += call->prefill_tokens;
   if (call->sent)
@@ -224,8 +224,8 @@
   mf_upstream_give (core, request->prefill_upstream, request->prefill_pieces);
   if (!imported)
     {
-      mf_debt_add (core, request->prefill_upstream, request->id, request->prefill_call_id,
-                   request->prefill_attempt);
+      mf_cancel_add (core, request->prefill_upstream, request->id, request->prefill_call_id,
+                     request->prefill_attempt);
       request->wasted_tokens += request->prompt_tokens + request->delivered;
     }
   request->prefill_call_id = 0;
--- a/libmangofork/claim.c
+++ b/libmangofork/claim.c
@@ -15,18 +15,18 @@
 /* Whether another ballot shows a higher incarnation of this ballot's voter: the voter was replaced,
  * and its successor may have voted otherwise. */
 static bool
-vote_is_superseded (const MfClaim *claim, const MfBallot *ballot)
+vote_is_superseded (const MfClaim *claim, const MfVoterReply *reply)
 {
   for (uint32_t i = 0; i < claim->cell.n; i++)
     {
-      const MfVoteMessage *other = &claim->ballots[i].vote;
+      const MfVoteMessage *other = &claim->replies[i].vote;
 
-      if (!claim->ballots[i].voted)
+      if (!claim->replies[i].received)
         continue;
       for (uint32_t k = 0; k < other->n_view; k++)
         {
-          if (other->view[k].incarnation > ballot->voter.incarnation
-              && strcmp (other->view[k].name, ballot->voter.name) == 0)
+          if (other->view[k].incarnation > reply->voter.incarnation
+              && strcmp (other->view[k].name, reply->voter.name) == 0)
             return true;
         }
     }
@@ -65,9 +65,9 @@
   claim->holder_claim_id = refusal->holder_claim_id;
   claim->waiting_since_us = core->board.now_us;
   mf_claim_release (core, claim->key, &claim->cell, claim->claim_id);
-  mf_claim_unnumber (core->board.claims, claim);
+  mf_claim_clear_id (core->board.claims, claim);
   mf_counter_add (&core->board.counters, MF_COUNTER_CLAIMS_REFUSED, 1);
-  mf_claim_due (core, claim, core->board.now_us);
+  mf_claim_schedule (core, claim, core->board.now_us);
 }
 
 static bool
@@ -76,7 +76,7 @@
   return vote->state == MF_KEY_FINISHED || vote->state == MF_KEY_UNKNOWN;
 }
 
-/* Decides a claim from the ballots at hand. */
+/* Decides a claim from the replies at hand. */
 static void
 claim_count_votes (MfCore *core, MfClaim *claim)
 {
@@ -87,19 +87,19 @@
 
   for (uint32_t i = 0; i < claim->cell.n; i++)
     {
-      const MfBallot *ballot = &claim->ballots[i];
+      const MfVoterReply *reply = &claim->replies[i];
 
-      n_forgotten += ballot->voted && ballot->vote.forgotten;
-      if (!ballot->voted || ballot->vote.abstained)
+      n_forgotten += reply->received && reply->vote.forgotten;
+      if (!reply->received || reply->vote.abstained)
         continue;
-      if (ballot->vote.granted)
+      if (reply->vote.granted)
         {
-          n_granted += !vote_is_superseded (claim, ballot);
+          n_granted += !vote_is_superseded (claim, reply);
           continue;
         }
       n_refused++;
-      if (refusal == NULL || refusal_is_final (&ballot->vote))
-        refusal = &ballot->vote;
+      if (refusal == NULL || refusal_is_final (&reply->vote))
+        refusal = &reply->vote;
     }
   if (n_granted >= claim->cell.quorum)
     claim_grant (core, claim);
@@ -129,9 +129,9 @@
 
   if (i == MF_NONE || claim->state != MF_CLAIM_VOTING)
     return;
-  if (claim->ballots[i].voted && claim->ballots[i].voter.incarnation > voter->incarnation)
+  if (claim->replies[i].received && claim->replies[i].voter.incarnation > voter->incarnation)
     return;
-  claim->ballots[i] = (MfBallot){ .voted = true, .voter = *voter, .vote = *vote };
+  claim->replies[i] = (MfVoterReply){ .received = true, .voter = *voter, .vote = *vote };
   claim_count_votes (core, claim);
 }
 
@@ -144,7 +144,7 @@
     .type = MF_PEER_CLAIM,
     .claim = { .claim_id = claim->claim_id,
                .body_digest = claim->body_digest,
-               .minted_ms = claim->minted_ms,
+               .key_created_ms = claim->key_created_ms,
                .epoch = mf_cell_epoch (core->board.config),
                .claimant = core->board.options.self },
   };
@@ -154,12 +154,12 @@
   memcpy (message.claim.key, claim->key, MF_DIGEST_BYTES);
   for (uint32_t i = 0; i < claim->cell.n; i++)
     {
-      const MfBallot *ballot = &claim->ballots[i];
+      const MfVoterReply *reply = &claim->replies[i];
 
-      if (i != own && (!ballot->voted || ballot->vote.abstained))
+      if (i != own && (!reply->received || reply->vote.abstained))
         mf_member_send (core, claim->cell.names[i], &message);
     }
-  mf_claim_due (core, claim, core->board.now_us + VOTE_RETRY_INTERVAL_US);
+  mf_claim_schedule (core, claim, core->board.now_us + VOTE_RETRY_INTERVAL_US);
   if (own == MF_NONE)
     return;
   mf_voter_vote (core, &core->board.claims->voter, &message.claim, &vote);
@@ -171,10 +171,10 @@
 {
   claim->state = MF_CLAIM_VOTING;
   claim->voting_until_us = core->board.now_us + VOTING_TIMEOUT_US;
-  memset (claim->ballots, 0, sizeof claim->ballots);
+  memset (claim->replies, 0, sizeof claim->replies);
   mf_cell_members (core->board.config, mf_cell_of_key (core->board.config, claim->key),
                    &claim->cell);
-  mf_claim_number (core->board.claims, claim);
+  mf_claim_assign_id (core->board.claims, claim);
   claim_request_votes (core, claim);
 }
 
@@ -186,7 +186,7 @@
 
   if (entry == NULL)
     {
-      mf_claim_number (core->board.claims, claim);
+      mf_claim_assign_id (core->board.claims, claim);
       claim_grant (core, claim);
     }
   else if (entry->body_digest != claim->body_digest)
@@ -199,7 +199,7 @@
       claim->state = MF_CLAIM_WAITING;
       claim->holder = entry->holder;
       claim->holder_claim_id = entry->claim_id;
-      mf_claim_due (core, claim, core->board.now_us + MF_CLAIM_ASK_US);
+      mf_claim_schedule (core, claim, core->board.now_us + MF_CLAIM_POLL_INTERVAL_US);
     }
 }
 
@@ -214,16 +214,16 @@
 
 /* Whether a key minted then is older than keys are kept. */
 static bool
-key_is_too_old (const MfCore *core, uint64_t minted_ms)
+key_is_too_old (const MfCore *core, uint64_t key_created_ms)
 {
   uint64_t life_ms = core->board.config->key_life_us / MF_US_PER_MS;
 
-  return minted_ms != 0 && minted_ms + life_ms < core->board.wall_ms;
+  return key_created_ms != 0 && key_created_ms + life_ms < core->board.wall_ms;
 }
 
 void
 mf_claim_begin (MfCore *core, uint64_t request_id, const uint8_t key[MF_DIGEST_BYTES],
-                uint64_t body_digest, uint64_t minted_ms, uint64_t deadline_us)
+                uint64_t body_digest, uint64_t key_created_ms, uint64_t deadline_us)
 {
   MfClaims *claims = core->board.claims;
   MfClaim *claim = calloc (1, sizeof *claim);
@@ -236,18 +236,18 @@
     }
   claim->request_id = request_id;
   claim->body_digest = body_digest;
-  claim->minted_ms = minted_ms;
+  claim->key_created_ms = key_created_ms;
   claim->deadline_us = deadline_us;
   memcpy (claim->key, key, MF_DIGEST_BYTES);
   HASH_ADD (by_request, claims->by_request, request_id, sizeof claim->request_id, claim);
-  if (key_is_too_old (core, minted_ms))
+  if (key_is_too_old (core, key_created_ms))
     mf_claim_settle (core, claim, MF_CLAIM_TOO_OLD, MF_CODE_KEY_TOO_OLD, MF_OUTCOME_UNKNOWN);
   else
     claim_start (core, claim);
 }
 
 void
-mf_claim_drop (MfCore *core, uint64_t request_id)
+mf_claim_cancel (MfCore *core, uint64_t request_id)
 {
   MfClaim *claim = mf_claim_of_request (core->board.claims, request_id);
 
@@ -280,13 +280,13 @@
   entry = mf_keybook_find (&claims->book, claim->key);
   if (result->outcome == MF_OUTCOME_NOT_RUN || entry == NULL)
     {
-      mf_claim_drop (core, request_id);
+      mf_claim_cancel (core, request_id);
       return;
     }
   mf_keybook_finish (&claims->book, entry,
                      result->outcome == MF_OUTCOME_RAN ? MF_KEY_FINISHED : MF_KEY_UNKNOWN, result);
   mf_claim_fill_outcome (entry, &message);
-  mf_claim_tell_cell (core, &claim->cell, &message);
+  mf_claim_send_cell (core, &claim->cell, &message);
   mf_claim_free (claims, claim);
   mf_claim_settle_waiters (core, entry);
 }
@@ -298,7 +298,7 @@
   uint32_t n = 0;
 
   for (uint32_t i = 0; i < claim->cell.n; i++)
-    n += claim->ballots[i].voted;
+    n += claim->replies[i].received;
   return n >= claim->cell.quorum;
 }
 
@@ -337,9 +337,9 @@
 {
   if (claim->state == MF_CLAIM_HELD)
     return;
-  if (core->board.now_us < claim->next_us)
+  if (core->board.now_us < claim->next_tick_us)
     {
-      mf_claim_due (core, claim, claim->next_us);
+      mf_claim_schedule (core, claim, claim->next_tick_us);
       return;
     }
   if (claim->state == MF_CLAIM_VOTING)
@@ -399,26 +399,26 @@
   const MfPeerMessage *message = event->message;
   const MfOwner *from = &event->peer;
 
-  mf_voter_see (&core->board.claims->voter, from);
+  mf_voter_note_incarnation (&core->board.claims->voter, from);
   if (message->type == MF_PEER_CLAIM)
     handle_claim (core, from, &message->claim);
   else if (message->type == MF_PEER_VOTE)
     handle_vote (core, from, &message->vote);
   else if (message->type == MF_PEER_OUTCOME)
-    mf_claim_take_outcome (core, from, &message->outcome);
-  else if (message->type == MF_PEER_OUTCOME_ASK)
-    mf_claim_answer_ask (core, from, &message->outcome);
+    mf_claim_handle_outcome (core, from, &message->outcome);
+  else if (message->type == MF_PEER_OUTCOME_REQUEST)
+    mf_claim_handle_outcome_request (core, from, &message->outcome);
   else if (message->type == MF_PEER_ADMIT && mf_owner_equal (from, &message->admit.applicant))
-    mf_voter_admit (core, &core->board.claims->voter, &message->admit);
+    mf_voter_handle_admit (core, &core->board.claims->voter, &message->admit);
   else if (message->type == MF_PEER_ADMITTED)
-    mf_voter_admitted (core, &core->board.claims->voter, from, &message->admitted);
+    mf_voter_handle_admitted (core, &core->board.claims->voter, from, &message->admitted);
 }
 
 static void
 claims_handle (MfCore *core, const MfEvent *event)
 {
   if (event->type == MF_EVENT_PEER_UP)
-    mf_voter_see (&core->board.claims->voter, &event->peer.peer);
+    mf_voter_note_incarnation (&core->board.claims->voter, &event->peer.peer);
   else if (event->type == MF_EVENT_PEER_MESSAGE)
     handle_message (core, &event->peer);
 }
@@ -462,7 +462,7 @@
 static void
 claims_apply_config (MfCore *core)
 {
-  mf_voter_config (core, &core->board.claims->voter);
+  mf_voter_apply_config (core, &core->board.claims->voter);
 }
 
 const MfController mf_claim_controller = {
--- a/libmangofork/claim.h
+++ b/libmangofork/claim.h
@@ -5,9 +5,9 @@
 
 /* Asks the cell of voters whether a keyed call may run; settled by mf_request_claim_settled. */
 void mf_claim_begin (MfCore *core, uint64_t request_id, const uint8_t key[MF_DIGEST_BYTES],
-                     uint64_t body_digest, uint64_t minted_ms, uint64_t deadline_us);
+                     uint64_t body_digest, uint64_t key_created_ms, uint64_t deadline_us);
 /* The caller of a claim that is not settled has left. */
-void mf_claim_drop (MfCore *core, uint64_t request_id);
+void mf_claim_cancel (MfCore *core, uint64_t request_id);
 /* Whether a granted call may still be sent now; false after a pause longer than a grant is good
  * for. Asked in the same step that starts the call. */
 bool mf_claim_may_send (MfCore *core, uint64_t request_id);
--- a/libmangofork/claim_table.c
+++ b/libmangofork/claim_table.c
@@ -7,9 +7,9 @@
 
 /* Asks for claim_tick at that time. */
 void
-mf_claim_due (MfCore *core, MfClaim *claim, uint64_t at_us)
+mf_claim_schedule (MfCore *core, MfClaim *claim, uint64_t at_us)
 {
-  claim->next_us = at_us;
+  claim->next_tick_us = at_us;
   if (at_us < core->board.claims->due_us)
     core->board.claims->due_us = at_us;
   mf_core_wake_at (core, at_us);
@@ -34,14 +34,14 @@
 }
 
 void
-mf_claim_number (MfClaims *claims, MfClaim *claim)
+mf_claim_assign_id (MfClaims *claims, MfClaim *claim)
 {
   claim->claim_id = ++claims->next_claim_id;
   HASH_ADD (by_claim, claims->by_claim, claim_id, sizeof claim->claim_id, claim);
 }
 
 void
-mf_claim_unnumber (MfClaims *claims, MfClaim *claim)
+mf_claim_clear_id (MfClaims *claims, MfClaim *claim)
 {
   if (claim->claim_id == 0)
     return;
@@ -52,7 +52,7 @@
 void
 mf_claim_free (MfClaims *claims, MfClaim *claim)
 {
-  mf_claim_unnumber (claims, claim);
+  mf_claim_clear_id (claims, claim);
   HASH_DELETE (by_request, claims->by_request, claim);
   free (claim);
 }
@@ -94,13 +94,13 @@
 }
 
 bool
-mf_claim_is_own (const MfCore *core, const MfOwner *owner)
+mf_claim_is_self (const MfCore *core, const MfOwner *owner)
 {
   return mf_owner_equal (owner, &core->board.options.self);
 }
 
 void
-mf_claim_tell_cell (MfCore *core, const MfCell *cell, const MfPeerMessage *message)
+mf_claim_send_cell (MfCore *core, const MfCell *cell, const MfPeerMessage *message)
 {
   for (uint32_t i = 0; i < cell->n; i++)
     {
@@ -139,8 +139,8 @@
     .outcome = { .claimant = core->board.options.self, .claim_id = claim_id, .state = MF_KEY_NONE },
   };
 
-  if (entry != NULL && entry->claim_id == claim_id && mf_claim_is_own (core, &entry->holder))
+  if (entry != NULL && entry->claim_id == claim_id && mf_claim_is_self (core, &entry->holder))
     mf_keybook_remove (&claims->book, entry);
   memcpy (message.outcome.key, key, MF_DIGEST_BYTES);
-  mf_claim_tell_cell (core, cell, &message);
+  mf_claim_send_cell (core, cell, &message);
 }
--- a/libmangofork/claim_wait.c
+++ b/libmangofork/claim_wait.c
@@ -40,8 +40,9 @@
 static void
 claim_back_off (MfCore *core, MfClaim *claim)
 {
-  claim->state = MF_CLAIM_YIELDING;
-  mf_claim_due (core, claim, core->board.now_us + mf_core_random_below (core, BACKOFF_MAX_US) + 1);
+  claim->state = MF_CLAIM_BACKING_OFF;
+  mf_claim_schedule (core, claim,
+                     core->board.now_us + mf_core_random_below (core, BACKOFF_MAX_US) + 1);
 }
 
 /* Takes what is told of the earlier run. A voter may know that it is over without having its
@@ -60,7 +61,7 @@
 static bool
 waiting_restart (MfCore *core, MfClaim *claim)
 {
-  if (!mf_claim_is_own (core, &claim->holder)
+  if (!mf_claim_is_self (core, &claim->holder)
       || mf_claim_find (core->board.claims, claim->holder_claim_id) != NULL)
     return false;
   mf_claim_release (core, claim->key, &claim->cell, claim->holder_claim_id);
@@ -89,7 +90,7 @@
   MfKeyEntry *entry = mf_keybook_find (&core->board.claims->book, claim->key);
   uint64_t request_id = claim->request_id;
   MfPeerMessage message = {
-    .type = MF_PEER_OUTCOME_ASK,
+    .type = MF_PEER_OUTCOME_REQUEST,
     .outcome = { .claimant = claim->holder, .claim_id = claim->holder_claim_id },
   };
 
@@ -101,10 +102,10 @@
     return;
   memcpy (message.outcome.key, claim->key, MF_DIGEST_BYTES);
   if (mf_cell_find (&claim->cell, claim->holder.name) == MF_NONE
-      && !mf_claim_is_own (core, &claim->holder))
+      && !mf_claim_is_self (core, &claim->holder))
     mf_member_send (core, claim->holder.name, &message);
-  mf_claim_tell_cell (core, &claim->cell, &message);
-  mf_claim_due (core, claim, core->board.now_us + MF_CLAIM_ASK_US);
+  mf_claim_send_cell (core, &claim->cell, &message);
+  mf_claim_schedule (core, claim, core->board.now_us + MF_CLAIM_POLL_INTERVAL_US);
 }
 
 /* A claimant speaks of its own claim only. */
@@ -127,7 +128,7 @@
       || entry->holder.incarnation != outcome->claimant.incarnation
       || strcmp (entry->holder.name, outcome->claimant.name) != 0)
     return;
-  if (outcome->state == MF_KEY_NONE && is_holder && !mf_claim_is_own (core, &entry->holder))
+  if (outcome->state == MF_KEY_NONE && is_holder && !mf_claim_is_self (core, &entry->holder))
     mf_keybook_remove (&claims->book, entry);
   else if (outcome->state == MF_KEY_FINISHED || outcome->state == MF_KEY_UNKNOWN)
     mf_keybook_finish (&claims->book, entry, outcome->state, &result);
@@ -161,7 +162,7 @@
 }
 
 void
-mf_claim_take_outcome (MfCore *core, const MfOwner *from, const MfOutcomeMessage *outcome)
+mf_claim_handle_outcome (MfCore *core, const MfOwner *from, const MfOutcomeMessage *outcome)
 {
   record_outcome (core, from, outcome);
   settle_waiting_claims (core, from, outcome);
@@ -170,27 +171,29 @@
 /* Tells what this instance knows of a claim, as its claimant or as a voter. A claimant that has
  * given it up says so to the whole cell again, in case a voter missed it. */
 void
-mf_claim_answer_ask (MfCore *core, const MfOwner *from, const MfOutcomeMessage *ask)
+mf_claim_handle_outcome_request (MfCore *core, const MfOwner *from, const MfOutcomeMessage *request)
 {
   MfClaims *claims = core->board.claims;
-  MfKeyEntry *entry = mf_keybook_find (&claims->book, ask->key);
-  bool is_holder = mf_claim_is_own (core, &ask->claimant);
+  MfKeyEntry *entry = mf_keybook_find (&claims->book, request->key);
+  bool is_holder = mf_claim_is_self (core, &request->claimant);
   MfPeerMessage message = {
     .type = MF_PEER_OUTCOME,
-    .outcome = { .claimant = ask->claimant, .claim_id = ask->claim_id, .state = MF_KEY_NONE },
+    .outcome
+    = { .claimant = request->claimant, .claim_id = request->claim_id, .state = MF_KEY_NONE },
   };
   MfCell cell;
 
-  if (entry != NULL && entry->claim_id == ask->claim_id)
+  if (entry != NULL && entry->claim_id == request->claim_id)
     mf_claim_fill_outcome (entry, &message);
-  else if (is_holder && mf_claim_find (claims, ask->claim_id) != NULL)
+  else if (is_holder && mf_claim_find (claims, request->claim_id) != NULL)
     message.outcome.state = MF_KEY_RUNNING;
   else if (is_holder && core->board.config != NULL && mf_cell_count (core->board.config) > 0)
     {
-      mf_cell_members (core->board.config, mf_cell_of_key (core->board.config, ask->key), &cell);
-      mf_claim_release (core, ask->key, &cell, ask->claim_id);
+      mf_cell_members (core->board.config, mf_cell_of_key (core->board.config, request->key),
+                       &cell);
+      mf_claim_release (core, request->key, &cell, request->claim_id);
     }
-  memcpy (message.outcome.key, ask->key, MF_DIGEST_BYTES);
+  memcpy (message.outcome.key, request->key, MF_DIGEST_BYTES);
   if (is_holder || message.outcome.state != MF_KEY_NONE)
     mf_member_send (core, from->name, &message);
 }
--- a/libmangofork/confsync.c
+++ b/libmangofork/confsync.c
@@ -182,7 +182,7 @@
 static void
 ask_peers (MfCore *core, Ask *ask, bool for_list)
 {
-  MfPeerMessage message = { .type = for_list ? MF_PEER_LIST_ASK : MF_PEER_CONFIG_ASK };
+  MfPeerMessage message = { .type = for_list ? MF_PEER_LIST_REQUEST : MF_PEER_CONFIG_REQUEST };
   MfMemberRow *row;
 
   if (core->board.now_us < ask->until_us)
@@ -197,9 +197,9 @@
       return;
     }
   if (for_list)
-    message.ask_index = core->board.list_index;
+    message.known_index = core->board.list_index;
   else
-    message.ask_revision = core->board.confsync->whole ? 0 : own_revision (core);
+    message.known_revision = core->board.confsync->whole ? 0 : own_revision (core);
   ask->peer = row->name_hash;
   ask->until_us = core->board.now_us + ASK_LIMIT_US;
   mf_member_send_row (core, row, &message);
@@ -228,19 +228,19 @@
   const MfConfsync *sync = core->board.confsync;
   MfPeerMessage message = { .type = MF_PEER_CONFIG };
 
-  if (config == NULL || config->revision <= peer->message->ask_revision)
+  if (config == NULL || config->revision <= peer->message->known_revision)
     return;
   message.config = (MfConfigMessage){
     .revision = config->revision,
     .text = config->text,
     .text_bytes = (uint32_t)config->text_bytes,
-    .whole_hash = mf_text_hash (config->text, config->text_bytes),
+    .full_text_hash = mf_text_hash (config->text, config->text_bytes),
   };
   for (uint32_t i = 0; i < OLD_TEXTS; i++)
     {
       const Text *old = &sync->old[i];
 
-      if (old->text == NULL || old->revision != peer->message->ask_revision)
+      if (old->text == NULL || old->revision != peer->message->known_revision)
         continue;
       mf_text_delta_make (old->text, old->text_bytes, config->text, config->text_bytes,
                           &message.config);
@@ -271,7 +271,7 @@
         return;
     }
   else if (message->text == NULL
-           || mf_text_hash (message->text, message->text_bytes) != message->whole_hash)
+           || mf_text_hash (message->text, message->text_bytes) != message->full_text_hash)
     return;
   offer_text (core, message->revision, whole != NULL ? whole : message->text, text_bytes, "peer");
   free (whole);
@@ -283,16 +283,16 @@
   const MfOptions *options = &core->board.options;
   MfPeerMessage message = { .type = MF_PEER_LIST };
   uint32_t n_listed = 0;
-  MfListed *listed;
+  MfListedInstance *listed;
 
-  if (core->board.list_index <= peer->message->ask_index || !may_send (core))
+  if (core->board.list_index <= peer->message->known_index || !may_send (core))
     return;
   listed = calloc (mf_member_count (core) + 1, sizeof *listed);
   if (listed == NULL)
     return;
   for (const MfMemberRow *row = core->board.members->rows; row != NULL; row = row->hh.next)
     {
-      MfListed *to = &listed[n_listed];
+      MfListedInstance *to = &listed[n_listed];
 
       if (!row->member.listed)
         continue;
@@ -325,7 +325,7 @@
       if (members->neighbours[i] != NULL && members->neighbours[i]->digest_us == 0)
         return false;
     }
-  return !members->choose;
+  return !members->choose_pending;
 }
 
 static uint64_t
@@ -400,13 +400,13 @@
 
   switch (message->type)
     {
-    case MF_PEER_CONFIG_ASK:
+    case MF_PEER_CONFIG_REQUEST:
       answer_config_ask (core, peer);
       break;
     case MF_PEER_CONFIG:
       take_config (core, &message->config);
       break;
-    case MF_PEER_LIST_ASK:
+    case MF_PEER_LIST_REQUEST:
       answer_list_ask (core, peer);
       break;
     case MF_PEER_LIST:
--- a/libmangofork/core.c
+++ b/libmangofork/core.c
@@ -11,9 +11,9 @@
 
 static const MfController *const controllers[] = {
   &mf_confsync_controller, &mf_service_controller, &mf_upstream_controller, &mf_member_controller,
-  &mf_news_controller,     &mf_health_controller,  &mf_prefix_controller,   &mf_suspect_controller,
+  &mf_gossip_controller,   &mf_health_controller,  &mf_prefix_controller,   &mf_suspect_controller,
   &mf_share_controller,    &mf_claim_controller,   &mf_request_controller,  &mf_queue_controller,
-  &mf_debt_controller,     &mf_order_controller,   &mf_drain_controller,    &mf_digest_controller,
+  &mf_cancel_controller,   &mf_order_controller,   &mf_drain_controller,    &mf_digest_controller,
   &mf_series_controller,
 };
 
--- a/libmangofork/counter.h
+++ b/libmangofork/counter.h
@@ -19,7 +19,7 @@
   X (LATE_DROPPED, "mangofork_late_dropped_total", "events of older attempts dropped")             \
   X (CANCELS, "mangofork_cancels_total", "cancels confirmed by engines")                           \
   X (EJECTIONS, "mangofork_ejections_total", "upstreams taken out of use")                         \
-  X (CONVICTIONS, "mangofork_convictions_total", "requests convicted of killing upstreams")        \
+  X (QUARANTINES, "mangofork_convictions_total", "requests convicted of killing upstreams")        \
   X (CONFIG_ACCEPTED, "mangofork_config_accepted_total", "texts accepted")                         \
   X (CONFIG_REFUSED, "mangofork_config_refused_total", "texts refused as faulty")                  \
   X (CONFIG_STALE, "mangofork_config_stale_total", "texts ignored as older than the one in force") \
@@ -28,7 +28,7 @@
   X (PEER_FRAMES_OUT, "mangofork_peer_frames_out_total", "frames sent to peers")                   \
   X (PEER_FRAMES_BAD, "mangofork_peer_frames_bad_total", "malformed frames dropped")               \
   X (PEER_BYTES_OUT, "mangofork_peer_bytes_out_total", "bytes sent to peers")                      \
-  X (NEWS_DROPPED, "mangofork_news_dropped_total", "news that did not fit")                        \
+  X (GOSSIP_DROPPED, "mangofork_news_dropped_total", "news that did not fit")                      \
   X (CLAIMS, "mangofork_claims_total", "idempotency keys claimed")                                 \
   X (CLAIMS_REFUSED, "mangofork_claims_refused_total", "claims another instance holds")            \
   X (CLAIMS_NO_QUORUM, "mangofork_claims_no_quorum_total", "claims that found too few votes")      \
--- a/libmangofork/debt.c
+++ b/libmangofork/debt.c
@@ -5,232 +5,233 @@
 #include "table.h"
 #include <stdlib.h>
 
-#define CANCEL_TIMEOUT_US (500 * MF_US_PER_MS)
+#define CALL_TIMEOUT_US (500 * MF_US_PER_MS)
 #define RETRY_FIRST_US (50 * MF_US_PER_MS)
 #define RETRY_DOUBLINGS_MAX 5
 /* What a dead instance held is asked for more than once, as its last calls may still arrive. */
-#define OWNER_REPEATS 3
-#define OWNER_REPEAT_US (1 * MF_US_PER_S)
+#define INSTANCE_CONFIRMATIONS 3
+#define INSTANCE_REPEAT_US (1 * MF_US_PER_S)
 
-typedef struct Debt
+typedef struct PendingCancel
 {
   MfHeapNode timer; /* first member */
   uint32_t upstream;
   uint64_t request_id;
   uint64_t target_call_id;
   uint32_t target_attempt;
-  bool of_owner;
-  MfOwner owner;
+  bool of_instance;
+  MfOwner instance;
   uint32_t n_tries;
   uint32_t n_confirmed;
   uint64_t call_id; /* the cancel in flight; 0 for none */
-  struct Debt *prev;
-  struct Debt *next;
+  struct PendingCancel *prev;
+  struct PendingCancel *next;
   UT_hash_handle hh; /* by call_id, while in flight */
-} Debt;
+} PendingCancel;
 
-struct MfDebts
+struct MfCancels
 {
-  Debt *first;
-  Debt *in_flight;
+  PendingCancel *first;
+  PendingCancel *in_flight;
   MfHeap timers;
-  uint32_t n_debts;
+  uint32_t n_cancels;
 };
 
 static void
-remove_debt (MfDebts *debts, Debt *debt)
+cancel_remove (MfCancels *cancels, PendingCancel *cancel)
 {
-  if (debt->call_id != 0)
-    HASH_DEL (debts->in_flight, debt);
-  mf_heap_remove (&debts->timers, &debt->timer);
-  if (debt->prev != NULL)
-    debt->prev->next = debt->next;
+  if (cancel->call_id != 0)
+    HASH_DEL (cancels->in_flight, cancel);
+  mf_heap_remove (&cancels->timers, &cancel->timer);
+  if (cancel->prev != NULL)
+    cancel->prev->next = cancel->next;
   else
-    debts->first = debt->next;
-  if (debt->next != NULL)
-    debt->next->prev = debt->prev;
-  debts->n_debts--;
-  free (debt);
+    cancels->first = cancel->next;
+  if (cancel->next != NULL)
+    cancel->next->prev = cancel->prev;
+  cancels->n_cancels--;
+  free (cancel);
 }
 
 /* Asks the upstream; the debt stays until it confirms. */
 static void
-ask (MfCore *core, Debt *debt)
+cancel_send (MfCore *core, PendingCancel *cancel)
 {
-  MfDebts *debts = core->board.debts;
-  const MfUpstream *row = &core->board.upstreams[debt->upstream];
+  MfCancels *cancels = core->board.cancels;
+  const MfUpstream *row = &core->board.upstreams[cancel->upstream];
   MfAction action = {
     .type = MF_ACTION_CALL_START,
     .call = { .call_id = mf_core_next_call_id (core),
-              .kind = debt->of_owner ? MF_CALL_CANCEL_OWNER : MF_CALL_CANCEL,
-              .upstream = debt->upstream,
+              .kind = cancel->of_instance ? MF_CALL_CANCEL_OWNER : MF_CALL_CANCEL,
+              .upstream = cancel->upstream,
               .address = row->config.address,
               .engine = row->config.engine,
-              .request_id = debt->request_id,
-              .attempt = debt->target_attempt,
-              .target_call_id = debt->target_call_id,
-              .target_attempt = debt->target_attempt,
-              .owner = debt->owner,
-              .timeout_us = CANCEL_TIMEOUT_US },
+              .request_id = cancel->request_id,
+              .attempt = cancel->target_attempt,
+              .target_call_id = cancel->target_call_id,
+              .target_attempt = cancel->target_attempt,
+              .owner = cancel->instance,
+              .timeout_us = CALL_TIMEOUT_US },
   };
 
-  if (debt->call_id != 0)
-    HASH_DEL (debts->in_flight, debt);
-  debt->call_id = action.call.call_id;
-  HASH_ADD (hh, debts->in_flight, call_id, sizeof debt->call_id, debt);
-  debt->n_tries++;
-  mf_heap_set (&debts->timers, &debt->timer, core->board.now_us + 2 * CANCEL_TIMEOUT_US);
+  if (cancel->call_id != 0)
+    HASH_DEL (cancels->in_flight, cancel);
+  cancel->call_id = action.call.call_id;
+  HASH_ADD (hh, cancels->in_flight, call_id, sizeof cancel->call_id, cancel);
+  cancel->n_tries++;
+  mf_heap_set (&cancels->timers, &cancel->timer, core->board.now_us + 2 * CALL_TIMEOUT_US);
   mf_core_emit (core, &action);
 }
 
-static Debt *
-new_debt (MfCore *core, uint32_t upstream)
+static PendingCancel *
+cancel_new (MfCore *core, uint32_t upstream)
 {
-  MfDebts *debts = core->board.debts;
-  Debt *debt = calloc (1, sizeof *debt);
+  MfCancels *cancels = core->board.cancels;
+  PendingCancel *cancel = calloc (1, sizeof *cancel);
 
-  if (debt == NULL)
+  if (cancel == NULL)
     abort ();
-  debt->timer.position = MF_HEAP_OUT;
-  debt->upstream = upstream;
-  debt->next = debts->first;
-  if (debts->first != NULL)
-    debts->first->prev = debt;
-  debts->first = debt;
-  debts->n_debts++;
-  mf_heap_set (&debts->timers, &debt->timer, core->board.now_us);
-  return debt;
+  cancel->timer.position = MF_HEAP_OUT;
+  cancel->upstream = upstream;
+  cancel->next = cancels->first;
+  if (cancels->first != NULL)
+    cancels->first->prev = cancel;
+  cancels->first = cancel;
+  cancels->n_cancels++;
+  mf_heap_set (&cancels->timers, &cancel->timer, core->board.now_us);
+  return cancel;
 }
 
 /* Owes the upstream a cancel of one call; repeated until confirmed or the upstream restarted. */
 void
-mf_debt_add (MfCore *core, uint32_t upstream, uint64_t request_id, uint64_t call_id,
-             uint32_t attempt)
+mf_cancel_add (MfCore *core, uint32_t upstream, uint64_t request_id, uint64_t call_id,
+               uint32_t attempt)
 {
-  Debt *debt;
+  PendingCancel *cancel;
 
   if (core->board.options.naive)
     return;
-  debt = new_debt (core, upstream);
-  debt->request_id = request_id;
-  debt->target_call_id = call_id;
-  debt->target_attempt = attempt;
+  cancel = cancel_new (core, upstream);
+  cancel->request_id = request_id;
+  cancel->target_call_id = call_id;
+  cancel->target_attempt = attempt;
 }
 
 /* Owes the upstream a cancel of all that a dead incarnation of an instance held there. */
 void
-mf_debt_add_owner (MfCore *core, uint32_t upstream, const MfOwner *owner)
+mf_cancel_add_instance (MfCore *core, uint32_t upstream, const MfOwner *instance)
 {
-  Debt *debt = new_debt (core, upstream);
+  PendingCancel *cancel = cancel_new (core, upstream);
 
-  debt->of_owner = true;
-  debt->owner = *owner;
+  cancel->of_instance = true;
+  cancel->instance = *instance;
 }
 
 void
-mf_debt_upstream_restarted (MfCore *core, uint32_t upstream)
+mf_cancel_upstream_restarted (MfCore *core, uint32_t upstream)
 {
-  MfDebts *debts = core->board.debts;
-  Debt *debt = debts->first;
+  MfCancels *cancels = core->board.cancels;
+  PendingCancel *cancel = cancels->first;
 
-  while (debt != NULL)
+  while (cancel != NULL)
     {
-      Debt *next = debt->next;
+      PendingCancel *next = cancel->next;
 
-      if (debt->upstream == upstream && !debt->of_owner)
-        remove_debt (debts, debt);
-      debt = next;
+      if (cancel->upstream == upstream && !cancel->of_instance)
+        cancel_remove (cancels, cancel);
+      cancel = next;
     }
 }
 
 uint32_t
-mf_debt_count (const MfCore *core)
+mf_cancel_count (const MfCore *core)
 {
-  return core->board.debts->n_debts;
+  return core->board.cancels->n_cancels;
 }
 
 /* A cancel has ended: 200 and 404 both confirm. */
 static void
-debt_handle (MfCore *core, const MfEvent *event)
+cancel_handle (MfCore *core, const MfEvent *event)
 {
-  MfDebts *debts = core->board.debts;
+  MfCancels *cancels = core->board.cancels;
   uint64_t call_id = event->call.call_id;
   uint32_t doublings;
-  Debt *debt;
+  PendingCancel *cancel;
 
   if (event->type != MF_EVENT_CALL_DONE && event->type != MF_EVENT_CALL_FAILED)
     return;
-  HASH_FIND (hh, debts->in_flight, &call_id, sizeof call_id, debt);
-  if (debt == NULL)
+  HASH_FIND (hh, cancels->in_flight, &call_id, sizeof call_id, cancel);
+  if (cancel == NULL)
     return;
-  HASH_DEL (debts->in_flight, debt);
-  debt->call_id = 0;
+  HASH_DEL (cancels->in_flight, cancel);
+  cancel->call_id = 0;
   if (event->type == MF_EVENT_CALL_DONE && (event->call.status < 300 || event->call.status == 404))
     {
       mf_counter_add (&core->board.counters, MF_COUNTER_CANCELS, 1);
-      if (!debt->of_owner || ++debt->n_confirmed >= OWNER_REPEATS)
-        remove_debt (debts, debt);
+      if (!cancel->of_instance || ++cancel->n_confirmed >= INSTANCE_CONFIRMATIONS)
+        cancel_remove (cancels, cancel);
       else
-        mf_heap_set (&debts->timers, &debt->timer, core->board.now_us + OWNER_REPEAT_US);
+        mf_heap_set (&cancels->timers, &cancel->timer, core->board.now_us + INSTANCE_REPEAT_US);
       return;
     }
-  doublings = debt->n_tries < RETRY_DOUBLINGS_MAX ? debt->n_tries : RETRY_DOUBLINGS_MAX;
-  mf_heap_set (&debts->timers, &debt->timer, core->board.now_us + (RETRY_FIRST_US << doublings));
+  doublings = cancel->n_tries < RETRY_DOUBLINGS_MAX ? cancel->n_tries : RETRY_DOUBLINGS_MAX;
+  mf_heap_set (&cancels->timers, &cancel->timer,
+               core->board.now_us + (RETRY_FIRST_US << doublings));
 }
 
 /* An upstream that the text no longer names and that does not answer will not come back under its
  * address. */
 static bool
-is_void (const MfCore *core, const Debt *debt)
+is_obsolete (const MfCore *core, const PendingCancel *cancel)
 {
-  const MfUpstream *row = &core->board.upstreams[debt->upstream];
+  const MfUpstream *row = &core->board.upstreams[cancel->upstream];
 
   return !row->in_config && row->health == MF_HEALTH_DEAD;
 }
 
 static void
-debt_tick (MfCore *core)
+cancel_tick (MfCore *core)
 {
-  MfDebts *debts = core->board.debts;
+  MfCancels *cancels = core->board.cancels;
   MfHeapNode *node;
 
-  while ((node = mf_heap_first (&debts->timers)) != NULL && node->at_us <= core->board.now_us)
+  while ((node = mf_heap_first (&cancels->timers)) != NULL && node->at_us <= core->board.now_us)
     {
-      if (is_void (core, (Debt *)node))
-        remove_debt (debts, (Debt *)node);
+      if (is_obsolete (core, (PendingCancel *)node))
+        cancel_remove (cancels, (PendingCancel *)node);
       else
-        ask (core, (Debt *)node);
+        cancel_send (core, (PendingCancel *)node);
     }
   if (node != NULL)
     mf_core_wake_at (core, node->at_us);
 }
 
 static bool
-debt_init (MfCore *core, MfError *error)
+cancel_init (MfCore *core, MfError *error)
 {
-  core->board.debts = calloc (1, sizeof *core->board.debts);
-  if (core->board.debts == NULL)
+  core->board.cancels = calloc (1, sizeof *core->board.cancels);
+  if (core->board.cancels == NULL)
     mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the debts");
-  return core->board.debts != NULL;
+  return core->board.cancels != NULL;
 }
 
 static void
-debt_finish (MfCore *core)
+cancel_finish (MfCore *core)
 {
-  MfDebts *debts = core->board.debts;
+  MfCancels *cancels = core->board.cancels;
 
-  if (debts == NULL)
+  if (cancels == NULL)
     return;
-  while (debts->first != NULL)
-    remove_debt (debts, debts->first);
-  mf_heap_clear (&debts->timers);
-  free (debts);
+  while (cancels->first != NULL)
+    cancel_remove (cancels, cancels->first);
+  mf_heap_clear (&cancels->timers);
+  free (cancels);
 }
 
-const MfController mf_debt_controller = {
+const MfController mf_cancel_controller = {
   .name = "debt",
-  .init = debt_init,
-  .finish = debt_finish,
-  .handle = debt_handle,
-  .tick = debt_tick,
+  .init = cancel_init,
+  .finish = cancel_finish,
+  .handle = cancel_handle,
+  .tick = cancel_tick,
 };
--- a/libmangofork/digest.c
+++ b/libmangofork/digest.c
@@ -67,9 +67,9 @@
 {
   MfMemberRow *row = core->board.members->neighbours[neighbour];
 
-  message->digest.n_news = 0;
-  message->digest.guardian = row->guards_us;
-  mf_news_fill (core, neighbour, &message->digest, n_news_max);
+  message->digest.n_gossip = 0;
+  message->digest.guardian = row->is_guardian;
+  mf_gossip_fill_digest (core, neighbour, &message->digest, n_news_max);
   mf_member_send_row (core, row, message);
 }
 
--- a/libmangofork/drain.c
+++ b/libmangofork/drain.c
@@ -48,7 +48,7 @@
 {
   MfDrain *drain = core->board.drain;
   MfAction action = { .type = MF_ACTION_EXIT };
-  bool idle = mf_request_count (core) == 0 && mf_debt_count (core) == 0;
+  bool idle = mf_request_count (core) == 0 && mf_cancel_count (core) == 0;
   uint64_t limit_us = drain->began_us + core->board.options.drain_limit_us;
 
   if (!idle && core->board.now_us < limit_us)
--- a/libmangofork/event.h
+++ b/libmangofork/event.h
@@ -117,7 +117,7 @@
 typedef struct
 {
   uint64_t index;
-  const MfListed *listed;
+  const MfListedInstance *listed;
   uint32_t n_listed;
 } MfListEvent;
 
--- a/libmangofork/frame_table.c
+++ b/libmangofork/frame_table.c
@@ -30,12 +30,12 @@
 TABLE (owner, MfOwner);
 
 static const MfFrameField news_fields[] = {
-  FIELD_MAX (0, MfNews, kind, ENUM, MF_NEWS_KIND_COUNT),
-  FIELD (1, MfNews, subject, U64),
-  FIELD (2, MfNews, value, U64),
-  FIELD (3, MfNews, age_ms, U32),
+  FIELD_MAX (0, MfGossip, kind, ENUM, MF_GOSSIP_KIND_COUNT),
+  FIELD (1, MfGossip, subject, U64),
+  FIELD (2, MfGossip, value, U64),
+  FIELD (3, MfGossip, age_ms, U32),
 };
-TABLE (news, MfNews);
+TABLE (news, MfGossip);
 
 static const MfFrameField share_fields[] = {
   FIELD (0, MfShare, upstream, U64),
@@ -52,12 +52,12 @@
 TABLE (record, MfKeyRecord);
 
 static const MfFrameField listed_fields[] = {
-  FIELD_MAX (0, MfListed, name, NAME, MF_NAME_BYTES),
-  FIELD_MAX (1, MfListed, address, NAME, MF_ADDRESS_BYTES),
-  FIELD_MAX (2, MfListed, data_centre, NAME, MF_NAME_BYTES),
-  FIELD (3, MfListed, leaving, BOOL),
+  FIELD_MAX (0, MfListedInstance, name, NAME, MF_NAME_BYTES),
+  FIELD_MAX (1, MfListedInstance, address, NAME, MF_ADDRESS_BYTES),
+  FIELD_MAX (2, MfListedInstance, data_centre, NAME, MF_NAME_BYTES),
+  FIELD (3, MfListedInstance, leaving, BOOL),
 };
-TABLE (listed, MfListed);
+TABLE (listed, MfListedInstance);
 
 static const MfFrameField digest_fields[] = {
   FIELD (0, MfDigestMessage, sequence, U64),
@@ -65,7 +65,8 @@
   FIELD (2, MfDigestMessage, list_index, U64),
   FIELD (3, MfDigestMessage, leaving, BOOL),
   FIELD (4, MfDigestMessage, admitted, BOOL),
-  FIELD_COUNTED (5, MfDigestMessage, news, n_news, ARRAY, MF_NEWS_PER_DIGEST_MAX, &news_table),
+  FIELD_COUNTED (5, MfDigestMessage, gossip, n_gossip, ARRAY, MF_GOSSIP_PER_DIGEST_MAX,
+                 &news_table),
   FIELD_COUNTED (6, MfDigestMessage, shares, n_shares, ARRAY, MF_SHARES_PER_DIGEST_MAX,
                  &share_table),
   FIELD_COUNTED (7, MfDigestMessage, burn, burn_bytes, BYTES, 0, NULL),
@@ -82,13 +83,13 @@
   FIELD (2, MfConfigMessage, base_revision, U64),
   FIELD (3, MfConfigMessage, prefix_bytes, U32),
   FIELD (4, MfConfigMessage, suffix_bytes, U32),
-  FIELD (5, MfConfigMessage, whole_hash, U64),
+  FIELD (5, MfConfigMessage, full_text_hash, U64),
 };
 TABLE (config, MfConfigMessage);
 
 static const MfFrameField claim_fields[] = {
   FIELD (0, MfClaimMessage, claim_id, U64),    FIELD (1, MfClaimMessage, key, DIGEST),
-  FIELD (2, MfClaimMessage, body_digest, U64), FIELD (3, MfClaimMessage, minted_ms, U64),
+  FIELD (2, MfClaimMessage, body_digest, U64), FIELD (3, MfClaimMessage, key_created_ms, U64),
   FIELD (4, MfClaimMessage, epoch, U64),       FIELD_OWNER (5, MfClaimMessage, claimant),
 };
 TABLE (claim, MfClaimMessage);
@@ -134,7 +135,7 @@
   FIELD (3, MfAdmittedMessage, highest_incarnation, U64),
   FIELD_COUNTED (4, MfAdmittedMessage, view, n_view, ARRAY, MF_VOTERS_PER_KEY_MAX, &owner_table),
   FIELD_COUNTED (5, MfAdmittedMessage, records, n_records, LIST, 0, &record_table),
-  FIELD (6, MfAdmittedMessage, cold_ms, U64),
+  FIELD (6, MfAdmittedMessage, cold_start_at_ms, U64),
   FIELD (7, MfAdmittedMessage, opaque_wait_ms, U64),
   FIELD (8, MfAdmittedMessage, part, U32),
   FIELD (9, MfAdmittedMessage, n_parts, U32),
@@ -149,11 +150,16 @@
 
 /* The members of the message's union all start at the same place. */
 static const MfFrameTable *const message_tables[MF_PEER_MESSAGE_COUNT] = {
-  [MF_PEER_DIGEST] = &digest_table,       [MF_PEER_CONFIG_ASK] = &ask_table,
-  [MF_PEER_CONFIG] = &config_table,       [MF_PEER_CLAIM] = &claim_table,
-  [MF_PEER_VOTE] = &vote_table,           [MF_PEER_OUTCOME] = &outcome_table,
-  [MF_PEER_OUTCOME_ASK] = &outcome_table, [MF_PEER_ADMIT] = &admit_table,
-  [MF_PEER_ADMITTED] = &admitted_table,   [MF_PEER_LIST_ASK] = &ask_table,
+  [MF_PEER_DIGEST] = &digest_table,
+  [MF_PEER_CONFIG_REQUEST] = &ask_table,
+  [MF_PEER_CONFIG] = &config_table,
+  [MF_PEER_CLAIM] = &claim_table,
+  [MF_PEER_VOTE] = &vote_table,
+  [MF_PEER_OUTCOME] = &outcome_table,
+  [MF_PEER_OUTCOME_REQUEST] = &outcome_table,
+  [MF_PEER_ADMIT] = &admit_table,
+  [MF_PEER_ADMITTED] = &admitted_table,
+  [MF_PEER_LIST_REQUEST] = &ask_table,
   [MF_PEER_LIST] = &list_table,
 };
 
--- a/libmangofork/guardian.c
+++ b/libmangofork/guardian.c
@@ -14,7 +14,7 @@
  * that no digest had told of. */
 #define RELEASE_ALL_MAX 64
 
-/* An upstream that a guarded instance holds work on. */
+/* An upstream that a is_guarded instance holds work on. */
 struct MfHeldWork
 {
   uint64_t upstream; /* hash of its name */
@@ -25,7 +25,7 @@
 row_can_guard (const MfMemberRow *row)
 {
   return row != NULL && row->member.link_id != 0 && row->member.state == MF_MEMBER_ALIVE
-         && !row->guards_us;
+         && !row->is_guardian;
 }
 
 /* Returns the best neighbour that is no guardian yet; of another data centre when asked for. */
@@ -65,7 +65,7 @@
   for (uint32_t i = 0; i < MF_NEIGHBOURS_MAX; i++)
     {
       if (members->neighbours[i] != NULL)
-        members->neighbours[i]->guards_us = false;
+        members->neighbours[i]->is_guardian = false;
     }
   for (uint32_t i = 0; i < GUARDIANS_MAX; i++)
     {
@@ -75,7 +75,7 @@
         row = best_guardian (core, false);
       if (row == NULL)
         return;
-      row->guards_us = true;
+      row->is_guardian = true;
     }
 }
 
@@ -97,7 +97,7 @@
 
 /* Remembers which upstreams a neighbour holds work on, when it made us its guardian. */
 void
-mf_guardian_take (MfCore *core, MfMemberRow *row, const MfDigestMessage *digest)
+mf_guardian_record_work (MfCore *core, MfMemberRow *row, const MfDigestMessage *digest)
 {
   if (!digest->guardian)
     return;
@@ -125,7 +125,7 @@
       const MfUpstream *upstream = &core->board.upstreams[i];
 
       if (upstream->in_config && upstream->role != MF_ROLE_PLAIN)
-        mf_debt_add_owner (core, i, owner);
+        mf_cancel_add_instance (core, i, owner);
     }
 }
 
@@ -137,19 +137,19 @@
       uint32_t upstream = mf_upstream_find (core, row->held[i].upstream);
 
       if (upstream != MF_NONE && core->board.now_us - row->held[i].reported_us < HELD_WORK_LIFE_US)
-        mf_debt_add_owner (core, upstream, owner);
+        mf_cancel_add_instance (core, upstream, owner);
     }
 }
 
 /* Owes the upstreams the release of what a dead incarnation of a slot held. Releasing the work of
  * an owner that lives after all costs that work once: the owner resumes its streams. */
 void
-mf_guardian_owner_died (MfCore *core, MfMemberRow *row, uint64_t incarnation)
+mf_guardian_instance_died (MfCore *core, MfMemberRow *row, uint64_t incarnation)
 {
   MfOwner owner = row->member.owner;
 
   owner.incarnation = incarnation;
-  if (row->guarded && incarnation != 0)
+  if (row->is_guarded && incarnation != 0)
     {
       if (core->board.n_upstreams <= RELEASE_ALL_MAX)
         release_all (core, &owner);
@@ -160,7 +160,7 @@
 }
 
 void
-mf_guardian_forget (MfMemberRow *row)
+mf_guardian_clear (MfMemberRow *row)
 {
   free (row->held);
   row->held = NULL;
--- a/libmangofork/health.c
+++ b/libmangofork/health.c
@@ -88,7 +88,7 @@
   core->board.health->n_died++;
   watch (row);
   mf_upstream_set_health (core, upstream, MF_HEALTH_DEAD, MF_CODE_UPSTREAM_DIED);
-  mf_news_note (core, MF_NEWS_UPSTREAM_DEAD, row->name_hash, row->load.incarnation);
+  mf_gossip_publish (core, MF_GOSSIP_UPSTREAM_DEAD, row->name_hash, row->load.incarnation);
 }
 
 static void
@@ -138,7 +138,7 @@
   if (row->health == MF_HEALTH_LEAVING)
     return;
   mf_upstream_set_health (core, upstream, MF_HEALTH_LEAVING, MF_CODE_NO_UPSTREAM);
-  mf_news_note (core, MF_NEWS_UPSTREAM_LEAVING, row->name_hash, row->load.incarnation);
+  mf_gossip_publish (core, MF_GOSSIP_UPSTREAM_LEAVING, row->name_hash, row->load.incarnation);
 }
 
 /* A poll of its load report has ended. */
@@ -151,7 +151,7 @@
     {
       row->n_failures_in_row = 0;
       if (row->broke)
-        mf_suspect_upstream_lives (core, upstream);
+        mf_suspect_upstream_alive (core, upstream);
       row->broke = false;
       if (row->health == MF_HEALTH_DEAD || (row->health == MF_HEALTH_EJECTED && row->silent))
         bring_back (core, upstream);
@@ -177,8 +177,8 @@
     {
       row->died = true;
       core->board.health->n_died++;
-      mf_news_note (core, MF_NEWS_UPSTREAM_DEAD, row->name_hash, row->load.incarnation);
-      mf_debt_upstream_restarted (core, upstream);
+      mf_gossip_publish (core, MF_GOSSIP_UPSTREAM_DEAD, row->name_hash, row->load.incarnation);
+      mf_cancel_upstream_restarted (core, upstream);
       if (row->health == MF_HEALTH_LEAVING && !load->leaving)
         bring_back (core, upstream);
     }
--- a/libmangofork/life.c
+++ b/libmangofork/life.c
@@ -169,12 +169,12 @@
     }
   /* What a resume would have continued is held by the engine even if the resume never left. */
   if (call->kind == MF_CALL_RESUME || (!clean && call->kind != MF_CALL_PLAIN))
-    mf_debt_add (step->core, upstream, request->id, call->id, call->attempt);
+    mf_cancel_add (step->core, upstream, request->id, call->id, call->attempt);
   request->last_upstream = upstream;
   mf_call_end (step->core, call);
   mf_health_note_call (step->core, upstream, step->event);
   if (broke)
-    mf_suspect_broken (step->core, request, upstream);
+    mf_suspect_call_failed (step->core, request, upstream);
   return clean;
 }
 
@@ -188,7 +188,7 @@
 static void
 claiming_departed (const Step *step)
 {
-  mf_claim_drop (step->core, step->request->id);
+  mf_claim_cancel (step->core, step->request->id);
   departed (step);
 }
 
@@ -257,7 +257,7 @@
 {
   if (now_us (step) < step->request->deadline_us)
     return;
-  mf_claim_drop (step->core, step->request->id);
+  mf_claim_cancel (step->core, step->request->id);
   count_earlier_run (step->request, MF_OUTCOME_UNKNOWN);
   mf_finish_refused (step->core, step->request, MF_CODE_KEY_NO_QUORUM, 1000);
 }
@@ -445,7 +445,7 @@
       request->last_upstream = upstream;
       mf_call_end (core, step->call);
       mf_health_note_call (core, upstream, step->event);
-      mf_suspect_broken (core, request, upstream);
+      mf_suspect_call_failed (core, request, upstream);
       mf_request_set_phase (request, MF_PHASE_RESUMING);
       mf_call_start (core, request, MF_CALL_RESUME, upstream);
       mf_request_check_at (core, request, now_us (step) + RESUME_WAIT_US);
--- a/libmangofork/member.c
+++ b/libmangofork/member.c
@@ -52,7 +52,7 @@
 }
 
 MfMemberRow *
-mf_member_row_need (MfCore *core, const char *name)
+mf_member_row_find_or_add (MfCore *core, const char *name)
 {
   MfMembers *members = core->board.members;
   uint64_t name_hash = mf_hash_name (name);
@@ -66,9 +66,9 @@
   mf_name_set (row->member.owner.name, sizeof row->member.owner.name, name);
   row->name_hash = name_hash;
   row->neighbour = MF_NONE;
-  row->unlisted_us = core->board.now_us;
+  row->unlisted_since_us = core->board.now_us;
   HASH_ADD (hh, members->rows, name_hash, sizeof row->name_hash, row);
-  members->choose = true;
+  members->choose_pending = true;
   return row;
 }
 
@@ -77,7 +77,7 @@
 {
   mf_member_drop_neighbour (core, row);
   mf_member_clear_pending (row);
-  mf_guardian_forget (row);
+  mf_guardian_clear (row);
   HASH_DEL (core->board.members->rows, row);
   free (row);
 }
@@ -184,13 +184,13 @@
   if (state == old)
     return;
   row->member.state = state;
-  row->state_us = evidence_us;
-  row->suspected_us = state == MF_MEMBER_SUSPECT ? core->board.now_us : 0;
+  row->evidence_us = evidence_us;
+  row->suspected_since_us = state == MF_MEMBER_SUSPECT ? core->board.now_us : 0;
   if (state == MF_MEMBER_DEAD || old == MF_MEMBER_DEAD || state == MF_MEMBER_LEAVING)
-    core->board.members->choose = true;
+    core->board.members->choose_pending = true;
   mf_core_log (core, "peer", row->member.owner.name, state_names[old], state_names[state], reason);
   if (state == MF_MEMBER_DEAD)
-    mf_guardian_owner_died (core, row, row->member.owner.incarnation);
+    mf_guardian_instance_died (core, row, row->member.owner.incarnation);
 }
 
 /* An incarnation above the one known has taken the slot: the known one is dead, whatever was
@@ -202,21 +202,21 @@
 
   if (old != 0)
     {
-      mf_guardian_owner_died (core, row, old);
-      mf_news_note (core, MF_NEWS_INSTANCE_DEAD, row->name_hash, old);
-      mf_member_close (core, row);
+      mf_guardian_instance_died (core, row, old);
+      mf_gossip_publish (core, MF_GOSSIP_INSTANCE_DEAD, row->name_hash, old);
+      mf_member_close_links (core, row);
     }
   row->member.owner.incarnation = incarnation;
   row->member.admitted = false;
-  row->guarded = false;
-  row->guards_us = false;
+  row->is_guarded = false;
+  row->is_guardian = false;
   row->config_revision = 0;
   row->list_index = 0;
-  row->n_refuted = 0;
+  row->n_refutations = 0;
 }
 
 bool
-mf_member_hear (MfCore *core, MfMemberRow *row, uint64_t incarnation)
+mf_member_note_alive (MfCore *core, MfMemberRow *row, uint64_t incarnation)
 {
   bool was_known_dead = row->member.state == MF_MEMBER_DEAD;
 
@@ -227,19 +227,19 @@
       was_known_dead |= row->member.owner.incarnation != 0;
       incarnation_raise (core, row, incarnation);
     }
-  row->member.heard_us = core->board.now_us;
-  row->n_refuted = 0;
+  row->member.last_seen_us = core->board.now_us;
+  row->n_refutations = 0;
   if (row->member.state == MF_MEMBER_DEAD || row->member.state == MF_MEMBER_SUSPECT)
     mf_member_set_state (core, row, MF_MEMBER_ALIVE, core->board.now_us, "heard");
   if (was_known_dead)
-    mf_news_note (core, MF_NEWS_INSTANCE_ALIVE, row->name_hash, incarnation);
+    mf_gossip_publish (core, MF_GOSSIP_INSTANCE_ALIVE, row->name_hash, incarnation);
   return true;
 }
 
 static uint64_t
 scaled_periods_us (const MfCore *core, const MfMemberRow *row, uint32_t n_periods)
 {
-  uint64_t multiplier = (uint64_t)(1 + core->board.members->self_doubt) << row->n_refuted;
+  uint64_t multiplier = (uint64_t)(1 + core->board.members->health_penalty) << row->n_refutations;
 
   if (multiplier > TIMEOUT_MULTIPLIER_MAX)
     multiplier = TIMEOUT_MULTIPLIER_MAX;
@@ -248,54 +248,56 @@
 
 /* News about this very process: when it is thought dead, it says that it lives. */
 static void
-refute_own_death (MfCore *core, const MfNews *news)
+refute_own_death (MfCore *core, const MfGossip *gossip)
 {
-  if (news->kind != MF_NEWS_INSTANCE_ALIVE && news->value == core->board.options.self.incarnation)
-    mf_news_note (core, MF_NEWS_INSTANCE_ALIVE, news->subject, news->value);
+  if (gossip->kind != MF_GOSSIP_INSTANCE_ALIVE
+      && gossip->value == core->board.options.self.incarnation)
+    mf_gossip_publish (core, MF_GOSSIP_INSTANCE_ALIVE, gossip->subject, gossip->value);
 }
 
 static void
-apply_death (MfCore *core, MfMemberRow *row, const MfNews *news, uint64_t origin_us)
+apply_death (MfCore *core, MfMemberRow *row, const MfGossip *gossip, uint64_t origin_us)
 {
-  if (news->value < row->member.owner.incarnation)
+  if (gossip->value < row->member.owner.incarnation)
     return;
   if (row->neighbour != MF_NONE && row->member.link_id != 0
-      && row->member.heard_us + scaled_periods_us (core, row, SUSPECT_PERIODS) > core->board.now_us
-      && row->member.owner.incarnation == news->value)
+      && row->member.last_seen_us + scaled_periods_us (core, row, SUSPECT_PERIODS)
+             > core->board.now_us
+      && row->member.owner.incarnation == gossip->value)
     {
-      mf_news_note (core, MF_NEWS_INSTANCE_ALIVE, news->subject, news->value);
+      mf_gossip_publish (core, MF_GOSSIP_INSTANCE_ALIVE, gossip->subject, gossip->value);
       return;
     }
-  if (news->kind == MF_NEWS_INSTANCE_SUSPECT || origin_us < row->state_us)
+  if (gossip->kind == MF_GOSSIP_INSTANCE_SUSPECT || origin_us < row->evidence_us)
     return;
-  row->member.owner.incarnation = news->value;
+  row->member.owner.incarnation = gossip->value;
   mf_member_set_state (core, row, MF_MEMBER_DEAD, origin_us, "told");
 }
 
 void
-mf_member_take_news (MfCore *core, const MfNews *news, uint64_t origin_us)
+mf_member_apply_gossip (MfCore *core, const MfGossip *gossip, uint64_t origin_us)
 {
-  MfMemberRow *row = mf_member_row_by_hash (core, news->subject);
+  MfMemberRow *row = mf_member_row_by_hash (core, gossip->subject);
 
-  if (news->subject == core->board.members->self_hash)
+  if (gossip->subject == core->board.members->self_hash)
     {
-      refute_own_death (core, news);
+      refute_own_death (core, gossip);
       return;
     }
   if (row == NULL)
     return;
-  if (news->kind != MF_NEWS_INSTANCE_ALIVE)
+  if (gossip->kind != MF_GOSSIP_INSTANCE_ALIVE)
     {
-      apply_death (core, row, news, origin_us);
+      apply_death (core, row, gossip, origin_us);
       return;
     }
-  if (news->value > row->member.owner.incarnation)
-    incarnation_raise (core, row, news->value);
-  else if (news->value < row->member.owner.incarnation || origin_us < row->state_us)
+  if (gossip->value > row->member.owner.incarnation)
+    incarnation_raise (core, row, gossip->value);
+  else if (gossip->value < row->member.owner.incarnation || origin_us < row->evidence_us)
     return;
-  if (row->member.state == MF_MEMBER_SUSPECT && row->n_refuted < REFUTATIONS_MAX)
-    row->n_refuted++;
-  row->member.heard_us = core->board.now_us;
+  if (row->member.state == MF_MEMBER_SUSPECT && row->n_refutations < REFUTATIONS_MAX)
+    row->n_refutations++;
+  row->member.last_seen_us = core->board.now_us;
   if (row->member.state == MF_MEMBER_DEAD || row->member.state == MF_MEMBER_SUSPECT)
     mf_member_set_state (core, row, MF_MEMBER_ALIVE, origin_us, "told");
 }
@@ -307,28 +309,28 @@
   MfMembers *members = core->board.members;
   uint64_t now_us = core->board.now_us;
   uint64_t limit_us = PAUSE_PERIODS * core->board.options.digest_period_us;
-  uint64_t gap_us = now_us - members->last_turn_us;
+  uint64_t gap_us = now_us - members->last_event_us;
 
-  members->last_turn_us = now_us;
-  if (members->self_doubt > 0 && now_us >= members->doubt_us)
+  members->last_event_us = now_us;
+  if (members->health_penalty > 0 && now_us >= members->penalty_decay_us)
     {
-      members->self_doubt--;
-      members->doubt_us = now_us + PENALTY_DECAY_US;
+      members->health_penalty--;
+      members->penalty_decay_us = now_us + PENALTY_DECAY_US;
     }
   if (gap_us <= (limit_us > PAUSE_MIN_US ? limit_us : PAUSE_MIN_US))
     return;
   mf_counter_add (&core->board.counters, MF_COUNTER_PAUSES, 1);
   members->paused_us = now_us;
-  members->doubt_us = now_us + PENALTY_DECAY_US;
-  if (members->self_doubt < HEALTH_PENALTY_MAX)
-    members->self_doubt++;
+  members->penalty_decay_us = now_us + PENALTY_DECAY_US;
+  if (members->health_penalty < HEALTH_PENALTY_MAX)
+    members->health_penalty++;
   for (uint32_t i = 0; i < MF_NEIGHBOURS_MAX; i++)
     {
       MfMemberRow *row = members->neighbours[i];
 
       if (row == NULL)
         continue;
-      row->member.heard_us = now_us;
+      row->member.last_seen_us = now_us;
       if (row->member.state == MF_MEMBER_SUSPECT)
         mf_member_set_state (core, row, MF_MEMBER_ALIVE, now_us, "paused");
     }
@@ -336,14 +338,14 @@
 
 /* Takes in one row of the published list. */
 static void
-apply_listed (MfCore *core, const MfListed *listed)
+apply_listed (MfCore *core, const MfListedInstance *listed)
 {
-  MfMemberRow *row = mf_member_row_need (core, listed->name);
+  MfMemberRow *row = mf_member_row_find_or_add (core, listed->name);
 
   if (row == NULL)
     return;
   row->member.listed = true;
-  row->unlisted_us = 0;
+  row->unlisted_since_us = 0;
   if (strcmp (row->member.address, listed->address) != 0)
     row->open_us = 0;
   mf_name_set (row->member.address, sizeof row->member.address, listed->address);
@@ -355,7 +357,8 @@
 }
 
 void
-mf_member_apply_list (MfCore *core, uint64_t index, const MfListed *listed, uint32_t n_listed)
+mf_member_apply_list (MfCore *core, uint64_t index, const MfListedInstance *listed,
+                      uint32_t n_listed)
 {
   MfMembers *members = core->board.members;
 
@@ -365,32 +368,32 @@
   for (MfMemberRow *row = members->rows; row != NULL; row = row->hh.next)
     {
       if (row->member.listed)
-        row->unlisted_us = core->board.now_us;
+        row->unlisted_since_us = core->board.now_us;
       row->member.listed = false;
     }
   for (uint32_t i = 0; i < n_listed; i++)
     apply_listed (core, &listed[i]);
-  members->choose = true;
+  members->choose_pending = true;
 }
 
 static void
 handle_peer_up (MfCore *core, const MfPeerEvent *peer)
 {
-  MfMemberRow *row = mf_member_row_need (core, peer->peer.name);
+  MfMemberRow *row = mf_member_row_find_or_add (core, peer->peer.name);
   MfAction close = { .type = MF_ACTION_PEER_CLOSE, .peer = { .link_id = peer->link_id } };
 
-  if (row == NULL || !mf_member_hear (core, row, peer->peer.incarnation))
+  if (row == NULL || !mf_member_note_alive (core, row, peer->peer.incarnation))
     {
       mf_core_emit (core, &close);
       return;
     }
-  core->board.members->choose = true;
+  core->board.members->choose_pending = true;
   mf_member_link_up (core, row, peer);
   if (core->board.members->announced)
     return;
   core->board.members->announced = true;
-  mf_news_note (core, MF_NEWS_INSTANCE_ALIVE, core->board.members->self_hash,
-                core->board.options.self.incarnation);
+  mf_gossip_publish (core, MF_GOSSIP_INSTANCE_ALIVE, core->board.members->self_hash,
+                     core->board.options.self.incarnation);
 }
 
 static void
@@ -400,11 +403,11 @@
   row->config_revision = digest->config_revision;
   row->list_index = digest->list_index;
   row->member.admitted = digest->admitted;
-  row->guarded = digest->guardian;
+  row->is_guarded = digest->guardian;
   mf_member_add_neighbour (core, row);
   if (digest->leaving && row->member.state == MF_MEMBER_ALIVE)
     mf_member_set_state (core, row, MF_MEMBER_LEAVING, core->board.now_us, "told");
-  mf_guardian_take (core, row, digest);
+  mf_guardian_record_work (core, row, digest);
 }
 
 static void
@@ -417,8 +420,8 @@
   mf_member_link_down (core, row, peer->link_id);
   if (peer->link_id == 0 && row->neighbour != MF_NONE && row->member.link_id == 0
       && row->n_open_failures > 1 && row->member.state == MF_MEMBER_ALIVE)
-    row->member.heard_us = 0;
-  core->board.members->watch_us = 0;
+    row->member.last_seen_us = 0;
+  core->board.members->next_watch_us = 0;
 }
 
 static void
@@ -440,9 +443,9 @@
       break;
     case MF_EVENT_PEER_MESSAGE:
       row = mf_member_row (core, event->peer.peer.name);
-      if (row == NULL || !mf_member_hear (core, row, event->peer.peer.incarnation))
+      if (row == NULL || !mf_member_note_alive (core, row, event->peer.peer.incarnation))
         break;
-      row->used_us = core->board.now_us;
+      row->last_used_us = core->board.now_us;
       if (event->peer.message->type == MF_PEER_DIGEST)
         apply_digest (core, row, &event->peer.message->digest);
       break;
@@ -463,25 +466,27 @@
       mf_member_drop_neighbour (core, row);
       return;
     }
-  if (!row->wanted && row->digest_us + UNCHOSEN_LIFE_US < now_us && state != MF_MEMBER_SUSPECT)
+  if (!row->chosen && row->digest_us + UNCHOSEN_LIFE_US < now_us && state != MF_MEMBER_SUSPECT)
     {
       mf_member_drop_neighbour (core, row);
       return;
     }
-  if (row->member.link_id == 0 && row->wanted)
-    mf_member_open (core, row);
+  if (row->member.link_id == 0 && row->chosen)
+    mf_member_open_link (core, row);
   if (state != MF_MEMBER_SUSPECT
-      && now_us - row->member.heard_us >= scaled_periods_us (core, row, SUSPECT_PERIODS))
+      && now_us - row->member.last_seen_us >= scaled_periods_us (core, row, SUSPECT_PERIODS))
     {
       mf_member_set_state (core, row, MF_MEMBER_SUSPECT, now_us, "silent");
-      mf_news_note (core, MF_NEWS_INSTANCE_SUSPECT, row->name_hash, row->member.owner.incarnation);
+      mf_gossip_publish (core, MF_GOSSIP_INSTANCE_SUSPECT, row->name_hash,
+                         row->member.owner.incarnation);
     }
   else if (state == MF_MEMBER_SUSPECT
-           && now_us - row->suspected_us >= scaled_periods_us (core, row, CONFIRM_PERIODS))
+           && now_us - row->suspected_since_us >= scaled_periods_us (core, row, CONFIRM_PERIODS))
     {
-      mf_member_close (core, row);
+      mf_member_close_links (core, row);
       mf_member_set_state (core, row, MF_MEMBER_DEAD, now_us, "silent");
-      mf_news_note (core, MF_NEWS_INSTANCE_DEAD, row->name_hash, row->member.owner.incarnation);
+      mf_gossip_publish (core, MF_GOSSIP_INSTANCE_DEAD, row->name_hash,
+                         row->member.owner.incarnation);
       mf_member_drop_neighbour (core, row);
     }
 }
@@ -498,21 +503,21 @@
 
   HASH_ITER (hh, members->rows, row, next)
   {
-    if (row->unlisted_us != 0 && row->member.link_id == 0 && row->neighbour == MF_NONE
-        && now_us - row->unlisted_us > UNLISTED_LIFE_US)
+    if (row->unlisted_since_us != 0 && row->member.link_id == 0 && row->neighbour == MF_NONE
+        && now_us - row->unlisted_since_us > UNLISTED_LIFE_US)
       {
         row_free (core, row);
         continue;
       }
     if (row->neighbour == MF_NONE && row->member.link_id != 0
-        && row->used_us + LINK_IDLE_US < now_us)
-      mf_member_close (core, row);
+        && row->last_used_us + LINK_IDLE_US < now_us)
+      mf_member_close_links (core, row);
     if (row->member.state == MF_MEMBER_DEAD && row->member.listed
         && mf_core_random_below (core, ++n_dead) == 0)
       dead = row;
   }
   if (dead != NULL)
-    mf_member_open (core, dead);
+    mf_member_open_link (core, dead);
 }
 
 static void
@@ -521,26 +526,26 @@
   MfMembers *members = core->board.members;
   uint64_t now_us = core->board.now_us;
 
-  if (members->choose)
-    mf_member_choose (core);
-  if (now_us >= members->watch_us)
+  if (members->choose_pending)
+    mf_member_choose_neighbours (core);
+  if (now_us >= members->next_watch_us)
     {
       for (uint32_t i = 0; i < MF_NEIGHBOURS_MAX; i++)
         {
           if (members->neighbours[i] != NULL)
             check_neighbour (core, members->neighbours[i]);
         }
-      members->watch_us = now_us + core->board.options.digest_period_us / 2;
+      members->next_watch_us = now_us + core->board.options.digest_period_us / 2;
     }
-  if (now_us >= members->sweep_us)
+  if (now_us >= members->next_sweep_us)
     {
       sweep (core);
-      members->sweep_us
+      members->next_sweep_us
           = now_us + SWEEP_PERIOD_US / 2 + mf_core_random_below (core, SWEEP_PERIOD_US);
     }
-  mf_core_wake_at (core, members->watch_us);
+  mf_core_wake_at (core, members->next_watch_us);
   if (members->rows != NULL)
-    mf_core_wake_at (core, members->sweep_us);
+    mf_core_wake_at (core, members->next_sweep_us);
 }
 
 static bool
@@ -554,7 +559,7 @@
       return false;
     }
   members->self_hash = mf_hash_name (core->board.options.self.name);
-  members->last_turn_us = core->board.now_us;
+  members->last_event_us = core->board.now_us;
   core->board.members = members;
   return true;
 }
@@ -570,7 +575,7 @@
   while ((row = members->rows) != NULL)
     {
       mf_member_clear_pending (row);
-      mf_guardian_forget (row);
+      mf_guardian_clear (row);
       HASH_DEL (members->rows, row);
       free (row);
     }
--- a/libmangofork/member.h
+++ b/libmangofork/member.h
@@ -19,7 +19,7 @@
   char data_centre[MF_NAME_BYTES];
   MfMemberState state;
   uint32_t link_id; /* 0 when there is no link */
-  uint64_t heard_us;
+  uint64_t last_seen_us;
   bool listed;
   bool admitted; /* as a voter, as far as known */
 } MfMember;
@@ -35,7 +35,8 @@
 /* Sends to every neighbour that is linked. */
 void mf_member_send_all (MfCore *core, const MfPeerMessage *message);
 /* Takes in the published list, from the platform or from a peer; an older one is ignored. */
-void mf_member_apply_list (MfCore *core, uint64_t index, const MfListed *listed, uint32_t n_listed);
+void mf_member_apply_list (MfCore *core, uint64_t index, const MfListedInstance *listed,
+                           uint32_t n_listed);
 /* Whether a member counts when one of the live ones is made responsible for something. */
 bool mf_member_is_live (const MfMember *member);
 /* How many live members, of one data centre or of all when it is NULL, go before this instance for
--- a/libmangofork/member_link.c
+++ b/libmangofork/member_link.c
@@ -55,14 +55,14 @@
     }
   qsort (candidates, n_candidates, sizeof *candidates, candidate_compare);
   for (uint32_t i = 0; i + 1 < n_wanted; i++)
-    candidates[i].row->wanted = true;
+    candidates[i].row->chosen = true;
   if (next != NULL)
-    next->wanted = true;
+    next->chosen = true;
 }
 
 /* Chooses the peers that this instance keeps links to: all when they are few. */
 void
-mf_member_choose (MfCore *core)
+mf_member_choose_neighbours (MfCore *core)
 {
   MfMembers *members = core->board.members;
   uint32_t n_rows = HASH_COUNT (members->rows), n_candidates = 0;
@@ -73,26 +73,26 @@
     return;
   for (MfMemberRow *row = members->rows; row != NULL; row = row->hh.next)
     {
-      row->wanted = false;
+      row->chosen = false;
       if (row_is_candidate (row))
         candidates[n_candidates++].row = row;
     }
   if (n_candidates <= links_max)
     {
       for (uint32_t i = 0; i < n_candidates; i++)
-        candidates[i].row->wanted = true;
+        candidates[i].row->chosen = true;
     }
   else
     choose_subset (members, candidates, n_candidates, (links_max + 1) / 2);
   for (uint32_t i = 0; i < n_candidates; i++)
     {
-      if (!candidates[i].row->wanted)
+      if (!candidates[i].row->chosen)
         continue;
       mf_member_add_neighbour (core, candidates[i].row);
-      mf_member_open (core, candidates[i].row);
+      mf_member_open_link (core, candidates[i].row);
     }
   free (candidates);
-  members->choose = false;
+  members->choose_pending = false;
 }
 
 /* Begins to exchange digests with a peer and to watch its heartbeats. */
@@ -110,9 +110,9 @@
       members->neighbours[i] = row;
       members->n_neighbours++;
       row->neighbour = i;
-      row->member.heard_us = core->board.now_us;
+      row->member.last_seen_us = core->board.now_us;
       if (row->member.link_id != 0)
-        mf_news_offer_all (core, i);
+        mf_gossip_queue_all (core, i);
       return;
     }
 }
@@ -124,16 +124,16 @@
 
   if (row->neighbour == MF_NONE)
     return;
-  mf_news_withdraw (core, row->neighbour);
+  mf_gossip_unqueue_all (core, row->neighbour);
   members->neighbours[row->neighbour] = NULL;
   members->n_neighbours--;
   row->neighbour = MF_NONE;
-  row->guards_us = false;
+  row->is_guardian = false;
 }
 
 /* Opens a link unless there is one, one is being opened, or the last try was too short ago. */
 void
-mf_member_open (MfCore *core, MfMemberRow *row)
+mf_member_open_link (MfCore *core, MfMemberRow *row)
 {
   uint64_t now_us = core->board.now_us;
   MfAction action = {
@@ -168,7 +168,7 @@
 
 /* Closes every link to a peer. */
 void
-mf_member_close (MfCore *core, MfMemberRow *row)
+mf_member_close_links (MfCore *core, MfMemberRow *row)
 {
   for (uint32_t i = 0; i < MF_MEMBER_LINKS_MAX; i++)
     {
@@ -186,7 +186,7 @@
     .peer = { .link_id = row->member.link_id, .message = message },
   };
 
-  row->used_us = core->board.now_us;
+  row->last_used_us = core->board.now_us;
   mf_core_emit (core, &action);
 }
 
@@ -263,8 +263,8 @@
     }
   if (row->member.address[0] == '\0' || !pending_add (core, row, message))
     return false;
-  row->used_us = core->board.now_us;
-  mf_member_open (core, row);
+  row->last_used_us = core->board.now_us;
+  mf_member_open_link (core, row);
   return true;
 }
 
@@ -282,11 +282,11 @@
   row->opening = false;
   row->open_us = 0;
   row->n_open_failures = 0;
-  row->used_us = core->board.now_us;
-  row->guards_us = false;
+  row->last_used_us = core->board.now_us;
+  row->is_guardian = false;
   pending_flush (core, row);
   if (row->neighbour != MF_NONE)
-    mf_news_offer_all (core, row->neighbour);
+    mf_gossip_queue_all (core, row->neighbour);
   mf_digest_hurry (core);
 }
 
--- a/libmangofork/metrics.c
+++ b/libmangofork/metrics.c
@@ -131,7 +131,7 @@
              board->admitted);
   add_gauge (out, "mangofork_in_flight", "requests held", mf_request_count (core));
   add_gauge (out, "mangofork_queued", "requests that wait for room", mf_queue_length (core));
-  add_gauge (out, "mangofork_debts", "cancels owed to engines", mf_debt_count (core));
+  add_gauge (out, "mangofork_debts", "cancels owed to engines", mf_cancel_count (core));
   add_gauge (out, "mangofork_suspected_requests", "requests suspected or convicted of killing",
              mf_suspect_count (core));
   add_gauge (out, "mangofork_config_revision", "revision of the text in force",
--- a/libmangofork/order.c
+++ b/libmangofork/order.c
@@ -363,7 +363,7 @@
       = (OrderCall){ .call_id = action.call.call_id, .upstream = upstream };
   mf_counter_add (&core->board.counters, MF_COUNTER_ORDERS, 1);
   mf_core_log (core, "order", state->config.name, "", value, "differs from the text");
-  mf_news_note (core, MF_NEWS_FENCE, state->name_hash, state->fence_last);
+  mf_gossip_publish (core, MF_GOSSIP_FENCE, state->name_hash, state->fence_last);
   mf_core_emit (core, &action);
 }
 
--- a/libmangofork/peer.h
+++ b/libmangofork/peer.h
@@ -4,7 +4,7 @@
 #include "types.h"
 
 /* Items of news in one digest, and bytes of one frame. */
-#define MF_NEWS_PER_DIGEST_MAX 64
+#define MF_GOSSIP_PER_DIGEST_MAX 64
 #define MF_FRAME_BYTES_MAX (2 * 1024 * 1024)
 #define MF_VOTERS_PER_KEY_MAX 7
 /* A recorded answer longer than this is not handed between instances. */
@@ -13,16 +13,16 @@
 /* The messages between instances. */
 typedef enum
 {
-  MF_PEER_DIGEST,     /* periodic: heartbeat, news, load, revision */
-  MF_PEER_CONFIG_ASK, /* asks for the text when its revision is above the asker's */
-  MF_PEER_CONFIG,     /* a text and its revision */
-  MF_PEER_CLAIM,      /* asks a vote for running a key once */
+  MF_PEER_DIGEST,         /* periodic: heartbeat, news, load, revision */
+  MF_PEER_CONFIG_REQUEST, /* asks for the text when its revision is above the asker's */
+  MF_PEER_CONFIG,         /* a text and its revision */
+  MF_PEER_CLAIM,          /* asks a vote for running a key once */
   MF_PEER_VOTE,
   MF_PEER_OUTCOME, /* what became of a claimed key */
-  MF_PEER_OUTCOME_ASK,
+  MF_PEER_OUTCOME_REQUEST,
   MF_PEER_ADMIT, /* a fresh incarnation asks to be let into a cell of voters */
   MF_PEER_ADMITTED,
-  MF_PEER_LIST_ASK, /* asks for the list of instances when its index is above the asker's */
+  MF_PEER_LIST_REQUEST, /* asks for the list of instances when its index is above the asker's */
   MF_PEER_LIST,
   MF_PEER_MESSAGE_COUNT,
 } MfPeerMessageType;
@@ -30,24 +30,24 @@
 /* What an item of news is about. */
 typedef enum
 {
-  MF_NEWS_UPSTREAM_LEAVING, /* subject: hash of the upstream's name; value: its incarnation */
-  MF_NEWS_UPSTREAM_DEAD,    /* value: incarnation that died */
-  MF_NEWS_SUSPECT,          /* subject: digest of a request; value: deaths seen */
-  MF_NEWS_CONVICTED,        /* subject: digest of a request */
-  MF_NEWS_INSTANCE_DEAD,    /* subject: hash of the slot's name; value: dead incarnation */
-  MF_NEWS_FENCE,            /* subject: hash of the upstream's name; value: fencing number */
-  MF_NEWS_INSTANCE_SUSPECT, /* as dead: it was not heard */
-  MF_NEWS_INSTANCE_ALIVE,   /* as dead: it was heard, or says so itself */
-  MF_NEWS_KIND_COUNT,
-} MfNewsKind;
+  MF_GOSSIP_UPSTREAM_LEAVING,    /* subject: hash of the upstream's name; value: its incarnation */
+  MF_GOSSIP_UPSTREAM_DEAD,       /* value: incarnation that died */
+  MF_GOSSIP_REQUEST_SUSPECT,     /* subject: digest of a request; value: deaths seen */
+  MF_GOSSIP_REQUEST_QUARANTINED, /* subject: digest of a request */
+  MF_GOSSIP_INSTANCE_DEAD,       /* subject: hash of the slot's name; value: dead incarnation */
+  MF_GOSSIP_FENCE,               /* subject: hash of the upstream's name; value: fencing number */
+  MF_GOSSIP_INSTANCE_SUSPECT,    /* as dead: it was not heard */
+  MF_GOSSIP_INSTANCE_ALIVE,      /* as dead: it was heard, or says so itself */
+  MF_GOSSIP_KIND_COUNT,
+} MfGossipKind;
 
 typedef struct
 {
-  MfNewsKind kind;
+  MfGossipKind kind;
   uint64_t subject;
   uint64_t value;
   uint32_t age_ms; /* since it was first noted, summed over hops */
-} MfNews;
+} MfGossip;
 
 /* How much of one upstream an instance uses and wants. */
 typedef struct
@@ -66,8 +66,8 @@
   uint64_t list_index;
   bool leaving;
   bool admitted;
-  MfNews news[MF_NEWS_PER_DIGEST_MAX];
-  uint32_t n_news;
+  MfGossip gossip[MF_GOSSIP_PER_DIGEST_MAX];
+  uint32_t n_gossip;
   MfShare shares[MF_SHARES_PER_DIGEST_MAX];
   uint32_t n_shares;
   const uint8_t *burn; /* encoded by mf_burn_pack; may be NULL */
@@ -80,10 +80,10 @@
   uint64_t revision;
   const char *text; /* borrowed; whole, or what changed between prefix and suffix of the base */
   uint32_t text_bytes;
-  uint64_t base_revision; /* 0 when text is whole */
-  uint32_t prefix_bytes;  /* of the base's text, kept before the change */
-  uint32_t suffix_bytes;  /* and after it */
-  uint64_t whole_hash;    /* of the whole text */
+  uint64_t base_revision;  /* 0 when text is whole */
+  uint32_t prefix_bytes;   /* of the base's text, kept before the change */
+  uint32_t suffix_bytes;   /* and after it */
+  uint64_t full_text_hash; /* of the whole text */
 } MfConfigMessage;
 
 /* One instance as the platform publishes it. */
@@ -93,12 +93,12 @@
   char address[MF_ADDRESS_BYTES]; /* of its peer port */
   char data_centre[MF_NAME_BYTES];
   bool leaving;
-} MfListed;
+} MfListedInstance;
 
 typedef struct
 {
   uint64_t index;
-  const MfListed *listed; /* borrowed */
+  const MfListedInstance *listed; /* borrowed */
   uint32_t n_listed;
 } MfListMessage;
 
@@ -116,7 +116,7 @@
   uint64_t claim_id; /* pairs votes with the claim; the claimant's own */
   uint8_t key[MF_DIGEST_BYTES];
   uint64_t body_digest;
-  uint64_t minted_ms;
+  uint64_t key_created_ms;
   uint64_t epoch; /* of the set of voters */
   MfOwner claimant;
 } MfClaimMessage;
@@ -172,8 +172,9 @@
 {
   uint64_t admit_id;
   bool agreed;
-  bool voter_admitted;     /* whether the answering voter is itself admitted */
-  uint64_t cold_ms;        /* wall clock before which the cell forgot its keys; 0 when it has not */
+  bool voter_admitted; /* whether the answering voter is itself admitted */
+  uint64_t
+      cold_start_at_ms;    /* wall clock before which the cell forgot its keys; 0 when it has not */
   uint64_t opaque_wait_ms; /* until opaque keys are voted on again */
   uint64_t highest_incarnation; /* of the applicant's slot; the applicant must be above it */
   MfOwner view[MF_VOTERS_PER_KEY_MAX];
@@ -192,14 +193,14 @@
   MfPeerMessageType type;
   union
   {
-    MfDigestMessage digest; /* every member of the union starts where this one does */
-    uint64_t ask_revision;  /* MF_PEER_CONFIG_ASK: the asker's own revision */
-    uint64_t ask_index;     /* MF_PEER_LIST_ASK: the asker's own index */
+    MfDigestMessage digest;  /* every member of the union starts where this one does */
+    uint64_t known_revision; /* MF_PEER_CONFIG_REQUEST: the asker's own revision */
+    uint64_t known_index;    /* MF_PEER_LIST_REQUEST: the asker's own index */
     MfListMessage list;
     MfConfigMessage config;
     MfClaimMessage claim;
     MfVoteMessage vote;
-    MfOutcomeMessage outcome; /* MF_PEER_OUTCOME and MF_PEER_OUTCOME_ASK */
+    MfOutcomeMessage outcome; /* MF_PEER_OUTCOME and MF_PEER_OUTCOME_REQUEST */
     MfAdmitMessage admit;
     MfAdmittedMessage admitted;
   };
--- a/libmangofork/platform.c
+++ b/libmangofork/platform.c
@@ -380,7 +380,7 @@
 }
 
 static bool
-read_listed (json_object *row, MfListed *listed)
+read_listed (json_object *row, MfListedInstance *listed)
 {
   json_object *service = json_object_object_get (row, "Service");
   json_object *meta = json_object_object_get (service, "Meta");
@@ -404,7 +404,7 @@
 {
   json_object *rows = parse_array (body, body_bytes, error);
   size_t n_rows = rows == NULL ? 0 : json_object_array_length (rows);
-  MfListed *listed = calloc (n_rows + 1, sizeof *listed);
+  MfListedInstance *listed = calloc (n_rows + 1, sizeof *listed);
 
   *memory = listed;
   *list = (MfListEvent){ .index = index, .listed = listed };
--- a/libmangofork/relay/job_suspect.c
+++ b/libmangofork/relay/job_suspect.c
@@ -42,8 +42,10 @@
 bool
 mf_jobs_init_suspects (MfJobs *jobs)
 {
-  jobs->suspects = mf_suspects_new (&(MfSuspectTerms){
-      .break_us = BREAK_US, .two_deaths_us = TWO_DEATHS_US, .three_deaths_us = THREE_DEATHS_US });
+  jobs->suspects
+      = mf_suspects_new (&(MfSuspectLimits){ .crash_window_us = BREAK_US,
+                                             .two_deaths_quarantine_us = TWO_DEATHS_US,
+                                             .three_deaths_quarantine_us = THREE_DEATHS_US });
   return jobs->suspects != NULL;
 }
 
@@ -64,10 +66,10 @@
   MfJobs *jobs = job->jobs;
   uint64_t now_us = mf_clock_now_us ();
 
-  if (!mf_suspects_is_convicted (jobs->suspects, job->digest, now_us))
+  if (!mf_suspects_is_quarantined (jobs->suspects, job->digest, now_us))
     return false;
   jobs->counters.counts[MF_RELAY_COUNT_SUSPECTS_REFUSED]++;
-  job->opens_us = mf_suspects_find (jobs->suspects, job->digest, now_us)->convicted_until_us;
+  job->opens_us = mf_suspects_find (jobs->suspects, job->digest, now_us)->quarantined_until_us;
   if (job->n_runs > 0)
     mf_job_finish (job, MF_CODE_UPSTREAM_DIED, "upstreams have ended under this request");
   else
@@ -94,13 +96,13 @@
 {
   MfSuspectRow row = {
     .digest = suspect->digest,
-    .sentence_ms = age_ms (now_us, suspect->convicted_until_us),
+    .sentence_ms = age_ms (now_us, suspect->quarantined_until_us),
     .n_deaths = suspect->n_deaths,
   };
 
   for (uint32_t i = 0; i < suspect->n_deaths; i++)
     row.deaths[i] = (MfSuspectRowDeath){
-      .process = suspect->deaths[i].process,
+      .process = suspect->deaths[i].process_id,
       .sent_age_ms = age_ms (suspect->deaths[i].sent_us, now_us),
       .age_ms = age_ms (suspect->deaths[i].at_us, now_us),
     };
@@ -126,9 +128,9 @@
   MfSuspect *suspect = mf_suspects_find (jobs->suspects, digest, now_us);
   MfSuspectRow row;
 
-  if (suspect == NULL || suspect->n_told >= suspect->n_deaths)
+  if (suspect == NULL || suspect->n_reported >= suspect->n_deaths)
     return;
-  suspect->n_told = suspect->n_deaths;
+  suspect->n_reported = suspect->n_deaths;
   row = row_make (suspect, now_us);
   row_tell (jobs, &row);
 }
@@ -148,7 +150,7 @@
 
   if (list->news->n_rows == MF_SUSPECT_ROWS_MAX)
     return false;
-  if (suspect->n_told > 0 && list->convicted == (suspect->convicted_until_us > list->now_us))
+  if (suspect->n_reported > 0 && list->convicted == (suspect->quarantined_until_us > list->now_us))
     list->news->rows[list->news->n_rows++] = row_make (suspect, list->now_us);
   return true;
 }
@@ -178,36 +180,36 @@
   mf_lines_state (jobs->lines, "request.convicted",
                   "digest=%016llx upstreams_ended=%u by=%s sentence_ms=%u",
                   (unsigned long long)digest, suspect->n_deaths, by,
-                  age_ms (mf_clock_now_us (), suspect->convicted_until_us));
+                  age_ms (mf_clock_now_us (), suspect->quarantined_until_us));
 }
 
 static void
 row_take (MfJobs *jobs, const MfSuspectRow *row)
 {
   uint64_t now_us = mf_clock_now_us ();
-  bool was_convicted = mf_suspects_is_convicted (jobs->suspects, row->digest, now_us);
+  bool was_convicted = mf_suspects_is_quarantined (jobs->suspects, row->digest, now_us);
   MfSuspect *suspect;
 
   if (row->cleared)
     {
-      mf_suspects_clear (jobs->suspects, row->digest);
+      mf_suspects_remove (jobs->suspects, row->digest);
       return;
     }
   for (uint32_t i = 0; i < row->n_deaths; i++)
     mf_suspects_add_death (jobs->suspects, row->digest,
                            &(MfSuspectDeath){
-                               .process = row->deaths[i].process,
+                               .process_id = row->deaths[i].process,
                                .sent_us = moment_us (row->deaths[i].sent_age_ms, now_us),
                                .at_us = moment_us (row->deaths[i].age_ms, now_us),
                            },
                            false, now_us);
   if (row->sentence_ms > 0)
-    mf_suspects_convict (jobs->suspects, row->digest, now_us + row->sentence_ms * MF_US_PER_MS,
-                         now_us);
+    mf_suspects_quarantine (jobs->suspects, row->digest, now_us + row->sentence_ms * MF_US_PER_MS,
+                            now_us);
   suspect = mf_suspects_find (jobs->suspects, row->digest, now_us);
-  if (suspect != NULL && suspect->n_told < row->n_deaths)
-    suspect->n_told = row->n_deaths;
-  if (!was_convicted && mf_suspects_is_convicted (jobs->suspects, row->digest, now_us))
+  if (suspect != NULL && suspect->n_reported < row->n_deaths)
+    suspect->n_reported = row->n_deaths;
+  if (!was_convicted && mf_suspects_is_quarantined (jobs->suspects, row->digest, now_us))
     note_conviction (jobs, row->digest, "peer");
 }
 
@@ -232,7 +234,7 @@
 }
 
 static void
-on_verdict (void *data, const MfSuspectBreak *broken, MfSuspectVerdict verdict)
+on_verdict (void *data, const MfSuspectFailure *broken, MfSuspectResult verdict)
 {
   MfJobs *jobs = data;
   const MfSuspect *suspect = mf_suspects_find (jobs->suspects, broken->digest, mf_clock_now_us ());
@@ -243,8 +245,8 @@
   mf_lines_add (jobs->lines, "request.suspected",
                 "digest=%016llx upstreams_ended=%u was_suspect=%s break_age_ms=%u",
                 (unsigned long long)broken->digest, suspect->n_deaths,
-                broken->suspect ? "yes" : "no", age_ms (broken->at_us, mf_clock_now_us ()));
-  if (verdict == MF_SUSPECT_CONVICTED)
+                broken->was_suspect ? "yes" : "no", age_ms (broken->failed_us, mf_clock_now_us ()));
+  if (verdict == MF_SUSPECT_QUARANTINED)
     note_conviction (jobs, broken->digest, "self");
   if (suspect->n_deaths >= TOLD_AT_ONCE || !has_try (jobs, broken->digest))
     suspect_tell (jobs, broken->digest);
@@ -257,12 +259,12 @@
   uint64_t process = mf_target_process (target);
   uint64_t now_us = mf_clock_now_us ();
 
-  if (mf_suspects_n_breaks (jobs->suspects) == 0)
+  if (mf_suspects_n_failures (jobs->suspects) == 0)
     return;
   if (mf_target_is_leaving (target))
-    mf_suspects_release_upstream (jobs->suspects, process, UINT64_MAX, on_verdict, jobs);
+    mf_suspects_upstream_alive (jobs->suspects, process, UINT64_MAX, on_verdict, jobs);
   else
-    mf_suspects_end_upstream (jobs->suspects, process, process, now_us, on_verdict, jobs);
+    mf_suspects_upstream_died (jobs->suspects, process, process, now_us, on_verdict, jobs);
 }
 
 static void
@@ -270,7 +272,7 @@
 {
   MfJobs *jobs = data;
 
-  if (mf_suspects_n_breaks (jobs->suspects) > 0)
+  if (mf_suspects_n_failures (jobs->suspects) > 0)
     mf_lines_state (jobs->lines, "upstream.ended", "upstream=%s why=\"%s\" leaving=%s",
                     target->info.id, why, mf_target_is_leaving (target) ? "yes" : "no");
   upstream_ended (jobs, target);
@@ -283,9 +285,9 @@
 {
   MfJobs *jobs = data;
 
-  if (mf_suspects_n_breaks (jobs->suspects) > 0)
-    mf_suspects_end_place (jobs->suspects, mf_load_hash (target->info.address),
-                           mf_target_process (target), mf_clock_now_us (), on_verdict, jobs);
+  if (mf_suspects_n_failures (jobs->suspects) > 0)
+    mf_suspects_address_reused (jobs->suspects, mf_load_hash (target->info.address),
+                                mf_target_process (target), mf_clock_now_us (), on_verdict, jobs);
 }
 
 /* A request that waited for the verdict goes on. */
@@ -337,15 +339,15 @@
 
   if (mf_target_is_leaving (target))
     return;
-  mf_suspects_add_break (jobs->suspects, &(MfSuspectBreak){
-                                             .digest = job->digest,
-                                             .request = job->number,
-                                             .upstream = mf_target_process (target),
-                                             .place = mf_load_hash (target->info.address),
-                                             .suspect = job->was_suspect,
-                                             .sent_us = job->sent_us,
-                                             .at_us = now_us,
-                                         });
+  mf_suspects_add_failure (jobs->suspects, &(MfSuspectFailure){
+                                               .digest = job->digest,
+                                               .request_id = job->number,
+                                               .upstream_id = mf_target_process (target),
+                                               .address_hash = mf_load_hash (target->info.address),
+                                               .was_suspect = job->was_suspect,
+                                               .sent_us = job->sent_us,
+                                               .failed_us = now_us,
+                                           });
   job->n_breaks++;
   if (target->ended_us > 0 && now_us - target->ended_us < SAME_END_US
       && job->sent_us < target->ended_us)
@@ -375,9 +377,9 @@
 {
   MfJobs *jobs = job->jobs;
 
-  if (mf_suspects_n_breaks (jobs->suspects) > 0)
-    mf_suspects_release_upstream (jobs->suspects, mf_target_process (job->target), job->sent_us,
-                                  on_verdict, jobs);
+  if (mf_suspects_n_failures (jobs->suspects) > 0)
+    mf_suspects_upstream_alive (jobs->suspects, mf_target_process (job->target), job->sent_us,
+                                on_verdict, jobs);
 }
 
 /* The request has ended. One that was answered has ended no upstream, whatever it met before;
@@ -396,8 +398,8 @@
       suspect_tell (jobs, job->digest);
       return;
     }
-  was_told = suspect->n_told > 0;
-  mf_suspects_clear (jobs->suspects, job->digest);
+  was_told = suspect->n_reported > 0;
+  mf_suspects_remove (jobs->suspects, job->digest);
   if (was_told)
     row_tell (jobs, &(MfSuspectRow){ .digest = job->digest, .cleared = true });
 }
@@ -407,5 +409,5 @@
 mf_jobs_forget_breaks (MfJobs *jobs, uint64_t now_us)
 {
   if (now_us > BREAK_US)
-    mf_suspects_release_before (jobs->suspects, now_us - BREAK_US, on_verdict, jobs);
+    mf_suspects_expire_failures (jobs->suspects, now_us - BREAK_US, on_verdict, jobs);
 }
--- a/libmangofork/status.c
+++ b/libmangofork/status.c
@@ -211,7 +211,7 @@
   mf_render_bool (object, "linked", member->link_id != 0);
   mf_render_bool (object, "listed", member->listed);
   mf_render_bool (object, "votes", member->admitted);
-  mf_render_age (object, "heard_s", listing->core, member->heard_us);
+  mf_render_age (object, "heard_s", listing->core, member->last_seen_us);
   json_object_array_add (listing->list, object);
   return true;
 }
@@ -221,7 +221,7 @@
 {
   const Listing *listing = data;
   json_object *object = json_object_new_object ();
-  bool convicted = suspect->convicted_until_us > listing->core->board.now_us;
+  bool convicted = suspect->quarantined_until_us > listing->core->board.now_us;
 
   mf_render_hex (object, "digest", suspect->digest);
   mf_render_number (object, "deaths", suspect->n_deaths);
@@ -241,7 +241,7 @@
   mf_render_instance (status, core);
   mf_render_number (status, "in_flight", mf_request_count (core));
   mf_render_number (status, "queued", mf_queue_length (core));
-  mf_render_number (status, "debts", mf_debt_count (core));
+  mf_render_number (status, "debts", mf_cancel_count (core));
   mf_render_number (status, "suspected_requests", mf_suspect_count (core));
   add_config (core, status);
   add_services (core, status);
--- a/libmangofork/suspect.c
+++ b/libmangofork/suspect.c
@@ -20,15 +20,15 @@
 
 struct MfSuspects
 {
-  MfSuspectTerms limits;
+  MfSuspectLimits limits;
   Entry *entries;
-  MfSuspectBreak failures[FAILURES_MAX];
+  MfSuspectFailure failures[FAILURES_MAX];
   uint32_t n_failures;
 };
 
 /* Returns an empty table, or NULL when out of memory. */
 MfSuspects *
-mf_suspects_new (const MfSuspectTerms *limits)
+mf_suspects_new (const MfSuspectLimits *limits)
 {
   MfSuspects *suspects = calloc (1, sizeof *suspects);
 
@@ -78,7 +78,7 @@
 
   for (Entry *entry = suspects->entries; entry != NULL; entry = entry->hh.next)
     {
-      if (entry->suspect.convicted_until_us > now_us)
+      if (entry->suspect.quarantined_until_us > now_us)
         continue;
       oldest = entry;
       break;
@@ -121,11 +121,11 @@
 
 /* Returns whether a request is to be refused at this time. */
 bool
-mf_suspects_is_convicted (const MfSuspects *suspects, uint64_t digest, uint64_t now_us)
+mf_suspects_is_quarantined (const MfSuspects *suspects, uint64_t digest, uint64_t now_us)
 {
   const MfSuspect *suspect = mf_suspects_find (suspects, digest, now_us);
 
-  return suspect != NULL && suspect->convicted_until_us > now_us;
+  return suspect != NULL && suspect->quarantined_until_us > now_us;
 }
 
 /* Calls func for each request with a counted death, until it returns false. */
@@ -143,7 +143,7 @@
 static uint64_t
 last_death_process (const MfSuspect *suspect)
 {
-  return suspect->n_deaths > 0 ? suspect->deaths[suspect->n_deaths - 1].process : 0;
+  return suspect->n_deaths > 0 ? suspect->deaths[suspect->n_deaths - 1].process_id : 0;
 }
 
 /* Returns whether the last death of another suspect was of the same process, possibly reported by
@@ -152,40 +152,40 @@
 static bool
 shares_last_death (MfSuspects *suspects, const MfSuspect *suspect)
 {
-  uint64_t process = last_death_process (suspect);
+  uint64_t process_id = last_death_process (suspect);
   bool shares = false;
 
-  for (Entry *entry = suspects->entries; entry != NULL && process != 0; entry = entry->hh.next)
+  for (Entry *entry = suspects->entries; entry != NULL && process_id != 0; entry = entry->hh.next)
     {
       MfSuspect *other = &entry->suspect;
 
       if (other == suspect || other->n_deaths < DEATHS_ISOLATED
-          || last_death_process (other) != process)
+          || last_death_process (other) != process_id)
         continue;
       shares = true;
       if (other->n_deaths < MF_SUSPECT_DEATHS_MAX)
-        other->convicted_until_us = 0;
+        other->quarantined_until_us = 0;
     }
   return shares;
 }
 
 /* Refuses a request until the given time. Returns whether it was not quarantined before. */
 bool
-mf_suspects_convict (MfSuspects *suspects, uint64_t digest, uint64_t until_us, uint64_t now_us)
+mf_suspects_quarantine (MfSuspects *suspects, uint64_t digest, uint64_t until_us, uint64_t now_us)
 {
   MfSuspect *suspect = find_or_add (suspects, digest, now_us);
-  bool is_new = suspect->convicted_until_us <= now_us;
+  bool is_new = suspect->quarantined_until_us <= now_us;
 
   if (suspect->n_deaths < MF_SUSPECT_DEATHS_MAX && shares_last_death (suspects, suspect))
     return false;
-  if (until_us > suspect->convicted_until_us)
-    suspect->convicted_until_us = until_us;
+  if (until_us > suspect->quarantined_until_us)
+    suspect->quarantined_until_us = until_us;
   return is_new && until_us > now_us;
 }
 
 /* Raises the number of deaths to what another instance has counted; the processes are unknown. */
 void
-mf_suspects_raise (MfSuspects *suspects, uint64_t digest, uint32_t n_deaths, uint64_t now_us)
+mf_suspects_raise_deaths (MfSuspects *suspects, uint64_t digest, uint32_t n_deaths, uint64_t now_us)
 {
   MfSuspect *suspect = find_or_add (suspects, digest, now_us);
 
@@ -200,7 +200,7 @@
 {
   for (uint32_t i = 0; i < suspect->n_deaths; i++)
     {
-      if (suspect->deaths[i].process == death->process && death->process != 0)
+      if (suspect->deaths[i].process_id == death->process_id && death->process_id != 0)
         return true;
     }
   return suspect->n_deaths > 0 && death->sent_us < suspect->deaths[suspect->n_deaths - 1].at_us;
@@ -208,7 +208,7 @@
 
 /* Counts an upstream that died while it ran a request. isolated means that no other suspect ran
  * there. */
-MfSuspectVerdict
+MfSuspectResult
 mf_suspects_add_death (MfSuspects *suspects, uint64_t digest, const MfSuspectDeath *death,
                        bool isolated, uint64_t now_us)
 {
@@ -216,21 +216,23 @@
   uint64_t duration_us;
 
   if (death_is_duplicate (suspect, death))
-    return MF_SUSPECT_KNOWN;
+    return MF_SUSPECT_DUPLICATE;
   if (suspect->n_deaths < MF_SUSPECT_DEATHS_MAX)
     suspect->deaths[suspect->n_deaths++] = *death;
   if (suspect->n_deaths < (isolated ? DEATHS_ISOLATED : MF_SUSPECT_DEATHS_MAX))
     return MF_SUSPECT_COUNTED;
-  duration_us = suspect->n_deaths < MF_SUSPECT_DEATHS_MAX ? suspects->limits.two_deaths_us
-                                                          : suspects->limits.three_deaths_us;
-  return mf_suspects_convict (suspects, digest, now_us + duration_us, now_us) ? MF_SUSPECT_CONVICTED
-                                                                              : MF_SUSPECT_COUNTED;
+  duration_us = suspect->n_deaths < MF_SUSPECT_DEATHS_MAX
+                    ? suspects->limits.two_deaths_quarantine_us
+                    : suspects->limits.three_deaths_quarantine_us;
+  return mf_suspects_quarantine (suspects, digest, now_us + duration_us, now_us)
+             ? MF_SUSPECT_QUARANTINED
+             : MF_SUSPECT_COUNTED;
 }
 
 /* Removes a request that was answered: its upstreams died of another cause. Returns whether it had
  * an entry. */
 bool
-mf_suspects_clear (MfSuspects *suspects, uint64_t digest)
+mf_suspects_remove (MfSuspects *suspects, uint64_t digest)
 {
   Entry *entry = entry_find (suspects, digest);
 
@@ -243,12 +245,12 @@
 /* Keeps a failed call until it is known whether its upstream died. Returns false when a failure of
  * this attempt at this upstream is kept already. */
 bool
-mf_suspects_add_break (MfSuspects *suspects, const MfSuspectBreak *failure)
+mf_suspects_add_failure (MfSuspects *suspects, const MfSuspectFailure *failure)
 {
   for (uint32_t i = 0; i < suspects->n_failures; i++)
     {
-      if (suspects->failures[i].request == failure->request
-          && suspects->failures[i].upstream == failure->upstream)
+      if (suspects->failures[i].request_id == failure->request_id
+          && suspects->failures[i].upstream_id == failure->upstream_id)
         return false;
     }
   if (suspects->n_failures == FAILURES_MAX)
@@ -258,19 +260,20 @@
 }
 
 uint32_t
-mf_suspects_n_breaks (const MfSuspects *suspects)
+mf_suspects_n_failures (const MfSuspects *suspects)
 {
   return suspects->n_failures;
 }
 
 /* Removes one failure at an upstream, or at any when it is 0, that is older than before_us. */
 static bool
-take_failure (MfSuspects *suspects, uint64_t upstream, uint64_t before_us, MfSuspectBreak *failure)
+take_failure (MfSuspects *suspects, uint64_t upstream_id, uint64_t before_us,
+              MfSuspectFailure *failure)
 {
   for (uint32_t i = 0; i < suspects->n_failures; i++)
     {
-      if ((upstream != 0 && suspects->failures[i].upstream != upstream)
-          || suspects->failures[i].at_us >= before_us)
+      if ((upstream_id != 0 && suspects->failures[i].upstream_id != upstream_id)
+          || suspects->failures[i].failed_us >= before_us)
         continue;
       *failure = suspects->failures[i];
       suspects->failures[i] = suspects->failures[--suspects->n_failures];
@@ -280,12 +283,12 @@
 }
 
 static uint32_t
-count_suspects_at (const MfSuspects *suspects, uint64_t upstream)
+count_suspects_at (const MfSuspects *suspects, uint64_t upstream_id)
 {
   uint32_t n = 0;
 
   for (uint32_t i = 0; i < suspects->n_failures; i++)
-    n += suspects->failures[i].upstream == upstream && suspects->failures[i].suspect;
+    n += suspects->failures[i].upstream_id == upstream_id && suspects->failures[i].was_suspect;
   return n;
 }
 
@@ -293,34 +296,35 @@
  * the crash window. process identifies the incarnation that died, since an upstream may restart
  * under the same id. */
 void
-mf_suspects_end_upstream (MfSuspects *suspects, uint64_t upstream, uint64_t process,
-                          uint64_t now_us, MfSuspectBreakFunc func, void *data)
+mf_suspects_upstream_died (MfSuspects *suspects, uint64_t upstream_id, uint64_t process_id,
+                           uint64_t now_us, MfSuspectFailureFunc func, void *data)
 {
-  uint32_t n_suspects = count_suspects_at (suspects, upstream);
-  MfSuspectBreak failure;
+  uint32_t n_suspects = count_suspects_at (suspects, upstream_id);
+  MfSuspectFailure failure;
 
-  while (take_failure (suspects, upstream, UINT64_MAX, &failure))
+  while (take_failure (suspects, upstream_id, UINT64_MAX, &failure))
     {
       MfSuspectDeath death
-          = { .process = process, .sent_us = failure.sent_us, .at_us = failure.at_us };
-      MfSuspectVerdict verdict = MF_SUSPECT_RELEASED;
+          = { .process_id = process_id, .sent_us = failure.sent_us, .at_us = failure.failed_us };
+      MfSuspectResult result = MF_SUSPECT_UNRELATED;
 
-      if (now_us - failure.at_us < suspects->limits.break_us)
-        verdict = mf_suspects_add_death (suspects, failure.digest, &death,
-                                         failure.suspect && n_suspects == 1, now_us);
-      func (data, &failure, verdict);
+      if (now_us - failure.failed_us < suspects->limits.crash_window_us)
+        result = mf_suspects_add_death (suspects, failure.digest, &death,
+                                        failure.was_suspect && n_suspects == 1, now_us);
+      func (data, &failure, result);
     }
 }
 
 /* Returns an upstream with a failed call at an address other than the one that now has the address,
  * or 0. */
 static uint64_t
-find_predecessor (const MfSuspects *suspects, uint64_t place, uint64_t successor)
+find_predecessor (const MfSuspects *suspects, uint64_t address_hash, uint64_t successor)
 {
   for (uint32_t i = 0; i < suspects->n_failures; i++)
     {
-      if (suspects->failures[i].place == place && suspects->failures[i].upstream != successor)
-        return suspects->failures[i].upstream;
+      if (suspects->failures[i].address_hash == address_hash
+          && suspects->failures[i].upstream_id != successor)
+        return suspects->failures[i].upstream_id;
     }
   return 0;
 }
@@ -328,30 +332,30 @@
 /* Handles a new process at an address: any other process that had the address has died. Here the id
  * of an upstream is the id of its process. */
 void
-mf_suspects_end_place (MfSuspects *suspects, uint64_t place, uint64_t successor, uint64_t now_us,
-                       MfSuspectBreakFunc func, void *data)
+mf_suspects_address_reused (MfSuspects *suspects, uint64_t address_hash, uint64_t successor,
+                            uint64_t now_us, MfSuspectFailureFunc func, void *data)
 {
-  uint64_t upstream;
+  uint64_t upstream_id;
 
-  while ((upstream = find_predecessor (suspects, place, successor)) != 0)
-    mf_suspects_end_upstream (suspects, upstream, upstream, now_us, func, data);
+  while ((upstream_id = find_predecessor (suspects, address_hash, successor)) != 0)
+    mf_suspects_upstream_died (suspects, upstream_id, upstream_id, now_us, func, data);
 }
 
 /* Handles a sign of life from an upstream: calls that failed there earlier had another cause. */
 void
-mf_suspects_release_upstream (MfSuspects *suspects, uint64_t upstream, uint64_t before_us,
-                              MfSuspectBreakFunc func, void *data)
+mf_suspects_upstream_alive (MfSuspects *suspects, uint64_t upstream_id, uint64_t before_us,
+                            MfSuspectFailureFunc func, void *data)
 {
-  MfSuspectBreak failure;
+  MfSuspectFailure failure;
 
-  while (take_failure (suspects, upstream, before_us, &failure))
-    func (data, &failure, MF_SUSPECT_RELEASED);
+  while (take_failure (suspects, upstream_id, before_us, &failure))
+    func (data, &failure, MF_SUSPECT_UNRELATED);
 }
 
 /* Resolves failures older than before_us as unrelated to any death. */
 void
-mf_suspects_release_before (MfSuspects *suspects, uint64_t before_us, MfSuspectBreakFunc func,
-                            void *data)
+mf_suspects_expire_failures (MfSuspects *suspects, uint64_t before_us, MfSuspectFailureFunc func,
+                             void *data)
 {
-  mf_suspects_release_upstream (suspects, 0, before_us, func, data);
+  mf_suspects_upstream_alive (suspects, 0, before_us, func, data);
 }
--- a/libmangofork/suspect.h
+++ b/libmangofork/suspect.h
@@ -14,27 +14,28 @@
 
 typedef struct
 {
-  uint64_t break_us;        /* a failure counts as caused by a death at most this long after it */
-  uint64_t two_deaths_us;   /* quarantine after two deaths, the last without other suspects */
-  uint64_t three_deaths_us; /* quarantine after three deaths */
-} MfSuspectTerms;
+  uint64_t crash_window_us; /* a failure counts as caused by a death at most this long after it */
+  uint64_t
+      two_deaths_quarantine_us; /* quarantine after two deaths, the last without other suspects */
+  uint64_t three_deaths_quarantine_us; /* quarantine after three deaths */
+} MfSuspectLimits;
 
 /* A call that failed. */
 typedef struct
 {
   uint64_t digest;
-  uint64_t request;  /* identifies the attempt */
-  uint64_t upstream; /* that ran it; not 0 */
-  uint64_t place;    /* of the upstream; 0 when unknown */
-  bool suspect;      /* the request was a suspect when it was sent */
+  uint64_t request_id;   /* identifies the attempt */
+  uint64_t upstream_id;  /* that ran it; not 0 */
+  uint64_t address_hash; /* of the upstream; 0 when unknown */
+  bool was_suspect;      /* the request was a was_suspect when it was sent */
   uint64_t sent_us;
-  uint64_t at_us;
-} MfSuspectBreak;
+  uint64_t failed_us;
+} MfSuspectFailure;
 
 /* An upstream that died while it ran a request. */
 typedef struct
 {
-  uint64_t process; /* that died; 0 when another instance reported it */
+  uint64_t process_id; /* that died; 0 when another instance reported it */
   uint64_t sent_us;
   uint64_t at_us;
 } MfSuspectDeath;
@@ -44,48 +45,49 @@
   uint64_t digest;
   MfSuspectDeath deaths[MF_SUSPECT_DEATHS_MAX]; /* oldest first */
   uint32_t n_deaths;
-  uint32_t n_told; /* of these, reported to other instances; set by the caller */
-  uint64_t convicted_until_us;
+  uint32_t n_reported; /* of these, reported to other instances; set by the caller */
+  uint64_t quarantined_until_us;
   uint64_t at_us; /* last update */
 } MfSuspect;
 
 /* How a failed call was resolved. */
 typedef enum
 {
-  MF_SUSPECT_RELEASED,  /* the upstream is alive, or its state stayed unknown */
-  MF_SUSPECT_KNOWN,     /* the upstream died, but that death adds no evidence */
-  MF_SUSPECT_COUNTED,   /* the upstream died, and the death was counted */
-  MF_SUSPECT_CONVICTED, /* the death was counted, and the request is refused from now on */
-} MfSuspectVerdict;
+  MF_SUSPECT_UNRELATED,   /* the upstream is alive, or its state stayed unknown */
+  MF_SUSPECT_DUPLICATE,   /* the upstream died, but that death adds no evidence */
+  MF_SUSPECT_COUNTED,     /* the upstream died, and the death was counted */
+  MF_SUSPECT_QUARANTINED, /* the death was counted, and the request is refused from now on */
+} MfSuspectResult;
 
-typedef void (*MfSuspectBreakFunc) (void *data, const MfSuspectBreak *broken,
-                                    MfSuspectVerdict verdict);
+typedef void (*MfSuspectFailureFunc) (void *data, const MfSuspectFailure *failure,
+                                      MfSuspectResult result);
 typedef bool (*MfSuspectFunc) (void *data, const MfSuspect *suspect);
 
-MfSuspects *mf_suspects_new (const MfSuspectTerms *terms);
+MfSuspects *mf_suspects_new (const MfSuspectLimits *limits);
 void mf_suspects_free (MfSuspects *suspects);
 
 MfSuspect *mf_suspects_find (const MfSuspects *suspects, uint64_t digest, uint64_t now_us);
-bool mf_suspects_is_convicted (const MfSuspects *suspects, uint64_t digest, uint64_t now_us);
+bool mf_suspects_is_quarantined (const MfSuspects *suspects, uint64_t digest, uint64_t now_us);
 void mf_suspects_foreach (const MfSuspects *suspects, uint64_t now_us, MfSuspectFunc func,
                           void *data);
 
-bool mf_suspects_add_break (MfSuspects *suspects, const MfSuspectBreak *broken);
-uint32_t mf_suspects_n_breaks (const MfSuspects *suspects);
-void mf_suspects_end_upstream (MfSuspects *suspects, uint64_t upstream, uint64_t process,
-                               uint64_t now_us, MfSuspectBreakFunc func, void *data);
-void mf_suspects_end_place (MfSuspects *suspects, uint64_t place, uint64_t successor,
-                            uint64_t now_us, MfSuspectBreakFunc func, void *data);
-void mf_suspects_release_upstream (MfSuspects *suspects, uint64_t upstream, uint64_t before_us,
-                                   MfSuspectBreakFunc func, void *data);
-void mf_suspects_release_before (MfSuspects *suspects, uint64_t before_us, MfSuspectBreakFunc func,
-                                 void *data);
+bool mf_suspects_add_failure (MfSuspects *suspects, const MfSuspectFailure *failure);
+uint32_t mf_suspects_n_failures (const MfSuspects *suspects);
+void mf_suspects_upstream_died (MfSuspects *suspects, uint64_t upstream_id, uint64_t process_id,
+                                uint64_t now_us, MfSuspectFailureFunc func, void *data);
+void mf_suspects_address_reused (MfSuspects *suspects, uint64_t address_hash, uint64_t successor,
+                                 uint64_t now_us, MfSuspectFailureFunc func, void *data);
+void mf_suspects_upstream_alive (MfSuspects *suspects, uint64_t upstream_id, uint64_t before_us,
+                                 MfSuspectFailureFunc func, void *data);
+void mf_suspects_expire_failures (MfSuspects *suspects, uint64_t before_us,
+                                  MfSuspectFailureFunc func, void *data);
 
-MfSuspectVerdict mf_suspects_add_death (MfSuspects *suspects, uint64_t digest,
-                                        const MfSuspectDeath *death, bool apart, uint64_t now_us);
-void mf_suspects_raise (MfSuspects *suspects, uint64_t digest, uint32_t n_deaths, uint64_t now_us);
-bool mf_suspects_convict (MfSuspects *suspects, uint64_t digest, uint64_t until_us,
-                          uint64_t now_us);
-bool mf_suspects_clear (MfSuspects *suspects, uint64_t digest);
+MfSuspectResult mf_suspects_add_death (MfSuspects *suspects, uint64_t digest,
+                                       const MfSuspectDeath *death, bool isolated, uint64_t now_us);
+void mf_suspects_raise_deaths (MfSuspects *suspects, uint64_t digest, uint32_t n_deaths,
+                               uint64_t now_us);
+bool mf_suspects_quarantine (MfSuspects *suspects, uint64_t digest, uint64_t until_us,
+                             uint64_t now_us);
+bool mf_suspects_remove (MfSuspects *suspects, uint64_t digest);
 
 #endif
--- a/libmangofork/suspect_core.c
+++ b/libmangofork/suspect_core.c
@@ -43,7 +43,7 @@
 {
   Quarantine quarantine = { .core = core, .digest = digest };
 
-  mf_counter_add (&core->board.counters, MF_COUNTER_CONVICTIONS, 1);
+  mf_counter_add (&core->board.counters, MF_COUNTER_QUARANTINES, 1);
   mf_core_log (core, "request", "", "suspect", "convicted", mf_code_info (MF_CODE_POISON)->name);
   mf_request_foreach (core, refuse_matching, &quarantine);
 }
@@ -51,13 +51,13 @@
 /* Applies what another instance reports. A reported quarantine is accepted without own evidence, as
  * it took two deaths. */
 void
-mf_suspect_note (MfCore *core, uint64_t digest, uint32_t n_deaths, bool convicted)
+mf_suspect_apply_report (MfCore *core, uint64_t digest, uint32_t n_deaths, bool quarantined)
 {
   uint64_t now_us = core->board.now_us;
 
-  mf_suspects_raise (core->board.suspects, digest, n_deaths, now_us);
-  if (convicted
-      && mf_suspects_convict (core->board.suspects, digest, now_us + QUARANTINE_US, now_us))
+  mf_suspects_raise_deaths (core->board.suspects, digest, n_deaths, now_us);
+  if (quarantined
+      && mf_suspects_quarantine (core->board.suspects, digest, now_us + QUARANTINE_US, now_us))
     refuse_quarantined (core, digest);
 }
 
@@ -75,7 +75,7 @@
     return true;
   request->n_deaths = suspect->n_deaths;
   request->suspect = suspect->n_deaths > 0;
-  return suspect->convicted_until_us <= now_us;
+  return suspect->quarantined_until_us <= now_us;
 }
 
 /* Handles a call that failed as it would when its upstream died. The request waits until it is
@@ -83,20 +83,20 @@
  * the first death was counted. A stream that fails and then cannot be resumed counts as one death.
  */
 void
-mf_suspect_broken (MfCore *core, MfRequest *request, uint32_t upstream)
+mf_suspect_call_failed (MfCore *core, MfRequest *request, uint32_t upstream)
 {
   uint64_t now_us = core->board.now_us;
 
   if (core->board.options.naive || request->digest == 0
-      || !mf_suspects_add_break (
-          core->board.suspects, &(MfSuspectBreak){
+      || !mf_suspects_add_failure (
+          core->board.suspects, &(MfSuspectFailure){
                                     .digest = request->digest,
-                                    .request = request->id,
-                                    .upstream = upstream_id (upstream),
-                                    .suspect = request->suspect,
+                                    .request_id = request->id,
+                                    .upstream_id = upstream_id (upstream),
+                                    .was_suspect = request->suspect,
                                     /* No earlier death is known of a request that is no suspect. */
                                     .sent_us = request->suspect ? now_us : 0,
-                                    .at_us = now_us,
+                                    .failed_us = now_us,
                                 }))
     return;
   request->suspect_pending = true;
@@ -106,17 +106,17 @@
 
 /* Lets the request of a resolved failure continue, or refuses it. */
 static void
-on_failure_resolved (void *data, const MfSuspectBreak *failure, MfSuspectVerdict result)
+on_failure_resolved (void *data, const MfSuspectFailure *failure, MfSuspectResult result)
 {
   MfCore *core = data;
-  MfRequest *request = mf_request_find (core, failure->request);
+  MfRequest *request = mf_request_find (core, failure->request_id);
   const MfSuspect *suspect
       = mf_suspects_find (core->board.suspects, failure->digest, core->board.now_us);
 
   if (request != NULL)
     request->suspect_pending = false;
   mf_queue_stir (core);
-  if (result == MF_SUSPECT_RELEASED || suspect == NULL)
+  if (result == MF_SUSPECT_UNRELATED || suspect == NULL)
     return;
   if (request != NULL)
     {
@@ -124,10 +124,10 @@
       request->n_deaths = suspect->n_deaths;
     }
   if (result == MF_SUSPECT_COUNTED)
-    mf_news_note (core, MF_NEWS_SUSPECT, suspect->digest, suspect->n_deaths);
-  if (result != MF_SUSPECT_CONVICTED)
+    mf_gossip_publish (core, MF_GOSSIP_REQUEST_SUSPECT, suspect->digest, suspect->n_deaths);
+  if (result != MF_SUSPECT_QUARANTINED)
     return;
-  mf_news_note (core, MF_NEWS_CONVICTED, suspect->digest, suspect->n_deaths);
+  mf_gossip_publish (core, MF_GOSSIP_REQUEST_QUARANTINED, suspect->digest, suspect->n_deaths);
   refuse_quarantined (core, suspect->digest);
 }
 
@@ -138,17 +138,17 @@
 {
   uint64_t process[] = { upstream_id (upstream), core->board.now_us };
 
-  mf_suspects_end_upstream (core->board.suspects, upstream_id (upstream),
-                            XXH3_64bits (process, sizeof process), core->board.now_us,
-                            on_failure_resolved, core);
+  mf_suspects_upstream_died (core->board.suspects, upstream_id (upstream),
+                             XXH3_64bits (process, sizeof process), core->board.now_us,
+                             on_failure_resolved, core);
 }
 
 /* Handles an upstream that proved to be alive: calls that failed there had another cause. */
 void
-mf_suspect_upstream_lives (MfCore *core, uint32_t upstream)
+mf_suspect_upstream_alive (MfCore *core, uint32_t upstream)
 {
-  mf_suspects_release_upstream (core->board.suspects, upstream_id (upstream), UINT64_MAX,
-                                on_failure_resolved, core);
+  mf_suspects_upstream_alive (core->board.suspects, upstream_id (upstream), UINT64_MAX,
+                              on_failure_resolved, core);
 }
 
 /* Removes the suspicion of a request that got past the point where its upstream died, or that was
@@ -158,8 +158,8 @@
 {
   mf_call_clear_suspect (core, request);
   request->n_deaths = 0;
-  if (!mf_suspects_is_convicted (core->board.suspects, request->digest, core->board.now_us))
-    mf_suspects_clear (core->board.suspects, request->digest);
+  if (!mf_suspects_is_quarantined (core->board.suspects, request->digest, core->board.now_us))
+    mf_suspects_remove (core->board.suspects, request->digest);
 }
 
 static bool
@@ -196,16 +196,17 @@
   uint64_t now_us = core->board.now_us;
 
   if (now_us > FAILURE_TIMEOUT_US)
-    mf_suspects_release_before (core->board.suspects, now_us - FAILURE_TIMEOUT_US,
-                                on_failure_resolved, core);
+    mf_suspects_expire_failures (core->board.suspects, now_us - FAILURE_TIMEOUT_US,
+                                 on_failure_resolved, core);
 }
 
 static bool
 suspect_init (MfCore *core, MfError *error)
 {
-  core->board.suspects = mf_suspects_new (&(MfSuspectTerms){ .break_us = CRASH_WINDOW_US,
-                                                             .two_deaths_us = QUARANTINE_US,
-                                                             .three_deaths_us = QUARANTINE_US });
+  core->board.suspects
+      = mf_suspects_new (&(MfSuspectLimits){ .crash_window_us = CRASH_WINDOW_US,
+                                             .two_deaths_quarantine_us = QUARANTINE_US,
+                                             .three_deaths_quarantine_us = QUARANTINE_US });
   if (core->board.suspects == NULL)
     mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the suspected requests");
   return core->board.suspects != NULL;
--- a/libmangofork/text_delta.c
+++ b/libmangofork/text_delta.c
@@ -50,7 +50,7 @@
     memcpy (text + prefix, message->text, message->text_bytes);
   memcpy (text + prefix + message->text_bytes, base + base_bytes - suffix, suffix);
   text[*text_bytes] = '\0';
-  if (mf_text_hash (text, *text_bytes) == message->whole_hash)
+  if (mf_text_hash (text, *text_bytes) == message->full_text_hash)
     return text;
   free (text);
   return NULL;
--- a/libmangofork/voter.c
+++ b/libmangofork/voter.c
@@ -58,13 +58,13 @@
 clear_answers (MfVoterState *voter)
 {
   for (uint32_t i = 0; i < MF_VOTERS_PER_KEY_MAX; i++)
-    voter->answer_from[i] = 0;
+    voter->answer_incarnation[i] = 0;
 }
 
 void
 mf_voter_init (MfVoterState *voter, MfKeybook *book, uint64_t now_us)
 {
-  *voter = (MfVoterState){ .book = book, .index = MF_NONE, .born_us = now_us };
+  *voter = (MfVoterState){ .book = book, .index = MF_NONE, .started_us = now_us };
 }
 
 /* Takes over the incarnations known of those voters that stay in the cell. */
@@ -87,19 +87,19 @@
 }
 
 static void
-set_admitted (MfCore *core, MfVoterState *voter, uint64_t cold_ms, uint64_t opaque_wait_us,
+set_admitted (MfCore *core, MfVoterState *voter, uint64_t cold_start_at_ms, uint64_t opaque_wait_us,
               const char *reason)
 {
   voter->admitted = true;
   core->board.admitted = true;
-  voter->cold_ms = cold_ms;
-  voter->cold_until_us = core->board.now_us + voter->key_life_us;
+  voter->cold_start_at_ms = cold_start_at_ms;
+  voter->cold_start_until_us = core->board.now_us + voter->key_life_us;
   voter->opaque_from_us = core->board.now_us + opaque_wait_us;
   mf_core_log (core, "voter", core->board.options.self.name, "fresh", "admitted", reason);
 }
 
 void
-mf_voter_config (MfCore *core, MfVoterState *voter)
+mf_voter_apply_config (MfCore *core, MfVoterState *voter)
 {
   const MfConfig *config = core->board.config;
   uint32_t index = mf_cell_of_voter (config, core->board.options.self.name);
@@ -120,7 +120,7 @@
   voter->next_admit_us = core->board.now_us;
   voter->admit_period_us = ADMIT_PERIOD_FIRST_US;
   if (!overlaps)
-    voter->born_us = core->board.now_us;
+    voter->started_us = core->board.now_us;
   if (voter->cell.n == 1)
     set_admitted (core, voter, core->board.wall_ms, voter->key_life_us, "alone in its cell");
 }
@@ -129,32 +129,32 @@
 static void
 merge_answers (MfCore *core, MfVoterState *voter, const char *reason)
 {
-  uint64_t cold_ms = 0;
+  uint64_t cold_start_at_ms = 0;
   uint64_t opaque_wait_ms = 0;
 
   for (uint32_t i = 0; i < voter->cell.n; i++)
     {
       const MfAdmittedMessage *answer = &voter->answers[i];
 
-      if (voter->answer_from[i] == 0)
+      if (voter->answer_incarnation[i] == 0)
         continue;
       for (uint32_t k = 0; k < answer->n_view; k++)
         view_raise (voter, &answer->view[k]);
-      if (answer->cold_ms > cold_ms)
-        cold_ms = answer->cold_ms;
+      if (answer->cold_start_at_ms > cold_start_at_ms)
+        cold_start_at_ms = answer->cold_start_at_ms;
       if (answer->opaque_wait_ms > opaque_wait_ms)
         opaque_wait_ms = answer->opaque_wait_ms;
     }
-  set_admitted (core, voter, cold_ms, opaque_wait_ms * MF_US_PER_MS, reason);
+  set_admitted (core, voter, cold_start_at_ms, opaque_wait_ms * MF_US_PER_MS, reason);
 }
 
 /* Whether the voter that answered holds keys from before this cell's latest beginning. */
 static bool
 predates_cold_start (const MfCore *core, const MfAdmittedMessage *answer)
 {
-  uint64_t cold_ms = core->board.options.cold_start_us / MF_US_PER_MS;
+  uint64_t cold_start_ms = core->board.options.cold_start_us / MF_US_PER_MS;
 
-  return answer->agreed && (answer->opaque_wait_ms == 0 || answer->opaque_wait_ms > cold_ms);
+  return answer->agreed && (answer->opaque_wait_ms == 0 || answer->opaque_wait_ms > cold_start_ms);
 }
 
 /* Admits this voter although a quorum that could admit it is gone, on the ground that the processes
@@ -165,15 +165,16 @@
 static void
 try_cold_start (MfCore *core, MfVoterState *voter)
 {
-  uint64_t age_us = core->board.now_us - voter->born_us;
+  uint64_t age_us = core->board.now_us - voter->started_us;
   uint64_t cold_us = core->board.options.cold_start_us;
   uint32_t n_answers = 1;
   uint32_t n_older = 0;
 
   for (uint32_t i = 0; i < voter->cell.n; i++)
     {
-      n_answers += voter->answer_from[i] != 0;
-      n_older += voter->answer_from[i] != 0 && predates_cold_start (core, &voter->answers[i]);
+      n_answers += voter->answer_incarnation[i] != 0;
+      n_older
+          += voter->answer_incarnation[i] != 0 && predates_cold_start (core, &voter->answers[i]);
     }
   if (n_answers < voter->cell.quorum)
     return;
@@ -197,7 +198,7 @@
 
   for (uint32_t i = 0; i < voter->cell.n; i++)
     {
-      bool agreed = voter->answer_from[i] != 0 && voter->answers[i].agreed;
+      bool agreed = voter->answer_incarnation[i] != 0 && voter->answers[i].agreed;
 
       if (i != voter->index && !agreed)
         mf_member_send (core, voter->cell.names[i], &message);
@@ -209,8 +210,8 @@
 {
   uint64_t now_us = core->board.now_us;
 
-  if (voter->cold_ms != 0 && now_us >= voter->cold_until_us)
-    voter->cold_ms = 0;
+  if (voter->cold_start_at_ms != 0 && now_us >= voter->cold_start_until_us)
+    voter->cold_start_at_ms = 0;
   if (voter->index == MF_NONE || voter->admitted)
     return;
   if (now_us >= voter->next_admit_us)
@@ -229,7 +230,7 @@
 }
 
 void
-mf_voter_see (MfVoterState *voter, const MfOwner *peer)
+mf_voter_note_incarnation (MfVoterState *voter, const MfOwner *peer)
 {
   view_raise (voter, peer);
 }
@@ -240,13 +241,14 @@
 {
   uint64_t now_ms = core->board.wall_ms;
 
-  if (claim->minted_ms == 0)
+  if (claim->key_created_ms == 0)
     return core->board.now_us >= voter->opaque_from_us;
-  if (claim->minted_ms > now_ms + CLOCK_SKEW_MS)
+  if (claim->key_created_ms > now_ms + CLOCK_SKEW_MS)
     return false;
-  if (claim->minted_ms + voter->key_life_us / MF_US_PER_MS < now_ms)
+  if (claim->key_created_ms + voter->key_life_us / MF_US_PER_MS < now_ms)
     return false;
-  return voter->cold_ms == 0 || claim->minted_ms > voter->cold_ms + CLOCK_SKEW_MS;
+  return voter->cold_start_at_ms == 0
+         || claim->key_created_ms > voter->cold_start_at_ms + CLOCK_SKEW_MS;
 }
 
 static bool
@@ -364,7 +366,7 @@
 }
 
 void
-mf_voter_admit (MfCore *core, MfVoterState *voter, const MfAdmitMessage *admit)
+mf_voter_handle_admit (MfCore *core, MfVoterState *voter, const MfAdmitMessage *admit)
 {
   uint32_t i = mf_cell_find (&voter->cell, admit->applicant.name);
   Handover handover = {
@@ -373,7 +375,7 @@
     .message = { .type = MF_PEER_ADMITTED,
                  .admitted = { .admit_id = admit->admit_id,
                                .voter_admitted = voter->admitted,
-                               .cold_ms = voter->cold_ms,
+                               .cold_start_at_ms = voter->cold_start_at_ms,
                                .opaque_wait_ms = opaque_wait_ms (core, voter),
                                .n_parts = 1 } },
   };
@@ -430,15 +432,15 @@
 
   for (uint32_t i = 0; i < voter->cell.n; i++)
     {
-      bool valid = voter->answer_from[i] != 0 && voter->answers[i].agreed;
+      bool valid = voter->answer_incarnation[i] != 0 && voter->answers[i].agreed;
 
       for (uint32_t k = 0; k < voter->cell.n && valid; k++)
         {
           const MfAdmittedMessage *other = &voter->answers[k];
 
-          if (voter->answer_from[k] != 0
+          if (voter->answer_incarnation[k] != 0
               && view_incarnation (other->view, other->n_view, voter->cell.names[i])
-                     > voter->answer_from[i])
+                     > voter->answer_incarnation[i])
             valid = false;
         }
       n += valid;
@@ -452,18 +454,18 @@
 {
   if (answer->part == 0)
     {
-      voter->parts_of[i] = answer->admit_id;
+      voter->parts_admit_id[i] = answer->admit_id;
       voter->next_part[i] = 0;
     }
-  if (voter->parts_of[i] != answer->admit_id || voter->next_part[i] != answer->part)
+  if (voter->parts_admit_id[i] != answer->admit_id || voter->next_part[i] != answer->part)
     return false;
   voter->next_part[i]++;
   return true;
 }
 
 void
-mf_voter_admitted (MfCore *core, MfVoterState *voter, const MfOwner *from,
-                   const MfAdmittedMessage *answer)
+mf_voter_handle_admitted (MfCore *core, MfVoterState *voter, const MfOwner *from,
+                          const MfAdmittedMessage *answer)
 {
   uint32_t i = mf_cell_find (&voter->cell, from->name);
   uint32_t needed = voter->cell.quorum < voter->cell.n ? voter->cell.quorum : voter->cell.n - 1;
@@ -484,7 +486,7 @@
   voter->answers[i] = *answer;
   voter->answers[i].records = NULL;
   voter->answers[i].n_records = 0;
-  voter->answer_from[i] = from->incarnation;
+  voter->answer_incarnation[i] = from->incarnation;
   if (count_valid_answers (voter) >= needed)
     merge_answers (core, voter, "handed over");
 }
--- a/tests/fakes/cores.c
+++ b/tests/fakes/cores.c
@@ -37,7 +37,7 @@
   uint32_t text_watch; /* number of the waiting read, 0 for none */
   uint64_t bytes_out;
   uint64_t n_messages;
-  MfListed listed;
+  MfListedInstance listed;
 } Slot;
 
 typedef struct
@@ -290,7 +290,7 @@
   cores->cut = calloc ((size_t)options->n_slots * options->n_slots, sizeof *cores->cut);
   for (uint32_t i = 0; i < options->n_slots; i++)
     {
-      MfListed *listed = &cores->slots[i].listed;
+      MfListedInstance *listed = &cores->slots[i].listed;
 
       snprintf (listed->name, sizeof listed->name, "n%u", i);
       snprintf (listed->address, sizeof listed->address, "127.0.0.1:%u", 10000 + i);
@@ -410,7 +410,7 @@
 step (FakeCores *cores, uint32_t slot, MfEvent *event)
 {
   static const size_t list_max = 512;
-  MfListed *listed = NULL;
+  MfListedInstance *listed = NULL;
   uint64_t begun_ns;
 
   event->now_us = cores->now_us;
--- a/tests/fakes/rig.c
+++ b/tests/fakes/rig.c
@@ -712,13 +712,13 @@
 static void
 give_list (Rig *rig, MfEvent *event)
 {
-  static MfListed listed[RIG_CORES_MAX];
+  static MfListedInstance listed[RIG_CORES_MAX];
 
   for (uint32_t i = 0; i < rig->options.n_cores; i++)
     {
       const MfOptions *options = &rig->cores[i]->board.options;
 
-      listed[i] = (MfListed){ 0 };
+      listed[i] = (MfListedInstance){ 0 };
       mf_name_set (listed[i].name, MF_NAME_BYTES, options->self.name);
       mf_name_set (listed[i].address, MF_ADDRESS_BYTES, options->address);
       mf_name_set (listed[i].data_centre, MF_NAME_BYTES, options->data_centre);
--- a/tests/test_confsync.c
+++ b/tests/test_confsync.c
@@ -284,7 +284,7 @@
   for (size_t i = 0; i < MF_ARRAY_LEN (texts) * MF_ARRAY_LEN (texts); i++)
     {
       const char *base = texts[i / MF_ARRAY_LEN (texts)], *text = texts[i % MF_ARRAY_LEN (texts)];
-      MfConfigMessage message = { .whole_hash = mf_text_hash (text, strlen (text)) };
+      MfConfigMessage message = { .full_text_hash = mf_text_hash (text, strlen (text)) };
       size_t n_bytes;
       char *again;
 
@@ -293,7 +293,7 @@
       assert_non_null (again);
       assert_string_equal (again, text);
       free (again);
-      message.whole_hash++;
+      message.full_text_hash++;
       assert_null (mf_text_delta_apply (base, strlen (base), &message, &n_bytes));
     }
 }
--- a/tests/test_frame.c
+++ b/tests/test_frame.c
@@ -16,7 +16,7 @@
     .age_ms = 5 },
   { .key = { 9 }, .holder = { "b", UINT64_MAX }, .state = MF_KEY_UNKNOWN },
 };
-static const MfListed listed[] = {
+static const MfListedInstance listed[] = {
   { .name = "a", .address = "127.0.0.1:1", .data_centre = "x" },
   { .name = "b", .address = "127.0.0.1:2", .data_centre = "y", .leaving = true },
 };
@@ -24,18 +24,19 @@
 
 static const MfPeerMessage messages[] = {
   { .type = MF_PEER_DIGEST,
-    .digest = { .sequence = 300,
-                .config_revision = UINT64_MAX,
-                .list_index = 70000,
-                .leaving = true,
-                .guardian = true,
-                .news = { { MF_NEWS_FENCE, 5, 6, 7 }, { MF_NEWS_SUSPECT, UINT64_MAX, 2, 0 } },
-                .n_news = 2,
-                .shares = { { 11, 12, 13 } },
-                .n_shares = 1,
-                .burn = burn,
-                .burn_bytes = sizeof burn } },
-  { .type = MF_PEER_CONFIG_ASK, .ask_revision = 41 },
+    .digest
+    = { .sequence = 300,
+        .config_revision = UINT64_MAX,
+        .list_index = 70000,
+        .leaving = true,
+        .guardian = true,
+        .gossip = { { MF_GOSSIP_FENCE, 5, 6, 7 }, { MF_GOSSIP_REQUEST_SUSPECT, UINT64_MAX, 2, 0 } },
+        .n_gossip = 2,
+        .shares = { { 11, 12, 13 } },
+        .n_shares = 1,
+        .burn = burn,
+        .burn_bytes = sizeof burn } },
+  { .type = MF_PEER_CONFIG_REQUEST, .known_revision = 41 },
   { .type = MF_PEER_CONFIG,
     .config = { .revision = 42,
                 .text = "{}",
@@ -43,7 +44,7 @@
                 .base_revision = 41,
                 .prefix_bytes = 3,
                 .suffix_bytes = 4,
-                .whole_hash = 5 } },
+                .full_text_hash = 5 } },
   { .type = MF_PEER_CLAIM,
     .claim
     = { .claim_id = 1, .key = { 3 }, .body_digest = 4, .epoch = 5, .claimant = { "c", 6 } } },
@@ -65,18 +66,18 @@
                  .content_type = "text/plain",
                  .body = "done\0x",
                  .body_bytes = 6 } },
-  { .type = MF_PEER_OUTCOME_ASK, .outcome = { .key = { 4 }, .claimant = { "c", 6 } } },
+  { .type = MF_PEER_OUTCOME_REQUEST, .outcome = { .key = { 4 }, .claimant = { "c", 6 } } },
   { .type = MF_PEER_ADMIT, .admit = { .admit_id = 1, .epoch = 2, .applicant = { "d", 9 } } },
   { .type = MF_PEER_ADMITTED,
     .admitted = { .admit_id = 1,
                   .agreed = true,
                   .highest_incarnation = 8,
-                  .cold_ms = 77,
+                  .cold_start_at_ms = 77,
                   .view = { { "a", 1 } },
                   .n_view = 1,
                   .records = key_records,
                   .n_records = MF_ARRAY_LEN (key_records) } },
-  { .type = MF_PEER_LIST_ASK, .ask_index = 9 },
+  { .type = MF_PEER_LIST_REQUEST, .known_index = 9 },
   { .type = MF_PEER_LIST,
     .list = { .index = 10, .listed = listed, .n_listed = MF_ARRAY_LEN (listed) } },
 };
@@ -193,7 +194,7 @@
 {
   /* {0: 2, 1: CONFIG_ASK, 2: {0: 7, 99: ["new"]}, "x": nil}: of a later version */
   static const uint8_t later[]
-      = { 0x84, 0,    2,   1,   MF_PEER_CONFIG_ASK, 2, 0x82, 0, 7, 99, 0x91, 0xa3, 'n', 'e',
+      = { 0x84, 0,    2,   1,   MF_PEER_CONFIG_REQUEST, 2, 0x82, 0, 7, 99, 0x91, 0xa3, 'n', 'e',
           'w',  0xa1, 'x', 0xc0 };
   static const uint8_t unknown_type[] = { 0x83, 0, 1, 1, 99, 2, 0x80 };
   MfError error = { 0 };
@@ -201,7 +202,7 @@
 
   (void)state;
   assert_true (decode (later, sizeof later, &frame));
-  assert_int_equal (frame.message.ask_revision, 7);
+  assert_int_equal (frame.message.known_revision, 7);
   mf_frame_clear (&frame);
   assert_false (mf_frame_decode (unknown_type, sizeof unknown_type, &frame, &error));
   assert_int_equal (error.code, MF_CODE_PEER_VERSION);
--- a/tests/test_fuzz.c
+++ b/tests/test_fuzz.c
@@ -79,8 +79,8 @@
   const MfPeerMessage message = {
     .type = MF_PEER_DIGEST,
     .digest = { .sequence = 9,
-                .news = { { MF_NEWS_FENCE, 1, 2, 3 }, { MF_NEWS_SUSPECT, 4, 5, 6 } },
-                .n_news = 2,
+                .gossip = { { MF_GOSSIP_FENCE, 1, 2, 3 }, { MF_GOSSIP_REQUEST_SUSPECT, 4, 5, 6 } },
+                .n_gossip = 2,
                 .shares = { { 7, 8, 9 }, { 10, 11, 12 } },
                 .n_shares = 2,
                 .burn = (const uint8_t *)"burn",
--- a/tests/test_job_suspect.c
+++ b/tests/test_job_suspect.c
@@ -229,9 +229,9 @@
 
       for (uint64_t digest = 1; digest <= 2 * MF_SUSPECT_ROWS_MAX; digest++)
         {
-          mf_suspects_add_death (suspects, digest, &(MfSuspectDeath){ .process = digest }, false,
+          mf_suspects_add_death (suspects, digest, &(MfSuspectDeath){ .process_id = digest }, false,
                                  mf_clock_now_us ());
-          mf_suspects_find (suspects, digest, mf_clock_now_us ())->n_told = 1;
+          mf_suspects_find (suspects, digest, mf_clock_now_us ())->n_reported = 1;
         }
     }
   convict (&ground);
@@ -345,13 +345,13 @@
   (void)state;
   ground_begin (&ground);
   info = mf_targets_find (targets, "u0-0")->info;
-  mf_suspects_add_break (
+  mf_suspects_add_failure (
       ground.fleet.towns[0].jobs.suspects,
-      &(MfSuspectBreak){ .digest = 5,
-                         .upstream = mf_target_process (mf_targets_find (targets, "u0-0")),
-                         .place = mf_load_hash (info.address),
-                         .sent_us = now_us,
-                         .at_us = now_us });
+      &(MfSuspectFailure){ .digest = 5,
+                           .upstream_id = mf_target_process (mf_targets_find (targets, "u0-0")),
+                           .address_hash = mf_load_hash (info.address),
+                           .sent_us = now_us,
+                           .failed_us = now_us });
   mf_name_set (info.id, sizeof info.id, "before");
   info.born_ms = 0;
   mf_targets_update (targets, &info);
@@ -401,12 +401,12 @@
                                                                      : index == 1 ? "u1-0"
                                                                                   : "u2-0");
       assert_non_null (target);
-      mf_suspects_add_break (ground.fleet.towns[0].jobs.suspects,
-                             &(MfSuspectBreak){ .digest = 5,
-                                                .request = index,
-                                                .upstream = mf_target_process (target),
-                                                .sent_us = now_us + index,
-                                                .at_us = now_us + index });
+      mf_suspects_add_failure (ground.fleet.towns[0].jobs.suspects,
+                               &(MfSuspectFailure){ .digest = 5,
+                                                    .request_id = index,
+                                                    .upstream_id = mf_target_process (target),
+                                                    .sent_us = now_us + index,
+                                                    .failed_us = now_us + index });
       mf_target_says_leaving (target);
       mf_target_replaced (target, UINT64_MAX);
     }
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -233,7 +233,7 @@
 static void
 test_list_travels_between_peers (void **state)
 {
-  const MfListed listed[] = {
+  const MfListedInstance listed[] = {
     { .name = "n0", .address = "127.0.0.1:10000", .data_centre = "dc0" },
     { .name = "new", .address = "127.0.0.1:1", .data_centre = "dc1" },
   };
@@ -259,7 +259,7 @@
 test_message_waits_for_its_link (void **state)
 {
   FakeCores *cores = fleet_new (30, 3);
-  MfPeerMessage message = { .type = MF_PEER_CONFIG_ASK, .ask_revision = 0 };
+  MfPeerMessage message = { .type = MF_PEER_CONFIG_REQUEST, .known_revision = 0 };
   MfMemberRow *row = fake_cores_core (cores, 0)->board.members->rows;
 
   (void)state;
--- a/tests/test_news.c
+++ b/tests/test_news.c
@@ -162,7 +162,7 @@
   n_bytes = fake_cores_bytes_out (cores, 0);
   for (uint32_t i = 0; i < 100; i++)
     {
-      mf_news_note (core, MF_NEWS_SUSPECT, 77, 1);
+      mf_gossip_publish (core, MF_GOSSIP_REQUEST_SUSPECT, 77, 1);
       fake_cores_run (cores, 100 * MF_US_PER_MS);
     }
   n_bytes = fake_cores_bytes_out (cores, 0) - n_bytes;
@@ -182,8 +182,8 @@
 
   (void)state;
   for (uint32_t i = 0; i < 500; i++)
-    mf_news_note (core, MF_NEWS_SUSPECT, 1000 + i, 1);
-  mf_news_note (core, MF_NEWS_UPSTREAM_LEAVING, mf_hash_name ("d1"), 0);
+    mf_gossip_publish (core, MF_GOSSIP_REQUEST_SUSPECT, 1000 + i, 1);
+  mf_gossip_publish (core, MF_GOSSIP_UPSTREAM_LEAVING, mf_hash_name ("d1"), 0);
   for (uint32_t slot = 0; slot < 7; slot++)
     report_load (cores, slot, "d1", false);
   n_bytes = fake_cores_bytes_out (cores, 0);
@@ -192,10 +192,10 @@
   fake_cores_run (cores, 9500 * MF_US_PER_MS);
   n_bytes = fake_cores_bytes_out (cores, 0) - n_bytes;
   assert_true (n_bytes / 10 < 23000);
-  assert_int_equal (core->board.counters.values[MF_COUNTER_NEWS_DROPPED], 0);
+  assert_int_equal (core->board.counters.values[MF_COUNTER_GOSSIP_DROPPED], 0);
   for (uint32_t i = 0; i < 2000; i++)
-    mf_news_note (core, MF_NEWS_SUSPECT, 10000 + i, 1);
-  assert_true (core->board.counters.values[MF_COUNTER_NEWS_DROPPED] > 0);
+    mf_gossip_publish (core, MF_GOSSIP_REQUEST_SUSPECT, 10000 + i, 1);
+  assert_true (core->board.counters.values[MF_COUNTER_GOSSIP_DROPPED] > 0);
   fake_cores_free (cores);
 }
 
--- a/tests/test_peer_link.c
+++ b/tests/test_peer_link.c
@@ -56,9 +56,9 @@
     }
   else
     {
-      assert_int_equal (event->peer.message->type, MF_PEER_CONFIG_ASK);
+      assert_int_equal (event->peer.message->type, MF_PEER_CONFIG_REQUEST);
       node->n_messages++;
-      node->last_value = event->peer.message->ask_revision;
+      node->last_value = event->peer.message->known_revision;
     }
 }
 
@@ -173,7 +173,7 @@
 static void
 say (Node *node, uint64_t value)
 {
-  const MfPeerMessage message = { .type = MF_PEER_CONFIG_ASK, .ask_revision = value };
+  const MfPeerMessage message = { .type = MF_PEER_CONFIG_REQUEST, .known_revision = value };
 
   mf_peer_links_send (node->links, node->last_link, &message);
 }
@@ -357,7 +357,7 @@
 test_unreadable_message_is_dropped_and_a_broken_seal_ends_the_link (void **state)
 {
   Fixture *fixture = *state;
-  const MfPeerMessage message = { .type = MF_PEER_CONFIG_ASK, .ask_revision = 5 };
+  const MfPeerMessage message = { .type = MF_PEER_CONFIG_REQUEST, .known_revision = 5 };
   MfPeerAuth auth;
   MfBuffer hello = { 0 };
   MfBuffer proof = { 0 };
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -27,7 +27,7 @@
   uint64_t revision;
   size_t text_bytes;
   char text[32];
-  MfListed listed[4];
+  MfListedInstance listed[4];
   uint32_t n_listed;
   MfLostEvent lost;
 } Rig;
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -248,16 +248,16 @@
   begin (&bench);
   bring (&bench, MF_PHASE_DECODING);
   step (&bench, &departed);
-  assert_int_equal (mf_debt_count (bench.core), 1);
+  assert_int_equal (mf_cancel_count (bench.core), 1);
   first = bench.last_call[MF_CALL_CANCEL];
   assert_true (first != 0);
   call_step (&bench, MF_EVENT_CALL_FAILED, MF_CALL_CANCEL, (MfCallEvent){ .timed_out = true });
-  assert_int_equal (mf_debt_count (bench.core), 1);
+  assert_int_equal (mf_cancel_count (bench.core), 1);
   bench.now_us += MF_US_PER_S;
   step (&bench, &tick);
   assert_true (bench.last_call[MF_CALL_CANCEL] != first);
   call_step (&bench, MF_EVENT_CALL_DONE, MF_CALL_CANCEL, (MfCallEvent){ .status = 404 });
-  assert_int_equal (mf_debt_count (bench.core), 0);
+  assert_int_equal (mf_cancel_count (bench.core), 0);
   mf_core_free (bench.core);
 }
 
@@ -319,12 +319,12 @@
   begin (&bench);
   bring (&bench, MF_PHASE_RESUMING);
   step (&bench, &departed);
-  assert_int_equal (mf_debt_count (bench.core), 1);
+  assert_int_equal (mf_cancel_count (bench.core), 1);
   mf_core_free (bench.core);
   begin (&bench);
   bring (&bench, MF_PHASE_RESUMING);
   call_step (&bench, MF_EVENT_CALL_FAILED, MF_CALL_RESUME, (MfCallEvent){ .timed_out = true });
-  assert_int_equal (mf_debt_count (bench.core), 1);
+  assert_int_equal (mf_cancel_count (bench.core), 1);
   mf_core_free (bench.core);
 }
 
--- a/tests/test_suspect.c
+++ b/tests/test_suspect.c
@@ -9,19 +9,20 @@
 #define OTHER_DIGEST 8
 #define S MF_US_PER_S
 
-static const MfSuspectTerms limits
-    = { .break_us = 10 * S, .two_deaths_us = 30 * S, .three_deaths_us = 600 * S };
+static const MfSuspectLimits limits = { .crash_window_us = 10 * S,
+                                        .two_deaths_quarantine_us = 30 * S,
+                                        .three_deaths_quarantine_us = 600 * S };
 
 /* The verdicts on the breaks of one upstream, by digest. */
 typedef struct
 {
-  MfSuspectVerdict own;
-  MfSuspectVerdict other;
+  MfSuspectResult own;
+  MfSuspectResult other;
   uint32_t n;
 } Results;
 
 static void
-on_result (void *data, const MfSuspectBreak *failure, MfSuspectVerdict result)
+on_result (void *data, const MfSuspectFailure *failure, MfSuspectResult result)
 {
   Results *results = data;
 
@@ -33,34 +34,35 @@
 }
 
 static void
-add_failure (MfSuspects *suspects, uint64_t digest, uint64_t upstream, bool suspect,
+add_failure (MfSuspects *suspects, uint64_t digest, uint64_t upstream_id, bool suspect,
              uint64_t sent_us)
 {
-  mf_suspects_add_break (suspects, &(MfSuspectBreak){ .digest = digest,
-                                                      .request = digest * 100 + upstream,
-                                                      .upstream = upstream,
-                                                      .suspect = suspect,
-                                                      .sent_us = sent_us,
-                                                      .at_us = sent_us + S / 10 });
+  mf_suspects_add_failure (suspects, &(MfSuspectFailure){ .digest = digest,
+                                                          .request_id = digest * 100 + upstream_id,
+                                                          .upstream_id = upstream_id,
+                                                          .was_suspect = suspect,
+                                                          .sent_us = sent_us,
+                                                          .failed_us = sent_us + S / 10 });
 }
 
 static Results
-upstream_dies (MfSuspects *suspects, uint64_t upstream, uint64_t now_us)
+upstream_dies (MfSuspects *suspects, uint64_t upstream_id, uint64_t now_us)
 {
   Results results = { 0 };
 
-  mf_suspects_end_upstream (suspects, upstream, upstream, now_us, on_result, &results);
+  mf_suspects_upstream_died (suspects, upstream_id, upstream_id, now_us, on_result, &results);
   return results;
 }
 
 /* Ends one upstream after the other under the digest; returns the last verdict. */
-static MfSuspectVerdict
-fail_and_die_at (MfSuspects *suspects, uint64_t upstream, bool isolated)
+static MfSuspectResult
+fail_and_die_at (MfSuspects *suspects, uint64_t upstream_id, bool isolated)
 {
-  add_failure (suspects, DIGEST, upstream, upstream > 1, upstream * S);
+  add_failure (suspects, DIGEST, upstream_id, upstream_id > 1, upstream_id * S);
   if (!isolated)
-    add_failure (suspects, OTHER_DIGEST + upstream, upstream, upstream > 1, upstream * S);
-  return upstream_dies (suspects, upstream, upstream * S + S / 5).own;
+    add_failure (suspects, OTHER_DIGEST + upstream_id, upstream_id, upstream_id > 1,
+                 upstream_id * S);
+  return upstream_dies (suspects, upstream_id, upstream_id * S + S / 5).own;
 }
 
 static void
@@ -70,9 +72,9 @@
 
   (void)state;
   assert_int_equal (fail_and_die_at (suspects, 1, false), MF_SUSPECT_COUNTED);
-  assert_int_equal (fail_and_die_at (suspects, 2, true), MF_SUSPECT_CONVICTED);
-  assert_true (mf_suspects_is_convicted (suspects, DIGEST, 3 * S));
-  assert_false (mf_suspects_is_convicted (suspects, OTHER_DIGEST + 1, 3 * S));
+  assert_int_equal (fail_and_die_at (suspects, 2, true), MF_SUSPECT_QUARANTINED);
+  assert_true (mf_suspects_is_quarantined (suspects, DIGEST, 3 * S));
+  assert_false (mf_suspects_is_quarantined (suspects, OTHER_DIGEST + 1, 3 * S));
   mf_suspects_free (suspects);
 }
 
@@ -84,7 +86,7 @@
   (void)state;
   assert_int_equal (fail_and_die_at (suspects, 1, false), MF_SUSPECT_COUNTED);
   assert_int_equal (fail_and_die_at (suspects, 2, false), MF_SUSPECT_COUNTED);
-  assert_int_equal (fail_and_die_at (suspects, 3, false), MF_SUSPECT_CONVICTED);
+  assert_int_equal (fail_and_die_at (suspects, 3, false), MF_SUSPECT_QUARANTINED);
   mf_suspects_free (suspects);
 }
 
@@ -97,15 +99,16 @@
 
   (void)state;
   fail_and_die_at (suspects, 1, false);
-  assert_int_equal (fail_and_die_at (suspects, 2, true), MF_SUSPECT_CONVICTED);
+  assert_int_equal (fail_and_die_at (suspects, 2, true), MF_SUSPECT_QUARANTINED);
   for (size_t i = 0; i < MF_ARRAY_LEN (processes); i++)
-    mf_suspects_add_death (
-        suspects, OTHER_DIGEST,
-        &(MfSuspectDeath){ .process = processes[i], .sent_us = (3 + i) * S, .at_us = (3 + i) * S },
-        false, 5 * S);
-  assert_false (mf_suspects_convict (suspects, OTHER_DIGEST, 30 * S, 5 * S));
-  assert_false (mf_suspects_is_convicted (suspects, DIGEST, 5 * S));
-  assert_int_equal (fail_and_die_at (suspects, 6, true), MF_SUSPECT_CONVICTED);
+    mf_suspects_add_death (suspects, OTHER_DIGEST,
+                           &(MfSuspectDeath){ .process_id = processes[i],
+                                              .sent_us = (3 + i) * S,
+                                              .at_us = (3 + i) * S },
+                           false, 5 * S);
+  assert_false (mf_suspects_quarantine (suspects, OTHER_DIGEST, 30 * S, 5 * S));
+  assert_false (mf_suspects_is_quarantined (suspects, DIGEST, 5 * S));
+  assert_int_equal (fail_and_die_at (suspects, 6, true), MF_SUSPECT_QUARANTINED);
   mf_suspects_free (suspects);
 }
 
@@ -118,10 +121,10 @@
   (void)state;
   fail_and_die_at (suspects, 1, true);
   fail_and_die_at (suspects, 2, true);
-  assert_true (mf_suspects_is_convicted (suspects, DIGEST, 30 * S));
-  assert_false (mf_suspects_is_convicted (suspects, DIGEST, 40 * S));
-  assert_int_equal (fail_and_die_at (suspects, 40, false), MF_SUSPECT_CONVICTED);
-  assert_true (mf_suspects_is_convicted (suspects, DIGEST, 600 * S));
+  assert_true (mf_suspects_is_quarantined (suspects, DIGEST, 30 * S));
+  assert_false (mf_suspects_is_quarantined (suspects, DIGEST, 40 * S));
+  assert_int_equal (fail_and_die_at (suspects, 40, false), MF_SUSPECT_QUARANTINED);
+  assert_true (mf_suspects_is_quarantined (suspects, DIGEST, 600 * S));
   assert_null (mf_suspects_find (suspects, DIGEST, 641 * S));
   mf_suspects_free (suspects);
 }
@@ -133,11 +136,11 @@
   MfSuspects *suspects = mf_suspects_new (&limits);
 
   (void)state;
-  for (uint64_t upstream = 1; upstream <= 3; upstream++)
-    add_failure (suspects, DIGEST, upstream, false, S);
+  for (uint64_t upstream_id = 1; upstream_id <= 3; upstream_id++)
+    add_failure (suspects, DIGEST, upstream_id, false, S);
   assert_int_equal (upstream_dies (suspects, 1, 2 * S).own, MF_SUSPECT_COUNTED);
-  assert_int_equal (upstream_dies (suspects, 2, 2 * S).own, MF_SUSPECT_KNOWN);
-  assert_int_equal (upstream_dies (suspects, 3, 2 * S).own, MF_SUSPECT_KNOWN);
+  assert_int_equal (upstream_dies (suspects, 2, 2 * S).own, MF_SUSPECT_DUPLICATE);
+  assert_int_equal (upstream_dies (suspects, 3, 2 * S).own, MF_SUSPECT_DUPLICATE);
   assert_int_equal (mf_suspects_find (suspects, DIGEST, 2 * S)->n_deaths, 1);
   mf_suspects_free (suspects);
 }
@@ -148,11 +151,11 @@
   MfSuspects *suspects = mf_suspects_new (&limits);
 
   (void)state;
-  for (uint64_t upstream = 1; upstream < 10; upstream++)
+  for (uint64_t upstream_id = 1; upstream_id < 10; upstream_id++)
     {
-      assert_int_equal (fail_and_die_at (suspects, upstream, true), MF_SUSPECT_COUNTED);
-      assert_true (mf_suspects_clear (suspects, DIGEST));
-      assert_false (mf_suspects_clear (suspects, DIGEST));
+      assert_int_equal (fail_and_die_at (suspects, upstream_id, true), MF_SUSPECT_COUNTED);
+      assert_true (mf_suspects_remove (suspects, DIGEST));
+      assert_false (mf_suspects_remove (suspects, DIGEST));
     }
   mf_suspects_free (suspects);
 }
@@ -166,16 +169,16 @@
 
   (void)state;
   add_failure (suspects, DIGEST, 1, false, S);
-  mf_suspects_release_upstream (suspects, 1, S, on_result, &results);
+  mf_suspects_upstream_alive (suspects, 1, S, on_result, &results);
   assert_int_equal (results.n, 0);
-  mf_suspects_release_upstream (suspects, 1, 2 * S, on_result, &results);
+  mf_suspects_upstream_alive (suspects, 1, 2 * S, on_result, &results);
   assert_int_equal (results.n, 1);
   assert_int_equal (upstream_dies (suspects, 1, 3 * S).n, 0);
   add_failure (suspects, DIGEST, 2, false, S);
-  assert_int_equal (upstream_dies (suspects, 2, 20 * S).own, MF_SUSPECT_RELEASED);
+  assert_int_equal (upstream_dies (suspects, 2, 20 * S).own, MF_SUSPECT_UNRELATED);
   add_failure (suspects, DIGEST, 3, false, S);
-  mf_suspects_release_before (suspects, 2 * S, on_result, &results);
-  assert_int_equal (mf_suspects_n_breaks (suspects), 0);
+  mf_suspects_expire_failures (suspects, 2 * S, on_result, &results);
+  assert_int_equal (mf_suspects_n_failures (suspects), 0);
   assert_null (mf_suspects_find (suspects, DIGEST, 20 * S));
   mf_suspects_free (suspects);
 }
@@ -190,9 +193,9 @@
   fail_and_die_at (suspects, 1, true);
   fail_and_die_at (suspects, 2, true);
   for (uint64_t digest = 100; digest < 20000; digest++)
-    mf_suspects_add_death (suspects, digest, &(MfSuspectDeath){ .process = 1, .at_us = 3 * S },
+    mf_suspects_add_death (suspects, digest, &(MfSuspectDeath){ .process_id = 1, .at_us = 3 * S },
                            false, 3 * S);
-  assert_true (mf_suspects_is_convicted (suspects, DIGEST, 4 * S));
+  assert_true (mf_suspects_is_quarantined (suspects, DIGEST, 4 * S));
   assert_null (mf_suspects_find (suspects, 100, 4 * S));
   mf_suspects_free (suspects);
 }
--- a/tests/test_suspect_core.c
+++ b/tests/test_suspect_core.c
@@ -56,7 +56,7 @@
 static uint64_t
 n_quarantines (const OneCore *one)
 {
-  return one->core->board.counters.values[MF_COUNTER_CONVICTIONS];
+  return one->core->board.counters.values[MF_COUNTER_QUARANTINES];
 }
 
 /* Many callers read the same while their upstream dies: that is one death. */
