--- a/libmangofork/board.h
+++ b/libmangofork/board.h
@@ -11,14 +11,14 @@
 typedef struct MfHealthBook MfHealthBook; /* health.c */
 typedef struct MfRequests MfRequests;     /* request.c */
 typedef struct MfQueue MfQueue;           /* queue.c */
-typedef struct MfCancels MfCancels;       /* debt.c */
+typedef struct MfCancels MfCancels;       /* cancel.c */
 typedef struct MfDrain MfDrain;           /* drain.c */
 typedef struct MfSuspects MfSuspects;     /* suspect.c */
 typedef struct MfCaches MfCaches;         /* prefix.c */
 typedef struct MfMembers MfMembers;       /* member.c */
 typedef struct MfClaims MfClaims;         /* claim.c */
 typedef struct MfConfsync MfConfsync;     /* confsync.c */
-typedef struct MfGossipLog MfGossipLog;   /* news.c */
+typedef struct MfGossipLog MfGossipLog;   /* gossip.c */
 typedef struct MfDigests MfDigests;       /* digest.c */
 typedef struct MfShares MfShares;         /* share.c */
 typedef struct MfOrders MfOrders;         /* order.c */
--- a/libmangofork/debt.c
+++ b/libmangofork/cancel.c
@@ -1,4 +1,4 @@
-#include "debt.h"
+#include "cancel.h"
 
 #include "heap.h"
 
--- a/libmangofork/debt.h
+++ b/libmangofork/cancel.h
@@ -1,5 +1,5 @@
-#ifndef MF_DEBT_H
-#define MF_DEBT_H
+#ifndef MF_CANCEL_H
+#define MF_CANCEL_H
 
 #include "core.h"
 
--- a/libmangofork/core.h
+++ b/libmangofork/core.h
@@ -55,13 +55,13 @@
 extern const MfController mf_health_controller;   /* health.c */
 extern const MfController mf_prefix_controller;   /* prefix.c */
 extern const MfController mf_suspect_controller;  /* suspect_core.c */
-extern const MfController mf_cancel_controller;   /* debt.c */
+extern const MfController mf_cancel_controller;   /* cancel.c */
 extern const MfController mf_request_controller;  /* request.c: life cycle */
 extern const MfController mf_queue_controller;    /* queue.c: admission and placement */
 extern const MfController mf_drain_controller;    /* drain.c */
 extern const MfController mf_confsync_controller; /* confsync.c */
 extern const MfController mf_member_controller;   /* member.c */
-extern const MfController mf_gossip_controller;   /* news.c */
+extern const MfController mf_gossip_controller;   /* gossip.c */
 extern const MfController mf_digest_controller;   /* digest.c */
 extern const MfController mf_claim_controller;    /* claim.c */
 extern const MfController mf_share_controller;    /* share.c */
--- a/libmangofork/digest.c
+++ b/libmangofork/digest.c
@@ -2,7 +2,7 @@
 
 #include "guardian.h"
 #include "member_row.h"
-#include "news.h"
+#include "gossip.h"
 #include "share.h"
 
 #include <stdlib.h>
--- a/libmangofork/news.c
+++ b/libmangofork/gossip.c
@@ -1,4 +1,4 @@
-#include "news.h"
+#include "gossip.h"
 
 #include "digest.h"
 #include "member_row.h"
--- a/libmangofork/news.h
+++ b/libmangofork/gossip.h
@@ -1,5 +1,5 @@
-#ifndef MF_NEWS_H
-#define MF_NEWS_H
+#ifndef MF_GOSSIP_H
+#define MF_GOSSIP_H
 
 #include "core.h"
 
--- a/libmangofork/guardian.c
+++ b/libmangofork/guardian.c
@@ -1,6 +1,6 @@
 #include "guardian.h"
 
-#include "debt.h"
+#include "cancel.h"
 #include "rendezvous.h"
 
 #include <stdlib.h>
--- a/libmangofork/health.c
+++ b/libmangofork/health.c
@@ -1,7 +1,7 @@
 #include "health.h"
 
-#include "debt.h"
-#include "news.h"
+#include "cancel.h"
+#include "gossip.h"
 #include "prefix.h"
 #include "queue.h"
 #include "suspect_core.h"
--- a/libmangofork/life.c
+++ b/libmangofork/life.c
@@ -1,5 +1,5 @@
 #include "claim.h"
-#include "debt.h"
+#include "cancel.h"
 #include "health.h"
 #include "policy.h"
 #include "queue.h"
--- a/libmangofork/member_link.c
+++ b/libmangofork/member_link.c
@@ -2,7 +2,7 @@
 
 #include "digest.h"
 #include "frame.h"
-#include "news.h"
+#include "gossip.h"
 #include "rendezvous.h"
 
 #include <stdlib.h>
--- a/libmangofork/metrics.c
+++ b/libmangofork/metrics.c
@@ -1,6 +1,6 @@
 #include "metrics.h"
 
-#include "debt.h"
+#include "cancel.h"
 #include "member.h"
 #include "queue.h"
 #include "suspect_core.h"
--- a/libmangofork/order.c
+++ b/libmangofork/order.c
@@ -1,5 +1,5 @@
 #include "member.h"
-#include "news.h"
+#include "gossip.h"
 #include "rendezvous.h"
 
 #include <stdlib.h>
--- a/libmangofork/series.c
+++ b/libmangofork/series.c
@@ -1,6 +1,6 @@
 #include "series.h"
 
-#include "debt.h"
+#include "cancel.h"
 #include "queue.h"
 
 #include <stdlib.h>
--- a/libmangofork/status.c
+++ b/libmangofork/status.c
@@ -1,6 +1,6 @@
 #include "status.h"
 
-#include "debt.h"
+#include "cancel.h"
 #include "member.h"
 #include "queue.h"
 #include "render.h"
--- a/libmangofork/suspect_core.c
+++ b/libmangofork/suspect_core.c
@@ -1,6 +1,6 @@
 #include "suspect_core.h"
 
-#include "news.h"
+#include "gossip.h"
 #include "queue.h"
 
 #include <xxhash.h>
--- a/libmangofork/upstream.c
+++ b/libmangofork/upstream.c
@@ -1,6 +1,6 @@
 #include "upstream.h"
 
-#include "debt.h"
+#include "cancel.h"
 #include "health.h"
 #include "prefix.h"
 #include "queue.h"
--- a/tests/test_news.c
+++ b/tests/test_gossip.c
@@ -1,5 +1,5 @@
 #include "libmangofork/member_row.h"
-#include "libmangofork/news.h"
+#include "libmangofork/gossip.h"
 #include "libmangofork/suspect_core.h"
 
 #include "fakes/cores.h"
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -1,4 +1,4 @@
-#include "libmangofork/debt.h"
+#include "libmangofork/cancel.h"
 #include "libmangofork/request.h"
 
 #include <setjmp.h>
