--- a/libmangofork/guardian.c
+++ b/libmangofork/guardian.c
@@ -1,36 +1,36 @@
 #include "guardian.h"
 
-#include "debt.h"
+#include "cancel.h"
 #include "rendezvous.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-#define GUARDIANS 3
+#define GUARDIANS_MAX 3
 /* Work told of no later than this may still hold engine memory. */
-#define HELD_LIFE_US (60 * MF_US_PER_S)
-#define HELD_MAX 512
+#define HELD_WORK_LIFE_US (60 * MF_US_PER_S)
+#define HELD_WORK_MAX 512
 /* With so few upstreams a guardian releases the dead one's work on all of them, and so also work
  * that no digest had told of. */
 #define RELEASE_ALL_MAX 64
 
-/* An upstream that a guarded instance holds work on. */
+/* An upstream that a is_guarded instance holds work on. */
 struct MfHeldWork
 {
   uint64_t upstream; /* hash of its name */
-  uint64_t told_us;
+  uint64_t reported_us;
 };
 
 static bool
 row_can_guard (const MfMemberRow *row)
 {
   return row != NULL && row->member.link_id != 0 && row->member.state == MF_MEMBER_ALIVE
-         && !row->guards_us;
+         && !row->is_guardian;
 }
 
 /* Returns the best neighbour that is no guardian yet; of another data centre when asked for. */
 static MfMemberRow *
-best_guardian (const MfCore *core, bool elsewhere)
+best_guardian (const MfCore *core, bool other_data_centre)
 {
   const MfMembers *members = core->board.members;
   MfMemberRow *best = NULL;
@@ -42,7 +42,8 @@
       uint64_t score;
 
       if (!row_can_guard (row)
-          || (elsewhere && strcmp (row->member.data_centre, core->board.options.data_centre) == 0))
+          || (other_data_centre
+              && strcmp (row->member.data_centre, core->board.options.data_centre) == 0))
         continue;
       score = mf_rendezvous_score (row->name_hash, members->self_hash);
       if (best == NULL || score > best_score)
@@ -64,9 +65,9 @@
   for (uint32_t i = 0; i < MF_NEIGHBOURS_MAX; i++)
     {
       if (members->neighbours[i] != NULL)
-        members->neighbours[i]->guards_us = false;
+        members->neighbours[i]->is_guardian = false;
     }
-  for (uint32_t i = 0; i < GUARDIANS; i++)
+  for (uint32_t i = 0; i < GUARDIANS_MAX; i++)
     {
       MfMemberRow *row = i == 0 ? best_guardian (core, true) : NULL;
 
@@ -74,7 +75,7 @@
         row = best_guardian (core, false);
       if (row == NULL)
         return;
-      row->guards_us = true;
+      row->is_guardian = true;
     }
 }
 
@@ -88,20 +89,20 @@
     {
       if (row->held[i].upstream == upstream)
         return &row->held[i];
-      if (row->held[i].told_us < oldest->told_us)
+      if (row->held[i].reported_us < oldest->reported_us)
         oldest = &row->held[i];
     }
-  return row->n_held < HELD_MAX ? &row->held[row->n_held++] : oldest;
+  return row->n_held < HELD_WORK_MAX ? &row->held[row->n_held++] : oldest;
 }
 
 /* Remembers which upstreams a neighbour holds work on, when it made us its guardian. */
 void
-mf_guardian_take (MfCore *core, MfMemberRow *row, const MfDigestMessage *digest)
+mf_guardian_record_work (MfCore *core, MfMemberRow *row, const MfDigestMessage *digest)
 {
   if (!digest->guardian)
     return;
   if (row->held == NULL)
-    row->held = calloc (HELD_MAX, sizeof *row->held);
+    row->held = calloc (HELD_WORK_MAX, sizeof *row->held);
   if (row->held == NULL)
     return;
   for (uint32_t i = 0; i < digest->n_shares; i++)
@@ -112,7 +113,7 @@
         continue;
       held = held_find (row, digest->shares[i].upstream);
       held->upstream = digest->shares[i].upstream;
-      held->told_us = core->board.now_us;
+      held->reported_us = core->board.now_us;
     }
 }
 
@@ -124,7 +125,7 @@
       const MfUpstream *upstream = &core->board.upstreams[i];
 
       if (upstream->in_config && upstream->role != MF_ROLE_PLAIN)
-        mf_debt_add_owner (core, i, owner);
+        mf_cancel_add_instance (core, i, owner);
     }
 }
 
@@ -135,20 +136,20 @@
     {
       uint32_t upstream = mf_upstream_find (core, row->held[i].upstream);
 
-      if (upstream != MF_NONE && core->board.now_us - row->held[i].told_us < HELD_LIFE_US)
-        mf_debt_add_owner (core, upstream, owner);
+      if (upstream != MF_NONE && core->board.now_us - row->held[i].reported_us < HELD_WORK_LIFE_US)
+        mf_cancel_add_instance (core, upstream, owner);
     }
 }
 
 /* Owes the upstreams the release of what a dead incarnation of a slot held. Releasing the work of
  * an owner that lives after all costs that work once: the owner resumes its streams. */
 void
-mf_guardian_owner_died (MfCore *core, MfMemberRow *row, uint64_t incarnation)
+mf_guardian_instance_died (MfCore *core, MfMemberRow *row, uint64_t incarnation)
 {
   MfInstanceId owner = row->member.owner;
 
   owner.incarnation = incarnation;
-  if (row->guarded && incarnation != 0)
+  if (row->is_guarded && incarnation != 0)
     {
       if (core->board.n_upstreams <= RELEASE_ALL_MAX)
         release_all (core, &owner);
@@ -159,7 +160,7 @@
 }
 
 void
-mf_guardian_forget (MfMemberRow *row)
+mf_guardian_clear (MfMemberRow *row)
 {
   free (row->held);
   row->held = NULL;
--- a/libmangofork/life.c
+++ b/libmangofork/life.c
@@ -1,5 +1,5 @@
 #include "claim.h"
-#include "debt.h"
+#include "cancel.h"
 #include "health.h"
 #include "policy.h"
 #include "queue.h"
@@ -181,12 +181,12 @@
   /* The engine still holds the stream that a resume was to continue, even if the resume was never
    * sent. */
   if (call->kind == MF_CALL_RESUME || (!not_run && call->kind != MF_CALL_PLAIN))
-    mf_debt_add (step->core, upstream, request->id, call->id, call->attempt);
+    mf_cancel_add (step->core, upstream, request->id, call->id, call->attempt);
   request->last_upstream = upstream;
   mf_call_end (step->core, call);
   mf_health_note_call (step->core, upstream, step->event);
   if (connection_broke)
-    mf_suspect_broken (step->core, request, upstream);
+    mf_suspect_call_failed (step->core, request, upstream);
   return not_run;
 }
 
@@ -200,7 +200,7 @@
 static void
 claiming_departed (const Step *step)
 {
-  mf_claim_drop (step->core, step->request->id);
+  mf_claim_cancel (step->core, step->request->id);
   departed (step);
 }
 
@@ -271,7 +271,7 @@
 {
   if (now_us (step) < step->request->deadline_us)
     return;
-  mf_claim_drop (step->core, step->request->id);
+  mf_claim_cancel (step->core, step->request->id);
   count_earlier_run (step->request, MF_OUTCOME_UNKNOWN);
   mf_finish_refused (step->core, step->request, MF_CODE_KEY_NO_QUORUM, 1000);
 }
@@ -464,7 +464,7 @@
       request->last_upstream = upstream;
       mf_call_end (core, step->call);
       mf_health_note_call (core, upstream, step->event);
-      mf_suspect_broken (core, request, upstream);
+      mf_suspect_call_failed (core, request, upstream);
       mf_request_set_phase (request, MF_PHASE_RESUMING);
       mf_call_start (core, request, MF_CALL_RESUME, upstream);
       mf_request_check_at (core, request, now_us (step) + RESUME_TIMEOUT_US);
--- a/libmangofork/relay/job_suspect.c
+++ b/libmangofork/relay/job_suspect.c
@@ -44,10 +44,10 @@
 bool
 mf_jobs_init_suspects (MfJobs *jobs)
 {
-  jobs->suspects
-      = mf_suspects_new (&(MfSuspectTerms){ .break_us = CRASH_WINDOW_US,
-                                            .two_deaths_us = TWO_DEATHS_QUARANTINE_US,
-                                            .three_deaths_us = THREE_DEATHS_QUARANTINE_US });
+  jobs->suspects = mf_suspects_new (
+      &(MfSuspectLimits){ .crash_window_us = CRASH_WINDOW_US,
+                          .two_deaths_quarantine_us = TWO_DEATHS_QUARANTINE_US,
+                          .three_deaths_quarantine_us = THREE_DEATHS_QUARANTINE_US });
   return jobs->suspects != NULL;
 }
 
@@ -68,10 +68,10 @@
   MfJobs *jobs = job->jobs;
   uint64_t now_us = mf_clock_now_us ();
 
-  if (!mf_suspects_is_convicted (jobs->suspects, job->digest, now_us))
+  if (!mf_suspects_is_quarantined (jobs->suspects, job->digest, now_us))
     return false;
   jobs->counters.counts[MF_RELAY_COUNT_SUSPECTS_REFUSED]++;
-  job->pause_end_us = mf_suspects_find (jobs->suspects, job->digest, now_us)->convicted_until_us;
+  job->pause_end_us = mf_suspects_find (jobs->suspects, job->digest, now_us)->quarantined_until_us;
   if (job->n_runs > 0)
     mf_job_finish (job, MF_CODE_UPSTREAM_DIED, "upstreams crashed while running this request");
   else
@@ -98,13 +98,13 @@
 {
   MfSuspectEntry entry = {
     .digest = suspect->digest,
-    .quarantine_ms = age_ms (now_us, suspect->convicted_until_us),
+    .quarantine_ms = age_ms (now_us, suspect->quarantined_until_us),
     .n_deaths = suspect->n_deaths,
   };
 
   for (uint32_t i = 0; i < suspect->n_deaths; i++)
     entry.deaths[i] = (MfSuspectEntryDeath){
-      .process = suspect->deaths[i].process,
+      .process = suspect->deaths[i].process_id,
       .sent_age_ms = age_ms (suspect->deaths[i].sent_us, now_us),
       .age_ms = age_ms (suspect->deaths[i].at_us, now_us),
     };
@@ -130,9 +130,9 @@
   MfSuspect *suspect = mf_suspects_find (jobs->suspects, digest, now_us);
   MfSuspectEntry entry;
 
-  if (suspect == NULL || suspect->n_told >= suspect->n_deaths)
+  if (suspect == NULL || suspect->n_reported >= suspect->n_deaths)
     return;
-  suspect->n_told = suspect->n_deaths;
+  suspect->n_reported = suspect->n_deaths;
   entry = entry_make (suspect, now_us);
   entry_send (jobs, &entry);
 }
@@ -152,7 +152,8 @@
 
   if (list->update->n_entries == MF_SUSPECT_ENTRIES_MAX)
     return false;
-  if (suspect->n_told > 0 && list->quarantined == (suspect->convicted_until_us > list->now_us))
+  if (suspect->n_reported > 0
+      && list->quarantined == (suspect->quarantined_until_us > list->now_us))
     list->update->entries[list->update->n_entries++] = entry_make (suspect, list->now_us);
   return true;
 }
@@ -182,36 +183,36 @@
   mf_relay_log_state (jobs->log, "request.convicted",
                       "digest=%016llx upstreams_ended=%u by=%s sentence_ms=%u",
                       (unsigned long long)digest, suspect->n_deaths, by,
-                      age_ms (mf_clock_now_us (), suspect->convicted_until_us));
+                      age_ms (mf_clock_now_us (), suspect->quarantined_until_us));
 }
 
 static void
 entry_handle (MfJobs *jobs, const MfSuspectEntry *entry)
 {
   uint64_t now_us = mf_clock_now_us ();
-  bool was_quarantined = mf_suspects_is_convicted (jobs->suspects, entry->digest, now_us);
+  bool was_quarantined = mf_suspects_is_quarantined (jobs->suspects, entry->digest, now_us);
   MfSuspect *suspect;
 
   if (entry->cleared)
     {
-      mf_suspects_clear (jobs->suspects, entry->digest);
+      mf_suspects_remove (jobs->suspects, entry->digest);
       return;
     }
   for (uint32_t i = 0; i < entry->n_deaths; i++)
     mf_suspects_add_death (jobs->suspects, entry->digest,
                            &(MfSuspectDeath){
-                               .process = entry->deaths[i].process,
+                               .process_id = entry->deaths[i].process,
                                .sent_us = time_us (entry->deaths[i].sent_age_ms, now_us),
                                .at_us = time_us (entry->deaths[i].age_ms, now_us),
                            },
                            false, now_us);
   if (entry->quarantine_ms > 0)
-    mf_suspects_convict (jobs->suspects, entry->digest,
-                         now_us + entry->quarantine_ms * MF_US_PER_MS, now_us);
+    mf_suspects_quarantine (jobs->suspects, entry->digest,
+                            now_us + entry->quarantine_ms * MF_US_PER_MS, now_us);
   suspect = mf_suspects_find (jobs->suspects, entry->digest, now_us);
-  if (suspect != NULL && suspect->n_told < entry->n_deaths)
-    suspect->n_told = entry->n_deaths;
-  if (!was_quarantined && mf_suspects_is_convicted (jobs->suspects, entry->digest, now_us))
+  if (suspect != NULL && suspect->n_reported < entry->n_deaths)
+    suspect->n_reported = entry->n_deaths;
+  if (!was_quarantined && mf_suspects_is_quarantined (jobs->suspects, entry->digest, now_us))
     record_quarantine (jobs, entry->digest, "peer");
 }
 
@@ -236,7 +237,7 @@
 }
 
 static void
-on_failure_result (void *data, const MfSuspectBreak *failure, MfSuspectVerdict result)
+on_failure_result (void *data, const MfSuspectFailure *failure, MfSuspectResult result)
 {
   MfJobs *jobs = data;
   const MfSuspect *suspect = mf_suspects_find (jobs->suspects, failure->digest, mf_clock_now_us ());
@@ -247,8 +248,9 @@
   mf_relay_log_event (jobs->log, "request.suspected",
                       "digest=%016llx upstreams_ended=%u was_suspect=%s break_age_ms=%u",
                       (unsigned long long)failure->digest, suspect->n_deaths,
-                      failure->suspect ? "yes" : "no", age_ms (failure->at_us, mf_clock_now_us ()));
-  if (result == MF_SUSPECT_CONVICTED)
+                      failure->was_suspect ? "yes" : "no",
+                      age_ms (failure->failed_us, mf_clock_now_us ()));
+  if (result == MF_SUSPECT_QUARANTINED)
     record_quarantine (jobs, failure->digest, "self");
   if (suspect->n_deaths >= REPORT_AT_ONCE_DEATHS || !has_job (jobs, failure->digest))
     suspect_send (jobs, failure->digest);
@@ -261,12 +263,12 @@
   uint64_t process = mf_target_process_id (target);
   uint64_t now_us = mf_clock_now_us ();
 
-  if (mf_suspects_n_breaks (jobs->suspects) == 0)
+  if (mf_suspects_n_failures (jobs->suspects) == 0)
     return;
   if (mf_target_is_leaving (target))
-    mf_suspects_release_upstream (jobs->suspects, process, UINT64_MAX, on_failure_result, jobs);
+    mf_suspects_upstream_alive (jobs->suspects, process, UINT64_MAX, on_failure_result, jobs);
   else
-    mf_suspects_end_upstream (jobs->suspects, process, process, now_us, on_failure_result, jobs);
+    mf_suspects_upstream_died (jobs->suspects, process, process, now_us, on_failure_result, jobs);
 }
 
 static void
@@ -274,7 +276,7 @@
 {
   MfJobs *jobs = data;
 
-  if (mf_suspects_n_breaks (jobs->suspects) > 0)
+  if (mf_suspects_n_failures (jobs->suspects) > 0)
     mf_relay_log_state (jobs->log, "upstream.ended", "upstream=%s why=\"%s\" leaving=%s",
                         target->info.id, why, mf_target_is_leaving (target) ? "yes" : "no");
   upstream_died (jobs, target);
@@ -287,10 +289,10 @@
 {
   MfJobs *jobs = data;
 
-  if (mf_suspects_n_breaks (jobs->suspects) > 0)
-    mf_suspects_end_place (jobs->suspects, mf_load_hash (target->info.address),
-                           mf_target_process_id (target), mf_clock_now_us (), on_failure_result,
-                           jobs);
+  if (mf_suspects_n_failures (jobs->suspects) > 0)
+    mf_suspects_address_reused (jobs->suspects, mf_load_hash (target->info.address),
+                                mf_target_process_id (target), mf_clock_now_us (),
+                                on_failure_result, jobs);
 }
 
 /* Continues a request that waited for a probe of its last upstream. */
@@ -342,15 +344,15 @@
 
   if (mf_target_is_leaving (target))
     return;
-  mf_suspects_add_break (jobs->suspects, &(MfSuspectBreak){
-                                             .digest = job->digest,
-                                             .request = job->try_id,
-                                             .upstream = mf_target_process_id (target),
-                                             .place = mf_load_hash (target->info.address),
-                                             .suspect = job->was_suspect,
-                                             .sent_us = job->sent_us,
-                                             .at_us = now_us,
-                                         });
+  mf_suspects_add_failure (jobs->suspects, &(MfSuspectFailure){
+                                               .digest = job->digest,
+                                               .request_id = job->try_id,
+                                               .upstream_id = mf_target_process_id (target),
+                                               .address_hash = mf_load_hash (target->info.address),
+                                               .was_suspect = job->was_suspect,
+                                               .sent_us = job->sent_us,
+                                               .failed_us = now_us,
+                                           });
   job->n_failures++;
   if (target->ended_us > 0 && now_us - target->ended_us < SAME_CRASH_US
       && job->sent_us < target->ended_us)
@@ -380,9 +382,9 @@
 {
   MfJobs *jobs = job->jobs;
 
-  if (mf_suspects_n_breaks (jobs->suspects) > 0)
-    mf_suspects_release_upstream (jobs->suspects, mf_target_process_id (job->target), job->sent_us,
-                                  on_failure_result, jobs);
+  if (mf_suspects_n_failures (jobs->suspects) > 0)
+    mf_suspects_upstream_alive (jobs->suspects, mf_target_process_id (job->target), job->sent_us,
+                                on_failure_result, jobs);
 }
 
 /* Records the end of the request. An answered request is no suspect any more; otherwise what is
@@ -401,8 +403,8 @@
       suspect_send (jobs, job->digest);
       return;
     }
-  was_reported = suspect->n_told > 0;
-  mf_suspects_clear (jobs->suspects, job->digest);
+  was_reported = suspect->n_reported > 0;
+  mf_suspects_remove (jobs->suspects, job->digest);
   if (was_reported)
     entry_send (jobs, &(MfSuspectEntry){ .digest = job->digest, .cleared = true });
 }
@@ -412,5 +414,5 @@
 mf_jobs_expire_failures (MfJobs *jobs, uint64_t now_us)
 {
   if (now_us > CRASH_WINDOW_US)
-    mf_suspects_release_before (jobs->suspects, now_us - CRASH_WINDOW_US, on_failure_result, jobs);
+    mf_suspects_expire_failures (jobs->suspects, now_us - CRASH_WINDOW_US, on_failure_result, jobs);
 }
--- a/libmangofork/suspect.c
+++ b/libmangofork/suspect.c
@@ -4,36 +4,36 @@
 
 #include <stdlib.h>
 
-/* How long what is known of a request is kept, and of how many. */
-#define KEPT_US (UINT64_C (600) * MF_US_PER_S)
+/* Entries expire this long after their last update. */
+#define ENTRY_LIFE_US (UINT64_C (600) * MF_US_PER_S)
 #define SUSPECTS_MAX 4096
-/* Breaks waiting to be told from deaths. */
-#define BREAKS_MAX 4096
-/* Deaths that convict a request that ran apart from other suspects when the last one came. */
-#define DEATHS_APART 2
+/* Failed calls whose upstream may have died, at most. */
+#define FAILURES_MAX 4096
+/* Deaths after which a request is quarantined when no other suspect ran at the last upstream. */
+#define DEATHS_ISOLATED 2
 
 typedef struct
 {
   MfSuspect suspect;
   UT_hash_handle hh;
-} Row;
+} Entry;
 
 struct MfSuspects
 {
-  MfSuspectTerms terms;
-  Row *rows;
-  MfSuspectBreak breaks[BREAKS_MAX];
-  uint32_t n_breaks;
+  MfSuspectLimits limits;
+  Entry *entries;
+  MfSuspectFailure failures[FAILURES_MAX];
+  uint32_t n_failures;
 };
 
-/* Begins without suspects. NULL without memory. */
+/* Returns an empty table, or NULL when out of memory. */
 MfSuspects *
-mf_suspects_new (const MfSuspectTerms *terms)
+mf_suspects_new (const MfSuspectLimits *limits)
 {
   MfSuspects *suspects = calloc (1, sizeof *suspects);
 
   if (suspects != NULL)
-    suspects->terms = *terms;
+    suspects->limits = *limits;
   return suspects;
 }
 
@@ -41,149 +41,151 @@
 void
 mf_suspects_free (MfSuspects *suspects)
 {
-  Row *row;
-  Row *next;
+  Entry *entry;
+  Entry *next;
 
   if (suspects == NULL)
     return;
-  HASH_ITER (hh, suspects->rows, row, next)
+  HASH_ITER (hh, suspects->entries, entry, next)
   {
-    HASH_DEL (suspects->rows, row);
-    free (row);
+    HASH_DEL (suspects->entries, entry);
+    free (entry);
   }
   free (suspects);
 }
 
-static Row *
-row_find (const MfSuspects *suspects, uint64_t digest)
+static Entry *
+entry_find (const MfSuspects *suspects, uint64_t digest)
 {
-  Row *row;
+  Entry *entry;
 
-  HASH_FIND (hh, suspects->rows, &digest, sizeof digest, row);
-  return row;
+  HASH_FIND (hh, suspects->entries, &digest, sizeof digest, entry);
+  return entry;
 }
 
 static void
-row_drop (MfSuspects *suspects, Row *row)
+entry_remove (MfSuspects *suspects, Entry *entry)
 {
-  HASH_DEL (suspects->rows, row);
-  free (row);
+  HASH_DEL (suspects->entries, entry);
+  free (entry);
 }
 
-/* Makes room: the row that has been there longest goes, of those without a conviction if any. */
+/* Evicts the oldest entry that is not quarantined, or the oldest one when all are. */
 static void
-rows_evict (MfSuspects *suspects, uint64_t now_us)
+evict_entry (MfSuspects *suspects, uint64_t now_us)
 {
-  Row *oldest = suspects->rows;
+  Entry *oldest = suspects->entries;
 
-  for (Row *row = suspects->rows; row != NULL; row = row->hh.next)
+  for (Entry *entry = suspects->entries; entry != NULL; entry = entry->hh.next)
     {
-      if (row->suspect.convicted_until_us > now_us)
+      if (entry->suspect.quarantined_until_us > now_us)
         continue;
-      oldest = row;
+      oldest = entry;
       break;
     }
-  row_drop (suspects, oldest);
+  entry_remove (suspects, oldest);
 }
 
 static MfSuspect *
 find_or_add (MfSuspects *suspects, uint64_t digest, uint64_t now_us)
 {
-  Row *row = row_find (suspects, digest);
+  Entry *entry = entry_find (suspects, digest);
 
-  if (row != NULL && now_us - row->suspect.at_us > KEPT_US)
+  if (entry != NULL && now_us - entry->suspect.at_us > ENTRY_LIFE_US)
     {
-      row_drop (suspects, row);
-      row = NULL;
+      entry_remove (suspects, entry);
+      entry = NULL;
     }
-  if (row == NULL)
+  if (entry == NULL)
     {
-      if (HASH_COUNT (suspects->rows) >= SUSPECTS_MAX)
-        rows_evict (suspects, now_us);
-      row = calloc (1, sizeof *row);
-      if (row == NULL)
+      if (HASH_COUNT (suspects->entries) >= SUSPECTS_MAX)
+        evict_entry (suspects, now_us);
+      entry = calloc (1, sizeof *entry);
+      if (entry == NULL)
         abort ();
-      row->suspect.digest = digest;
-      HASH_ADD (hh, suspects->rows, suspect.digest, sizeof row->suspect.digest, row);
+      entry->suspect.digest = digest;
+      HASH_ADD (hh, suspects->entries, suspect.digest, sizeof entry->suspect.digest, entry);
     }
-  row->suspect.at_us = now_us;
-  return &row->suspect;
+  entry->suspect.at_us = now_us;
+  return &entry->suspect;
 }
 
-/* What is known of a request; NULL when nothing is, or nothing recent. */
+/* Returns the entry of a request, or NULL when there is none or it has expired. */
 MfSuspect *
 mf_suspects_find (const MfSuspects *suspects, uint64_t digest, uint64_t now_us)
 {
-  Row *row = row_find (suspects, digest);
+  Entry *entry = entry_find (suspects, digest);
 
-  return row == NULL || now_us - row->suspect.at_us > KEPT_US ? NULL : &row->suspect;
+  return entry == NULL || now_us - entry->suspect.at_us > ENTRY_LIFE_US ? NULL : &entry->suspect;
 }
 
-/* Whether a request is to be refused. */
+/* Returns whether a request is to be refused at this time. */
 bool
-mf_suspects_is_convicted (const MfSuspects *suspects, uint64_t digest, uint64_t now_us)
+mf_suspects_is_quarantined (const MfSuspects *suspects, uint64_t digest, uint64_t now_us)
 {
   const MfSuspect *suspect = mf_suspects_find (suspects, digest, now_us);
 
-  return suspect != NULL && suspect->convicted_until_us > now_us;
+  return suspect != NULL && suspect->quarantined_until_us > now_us;
 }
 
-/* Calls func for each request under which an upstream has ended, until it returns false. */
+/* Calls func for each request with a counted death, until it returns false. */
 void
 mf_suspects_foreach (const MfSuspects *suspects, uint64_t now_us, MfSuspectFunc func, void *data)
 {
-  for (const Row *row = suspects->rows; row != NULL; row = row->hh.next)
+  for (const Entry *entry = suspects->entries; entry != NULL; entry = entry->hh.next)
     {
-      if (now_us - row->suspect.at_us <= KEPT_US && row->suspect.n_deaths > 0
-          && !func (data, &row->suspect))
+      if (now_us - entry->suspect.at_us <= ENTRY_LIFE_US && entry->suspect.n_deaths > 0
+          && !func (data, &entry->suspect))
         return;
     }
 }
 
 static uint64_t
-last_process (const MfSuspect *suspect)
+last_death_process (const MfSuspect *suspect)
 {
-  return suspect->n_deaths > 0 ? suspect->deaths[suspect->n_deaths - 1].process : 0;
+  return suspect->n_deaths > 0 ? suspect->deaths[suspect->n_deaths - 1].process_id : 0;
 }
 
-/* Whether another suspect met its last death at the same process, maybe at another instance: either
- * may have caused it. The other is let go as well where it was convicted by no more than that. */
+/* Returns whether the last death of another suspect was of the same process, possibly reported by
+ * another instance: then either request may have caused it. Ends the quarantine of the other as
+ * well unless it has MF_SUSPECT_DEATHS_MAX deaths. */
 static bool
 shares_last_death (MfSuspects *suspects, const MfSuspect *suspect)
 {
-  uint64_t process = last_process (suspect);
+  uint64_t process_id = last_death_process (suspect);
   bool shares = false;
 
-  for (Row *row = suspects->rows; row != NULL && process != 0; row = row->hh.next)
+  for (Entry *entry = suspects->entries; entry != NULL && process_id != 0; entry = entry->hh.next)
     {
-      MfSuspect *other = &row->suspect;
+      MfSuspect *other = &entry->suspect;
 
-      if (other == suspect || other->n_deaths < DEATHS_APART || last_process (other) != process)
+      if (other == suspect || other->n_deaths < DEATHS_ISOLATED
+          || last_death_process (other) != process_id)
         continue;
       shares = true;
       if (other->n_deaths < MF_SUSPECT_DEATHS_MAX)
-        other->convicted_until_us = 0;
+        other->quarantined_until_us = 0;
     }
   return shares;
 }
 
-/* Refuses a request until a moment. Returns whether that is new. */
+/* Refuses a request until the given time. Returns whether it was not quarantined before. */
 bool
-mf_suspects_convict (MfSuspects *suspects, uint64_t digest, uint64_t until_us, uint64_t now_us)
+mf_suspects_quarantine (MfSuspects *suspects, uint64_t digest, uint64_t until_us, uint64_t now_us)
 {
   MfSuspect *suspect = find_or_add (suspects, digest, now_us);
-  bool is_new = suspect->convicted_until_us <= now_us;
+  bool is_new = suspect->quarantined_until_us <= now_us;
 
   if (suspect->n_deaths < MF_SUSPECT_DEATHS_MAX && shares_last_death (suspects, suspect))
     return false;
-  if (until_us > suspect->convicted_until_us)
-    suspect->convicted_until_us = until_us;
+  if (until_us > suspect->quarantined_until_us)
+    suspect->quarantined_until_us = until_us;
   return is_new && until_us > now_us;
 }
 
-/* Another instance has counted so many deaths, without their names. */
+/* Raises the number of deaths to what another instance has counted; the processes are unknown. */
 void
-mf_suspects_raise (MfSuspects *suspects, uint64_t digest, uint32_t n_deaths, uint64_t now_us)
+mf_suspects_raise_deaths (MfSuspects *suspects, uint64_t digest, uint32_t n_deaths, uint64_t now_us)
 {
   MfSuspect *suspect = find_or_add (suspects, digest, now_us);
 
@@ -191,164 +193,169 @@
     suspect->deaths[suspect->n_deaths++] = (MfSuspectDeath){ .at_us = now_us };
 }
 
-/* Whether a death tells nothing new: of one process under several tries, or of several processes at
- * once, each of which ran the request before the first was known to have ended. */
+/* Returns whether a death adds no evidence: several attempts ran at one process, or the request was
+ * sent to several processes before the first was known to have died. */
 static bool
-death_is_known (const MfSuspect *suspect, const MfSuspectDeath *death)
+death_is_duplicate (const MfSuspect *suspect, const MfSuspectDeath *death)
 {
   for (uint32_t i = 0; i < suspect->n_deaths; i++)
     {
-      if (suspect->deaths[i].process == death->process && death->process != 0)
+      if (suspect->deaths[i].process_id == death->process_id && death->process_id != 0)
         return true;
     }
   return suspect->n_deaths > 0 && death->sent_us < suspect->deaths[suspect->n_deaths - 1].at_us;
 }
 
-/* Counts an upstream that ended under a request; apart tells that no other suspect ran there. */
-MfSuspectVerdict
+/* Counts an upstream that died while it ran a request. isolated means that no other suspect ran
+ * there. */
+MfSuspectResult
 mf_suspects_add_death (MfSuspects *suspects, uint64_t digest, const MfSuspectDeath *death,
-                       bool apart, uint64_t now_us)
+                       bool isolated, uint64_t now_us)
 {
   MfSuspect *suspect = find_or_add (suspects, digest, now_us);
-  uint64_t for_us;
+  uint64_t duration_us;
 
-  if (death_is_known (suspect, death))
-    return MF_SUSPECT_KNOWN;
+  if (death_is_duplicate (suspect, death))
+    return MF_SUSPECT_DUPLICATE;
   if (suspect->n_deaths < MF_SUSPECT_DEATHS_MAX)
     suspect->deaths[suspect->n_deaths++] = *death;
-  if (suspect->n_deaths < (apart ? DEATHS_APART : MF_SUSPECT_DEATHS_MAX))
+  if (suspect->n_deaths < (isolated ? DEATHS_ISOLATED : MF_SUSPECT_DEATHS_MAX))
     return MF_SUSPECT_COUNTED;
-  for_us = suspect->n_deaths < MF_SUSPECT_DEATHS_MAX ? suspects->terms.two_deaths_us
-                                                     : suspects->terms.three_deaths_us;
-  return mf_suspects_convict (suspects, digest, now_us + for_us, now_us) ? MF_SUSPECT_CONVICTED
-                                                                         : MF_SUSPECT_COUNTED;
+  duration_us = suspect->n_deaths < MF_SUSPECT_DEATHS_MAX
+                    ? suspects->limits.two_deaths_quarantine_us
+                    : suspects->limits.three_deaths_quarantine_us;
+  return mf_suspects_quarantine (suspects, digest, now_us + duration_us, now_us)
+             ? MF_SUSPECT_QUARANTINED
+             : MF_SUSPECT_COUNTED;
 }
 
-/* The request was answered: what ended under it ended of something else. Returns whether anything
- * was known of it. */
+/* Removes a request that was answered: its upstreams died of another cause. Returns whether it had
+ * an entry. */
 bool
-mf_suspects_clear (MfSuspects *suspects, uint64_t digest)
+mf_suspects_remove (MfSuspects *suspects, uint64_t digest)
 {
-  Row *row = row_find (suspects, digest);
+  Entry *entry = entry_find (suspects, digest);
 
-  if (row == NULL)
+  if (entry == NULL)
     return false;
-  row_drop (suspects, row);
+  entry_remove (suspects, entry);
   return true;
 }
 
-/* Keeps a break until it is known whether the upstream ended. Returns false when that of this try
- * there is kept already. */
+/* Keeps a failed call until it is known whether its upstream died. Returns false when a failure of
+ * this attempt at this upstream is kept already. */
 bool
-mf_suspects_add_break (MfSuspects *suspects, const MfSuspectBreak *broken)
+mf_suspects_add_failure (MfSuspects *suspects, const MfSuspectFailure *failure)
 {
-  for (uint32_t i = 0; i < suspects->n_breaks; i++)
+  for (uint32_t i = 0; i < suspects->n_failures; i++)
     {
-      if (suspects->breaks[i].request == broken->request
-          && suspects->breaks[i].upstream == broken->upstream)
+      if (suspects->failures[i].request_id == failure->request_id
+          && suspects->failures[i].upstream_id == failure->upstream_id)
         return false;
     }
-  if (suspects->n_breaks == BREAKS_MAX)
-    suspects->breaks[0] = suspects->breaks[--suspects->n_breaks];
-  suspects->breaks[suspects->n_breaks++] = *broken;
+  if (suspects->n_failures == FAILURES_MAX)
+    suspects->failures[0] = suspects->failures[--suspects->n_failures];
+  suspects->failures[suspects->n_failures++] = *failure;
   return true;
 }
 
 uint32_t
-mf_suspects_n_breaks (const MfSuspects *suspects)
+mf_suspects_n_failures (const MfSuspects *suspects)
 {
-  return suspects->n_breaks;
+  return suspects->n_failures;
 }
 
-/* Takes a break at an upstream off the list; 0 stands for any upstream. */
+/* Removes one failure at an upstream, or at any when it is 0, that is older than before_us. */
 static bool
-break_take (MfSuspects *suspects, uint64_t upstream, uint64_t before_us, MfSuspectBreak *broken)
+take_failure (MfSuspects *suspects, uint64_t upstream_id, uint64_t before_us,
+              MfSuspectFailure *failure)
 {
-  for (uint32_t i = 0; i < suspects->n_breaks; i++)
+  for (uint32_t i = 0; i < suspects->n_failures; i++)
     {
-      if ((upstream != 0 && suspects->breaks[i].upstream != upstream)
-          || suspects->breaks[i].at_us >= before_us)
+      if ((upstream_id != 0 && suspects->failures[i].upstream_id != upstream_id)
+          || suspects->failures[i].failed_us >= before_us)
         continue;
-      *broken = suspects->breaks[i];
-      suspects->breaks[i] = suspects->breaks[--suspects->n_breaks];
+      *failure = suspects->failures[i];
+      suspects->failures[i] = suspects->failures[--suspects->n_failures];
       return true;
     }
   return false;
 }
 
 static uint32_t
-count_suspects_at (const MfSuspects *suspects, uint64_t upstream)
+count_suspects_at (const MfSuspects *suspects, uint64_t upstream_id)
 {
   uint32_t n = 0;
 
-  for (uint32_t i = 0; i < suspects->n_breaks; i++)
-    n += suspects->breaks[i].upstream == upstream && suspects->breaks[i].suspect;
+  for (uint32_t i = 0; i < suspects->n_failures; i++)
+    n += suspects->failures[i].upstream_id == upstream_id && suspects->failures[i].was_suspect;
   return n;
 }
 
-/* An upstream has ended: what broke there lately is suspected of it, or convicted. process names
- * what ended, where an upstream may be started anew under its name. */
+/* Handles the death of an upstream: counts it against the requests whose calls failed there within
+ * the crash window. process identifies the incarnation that died, since an upstream may restart
+ * under the same id. */
 void
-mf_suspects_end_upstream (MfSuspects *suspects, uint64_t upstream, uint64_t process,
-                          uint64_t now_us, MfSuspectBreakFunc func, void *data)
+mf_suspects_upstream_died (MfSuspects *suspects, uint64_t upstream_id, uint64_t process_id,
+                           uint64_t now_us, MfSuspectFailureFunc func, void *data)
 {
-  uint32_t n_suspects = count_suspects_at (suspects, upstream);
-  MfSuspectBreak broken;
+  uint32_t n_suspects = count_suspects_at (suspects, upstream_id);
+  MfSuspectFailure failure;
 
-  while (break_take (suspects, upstream, UINT64_MAX, &broken))
+  while (take_failure (suspects, upstream_id, UINT64_MAX, &failure))
     {
       MfSuspectDeath death
-          = { .process = process, .sent_us = broken.sent_us, .at_us = broken.at_us };
-      MfSuspectVerdict verdict = MF_SUSPECT_RELEASED;
+          = { .process_id = process_id, .sent_us = failure.sent_us, .at_us = failure.failed_us };
+      MfSuspectResult result = MF_SUSPECT_UNRELATED;
 
-      if (now_us - broken.at_us < suspects->terms.break_us)
-        verdict = mf_suspects_add_death (suspects, broken.digest, &death,
-                                         broken.suspect && n_suspects == 1, now_us);
-      func (data, &broken, verdict);
+      if (now_us - failure.failed_us < suspects->limits.crash_window_us)
+        result = mf_suspects_add_death (suspects, failure.digest, &death,
+                                        failure.was_suspect && n_suspects == 1, now_us);
+      func (data, &failure, result);
     }
 }
 
-/* The upstream where a run broke that stands at a place, and is not its successor; 0: there is
- * none.
- */
+/* Returns an upstream with a failed call at an address other than the one that now has the address,
+ * or 0. */
 static uint64_t
-upstream_before (const MfSuspects *suspects, uint64_t place, uint64_t successor)
+find_predecessor (const MfSuspects *suspects, uint64_t address_hash, uint64_t successor)
 {
-  for (uint32_t i = 0; i < suspects->n_breaks; i++)
+  for (uint32_t i = 0; i < suspects->n_failures; i++)
     {
-      if (suspects->breaks[i].place == place && suspects->breaks[i].upstream != successor)
-        return suspects->breaks[i].upstream;
+      if (suspects->failures[i].address_hash == address_hash
+          && suspects->failures[i].upstream_id != successor)
+        return suspects->failures[i].upstream_id;
     }
   return 0;
 }
 
-/* A process has come to a place, whatever was there before has ended. The upstream's name is that
- * of the process there. */
+/* Handles a new process at an address: any other process that had the address has died. Here the id
+ * of an upstream is the id of its process. */
 void
-mf_suspects_end_place (MfSuspects *suspects, uint64_t place, uint64_t successor, uint64_t now_us,
-                       MfSuspectBreakFunc func, void *data)
+mf_suspects_address_reused (MfSuspects *suspects, uint64_t address_hash, uint64_t successor,
+                            uint64_t now_us, MfSuspectFailureFunc func, void *data)
 {
-  uint64_t upstream;
+  uint64_t upstream_id;
 
-  while ((upstream = upstream_before (suspects, place, successor)) != 0)
-    mf_suspects_end_upstream (suspects, upstream, upstream, now_us, func, data);
+  while ((upstream_id = find_predecessor (suspects, address_hash, successor)) != 0)
+    mf_suspects_upstream_died (suspects, upstream_id, upstream_id, now_us, func, data);
 }
 
-/* An upstream has given a sign of life: what broke there before broke of something else. */
+/* Handles a sign of life from an upstream: calls that failed there earlier had another cause. */
 void
-mf_suspects_release_upstream (MfSuspects *suspects, uint64_t upstream, uint64_t before_us,
-                              MfSuspectBreakFunc func, void *data)
+mf_suspects_upstream_alive (MfSuspects *suspects, uint64_t upstream_id, uint64_t before_us,
+                            MfSuspectFailureFunc func, void *data)
 {
-  MfSuspectBreak broken;
+  MfSuspectFailure failure;
 
-  while (break_take (suspects, upstream, before_us, &broken))
-    func (data, &broken, MF_SUSPECT_RELEASED);
+  while (take_failure (suspects, upstream_id, before_us, &failure))
+    func (data, &failure, MF_SUSPECT_UNRELATED);
 }
 
-/* Lets go of breaks that have waited for long. */
+/* Resolves failures older than before_us as unrelated to any death. */
 void
-mf_suspects_release_before (MfSuspects *suspects, uint64_t before_us, MfSuspectBreakFunc func,
-                            void *data)
+mf_suspects_expire_failures (MfSuspects *suspects, uint64_t before_us, MfSuspectFailureFunc func,
+                             void *data)
 {
-  mf_suspects_release_upstream (suspects, 0, before_us, func, data);
+  mf_suspects_upstream_alive (suspects, 0, before_us, func, data);
 }
--- a/libmangofork/suspect_core.c
+++ b/libmangofork/suspect_core.c
@@ -1,63 +1,68 @@
 #include "suspect_core.h"
 
-#include "news.h"
+#include "gossip.h"
 #include "queue.h"
 
 #include <xxhash.h>
 
-/* Suspects run apart here, so that two deaths say as much as three. */
-#define SENTENCE_US (UINT64_C (600) * MF_US_PER_S)
-#define BREAK_US (3 * MF_US_PER_S)
-/* An upstream that neither answers nor is found dead in this time keeps nobody waiting. */
-#define PENDING_US (1500 * MF_US_PER_MS)
+/* The same after two and after three deaths: each suspect runs without other suspects at its
+ * upstream, so that two deaths are as strong evidence as three. */
+#define QUARANTINE_US (UINT64_C (600) * MF_US_PER_S)
+#define CRASH_WINDOW_US (3 * MF_US_PER_S)
+/* A request stops waiting for an upstream that has neither answered nor been declared dead within
+ * this time. */
+#define FAILURE_TIMEOUT_US (1500 * MF_US_PER_MS)
 
-/* The requests that have a convicted digest. */
+/* Argument of refuse_matching. */
 typedef struct
 {
   MfCore *core;
   uint64_t digest;
-} Mark;
+} Quarantine;
 
-/* How an upstream is named in the list of breaks. */
+/* Returns the id of an upstream in the list of failures, where 0 means none. */
 static uint64_t
-upstream_name (uint32_t upstream)
+upstream_id (uint32_t upstream)
 {
   return (uint64_t)upstream + 1;
 }
 
-/* Ends the requests held that have a convicted digest, wherever they run. */
+/* Refuses a request that has the quarantined digest, whatever its phase. */
 static void
-mark_request (MfRequest *request, void *data)
+refuse_matching (MfRequest *request, void *data)
 {
-  const Mark *mark = data;
+  const Quarantine *quarantine = data;
 
-  if (request->digest != mark->digest)
+  if (request->digest != quarantine->digest)
     return;
-  mf_finish_refused (mark->core, request, MF_CODE_POISON, 0);
+  mf_finish_refused (quarantine->core, request, MF_CODE_POISON, 0);
 }
 
 static void
-end_convicted (MfCore *core, uint64_t digest)
+refuse_quarantined (MfCore *core, uint64_t digest)
 {
-  Mark mark = { .core = core, .digest = digest };
+  Quarantine quarantine = { .core = core, .digest = digest };
 
-  mf_counter_add (&core->board.counters, MF_COUNTER_CONVICTIONS, 1);
+  mf_counter_add (&core->board.counters, MF_COUNTER_QUARANTINES, 1);
   mf_core_log (core, "request", "", "suspect", "convicted", mf_code_info (MF_CODE_POISON)->name);
-  mf_request_foreach (core, mark_request, &mark);
+  mf_request_foreach (core, refuse_matching, &quarantine);
 }
 
-/* What another instance saw. It is taken as it is: a conviction took two deaths. */
+/* Applies what another instance reports. A reported quarantine is accepted without own evidence, as
+ * it took two deaths. */
 void
-mf_suspect_note (MfCore *core, uint64_t digest, uint32_t n_deaths, bool convicted)
+mf_suspect_apply_report (MfCore *core, uint64_t digest, uint32_t n_deaths, bool quarantined)
 {
   uint64_t now_us = core->board.now_us;
 
-  mf_suspects_raise (core->board.suspects, digest, n_deaths, now_us);
-  if (convicted && mf_suspects_convict (core->board.suspects, digest, now_us + SENTENCE_US, now_us))
-    end_convicted (core, digest);
+  mf_suspects_raise_deaths (core->board.suspects, digest, n_deaths, now_us);
+  if (quarantined
+      && mf_suspects_quarantine (core->board.suspects, digest, now_us + QUARANTINE_US, now_us))
+    refuse_quarantined (core, digest);
 }
 
-/* A request has arrived: what is known of its digest is put on it. Returns whether it may run. */
+/* Marks a new request with the deaths known for its digest. Returns false when it is quarantined.
+ */
 bool
 mf_suspect_admit (MfCore *core, MfRequest *request)
 {
@@ -70,87 +75,91 @@
     return true;
   request->n_deaths = suspect->n_deaths;
   request->suspect = suspect->n_deaths > 0;
-  return suspect->convicted_until_us <= now_us;
+  return suspect->quarantined_until_us <= now_us;
 }
 
-/* A call of the request broke, as it would when its upstream died. Until it is known whether the
- * upstream died, the request waits: were it the cause, the next upstream would die before the first
- * death was counted. A stream that breaks and then cannot be resumed has met one death, not two. */
+/* Handles a call that failed as it would when its upstream died. The request waits until it is
+ * known whether the upstream died: if the request was the cause, the next upstream would die before
+ * the first death was counted. A stream that fails and then cannot be resumed counts as one death.
+ */
 void
-mf_suspect_broken (MfCore *core, MfRequest *request, uint32_t upstream)
+mf_suspect_call_failed (MfCore *core, MfRequest *request, uint32_t upstream)
 {
   uint64_t now_us = core->board.now_us;
 
   if (core->board.options.naive || request->digest == 0
-      || !mf_suspects_add_break (core->board.suspects,
-                                 &(MfSuspectBreak){
-                                     .digest = request->digest,
-                                     .request = request->id,
-                                     .upstream = upstream_name (upstream),
-                                     .suspect = request->suspect,
-                                     /* Of one that was no suspect, no earlier death was known. */
-                                     .sent_us = request->suspect ? now_us : 0,
-                                     .at_us = now_us,
-                                 }))
+      || !mf_suspects_add_failure (
+          core->board.suspects, &(MfSuspectFailure){
+                                    .digest = request->digest,
+                                    .request_id = request->id,
+                                    .upstream_id = upstream_id (upstream),
+                                    .was_suspect = request->suspect,
+                                    /* No earlier death is known of a request that is no suspect. */
+                                    .sent_us = request->suspect ? now_us : 0,
+                                    .failed_us = now_us,
+                                }))
     return;
   request->suspect_pending = true;
   request->suspected_at_token = request->delivered;
   mf_request_trace (core, request, MF_TRACE_SUSPECTED, upstream, MF_NONE, request->n_deaths);
 }
 
-/* What became of a break: its request goes on, or is refused. */
+/* Lets the request of a resolved failure continue, or refuses it. */
 static void
-on_verdict (void *data, const MfSuspectBreak *broken, MfSuspectVerdict verdict)
+on_failure_resolved (void *data, const MfSuspectFailure *failure, MfSuspectResult result)
 {
   MfCore *core = data;
-  MfRequest *request = mf_request_find (core, broken->request);
+  MfRequest *request = mf_request_find (core, failure->request_id);
   const MfSuspect *suspect
-      = mf_suspects_find (core->board.suspects, broken->digest, core->board.now_us);
+      = mf_suspects_find (core->board.suspects, failure->digest, core->board.now_us);
 
   if (request != NULL)
     request->suspect_pending = false;
   mf_queue_schedule_pass (core);
-  if (verdict == MF_SUSPECT_RELEASED || suspect == NULL)
+  if (result == MF_SUSPECT_UNRELATED || suspect == NULL)
     return;
   if (request != NULL)
     {
       request->suspect = suspect->n_deaths > 0;
       request->n_deaths = suspect->n_deaths;
     }
-  if (verdict == MF_SUSPECT_COUNTED)
-    mf_news_note (core, MF_NEWS_SUSPECT, suspect->digest, suspect->n_deaths);
-  if (verdict != MF_SUSPECT_CONVICTED)
+  if (result == MF_SUSPECT_COUNTED)
+    mf_gossip_publish (core, MF_GOSSIP_REQUEST_SUSPECT, suspect->digest, suspect->n_deaths);
+  if (result != MF_SUSPECT_QUARANTINED)
     return;
-  mf_news_note (core, MF_NEWS_CONVICTED, suspect->digest, suspect->n_deaths);
-  end_convicted (core, suspect->digest);
+  mf_gossip_publish (core, MF_GOSSIP_REQUEST_QUARANTINED, suspect->digest, suspect->n_deaths);
+  refuse_quarantined (core, suspect->digest);
 }
 
-/* The upstream is known to have died: what broke there just before is suspected of it. */
+/* Handles the death of an upstream: requests whose calls failed there shortly before are suspected
+ * of it. */
 void
 mf_suspect_upstream_died (MfCore *core, uint32_t upstream)
 {
-  uint64_t life[] = { upstream_name (upstream), core->board.now_us };
+  uint64_t process[] = { upstream_id (upstream), core->board.now_us };
 
-  mf_suspects_end_upstream (core->board.suspects, upstream_name (upstream),
-                            XXH3_64bits (life, sizeof life), core->board.now_us, on_verdict, core);
+  mf_suspects_upstream_died (core->board.suspects, upstream_id (upstream),
+                             XXH3_64bits (process, sizeof process), core->board.now_us,
+                             on_failure_resolved, core);
 }
 
-/* The upstream lives on: what broke there broke of something else. */
+/* Handles an upstream that proved to be alive: calls that failed there had another cause. */
 void
-mf_suspect_upstream_lives (MfCore *core, uint32_t upstream)
+mf_suspect_upstream_alive (MfCore *core, uint32_t upstream)
 {
-  mf_suspects_release_upstream (core->board.suspects, upstream_name (upstream), UINT64_MAX,
-                                on_verdict, core);
+  mf_suspects_upstream_alive (core->board.suspects, upstream_id (upstream), UINT64_MAX,
+                              on_failure_resolved, core);
 }
 
-/* The request got further than where its upstream died, or was answered. */
+/* Removes the suspicion of a request that got past the point where its upstream died, or that was
+ * answered. */
 void
 mf_suspect_clear (MfCore *core, MfRequest *request)
 {
   mf_call_clear_suspect (core, request);
   request->n_deaths = 0;
-  if (!mf_suspects_is_convicted (core->board.suspects, request->digest, core->board.now_us))
-    mf_suspects_clear (core->board.suspects, request->digest);
+  if (!mf_suspects_is_quarantined (core->board.suspects, request->digest, core->board.now_us))
+    mf_suspects_remove (core->board.suspects, request->digest);
 }
 
 static bool
@@ -163,7 +172,7 @@
   return true;
 }
 
-/* Returns how many are suspected or convicted. */
+/* Returns how many digests are suspected or quarantined. */
 uint32_t
 mf_suspect_count (const MfCore *core)
 {
@@ -173,30 +182,33 @@
   return n;
 }
 
-/* Calls func for each digest that is suspected or convicted, until it returns false. */
+/* Calls func for each digest that is suspected or quarantined, until it returns false. */
 void
 mf_suspect_foreach (const MfCore *core, MfSuspectFunc func, void *data)
 {
   mf_suspects_foreach (core->board.suspects, core->board.now_us, func, data);
 }
 
-/* Lets go of what has waited long enough. */
+/* Resolves failures whose upstream gave no sign of life or death in time. */
 static void
 suspect_tick (MfCore *core)
 {
   uint64_t now_us = core->board.now_us;
 
-  if (now_us > PENDING_US)
-    mf_suspects_release_before (core->board.suspects, now_us - PENDING_US, on_verdict, core);
+  if (now_us > FAILURE_TIMEOUT_US)
+    mf_suspects_expire_failures (core->board.suspects, now_us - FAILURE_TIMEOUT_US,
+                                 on_failure_resolved, core);
 }
 
 static bool
 suspect_init (MfCore *core, MfError *error)
 {
-  core->board.suspects = mf_suspects_new (&(MfSuspectTerms){
-      .break_us = BREAK_US, .two_deaths_us = SENTENCE_US, .three_deaths_us = SENTENCE_US });
+  core->board.suspects
+      = mf_suspects_new (&(MfSuspectLimits){ .crash_window_us = CRASH_WINDOW_US,
+                                             .two_deaths_quarantine_us = QUARANTINE_US,
+                                             .three_deaths_quarantine_us = QUARANTINE_US });
   if (core->board.suspects == NULL)
-    mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the suspects");
+    mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the suspected requests");
   return core->board.suspects != NULL;
 }
 
--- a/tests/test_job_suspect.c
+++ b/tests/test_job_suspect.c
@@ -232,9 +232,9 @@
 
       for (uint64_t digest = 1; digest <= 2 * MF_SUSPECT_ENTRIES_MAX; digest++)
         {
-          mf_suspects_add_death (suspects, digest, &(MfSuspectDeath){ .process = digest }, false,
+          mf_suspects_add_death (suspects, digest, &(MfSuspectDeath){ .process_id = digest }, false,
                                  mf_clock_now_us ());
-          mf_suspects_find (suspects, digest, mf_clock_now_us ())->n_told = 1;
+          mf_suspects_find (suspects, digest, mf_clock_now_us ())->n_reported = 1;
         }
     }
   quarantine_request (&fixture);
@@ -353,13 +353,13 @@
   (void)state;
   crash_fixture_setup (&fixture);
   info = mf_targets_find (targets, "u0-0")->info;
-  mf_suspects_add_break (
+  mf_suspects_add_failure (
       fixture.fleet.instances[0].jobs.suspects,
-      &(MfSuspectBreak){ .digest = 5,
-                         .upstream = mf_target_process_id (mf_targets_find (targets, "u0-0")),
-                         .place = mf_load_hash (info.address),
-                         .sent_us = now_us,
-                         .at_us = now_us });
+      &(MfSuspectFailure){ .digest = 5,
+                           .upstream_id = mf_target_process_id (mf_targets_find (targets, "u0-0")),
+                           .address_hash = mf_load_hash (info.address),
+                           .sent_us = now_us,
+                           .failed_us = now_us });
   mf_name_set (info.id, sizeof info.id, "before");
   info.started_ms = 0;
   mf_targets_update (targets, &info);
@@ -411,12 +411,12 @@
                                                                           : index == 1 ? "u1-0"
                                                                                        : "u2-0");
       assert_non_null (target);
-      mf_suspects_add_break (fixture.fleet.instances[0].jobs.suspects,
-                             &(MfSuspectBreak){ .digest = 5,
-                                                .request = index,
-                                                .upstream = mf_target_process_id (target),
-                                                .sent_us = now_us + index,
-                                                .at_us = now_us + index });
+      mf_suspects_add_failure (fixture.fleet.instances[0].jobs.suspects,
+                               &(MfSuspectFailure){ .digest = 5,
+                                                    .request_id = index,
+                                                    .upstream_id = mf_target_process_id (target),
+                                                    .sent_us = now_us + index,
+                                                    .failed_us = now_us + index });
       mf_target_record_leaving (target);
       mf_target_mark_replaced (target, UINT64_MAX);
     }
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -1,4 +1,4 @@
-#include "libmangofork/debt.h"
+#include "libmangofork/cancel.h"
 #include "libmangofork/request.h"
 
 #include <setjmp.h>
@@ -249,16 +249,16 @@
   fixture_init (&fixture);
   advance_to (&fixture, MF_PHASE_DECODING);
   step (&fixture, &departed);
-  assert_int_equal (mf_debt_count (fixture.core), 1);
+  assert_int_equal (mf_cancel_count (fixture.core), 1);
   first = fixture.last_call[MF_CALL_CANCEL];
   assert_true (first != 0);
   call_step (&fixture, MF_EVENT_CALL_FAILED, MF_CALL_CANCEL, (MfCallEvent){ .timed_out = true });
-  assert_int_equal (mf_debt_count (fixture.core), 1);
+  assert_int_equal (mf_cancel_count (fixture.core), 1);
   fixture.now_us += MF_US_PER_S;
   step (&fixture, &tick);
   assert_true (fixture.last_call[MF_CALL_CANCEL] != first);
   call_step (&fixture, MF_EVENT_CALL_DONE, MF_CALL_CANCEL, (MfCallEvent){ .status = 404 });
-  assert_int_equal (mf_debt_count (fixture.core), 0);
+  assert_int_equal (mf_cancel_count (fixture.core), 0);
   mf_core_free (fixture.core);
 }
 
@@ -321,12 +321,12 @@
   fixture_init (&fixture);
   advance_to (&fixture, MF_PHASE_RESUMING);
   step (&fixture, &departed);
-  assert_int_equal (mf_debt_count (fixture.core), 1);
+  assert_int_equal (mf_cancel_count (fixture.core), 1);
   mf_core_free (fixture.core);
   fixture_init (&fixture);
   advance_to (&fixture, MF_PHASE_RESUMING);
   call_step (&fixture, MF_EVENT_CALL_FAILED, MF_CALL_RESUME, (MfCallEvent){ .timed_out = true });
-  assert_int_equal (mf_debt_count (fixture.core), 1);
+  assert_int_equal (mf_cancel_count (fixture.core), 1);
   mf_core_free (fixture.core);
 }
 
