--- a/libmangofork/call.c
+++ b/libmangofork/call.c
@@ -259,14 +259,14 @@
 }
 
 void
-mf_call_enter_window (MfCore *core, MfRequest *request, bool spare)
+mf_call_enter_window (MfCore *core, MfRequest *request, bool slot_reserved)
 {
   MfPoolRow *pool = window_pool (core, request);
 
   request->in_window = true;
   request->in_transit = true;
   pool->n_in_transit++;
-  mf_window_acquire (pool, spare);
+  mf_window_acquire (pool, slot_reserved);
 }
 
 /* The request has its slot, or has given up waiting for one. */
--- a/libmangofork/request.h
+++ b/libmangofork/request.h
@@ -206,7 +206,7 @@
 void mf_call_unreserve (MfCore *core, MfRequest *request);
 /* Starts and stops counting the request in its pool's window. A spare request has a slot beside the
  * window. */
-void mf_call_enter_window (MfCore *core, MfRequest *request, bool spare);
+void mf_call_enter_window (MfCore *core, MfRequest *request, bool slot_reserved);
 void mf_call_leave_window (MfCore *core, MfRequest *request);
 void mf_call_end_transit (MfCore *core, MfRequest *request);
 void mf_call_reserve (MfCore *core, MfRequest *request, uint32_t upstream);
--- a/libmangofork/window.c
+++ b/libmangofork/window.c
@@ -38,10 +38,10 @@
 /* Counts one more request at the pool. A spare one was placed in a free slot beside the window, and
  * widens it. */
 void
-mf_window_acquire (MfPoolRow *pool, bool spare)
+mf_window_acquire (MfPoolRow *pool, bool slot_reserved)
 {
   pool->n_own++;
-  if (spare && pool->window_milli < pool->n_own * MILLI)
+  if (slot_reserved && pool->window_milli < pool->n_own * MILLI)
     pool->window_milli = pool->n_own * MILLI;
 }
 
--- a/libmangofork/window.h
+++ b/libmangofork/window.h
@@ -8,7 +8,7 @@
  * it observes there. */
 void mf_window_init (MfPoolRow *pool, uint32_t n_slots);
 bool mf_window_allows (const MfPoolRow *pool);
-void mf_window_acquire (MfPoolRow *pool, bool spare);
+void mf_window_acquire (MfPoolRow *pool, bool slot_reserved);
 void mf_window_release (MfPoolRow *pool);
 /* A KV waited this long for its decode slot, although there seemed to be capacity. */
 void mf_window_note_wait (MfPoolRow *pool, uint64_t wait_us);
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -12,7 +12,7 @@
 #include <cmocka.h>
 
 #define SLOTS 20
-#define N 6
+#define N_INSTANCES 6
 #define STEP_US (100 * MF_US_PER_MS)
 
 /* Six instances share one engine. Each uses what it wants within its share, and an eighth of its
@@ -21,7 +21,7 @@
 {
   FakeCores *cores;
   uint32_t upstream;
-  uint32_t demand[N];
+  uint32_t demand[N_INSTANCES];
   uint32_t used_max; /* most slots in use at once, over all instances */
   uint64_t used_sum;
   uint32_t n_steps;
@@ -31,36 +31,36 @@
 engine_new (Engine *engine)
 {
   const FakeCoresOptions options
-      = { .n_slots = N, .n_data_centres = 3, .delay_us = MF_US_PER_MS, .seed = 8 };
+      = { .n_slots = N_INSTANCES, .n_data_centres = 3, .delay_us = MF_US_PER_MS, .seed = 8 };
   char *text = fake_text (&(FakeTextOptions){
       .n_upstreams = 1, .slots = SLOTS, .version = "", .checks_fencing = true });
 
   *engine = (Engine){ .cores = fake_cores_new (&options) };
   fake_cores_publish (engine->cores, 1, text);
   free (text);
-  for (uint32_t i = 0; i < N; i++)
+  for (uint32_t i = 0; i < N_INSTANCES; i++)
     fake_cores_start (engine->cores, i);
   fake_cores_run (engine->cores, 5 * MF_US_PER_S);
   engine->upstream = mf_upstream_find (fake_cores_core (engine->cores, 0), mf_hash_name ("d0"));
 }
 
 static uint32_t *
-used_by (Engine *engine, uint32_t slot)
+used_by (Engine *engine, uint32_t instance)
 {
-  return &fake_cores_core (engine->cores, slot)->board.upstreams[engine->upstream].own_slots;
+  return &fake_cores_core (engine->cores, instance)->board.upstreams[engine->upstream].own_slots;
 }
 
 static void
-use (Engine *engine, uint32_t slot)
+use_slots (Engine *engine, uint32_t instance)
 {
-  MfCore *core = fake_cores_core (engine->cores, slot);
-  uint32_t *used = used_by (engine, slot);
+  MfCore *core = fake_cores_core (engine->cores, instance);
+  uint32_t *used = used_by (engine, instance);
   uint32_t limit;
 
   *used -= (*used + 7) / 8;
-  mf_share_set_demand (core, engine->upstream, engine->demand[slot]);
+  mf_share_set_demand (core, engine->upstream, engine->demand[instance]);
   limit = mf_share_limit (core, engine->upstream);
-  while (*used < engine->demand[slot] && *used < limit)
+  while (*used < engine->demand[instance] && *used < limit)
     ++*used;
 }
 
@@ -74,11 +74,11 @@
     {
       uint32_t total = 0;
 
-      for (uint32_t i = 0; i < N; i++)
+      for (uint32_t i = 0; i < N_INSTANCES; i++)
         {
           if (fake_cores_core (engine->cores, i) == NULL)
             continue;
-          use (engine, i);
+          use_slots (engine, i);
           total += *used_by (engine, i);
         }
       fake_cores_run (engine->cores, STEP_US);
@@ -110,14 +110,14 @@
 
   (void)state;
   engine_new (&engine);
-  for (uint32_t i = 0; i < N; i++)
+  for (uint32_t i = 0; i < N_INSTANCES; i++)
     engine.demand[i] = 15;
   engine_run (&engine, 3 * MF_US_PER_S);
   engine_run (&engine, 5 * MF_US_PER_S);
   assert_int_equal (engine.used_max, SLOTS);
   assert_int_equal (engine.used_sum, (uint64_t)engine.n_steps * SLOTS);
-  for (uint32_t i = 0; i < N; i++)
-    assert_in_range (*used_by (&engine, i), SLOTS / N, SLOTS / N + 1);
+  for (uint32_t i = 0; i < N_INSTANCES; i++)
+    assert_in_range (*used_by (&engine, i), SLOTS / N_INSTANCES, SLOTS / N_INSTANCES + 1);
   fake_cores_free (engine.cores);
 }
 
@@ -150,13 +150,13 @@
   engine_new (&engine);
   engine.demand[0] = 30;
   engine_run (&engine, 3 * MF_US_PER_S);
-  for (uint32_t i = 1; i < N; i++)
+  for (uint32_t i = 1; i < N_INSTANCES; i++)
     engine.demand[i] = 10;
   engine_run (&engine, 2 * MF_US_PER_S);
   peak = engine.used_max;
   engine_run (&engine, 3 * MF_US_PER_S);
   print_message ("peak use while demand moved: %u of %u slots\n", peak, SLOTS);
-  assert_true (peak <= SLOTS + 2 * (N - 1));
+  assert_true (peak <= SLOTS + 2 * (N_INSTANCES - 1));
   assert_int_equal (engine.used_max, SLOTS);
   assert_true (engine.used_sum >= (uint64_t)engine.n_steps * SLOTS * 95 / 100);
   fake_cores_free (engine.cores);
@@ -188,7 +188,7 @@
 
   (void)state;
   engine_new (&engine);
-  for (uint32_t i = 0; i < N; i++)
+  for (uint32_t i = 0; i < N_INSTANCES; i++)
     {
       fake_cores_cut (engine.cores, 0, i, true);
       fake_cores_cut (engine.cores, i, 0, true);
@@ -199,7 +199,7 @@
     fake_cores_run (engine.cores, 100 * MF_US_PER_MS);
   assert_non_null (core->board.config);
   mf_share_set_demand (core, engine.upstream, 30);
-  assert_in_range (mf_share_limit (core, engine.upstream), 1, SLOTS / N + 1);
+  assert_in_range (mf_share_limit (core, engine.upstream), 1, SLOTS / N_INSTANCES + 1);
   fake_cores_free (engine.cores);
 }
 
--- a/tests/test_walk.c
+++ b/tests/test_walk.c
@@ -9,8 +9,8 @@
  * time. */
 
 #define WALKS 40
-#define LENGTH_US (12 * MF_US_PER_S)
-#define QUIET_US (90 * MF_US_PER_S)
+#define WALK_LENGTH_US (12 * MF_US_PER_S)
+#define SETTLE_US (90 * MF_US_PER_S)
 #define N_PREFILL 2
 #define N_DECODE 3
 
@@ -53,7 +53,7 @@
 }
 
 static void
-send_some (Rig *rig, uint64_t *state, uint32_t n)
+send_requests (Rig *rig, uint64_t *state, uint32_t n)
 {
   for (uint32_t i = 0; i < n; i++)
     {
@@ -66,7 +66,7 @@
         .answer_tokens = 1 + (uint32_t)random_below (state, 120),
         .max_tokens = 200,
       };
-      uint64_t at_us = rig_now_us (rig) + random_below (state, LENGTH_US);
+      uint64_t at_us = rig_now_us (rig) + random_below (state, WALK_LENGTH_US);
       uint32_t index = rig_send (rig, &request, at_us);
 
       if (random_below (state, 5) == 0)
@@ -160,8 +160,8 @@
 
   walk_options (seed, false, &options);
   rig = rig_new (&options);
-  end_us = rig_now_us (rig) + LENGTH_US;
-  send_some (rig, &state, 120);
+  end_us = rig_now_us (rig) + WALK_LENGTH_US;
+  send_requests (rig, &state, 120);
   while (rig_now_us (rig) < end_us)
     {
       inject_fault (rig, &state);
@@ -170,7 +170,7 @@
       check_all (rig, false);
     }
   repair_all (rig);
-  rig_run (rig, end_us + QUIET_US);
+  rig_run (rig, end_us + SETTLE_US);
   check_all (rig, true);
   assert_int_equal (rig_held (rig), 0);
   rig_free (rig);
@@ -207,7 +207,7 @@
 
       rig_send (rig, &request, rig_now_us (rig) + (1 + i) * 300 * MF_US_PER_MS);
     }
-  rig_run (rig, rig_now_us (rig) + QUIET_US);
+  rig_run (rig, rig_now_us (rig) + SETTLE_US);
   for (uint32_t i = 0; i < 4; i++)
     deaths += fake_engine_ledger (rig_engine (rig, i))->deaths;
   assert_int_equal (deaths, 2);
@@ -232,7 +232,7 @@
   (void)state;
   walk_options (3, false, &options);
   rig = rig_new (&options);
-  send_some (rig, &seed, 60);
+  send_requests (rig, &seed, 60);
   rig_run (rig, rig_now_us (rig) + 6 * MF_US_PER_S);
   rig_shutdown (rig, 0);
   grace_end_us = rig_now_us (rig) + rig_core (rig, 0)->board.options.drain_grace_us;
@@ -265,7 +265,7 @@
   (void)state;
   walk_options (9, false, &options);
   rig = rig_new (&options);
-  send_some (rig, &seed, 120);
+  send_requests (rig, &seed, 120);
   rig_run (rig, rig_now_us (rig) + 2 * MF_US_PER_S);
   fake_engine_leave (rig_engine (rig, N_PREFILL));
   rig_run (rig, rig_now_us (rig) + 3 * MF_US_PER_S);
@@ -293,23 +293,23 @@
 
       walk_options (11, naive, &options);
       rigs[naive] = rig_new (&options);
-      send_some (rigs[naive], &seed, 150);
+      send_requests (rigs[naive], &seed, 150);
       rig_run (rigs[naive], rig_now_us (rigs[naive]) + 5 * MF_US_PER_S);
       fake_engine_kill (rig_engine (rigs[naive], N_PREFILL), rig_now_us (rigs[naive]));
       rig_touch (rigs[naive], N_PREFILL);
-      rig_run (rigs[naive], rig_now_us (rigs[naive]) + QUIET_US);
+      rig_run (rigs[naive], rig_now_us (rigs[naive]) + SETTLE_US);
     }
   for (uint32_t i = 0; i < rig_request_count (rigs[0]); i++)
     {
-      const RigRequest *ours = rig_request (rigs[0], i);
+      const RigRequest *router = rig_request (rigs[0], i);
       const RigRequest *naive = rig_request (rigs[1], i);
 
-      check_request (ours, true);
-      if (ours->departed)
+      check_request (router, true);
+      if (router->departed)
         continue;
-      assert_int_equal (ours->code, MF_CODE_OK);
+      assert_int_equal (router->code, MF_CODE_OK);
       if (naive->code == MF_CODE_OK && !naive->garbled)
-        assert_int_equal (ours->n_tokens, naive->n_tokens);
+        assert_int_equal (router->n_tokens, naive->n_tokens);
     }
   rig_free (rigs[0]);
   rig_free (rigs[1]);
