--- a/libmangofork/call.c
+++ b/libmangofork/call.c
@@ -70,6 +70,7 @@
   mf_core_emit (core, &action);
 }
 
+/* Counts the slot, the pieces and the prefill tokens of a call at its upstream. */
 static void
 account_call (MfCore *core, MfRequest *request, MfCall *call)
 {
@@ -146,6 +147,7 @@
   free (call);
 }
 
+/* Returns whether a call of this kind makes its engine hold KV. */
 static bool
 may_hold_kv (const MfCall *call)
 {
--- a/libmangofork/life.c
+++ b/libmangofork/life.c
@@ -31,6 +31,7 @@
 /* A suspect is cleared once it has delivered this many tokens more than when its upstream
  * failed. */
 #define SUSPECT_CLEAR_TOKENS 8
+/* Times that a request may claim its key again, at most. */
 #define CLAIMS_MAX 3
 /* After a pause of this process, time to read the input that arrived meanwhile before an upstream
  * is considered stalled. */
--- a/libmangofork/limit.c
+++ b/libmangofork/limit.c
@@ -1,5 +1,6 @@
 #include "limit.h"
 
+/* Credit for requests is counted in millionths. */
 #define MICRO UINT64_C (1000000)
 /* Burst of requests that a customer may send, in seconds of its rate. */
 #define BURST_S 2
--- a/libmangofork/place.c
+++ b/libmangofork/place.c
@@ -8,6 +8,7 @@
 
 /* Upstreams that one decision examines at most; of a larger pool this many are sampled. */
 #define SAMPLE_MAX 8
+/* Weight of an upstream in full health. */
 #define FULL_WEIGHT_PPM 1000000
 /* Used until a value has been observed. */
 #define PREFILL_RATE_DEFAULT_TOKENS_PER_S 50000
--- a/libmangofork/queue.c
+++ b/libmangofork/queue.c
@@ -10,6 +10,7 @@
 #define LATE_ONE_IN 32
 /* Placements in one step over all services, at most. */
 #define PLACEMENTS_PER_STEP_MAX 64
+/* Requeued requests that are tried for one placement, at most. */
 #define REQUEUED_TRIES_MAX 4
 /* A service is starved once its oldest request has waited 1/STARVED_DIVISOR of the time from its
  * arrival to its deadline. It is then served before more urgent classes. */
@@ -44,16 +45,16 @@
 {
   TIER_ON_TIME,  /* may still meet its first-token target */
   TIER_REQUEUED, /* an earlier attempt failed */
-  TIER_LATE,
+  TIER_LATE,     /* can no longer meet its first-token target */
 } Tier;
 
 typedef struct
 {
   MfHeap by_virtual_time; /* customer queues with requests, lowest virtual time first */
-  uint64_t virtual_time;
+  uint64_t virtual_time;  /* of the customer queue served last */
   RequestList requeued;
   RequestList late;
-  uint32_t n_on_time;
+  uint32_t n_on_time; /* requests in all customer queues */
   uint32_t n_placements;
 } ServiceQueue;
 
@@ -64,7 +65,7 @@
   CustomerQueue *customer_queues;
   uint32_t n_requests;
   RequestList transfers; /* requests whose KV waits for a decode engine, oldest first */
-  bool pass_due;
+  bool pass_due;         /* a placement pass is due at the end of this step */
   uint32_t n_starved_checks;
   uint64_t want_us;
 };
--- a/libmangofork/request.c
+++ b/libmangofork/request.c
@@ -278,6 +278,8 @@
     mf_counter_add (&core->board.counters, MF_COUNTER_LATE_DROPPED, 1);
 }
 
+/* Fails the calls in progress on an upstream whose process has ended. Calls that are started in the
+ * course of this have higher ids and are left alone. */
 void
 mf_request_upstream_died (MfCore *core, uint32_t upstream)
 {
--- a/libmangofork/request.h
+++ b/libmangofork/request.h
@@ -75,7 +75,7 @@
   uint32_t attempt;
   uint32_t pieces; /* pieces of KV memory used there */
   uint32_t prefill_tokens;
-  uint64_t queued_tokens; /* prefill: uncached tokens in the engine's queue, its own included */
+  uint64_t queued_tokens; /* prefill: tokens queued at the engine, its own uncached ones included */
   uint64_t started_us;
   bool sent;
   bool hedge;
@@ -204,8 +204,8 @@
 void mf_call_begin_transfer (MfCore *core, MfRequest *request);
 void mf_call_end_transfer (MfCore *core, MfRequest *request);
 void mf_call_unreserve (MfCore *core, MfRequest *request);
-/* Starts and stops counting the request in its pool's window. A spare request has a slot beside the
- * window. */
+/* Starts and stops counting the request in its pool's window. A request with a reserved slot does
+ * not depend on the window, and widens it if it is full. */
 void mf_call_enter_window (MfCore *core, MfRequest *request, bool slot_reserved);
 void mf_call_leave_window (MfCore *core, MfRequest *request);
 void mf_call_end_transit (MfCore *core, MfRequest *request);
--- a/libmangofork/retry.c
+++ b/libmangofork/retry.c
@@ -10,6 +10,8 @@
 /* Each period also earns one retry, so that the budget of a service with little traffic
  * recovers. */
 #define RETRY_PERIOD_US MF_US_PER_S
+/* After n earlier retries the backoff is random below BACKOFF_BASE_US doubled n times, and at most
+ * BACKOFF_DOUBLINGS_MAX times. */
 #define BACKOFF_BASE_US (5 * MF_US_PER_MS)
 #define BACKOFF_DOUBLINGS_MAX 7
 
--- a/libmangofork/window.c
+++ b/libmangofork/window.c
@@ -11,9 +11,14 @@
 /* A mean answer time of a plain pool above this percentage of the fastest mean seen means that
  * calls queue there. */
 #define SLOWER_PERCENT 120
+/* A plain pool's window shrinks by one part in PLAIN_FALL_DIVISOR for each answer while the mean is
+ * above that, and otherwise grows by PLAIN_RISE_MILLI. */
 #define PLAIN_RISE_MILLI 20
 #define PLAIN_FALL_DIVISOR 64
+/* One answer counts for one part in this of the moving mean, which is used after as many answers.
+ */
 #define MEAN_DIVISOR 32
+/* With less than one part in this of the window in flight, the mean is taken as the new base. */
 #define IDLE_DIVISOR 4
 /* The initial window is small, so that the first answers are measured without queueing. It grows
  * faster until it has been narrowed once. */
@@ -35,8 +40,8 @@
   return pool->n_own * MILLI < pool->window_milli || pool->n_own == 0;
 }
 
-/* Counts one more request at the pool. A spare one was placed in a free slot beside the window, and
- * widens it. */
+/* Counts one more request at the pool. One with a reserved slot does not depend on the window,
+ * and widens it if it is full. */
 void
 mf_window_acquire (MfPoolRow *pool, bool slot_reserved)
 {
