--- a/libmangofork/call.c
+++ b/libmangofork/call.c
@@ -70,6 +70,7 @@
   mf_core_emit (core, &action);
 }
 
+/* Counts the slot, the pieces and the prefill tokens of a call at its upstream. */
 static void
 account_call (MfCore *core, MfRequest *request, MfCall *call)
 {
@@ -146,6 +147,7 @@
   free (call);
 }
 
+/* Returns whether a call of this kind makes its engine hold KV. */
 static bool
 may_hold_kv (const MfCall *call)
 {
@@ -259,14 +261,14 @@
 }
 
 void
-mf_call_enter_window (MfCore *core, MfRequest *request, bool spare)
+mf_call_enter_window (MfCore *core, MfRequest *request, bool slot_reserved)
 {
   MfPoolRow *pool = window_pool (core, request);
 
   request->in_window = true;
   request->in_transit = true;
   pool->n_in_transit++;
-  mf_window_acquire (pool, spare);
+  mf_window_acquire (pool, slot_reserved);
 }
 
 /* The request has its slot, or has given up waiting for one. */
