--- a/libmangofork/cell.c
+++ b/libmangofork/cell.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Returns how many cells the voters of a text form; 0 when it names none. */
+/* Returns the number of cells; 0 when no voters are configured. */
 uint32_t
 mf_cell_count (const MfConfig *config)
 {
@@ -23,6 +23,7 @@
   return (uint32_t)(hash % mf_cell_count (config));
 }
 
+/* Returns MF_NONE when the name is no voter. */
 uint32_t
 mf_cell_of_voter (const MfConfig *config, const char *name)
 {
@@ -34,8 +35,8 @@
   return MF_NONE;
 }
 
-/* Lists the voters of a cell. Neighbours in the text fall into different cells, so that a text
- * which lists voters by data centre spreads each cell over them. */
+/* Lists the voters of a cell. Consecutive voters of the configuration are in different cells, so
+ * that each cell spans the data centres when the voters are listed by data centre. */
 void
 mf_cell_members (const MfConfig *config, uint32_t cell, MfCell *members)
 {
@@ -50,6 +51,7 @@
   members->quorum = members->n / 2 + 1;
 }
 
+/* Returns MF_NONE when the name is not in the cell. */
 uint32_t
 mf_cell_find (const MfCell *members, const char *name)
 {
@@ -61,6 +63,7 @@
   return MF_NONE;
 }
 
+/* Returns a hash of the set of voters, which differs between configurations with other voters. */
 uint64_t
 mf_cell_epoch (const MfConfig *config)
 {
--- a/libmangofork/claim.c
+++ b/libmangofork/claim.c
@@ -5,15 +5,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A claim is asked again of voters that are silent for so long. */
+/* Interval of vote requests to voters that have not answered. */
 #define VOTE_RETRY_INTERVAL_US (50 * MF_US_PER_MS)
-/* A claim finds its quorum within this or is refused. */
+/* A claim without a quorum of answers by then is refused. */
 #define VOTING_TIMEOUT_US (2 * MF_US_PER_S)
-/* A granted call is sent within this or not at all. */
+/* A granted call that has not been sent by then is not sent. */
 #define GRANT_LIFE_US (5 * MF_US_PER_S)
 
-/* Whether another ballot shows a higher incarnation of this ballot's voter: the voter was replaced,
- * and its successor may have voted otherwise. */
+/* Returns whether the view of another voter has a higher incarnation of this vote's voter: the
+ * voter was replaced, and its successor may have voted for another claim. */
 static bool
 vote_is_superseded (const MfClaim *claim, const MfVoterReply *reply)
 {
@@ -56,7 +56,7 @@
   mf_claim_settle (core, claim, MF_CLAIM_GRANTED, MF_CODE_OK, MF_OUTCOME_NOT_RUN);
 }
 
-/* The quorum cannot be had because another claim holds votes: wait for what becomes of it. */
+/* Another claim holds so many votes that a quorum is impossible: waits for its outcome. */
 static void
 claim_wait (MfCore *core, MfClaim *claim, const MfVoteMessage *refusal)
 {
@@ -76,7 +76,7 @@
   return vote->state == MF_KEY_FINISHED || vote->state == MF_KEY_UNKNOWN;
 }
 
-/* Decides a claim from the replies at hand. */
+/* Settles the claim if the votes received so far decide it. */
 static void
 claim_count_votes (MfCore *core, MfClaim *claim)
 {
@@ -135,8 +135,8 @@
   claim_count_votes (core, claim);
 }
 
-/* Asks every voter that has not yet given a vote. The own vote comes last and may settle the
- * claim. */
+/* Requests a vote from every voter that has not voted yet. This instance's own vote is counted
+ * last, as it may settle the claim. */
 static void
 claim_request_votes (MfCore *core, MfClaim *claim)
 {
@@ -178,7 +178,7 @@
   claim_request_votes (core, claim);
 }
 
-/* With no voters in the text, keys are kept by each instance for itself. */
+/* Settles a claim locally when no voters are configured: each instance keeps its own keys. */
 static void
 claim_start_local (MfCore *core, MfClaim *claim)
 {
@@ -212,7 +212,7 @@
     claim_start_voting (core, claim);
 }
 
-/* Whether a key minted then is older than keys are kept. */
+/* Returns whether a key created at that time is older than the life of keys. */
 static bool
 key_is_too_old (const MfCore *core, uint64_t key_created_ms)
 {
@@ -221,6 +221,7 @@
   return key_created_ms != 0 && key_created_ms + life_ms < core->board.wall_ms;
 }
 
+/* Requests votes for the idempotency key of a request; mf_request_claim_settled gets the result. */
 void
 mf_claim_begin (MfCore *core, uint64_t request_id, const uint8_t key[MF_DIGEST_BYTES],
                 uint64_t body_digest, uint64_t key_created_ms, uint64_t deadline_us)
@@ -246,6 +247,7 @@
     claim_start (core, claim);
 }
 
+/* Cancels the claim of a request that ended before the claim was settled. */
 void
 mf_claim_cancel (MfCore *core, uint64_t request_id)
 {
@@ -258,6 +260,8 @@
   mf_claim_free (core->board.claims, claim);
 }
 
+/* Returns whether a granted call may still be sent: a grant expires, for example while the process
+ * is paused. To be called in the same step that starts the call. */
 bool
 mf_claim_may_send (MfCore *core, uint64_t request_id)
 {
@@ -267,6 +271,8 @@
          && core->board.now_us - claim->granted_us <= GRANT_LIFE_US;
 }
 
+/* Records the result of a granted call. With MF_OUTCOME_NOT_RUN, for a call that certainly did not
+ * run, the key may be claimed again. */
 void
 mf_claim_finish (MfCore *core, uint64_t request_id, const MfClaimResult *result)
 {
@@ -291,7 +297,8 @@
   mf_claim_settle_waiters (core, entry);
 }
 
-/* Whether a quorum of the cell can be reached, though some of it may still be fresh. */
+/* Returns whether a quorum of the cell has answered, including voters that abstained because they
+ * are not admitted yet. */
 static bool
 quorum_is_reachable (const MfClaim *claim)
 {
@@ -302,9 +309,9 @@
   return n >= claim->cell.quorum;
 }
 
-/* A claim with too few voters in reach is refused early, so that the caller can go elsewhere; one
- * whose voters are about to be admitted waits for them. Time in which this process was paused does
- * not count. */
+/* Refuses a claim whose quorum is unreachable at the voting timeout, so that the caller can try
+ * another instance before its deadline. A claim whose voters answer but are not admitted yet waits
+ * until the deadline. The timeout restarts when this process resumes from a pause. */
 static void
 voting_tick (MfCore *core, MfClaim *claim)
 {
@@ -430,7 +437,7 @@
 
   if (claims == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for claims");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the claims");
       return false;
     }
   core->board.claims = claims;
@@ -453,6 +460,7 @@
   core->board.claims = NULL;
 }
 
+/* Returns the voter state of this instance, owned by the claim controller. */
 MfVoterState *
 mf_claim_voter (const MfCore *core)
 {
--- a/libmangofork/claim_table.c
+++ b/libmangofork/claim_table.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Asks for claim_tick at that time. */
+/* Schedules the next claim_tick of a claim. */
 void
 mf_claim_schedule (MfCore *core, MfClaim *claim, uint64_t at_us)
 {
@@ -67,6 +67,7 @@
   mf_request_claim_settled (core, request_id, result);
 }
 
+/* Passes the result to the request; frees the claim unless it was granted. */
 void
 mf_claim_settle (MfCore *core, MfClaim *claim, MfClaimVerdict verdict, MfCode code,
                  MfOutcome outcome)
@@ -76,7 +77,8 @@
   settle (core, claim, &result);
 }
 
-/* Gives what an earlier run left: its answer, or the plain word that it is not to be had. */
+/* Settles a claim with the recorded result of an earlier run: its answer, or an error when no
+ * answer is recorded. */
 void
 mf_claim_settle_recorded (MfCore *core, MfClaim *claim, MfKeyState state,
                           const MfClaimResult *recorded)
@@ -127,7 +129,8 @@
   memcpy (message->outcome.key, entry->key, MF_DIGEST_BYTES);
 }
 
-/* Tells the cell that this claim will never run. The voters free exactly this claim. */
+/* Notifies the cell that the call of this claim will never run, so that the voters remove the
+ * claim. The claim id keeps them from removing a later claim of the key. */
 void
 mf_claim_release (MfCore *core, const uint8_t key[MF_DIGEST_BYTES], const MfCell *cell,
                   uint64_t claim_id)
--- a/libmangofork/claim_wait.c
+++ b/libmangofork/claim_wait.c
@@ -4,13 +4,13 @@
 
 #include <string.h>
 
-/* Voters get so long to tell the outcome of a holder that is dead, or the answer of a call that is
- * known to have run. */
+/* Time for the voters to report the outcome of a claim whose holder is dead, or the answer of a
+ * call that is known to have run. */
 #define OUTCOME_GRACE_US (300 * MF_US_PER_MS)
-/* Two claims that split the votes both give way for a random time up to this. */
+/* Claims that split the votes of a cell try again after a random delay up to this. */
 #define BACKOFF_MAX_US (20 * MF_US_PER_MS)
 
-/* Gives the outcome to the requests of this instance that waited for it. */
+/* Settles the claims of this instance that wait for the outcome of a key. */
 void
 mf_claim_settle_waiters (MfCore *core, const MfKeyEntry *entry)
 {
@@ -24,7 +24,7 @@
   }
 }
 
-/* Whether the incarnation that holds a key can no longer tell. */
+/* Returns whether the incarnation that holds a key is dead or replaced. */
 static bool
 holder_is_dead (const MfCore *core, const MfOwner *holder)
 {
@@ -36,7 +36,7 @@
          && (member->owner.incarnation > holder->incarnation || member->state == MF_MEMBER_DEAD);
 }
 
-/* Claims again after a random while. */
+/* Schedules a new claim after a random delay. */
 static void
 claim_back_off (MfCore *core, MfClaim *claim)
 {
@@ -45,8 +45,8 @@
                      core->board.now_us + mf_core_random_below (core, BACKOFF_MAX_US) + 1);
 }
 
-/* Takes what is told of the earlier run. A voter may know that it is over without having its
- * answer, which another may still have. */
+/* Handles a report on the earlier run. A voter may know that the run has ended without having its
+ * answer, which another voter may still send. */
 static void
 waiting_apply_outcome (MfCore *core, MfClaim *claim, MfKeyState state, const MfClaimResult *result)
 {
@@ -57,7 +57,8 @@
     mf_claim_settle_recorded (core, claim, state, result);
 }
 
-/* Claims again when this instance holds the key itself by a claim that it has given up. */
+/* Claims again when the holder is an earlier claim of this instance that no longer exists. Returns
+ * whether it was. */
 static bool
 waiting_restart (MfCore *core, MfClaim *claim)
 {
@@ -69,7 +70,7 @@
   return true;
 }
 
-/* Ends a wait that has lasted long enough. Returns whether it did. */
+/* Settles a claim whose wait has timed out. Returns whether it did. */
 static bool
 waiting_expire (MfCore *core, MfClaim *claim)
 {
@@ -108,7 +109,8 @@
   mf_claim_schedule (core, claim, core->board.now_us + MF_CLAIM_POLL_INTERVAL_US);
 }
 
-/* A claimant speaks of its own claim only. */
+/* Records a reported outcome of the claim that holds the key here. Only the claimant itself can
+ * release its claim. */
 static void
 record_outcome (MfCore *core, const MfOwner *from, const MfOutcomeMessage *outcome)
 {
@@ -134,7 +136,7 @@
     mf_keybook_finish (&claims->book, entry, outcome->state, &result);
 }
 
-/* Serves the requests here that wait for this key. */
+/* Handles a reported outcome for the claims of this instance that wait for it. */
 static void
 settle_waiting_claims (MfCore *core, const MfOwner *from, const MfOutcomeMessage *outcome)
 {
@@ -168,8 +170,9 @@
   settle_waiting_claims (core, from, outcome);
 }
 
-/* Tells what this instance knows of a claim, as its claimant or as a voter. A claimant that has
- * given it up says so to the whole cell again, in case a voter missed it. */
+/* Answers what this instance knows of a claim, as its claimant or as a voter. A claimant that no
+ * longer has the claim releases it at all voters of the cell again, in case one missed the release.
+ */
 void
 mf_claim_handle_outcome_request (MfCore *core, const MfOwner *from, const MfOutcomeMessage *request)
 {
--- a/libmangofork/voter.c
+++ b/libmangofork/voter.c
@@ -7,7 +7,7 @@
 
 #define ADMIT_PERIOD_FIRST_US (100 * MF_US_PER_MS)
 #define ADMIT_PERIOD_MAX_US MF_US_PER_S
-/* How far the clocks that mint keys may be ahead. */
+/* Largest difference assumed between the clocks of key creators and this clock. */
 #define CLOCK_SKEW_MS 1000
 
 static void
@@ -41,8 +41,8 @@
   return 0;
 }
 
-/* Whether the cell kept all but at most one of its voters, so that a quorum of either cell shares a
- * voter with every quorum of the other. */
+/* Returns whether the cells differ by at most one voter, so that every quorum of one shares a voter
+ * with every quorum of the other. */
 static bool
 cells_overlap (const MfCell *before, const MfCell *after)
 {
@@ -67,7 +67,7 @@
   *voter = (MfVoterState){ .book = book, .index = MF_NONE, .started_us = now_us };
 }
 
-/* Takes over the incarnations known of those voters that stay in the cell. */
+/* Replaces the cell; keeps the known incarnations of voters that are in both cells. */
 static void
 cell_replace (MfCore *core, MfVoterState *voter, const MfCell *cell)
 {
@@ -98,6 +98,7 @@
   mf_core_log (core, "voter", core->board.options.self.name, "fresh", "admitted", reason);
 }
 
+/* Applies a new configuration: requests admission when the cell has changed. */
 void
 mf_voter_apply_config (MfCore *core, MfVoterState *voter)
 {
@@ -122,10 +123,10 @@
   if (!overlaps)
     voter->started_us = core->board.now_us;
   if (voter->cell.n == 1)
-    set_admitted (core, voter, core->board.wall_ms, voter->key_life_us, "alone in its cell");
+    set_admitted (core, voter, core->board.wall_ms, voter->key_life_us, "only voter of its cell");
 }
 
-/* Merges what the answers told: incarnations, and the cell's own cold start. */
+/* Merges the answers (incarnations and the latest cold start of the cell) and admits this voter. */
 static void
 merge_answers (MfCore *core, MfVoterState *voter, const char *reason)
 {
@@ -148,7 +149,8 @@
   set_admitted (core, voter, cold_start_at_ms, opaque_wait_ms * MF_US_PER_MS, reason);
 }
 
-/* Whether the voter that answered holds keys from before this cell's latest beginning. */
+/* Returns whether the voter that answered may hold keys from before the cell last started as a new
+ * cell. */
 static bool
 predates_cold_start (const MfCore *core, const MfAdmittedMessage *answer)
 {
@@ -157,11 +159,11 @@
   return answer->agreed && (answer->opaque_wait_ms == 0 || answer->opaque_wait_ms > cold_start_ms);
 }
 
-/* Admits this voter although a quorum that could admit it is gone, on the ground that the processes
- * which filled the lost slots are dead by now:
- * - the voters that remember are so many that every quorum had one of them: nothing is forgotten;
- * - nobody that can be reached remembers: the cell takes itself for new;
- * - else some keys may be forgotten, and none from before is voted on. */
+/* Admits this voter without a quorum of admitted voters, which has been lost. The processes that
+ * had the lost slots are assumed dead after cold_start_us.
+ * - If so many voters kept their keys that every quorum included one of them, no key is lost.
+ * - If no reachable voter kept keys, the cell is taken for new.
+ * - Otherwise some keys may be lost, and keys created earlier are not voted on. */
 static void
 try_cold_start (MfCore *core, MfVoterState *voter)
 {
@@ -181,12 +183,12 @@
   if (n_older == 0 && age_us >= (n_answers == voter->cell.n ? cold_us / 4 : cold_us))
     set_admitted (core, voter, core->board.wall_ms, cold_us, "new cell");
   else if (age_us >= cold_us && n_older > voter->cell.n - voter->cell.quorum)
-    merge_answers (core, voter, "handed over by the survivors");
+    merge_answers (core, voter, "keys received from the surviving voters");
   else if (age_us >= cold_us)
     set_admitted (core, voter, core->board.wall_ms, voter->key_life_us, "cold start");
 }
 
-/* Sends a request to be admitted to every voter of the cell that has not agreed yet. */
+/* Sends a request for admission to every voter of the cell that has not agreed yet. */
 static void
 request_admission (MfCore *core, MfVoterState *voter)
 {
@@ -229,13 +231,14 @@
   mf_core_wake_at (core, voter->next_admit_us);
 }
 
+/* Records the incarnation that sent an authenticated message. */
 void
 mf_voter_note_incarnation (MfVoterState *voter, const MfOwner *peer)
 {
   view_raise (voter, peer);
 }
 
-/* Whether this voter's memory covers the whole life of the key up to now. */
+/* Returns whether this voter would have a record of any earlier claim of the key. */
 static bool
 covers_key_life (const MfCore *core, const MfVoterState *voter, const MfClaimMessage *claim)
 {
@@ -264,6 +267,7 @@
   return true;
 }
 
+/* Fills in vote; granted means that this voter never granted another claim of the key. */
 void
 mf_voter_vote (MfCore *core, MfVoterState *voter, const MfClaimMessage *claim, MfVoteMessage *vote)
 {
@@ -291,7 +295,7 @@
   vote->granted = !vote->abstained;
 }
 
-/* The answer to one request to be admitted, sent a part at a time. */
+/* The answer to one request for admission, sent in parts. */
 typedef struct
 {
   MfCore *core;
@@ -341,7 +345,7 @@
   return true;
 }
 
-/* Sends every key of the cell, so that no vote given here is forgotten by the applicant. */
+/* Sends every key of the cell, so that the applicant knows every vote given here. */
 static void
 handover_send_all (Handover *handover, const MfKeybook *book)
 {
@@ -365,6 +369,7 @@
   return now_us < voter->opaque_from_us ? (voter->opaque_from_us - now_us) / MF_US_PER_MS + 1 : 0;
 }
 
+/* Handles a peer's request for admission: sends an answer. */
 void
 mf_voter_handle_admit (MfCore *core, MfVoterState *voter, const MfAdmitMessage *admit)
 {
@@ -401,8 +406,8 @@
   free (handover.records);
 }
 
-/* Takes over what another voter remembers. An entry that is there already stays, but is granted to
- * nobody again. Returns false when it could not be kept. */
+/* Adds a key record of another voter. An existing entry is kept, but no vote for it is granted
+ * again. Returns false when out of memory. */
 static bool
 inherit_record (MfCore *core, MfVoterState *voter, const MfKeyRecord *record)
 {
@@ -423,8 +428,8 @@
   return true;
 }
 
-/* Counts the answers that no other answer contradicts: an answer from an incarnation that another
- * one knows to be replaced is void. */
+/* Counts the valid answers: an answer is void when another one has a higher incarnation of the
+ * voter that sent it. */
 static uint32_t
 count_valid_answers (const MfVoterState *voter)
 {
@@ -448,7 +453,8 @@
   return n;
 }
 
-/* Whether this part follows the last one read of the same answer; the first starts an answer. */
+/* Returns whether this is the next part of the answer being received; part 0 starts a new answer.
+ */
 static bool
 part_is_next (MfVoterState *voter, uint32_t i, const MfAdmittedMessage *answer)
 {
@@ -488,5 +494,5 @@
   voter->answers[i].n_records = 0;
   voter->answer_incarnation[i] = from->incarnation;
   if (count_valid_answers (voter) >= needed)
-    merge_answers (core, voter, "handed over");
+    merge_answers (core, voter, "keys received from the other voters");
 }
