--- a/libmangofork/cancel.c
+++ b/libmangofork/cancel.c
@@ -8,7 +8,8 @@
 #define CALL_TIMEOUT_US (500 * MF_US_PER_MS)
 #define RETRY_FIRST_US (50 * MF_US_PER_MS)
 #define RETRY_DOUBLINGS_MAX 5
-/* What a dead instance held is asked for more than once, as its last calls may still arrive. */
+/* The cancel for a dead instance is sent until it was confirmed this often, as its last calls may
+ * arrive after the first cancel. */
 #define INSTANCE_CONFIRMATIONS 3
 #define INSTANCE_REPEAT_US (1 * MF_US_PER_S)
 
@@ -23,7 +24,7 @@
   MfOwner instance;
   uint32_t n_tries;
   uint32_t n_confirmed;
-  uint64_t call_id; /* the cancel in flight; 0 for none */
+  uint64_t call_id; /* of the cancel in flight; 0 when there is none */
   struct PendingCancel *prev;
   struct PendingCancel *next;
   UT_hash_handle hh; /* by call_id, while in flight */
@@ -53,7 +54,7 @@
   free (cancel);
 }
 
-/* Asks the upstream; the debt stays until it confirms. */
+/* Sends the cancel; it stays pending until the upstream confirms it. */
 static void
 cancel_send (MfCore *core, PendingCancel *cancel)
 {
@@ -102,7 +103,7 @@
   return cancel;
 }
 
-/* Owes the upstream a cancel of one call; repeated until confirmed or the upstream restarted. */
+/* Cancels one call; the cancel is repeated until the upstream confirms it or restarts. */
 void
 mf_cancel_add (MfCore *core, uint32_t upstream, uint64_t request_id, uint64_t call_id,
                uint32_t attempt)
@@ -117,7 +118,7 @@
   cancel->target_attempt = attempt;
 }
 
-/* Owes the upstream a cancel of all that a dead incarnation of an instance held there. */
+/* Cancels all work of a dead incarnation of an instance at an upstream. */
 void
 mf_cancel_add_instance (MfCore *core, uint32_t upstream, const MfOwner *instance)
 {
@@ -127,6 +128,7 @@
   cancel->instance = *instance;
 }
 
+/* Drops the cancels of single calls at an upstream that has restarted: their calls are gone. */
 void
 mf_cancel_upstream_restarted (MfCore *core, uint32_t upstream)
 {
@@ -149,7 +151,7 @@
   return core->board.cancels->n_cancels;
 }
 
-/* A cancel has ended: 200 and 404 both confirm. */
+/* Handles the end of a cancel. Any status below 300, and 404, confirm it. */
 static void
 cancel_handle (MfCore *core, const MfEvent *event)
 {
@@ -179,8 +181,8 @@
                core->board.now_us + (RETRY_FIRST_US << doublings));
 }
 
-/* An upstream that the text no longer names and that does not answer will not come back under its
- * address. */
+/* Returns whether the upstream is dead and no longer configured: it is not expected to return at
+ * its address. */
 static bool
 is_obsolete (const MfCore *core, const PendingCancel *cancel)
 {
@@ -211,7 +213,7 @@
 {
   core->board.cancels = calloc (1, sizeof *core->board.cancels);
   if (core->board.cancels == NULL)
-    mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the debts");
+    mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the pending cancels");
   return core->board.cancels != NULL;
 }
 
@@ -229,7 +231,7 @@
 }
 
 const MfController mf_cancel_controller = {
-  .name = "debt",
+  .name = "cancel",
   .init = cancel_init,
   .finish = cancel_finish,
   .handle = cancel_handle,
--- a/libmangofork/gossip.c
+++ b/libmangofork/gossip.c
@@ -6,12 +6,12 @@
 
 #include <stdlib.h>
 
-/* Items remembered, so that each is told and acted on once. */
+/* Items kept, so that each is sent to a neighbour and applied once. */
 #define ITEMS_MAX 1024
 #define EXPIRE_PERIOD_US MF_US_PER_S
 #define REPEAT_NEVER_US (UINT64_MAX / 2)
 
-/* One item and the neighbours it has not been told to. */
+/* A gossip item and the neighbours it has yet to be sent to. */
 typedef struct
 {
   struct
@@ -21,7 +21,7 @@
   } key;
   uint64_t value;
   uint64_t origin_us;
-  uint64_t pending_neighbours; /* one bit a neighbour */
+  uint64_t pending_neighbours; /* bit mask of neighbour indexes */
   UT_hash_handle hh;
 } GossipItem;
 
@@ -33,13 +33,13 @@
 
 typedef void (*GossipApplyFunc) (MfCore *core, const MfGossip *gossip, uint64_t origin_us);
 
-/* How one kind of news is treated. */
+/* Properties of one kind of gossip. */
 typedef struct
 {
-  uint8_t priority; /* lower goes first; 0 does not wait for the next period */
-  bool value_rises; /* only a higher value is new */
+  uint8_t priority; /* lower is sent first; 0 does not wait for the next digest */
+  bool value_rises; /* only a higher value counts as new */
   uint64_t life_us;
-  uint64_t repeat_after_us; /* the same value is new again when it originated so much later */
+  uint64_t repeat_after_us; /* the same value counts as new when it originated this much later */
   GossipApplyFunc apply;
 } GossipTraits;
 
@@ -97,7 +97,7 @@
   = { 0, false, 60 * MF_US_PER_S, 300 * MF_US_PER_MS, mf_member_apply_gossip },
 };
 
-/* The neighbours that can be told now, as bits. */
+/* Returns the bit mask of the connected neighbours. */
 static uint64_t
 linked_neighbours (const MfCore *core)
 {
@@ -122,7 +122,7 @@
   free (item);
 }
 
-/* Makes room by dropping the oldest of the least urgent. */
+/* Evicts the oldest item of the lowest priority. */
 static void
 evict_item (MfCore *core)
 {
@@ -179,8 +179,8 @@
   return origin_us > item->origin_us + kind->repeat_after_us;
 }
 
-/* Remembers an item and lets it wait for every neighbour but the one that told it. Returns false
- * when it was known. */
+/* Stores an item and queues it for all connected neighbours except those in sender_bit, the one
+ * that sent it. Returns false when the item is not new. */
 static bool
 add_or_update (MfCore *core, const MfGossip *gossip, uint64_t origin_us, uint64_t sender_bit)
 {
@@ -204,7 +204,8 @@
   return true;
 }
 
-/* Tells the fleet something this instance learnt itself. Repeats of what is known cost nothing. */
+/* Publishes an event that this instance has detected itself. Does nothing when it is known already.
+ */
 void
 mf_gossip_publish (MfCore *core, MfGossipKind kind, uint64_t subject, uint64_t value)
 {
@@ -214,7 +215,7 @@
     add_or_update (core, &gossip, core->board.now_us, 0);
 }
 
-/* A neighbour is linked anew and may have missed anything. */
+/* Queues all items for a neighbour with a new link, which may have missed any of them. */
 void
 mf_gossip_queue_all (MfCore *core, uint32_t neighbour)
 {
@@ -240,8 +241,8 @@
   };
 }
 
-/* Moves at most max items for a neighbour into the digest: the most urgent first, of these the
- * ones that have waited longest. */
+/* Moves up to max queued items of a neighbour into the digest, by priority and then oldest first.
+ */
 void
 mf_gossip_fill_digest (MfCore *core, uint32_t neighbour, MfDigestMessage *digest, uint32_t max)
 {
@@ -263,7 +264,7 @@
     }
 }
 
-/* Acts on what a neighbour tells and passes on what is new. */
+/* Applies the items of a received digest that are new, and queues them for the other neighbours. */
 static void
 apply_digest (MfCore *core, const MfMemberRow *row, const MfDigestMessage *digest)
 {
@@ -322,7 +323,7 @@
 {
   core->board.gossip_log = calloc (1, sizeof *core->board.gossip_log);
   if (core->board.gossip_log == NULL)
-    mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for news");
+    mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the gossip log");
   return core->board.gossip_log != NULL;
 }
 
@@ -343,7 +344,7 @@
 }
 
 const MfController mf_gossip_controller = {
-  .name = "news",
+  .name = "gossip",
   .init = gossip_init,
   .finish = gossip_finish,
   .handle = gossip_handle,
--- a/libmangofork/guardian.c
+++ b/libmangofork/guardian.c
@@ -7,17 +7,17 @@
 #include <string.h>
 
 #define GUARDIANS_MAX 3
-/* Work told of no later than this may still hold engine memory. */
+/* An upstream not reported again within this time is assumed to hold no more work. */
 #define HELD_WORK_LIFE_US (60 * MF_US_PER_S)
 #define HELD_WORK_MAX 512
-/* With so few upstreams a guardian releases the dead one's work on all of them, and so also work
- * that no digest had told of. */
+/* With at most this many upstreams, a guardian cancels the work of a dead instance at all of them,
+ * which includes work that no digest has reported yet. */
 #define RELEASE_ALL_MAX 64
 
-/* An upstream that a is_guarded instance holds work on. */
+/* An upstream at which a guarded instance has work. */
 struct MfHeldWork
 {
-  uint64_t upstream; /* hash of its name */
+  uint64_t upstream; /* hash of the name */
   uint64_t reported_us;
 };
 
@@ -28,7 +28,8 @@
          && !row->is_guardian;
 }
 
-/* Returns the best neighbour that is no guardian yet; of another data centre when asked for. */
+/* Returns the neighbour with the highest score that is no guardian yet, only from other data
+ * centres when other_data_centre is set. */
 static MfMemberRow *
 best_guardian (const MfCore *core, bool other_data_centre)
 {
@@ -55,8 +56,7 @@
   return best;
 }
 
-/* Chooses the neighbours that pay this instance's debts when it dies, one of them in another data
- * centre where there is one. */
+/* Chooses the guardians of this instance, one of them in another data centre if possible. */
 void
 mf_guardian_choose (MfCore *core)
 {
@@ -79,7 +79,7 @@
     }
 }
 
-/* Returns the entry of an upstream, or the one to overwrite: a free or the oldest one. */
+/* Returns the entry of an upstream, or one to overwrite: a free entry, or else the oldest. */
 static MfHeldWork *
 held_find (MfMemberRow *row, uint64_t upstream)
 {
@@ -95,7 +95,7 @@
   return row->n_held < HELD_WORK_MAX ? &row->held[row->n_held++] : oldest;
 }
 
-/* Remembers which upstreams a neighbour holds work on, when it made us its guardian. */
+/* Records the upstreams at which a neighbour has work if this instance is its guardian. */
 void
 mf_guardian_record_work (MfCore *core, MfMemberRow *row, const MfDigestMessage *digest)
 {
@@ -141,8 +141,8 @@
     }
 }
 
-/* Owes the upstreams the release of what a dead incarnation of a slot held. Releasing the work of
- * an owner that lives after all costs that work once: the owner resumes its streams. */
+/* Cancels the work of a dead incarnation at the upstreams. If the instance is alive after all, the
+ * work is lost once: the instance resumes its streams. */
 void
 mf_guardian_instance_died (MfCore *core, MfMemberRow *row, uint64_t incarnation)
 {
--- a/libmangofork/guardian.h
+++ b/libmangofork/guardian.h
@@ -3,11 +3,11 @@
 
 #include "member_row.h"
 
-/* Chooses the neighbours that pay this instance's debts when it dies. */
+/* Guardians of an instance are neighbours that cancel its work at the upstreams when it dies, so
+ * that slots and KV memory are freed. */
+
 void mf_guardian_choose (MfCore *core);
-/* Remembers which upstreams a neighbour holds work on, when it made us its guardian. */
 void mf_guardian_record_work (MfCore *core, MfMemberRow *row, const MfDigestMessage *digest);
-/* Owes the upstreams the release of what a dead incarnation of a slot held. */
 void mf_guardian_instance_died (MfCore *core, MfMemberRow *row, uint64_t incarnation);
 void mf_guardian_clear (MfMemberRow *row);
 
--- a/libmangofork/member.c
+++ b/libmangofork/member.c
@@ -8,25 +8,26 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Digest periods without a word before a neighbour is suspected, and from then on before it is
- * declared dead when nobody objects. */
+/* A neighbour is suspected after this many digest periods without a message from it, and declared
+ * dead after this many more unless the suspicion is refuted. */
 #define SUSPECT_PERIODS 5
 #define CONFIRM_PERIODS 5
-/* A gap between two turns that is longer than this many periods was a pause. */
+/* A gap between two events longer than this many digest periods, and than PAUSE_MIN_US, means that
+ * this process was paused. */
 #define PAUSE_PERIODS 3
 #define PAUSE_MIN_US (500 * MF_US_PER_MS)
 #define HEALTH_PENALTY_MAX 7
 #define PENALTY_DECAY_US (10 * MF_US_PER_S)
 #define REFUTATIONS_MAX 5
-/* Doubt and refuted suspicions together make suspicion at most so many times slower. */
+/* Limit of the factor by which the health penalty and refutations lengthen the time-outs. */
 #define TIMEOUT_MULTIPLIER_MAX 16
 #define SWEEP_PERIOD_US (2 * MF_US_PER_S)
-/* A neighbour that we did not choose is one as long as its digests come. */
+/* A neighbour that this instance did not choose is dropped this long after its last digest. */
 #define UNCHOSEN_LIFE_US (10 * MF_US_PER_S)
-/* A link that carries no digests is closed when nothing used it for so long. */
+/* A link to an instance that is no neighbour is closed after this time without messages. */
 #define LINK_IDLE_US (30 * MF_US_PER_S)
 #define UNLISTED_LIFE_US (300 * MF_US_PER_S)
-/* Rows of slots that the list does not name, at most beyond those it does. */
+/* Most instances in the table, listed or not. */
 #define ROWS_MAX 4096
 
 static const char *const state_names[] = {
@@ -51,6 +52,8 @@
   return mf_member_row_by_hash (core, mf_hash_name (name));
 }
 
+/* Returns the row of an instance, adding it when needed; NULL for this instance, when the table is
+ * full, or when out of memory. */
 MfMemberRow *
 mf_member_row_find_or_add (MfCore *core, const char *name)
 {
@@ -93,7 +96,7 @@
     }
 }
 
-/* Returns what is believed of a slot, or NULL when it is not known. */
+/* Returns the member with that name, or NULL when there is none. */
 const MfMember *
 mf_member_find (const MfCore *core, const char *name)
 {
@@ -102,8 +105,8 @@
   return row != NULL ? &row->member : NULL;
 }
 
-/* Sends over the link to that slot; without one the message waits a short while for it to be
- * opened. Returns false when it will not be sent. */
+/* Sends a message to a member. Without a link one is opened, and the message is queued for it for
+ * up to PENDING_LIFE_US. Returns false when the message will not be sent. */
 bool
 mf_member_send (MfCore *core, const char *name, const MfPeerMessage *message)
 {
@@ -112,7 +115,7 @@
   return row != NULL && mf_member_send_row (core, row, message);
 }
 
-/* Sends to every neighbour that is linked. */
+/* Sends a message to every connected neighbour. */
 void
 mf_member_send_all (MfCore *core, const MfPeerMessage *message)
 {
@@ -125,14 +128,16 @@
     }
 }
 
-/* Whether a member counts when one of the live ones is made responsible for something. */
+/* Returns whether a member is a candidate when a live member is made responsible for a task. */
 bool
 mf_member_is_live (const MfMember *member)
 {
   return member->state == MF_MEMBER_ALIVE || member->state == MF_MEMBER_SUSPECT;
 }
 
-/* How many live members go before this instance for a subject. */
+/* Returns the number of live members that rank before this instance for a subject, in one data
+ * centre or in all when data_centre is NULL; the instance with rank 0 is responsible. Iterates over
+ * all members. */
 uint32_t
 mf_member_rank (const MfCore *core, uint64_t subject, const char *data_centre)
 {
@@ -150,6 +155,8 @@
   return rank;
 }
 
+/* Returns whether this instance and the listed members that are not dead are a majority of the
+ * listed instances. */
 bool
 mf_member_has_majority (const MfCore *core)
 {
@@ -169,12 +176,14 @@
   return HASH_COUNT (core->board.members->rows);
 }
 
+/* Returns when this process last detected that it had been paused; 0 for never. */
 uint64_t
 mf_member_paused_us (const MfCore *core)
 {
   return core->board.members->paused_us;
 }
 
+/* Changes the state of a member; evidence_us is when the evidence for it arose. */
 void
 mf_member_set_state (MfCore *core, MfMemberRow *row, MfMemberState state, uint64_t evidence_us,
                      const char *reason)
@@ -193,8 +202,7 @@
     mf_guardian_instance_died (core, row, row->member.owner.incarnation);
 }
 
-/* An incarnation above the one known has taken the slot: the known one is dead, whatever was
- * believed of it. */
+/* Handles a new incarnation of a member: the one before is dead, whatever its state was. */
 static void
 incarnation_raise (MfCore *core, MfMemberRow *row, uint64_t incarnation)
 {
@@ -215,6 +223,7 @@
   row->n_refutations = 0;
 }
 
+/* Handles direct evidence that an incarnation is alive. Returns false when it is an older one. */
 bool
 mf_member_note_alive (MfCore *core, MfMemberRow *row, uint64_t incarnation)
 {
@@ -230,7 +239,7 @@
   row->member.last_seen_us = core->board.now_us;
   row->n_refutations = 0;
   if (row->member.state == MF_MEMBER_DEAD || row->member.state == MF_MEMBER_SUSPECT)
-    mf_member_set_state (core, row, MF_MEMBER_ALIVE, core->board.now_us, "heard");
+    mf_member_set_state (core, row, MF_MEMBER_ALIVE, core->board.now_us, "message received");
   if (was_known_dead)
     mf_gossip_publish (core, MF_GOSSIP_INSTANCE_ALIVE, row->name_hash, incarnation);
   return true;
@@ -246,7 +255,7 @@
   return n_periods * core->board.options.digest_period_us * multiplier;
 }
 
-/* News about this very process: when it is thought dead, it says that it lives. */
+/* Handles gossip about this process: refutes that it is suspect or dead. */
 static void
 refute_own_death (MfCore *core, const MfGossip *gossip)
 {
@@ -271,9 +280,10 @@
   if (gossip->kind == MF_GOSSIP_INSTANCE_SUSPECT || origin_us < row->evidence_us)
     return;
   row->member.owner.incarnation = gossip->value;
-  mf_member_set_state (core, row, MF_MEMBER_DEAD, origin_us, "told");
+  mf_member_set_state (core, row, MF_MEMBER_DEAD, origin_us, "reported by a peer");
 }
 
+/* Handles gossip about the state of an instance. */
 void
 mf_member_apply_gossip (MfCore *core, const MfGossip *gossip, uint64_t origin_us)
 {
@@ -299,10 +309,11 @@
     row->n_refutations++;
   row->member.last_seen_us = core->board.now_us;
   if (row->member.state == MF_MEMBER_DEAD || row->member.state == MF_MEMBER_SUSPECT)
-    mf_member_set_state (core, row, MF_MEMBER_ALIVE, origin_us, "told");
+    mf_member_set_state (core, row, MF_MEMBER_ALIVE, origin_us, "reported by a peer");
 }
 
-/* A process that was paused has heard nobody: it doubts itself and starts to listen afresh. */
+/* Detects that this process was paused. It received nothing meanwhile, so the time-outs of its
+ * neighbours restart, and the health penalty lengthens its time-outs until it has decayed. */
 static void
 detect_pause (MfCore *core)
 {
@@ -332,11 +343,11 @@
         continue;
       row->member.last_seen_us = now_us;
       if (row->member.state == MF_MEMBER_SUSPECT)
-        mf_member_set_state (core, row, MF_MEMBER_ALIVE, now_us, "paused");
+        mf_member_set_state (core, row, MF_MEMBER_ALIVE, now_us, "this process was paused");
     }
 }
 
-/* Takes in one row of the published list. */
+/* Applies one entry of the published list. */
 static void
 apply_listed (MfCore *core, const MfListedInstance *listed)
 {
@@ -351,11 +362,13 @@
   mf_name_set (row->member.address, sizeof row->member.address, listed->address);
   mf_name_set (row->member.data_centre, sizeof row->member.data_centre, listed->data_centre);
   if (listed->leaving && row->member.state == MF_MEMBER_ALIVE)
-    mf_member_set_state (core, row, MF_MEMBER_LEAVING, core->board.now_us, "listed");
+    mf_member_set_state (core, row, MF_MEMBER_LEAVING, core->board.now_us, "listed as leaving");
   else if (!listed->leaving && row->member.state == MF_MEMBER_LEAVING && row->digest_us == 0)
-    mf_member_set_state (core, row, MF_MEMBER_ALIVE, core->board.now_us, "listed");
+    mf_member_set_state (core, row, MF_MEMBER_ALIVE, core->board.now_us, "listed as not leaving");
 }
 
+/* Applies the published list of instances, from the platform or from a peer, unless it is older
+ * than the one applied last. */
 void
 mf_member_apply_list (MfCore *core, uint64_t index, const MfListedInstance *listed,
                       uint32_t n_listed)
@@ -406,7 +419,7 @@
   row->is_guarded = digest->guardian;
   mf_member_add_neighbour (core, row);
   if (digest->leaving && row->member.state == MF_MEMBER_ALIVE)
-    mf_member_set_state (core, row, MF_MEMBER_LEAVING, core->board.now_us, "told");
+    mf_member_set_state (core, row, MF_MEMBER_LEAVING, core->board.now_us, "leaving in its digest");
   mf_guardian_record_work (core, row, digest);
 }
 
@@ -454,7 +467,8 @@
     }
 }
 
-/* A neighbour that is not heard is suspected; when nobody objects in time, it is declared dead. */
+/* Suspects a neighbour that sends nothing; declares it dead when the suspicion is not refuted in
+ * time. */
 static void
 check_neighbour (MfCore *core, MfMemberRow *row)
 {
@@ -476,7 +490,7 @@
   if (state != MF_MEMBER_SUSPECT
       && now_us - row->member.last_seen_us >= scaled_periods_us (core, row, SUSPECT_PERIODS))
     {
-      mf_member_set_state (core, row, MF_MEMBER_SUSPECT, now_us, "silent");
+      mf_member_set_state (core, row, MF_MEMBER_SUSPECT, now_us, "no messages");
       mf_gossip_publish (core, MF_GOSSIP_INSTANCE_SUSPECT, row->name_hash,
                          row->member.owner.incarnation);
     }
@@ -484,15 +498,15 @@
            && now_us - row->suspected_since_us >= scaled_periods_us (core, row, CONFIRM_PERIODS))
     {
       mf_member_close_links (core, row);
-      mf_member_set_state (core, row, MF_MEMBER_DEAD, now_us, "silent");
+      mf_member_set_state (core, row, MF_MEMBER_DEAD, now_us, "suspicion not refuted");
       mf_gossip_publish (core, MF_GOSSIP_INSTANCE_DEAD, row->name_hash,
                          row->member.owner.incarnation);
       mf_member_drop_neighbour (core, row);
     }
 }
 
-/* Closes idle links, forgets slots long gone from the list, and tries one dead member, so that a
- * partition that ends is noticed. */
+/* Closes idle links, removes members that have long been missing from the list, and connects to one
+ * random dead member, so that the end of a partition is detected. */
 static void
 sweep (MfCore *core)
 {
--- a/libmangofork/member_link.c
+++ b/libmangofork/member_link.c
@@ -8,21 +8,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An open that has not ended by then has failed. */
+/* Time-out for opening a link. */
 #define OPEN_TIMEOUT_US MF_US_PER_S
 #define OPEN_BACKOFF_MIN_US (200 * MF_US_PER_MS)
 #define OPEN_BACKOFF_MAX_US MF_US_PER_S
-/* How long a message waits for its link. */
+/* A message that has waited this long for a link is dropped. */
 #define PENDING_LIFE_US (2 * MF_US_PER_S)
 
-/* Whether digests may be exchanged with it. */
+/* Returns whether a member can be chosen as a neighbour. */
 static bool
 row_is_candidate (const MfMemberRow *row)
 {
   return row->member.state != MF_MEMBER_DEAD && (row->member.listed || row->member.link_id != 0);
 }
 
-/* A candidate with its distance on the ring of name hashes, and its score. */
+/* A candidate with its rendezvous score. */
 typedef struct
 {
   MfMemberRow *row;
@@ -37,8 +37,9 @@
   return x->score < y->score ? 1 : x->score > y->score ? -1 : 0;
 }
 
-/* The next member on the ring keeps the graph whole; the best scores make it shallow. Each side
- * chooses half of its links, and the others choose as many of it. */
+/* Chooses the next member on the ring of name hashes, which keeps the graph of links connected, and
+ * the members with the highest scores, which keep its diameter small. Each instance chooses half of
+ * its links, and is chosen by about as many others. */
 static void
 choose_subset (MfMembers *members, Candidate *candidates, uint32_t n_candidates, uint32_t n_wanted)
 {
@@ -60,7 +61,8 @@
     next->chosen = true;
 }
 
-/* Chooses the peers that this instance keeps links to: all when they are few. */
+/* Chooses the peers that this instance keeps links to: all of them when there are at most
+ * links_max. */
 void
 mf_member_choose_neighbours (MfCore *core)
 {
@@ -95,7 +97,7 @@
   members->choose_pending = false;
 }
 
-/* Begins to exchange digests with a peer and to watch its heartbeats. */
+/* Starts to exchange digests with a peer and to monitor its heartbeats. */
 void
 mf_member_add_neighbour (MfCore *core, MfMemberRow *row)
 {
@@ -131,7 +133,8 @@
   row->is_guardian = false;
 }
 
-/* Opens a link unless there is one, one is being opened, or the last try was too short ago. */
+/* Opens a link unless there is one, one is being opened, or the back-off after the last failure has
+ * not elapsed. */
 void
 mf_member_open_link (MfCore *core, MfMemberRow *row)
 {
@@ -166,7 +169,7 @@
     mf_core_emit (core, &action);
 }
 
-/* Closes every link to a peer. */
+/* Closes all links to a peer. */
 void
 mf_member_close_links (MfCore *core, MfMemberRow *row)
 {
@@ -190,7 +193,7 @@
   mf_core_emit (core, &action);
 }
 
-/* Drops what waited too long. */
+/* Drops the queued messages that have expired. */
 static void
 pending_expire (MfCore *core, MfMemberRow *row)
 {
@@ -233,7 +236,8 @@
   row->n_pending = 0;
 }
 
-/* Keeps a copy of a message until the link is up. */
+/* Queues an encoded copy of a message until the link is up. Returns false when the queue is full.
+ */
 static bool
 pending_add (MfCore *core, MfMemberRow *row, const MfPeerMessage *message)
 {
@@ -252,7 +256,7 @@
   return true;
 }
 
-/* Sends at once when linked, else opens a link and lets the message wait for it. */
+/* Sends a message at once when there is a link, else opens a link and queues the message for it. */
 bool
 mf_member_send_row (MfCore *core, MfMemberRow *row, const MfPeerMessage *message)
 {
@@ -268,7 +272,8 @@
   return true;
 }
 
-/* A link is up: the newest one is sent over, and the oldest of three is closed. */
+/* Handles a new link: messages are sent over the newest one. When the peer has two links already,
+ * the older one is closed. */
 void
 mf_member_link_up (MfCore *core, MfMemberRow *row, const MfPeerEvent *peer)
 {
@@ -301,7 +306,7 @@
   return backoff_us / 2 + mf_core_random_below (core, backoff_us);
 }
 
-/* A link has ended, or could not be made when link_id is 0. */
+/* Handles the end of a link, or a failure to open one when link_id is 0. */
 void
 mf_member_link_down (MfCore *core, MfMemberRow *row, uint32_t link_id)
 {
--- a/libmangofork/peer.h
+++ b/libmangofork/peer.h
@@ -3,41 +3,42 @@
 
 #include "types.h"
 
-/* Items of news in one digest, and bytes of one frame. */
+/* Gossip items in one digest. */
 #define MF_GOSSIP_PER_DIGEST_MAX 64
+/* Bytes of one frame. */
 #define MF_FRAME_BYTES_MAX (2 * 1024 * 1024)
 #define MF_VOTERS_PER_KEY_MAX 7
-/* A recorded answer longer than this is not handed between instances. */
+/* A recorded answer longer than this is not sent to other instances. */
 #define MF_RECORDED_ANSWER_BYTES_MAX 16384
 
-/* The messages between instances. */
+/* Types of the messages between instances; the values are sent on the wire. */
 typedef enum
 {
-  MF_PEER_DIGEST,         /* periodic: heartbeat, news, load, revision */
-  MF_PEER_CONFIG_REQUEST, /* asks for the text when its revision is above the asker's */
-  MF_PEER_CONFIG,         /* a text and its revision */
-  MF_PEER_CLAIM,          /* asks a vote for running a key once */
+  MF_PEER_DIGEST,         /* periodic: heartbeat, gossip, load, revision */
+  MF_PEER_CONFIG_REQUEST, /* requests the configuration if it is newer than the requester's */
+  MF_PEER_CONFIG,         /* a configuration and its revision */
+  MF_PEER_CLAIM,          /* requests a vote for the only run of an idempotency key */
   MF_PEER_VOTE,
-  MF_PEER_OUTCOME, /* what became of a claimed key */
+  MF_PEER_OUTCOME, /* the outcome of a claim */
   MF_PEER_OUTCOME_REQUEST,
-  MF_PEER_ADMIT, /* a fresh incarnation asks to be let into a cell of voters */
+  MF_PEER_ADMIT, /* a new incarnation requests admission to its cell of voters */
   MF_PEER_ADMITTED,
-  MF_PEER_LIST_REQUEST, /* asks for the list of instances when its index is above the asker's */
+  MF_PEER_LIST_REQUEST, /* requests the list of instances if it is newer than the requester's */
   MF_PEER_LIST,
   MF_PEER_MESSAGE_COUNT,
 } MfPeerMessageType;
 
-/* What an item of news is about. */
+/* Kinds of gossip; the values are sent on the wire. */
 typedef enum
 {
-  MF_GOSSIP_UPSTREAM_LEAVING,    /* subject: hash of the upstream's name; value: its incarnation */
-  MF_GOSSIP_UPSTREAM_DEAD,       /* value: incarnation that died */
-  MF_GOSSIP_REQUEST_SUSPECT,     /* subject: digest of a request; value: deaths seen */
-  MF_GOSSIP_REQUEST_QUARANTINED, /* subject: digest of a request */
-  MF_GOSSIP_INSTANCE_DEAD,       /* subject: hash of the slot's name; value: dead incarnation */
-  MF_GOSSIP_FENCE,               /* subject: hash of the upstream's name; value: fencing number */
-  MF_GOSSIP_INSTANCE_SUSPECT,    /* as dead: it was not heard */
-  MF_GOSSIP_INSTANCE_ALIVE,      /* as dead: it was heard, or says so itself */
+  MF_GOSSIP_UPSTREAM_LEAVING, /* subject: hash of the upstream's name; value: its incarnation */
+  MF_GOSSIP_UPSTREAM_DEAD, /* subject: hash of the upstream's name; value: incarnation that died */
+  MF_GOSSIP_REQUEST_SUSPECT,     /* subject: digest of the request; value: number of deaths */
+  MF_GOSSIP_REQUEST_QUARANTINED, /* subject: digest of the request */
+  MF_GOSSIP_INSTANCE_DEAD,       /* subject: hash of the instance's name; value: its incarnation */
+  MF_GOSSIP_FENCE,               /* subject: hash of the upstream's name; value: fencing token */
+  MF_GOSSIP_INSTANCE_SUSPECT,    /* as INSTANCE_DEAD: it sends no messages */
+  MF_GOSSIP_INSTANCE_ALIVE,      /* as INSTANCE_DEAD: it sent a message, or refutes itself */
   MF_GOSSIP_KIND_COUNT,
 } MfGossipKind;
 
@@ -46,10 +47,10 @@
   MfGossipKind kind;
   uint64_t subject;
   uint64_t value;
-  uint32_t age_ms; /* since it was first noted, summed over hops */
+  uint32_t age_ms; /* since it was first published, summed over hops */
 } MfGossip;
 
-/* How much of one upstream an instance uses and wants. */
+/* Slots of one upstream that an instance uses and wants. */
 typedef struct
 {
   uint64_t upstream; /* hash of the name */
@@ -72,21 +73,21 @@
   uint32_t n_shares;
   const uint8_t *burn; /* encoded by mf_burn_pack; may be NULL */
   uint32_t burn_bytes;
-  bool guardian; /* the receiver pays this sender's debts when it dies */
+  bool guardian; /* the receiver cancels the sender's work at the upstreams when the sender dies */
 } MfDigestMessage;
 
 typedef struct
 {
   uint64_t revision;
-  const char *text; /* borrowed; whole, or what changed between prefix and suffix of the base */
+  const char *text; /* borrowed; complete, or what replaces the middle of the base */
   uint32_t text_bytes;
-  uint64_t base_revision;  /* 0 when text is whole */
-  uint32_t prefix_bytes;   /* of the base's text, kept before the change */
-  uint32_t suffix_bytes;   /* and after it */
-  uint64_t full_text_hash; /* of the whole text */
+  uint64_t base_revision;  /* 0 when text is complete */
+  uint32_t prefix_bytes;   /* of the base, kept before text */
+  uint32_t suffix_bytes;   /* of the base, kept after text */
+  uint64_t full_text_hash; /* of the complete text */
 } MfConfigMessage;
 
-/* One instance as the platform publishes it. */
+/* An instance as the platform lists it. */
 typedef struct
 {
   char name[MF_NAME_BYTES];
@@ -102,7 +103,7 @@
   uint32_t n_listed;
 } MfListMessage;
 
-/* The state of one key as a voter or a claimant knows it. */
+/* The state of an idempotency key as known to a voter or claimant. */
 typedef enum
 {
   MF_KEY_NONE,
@@ -113,7 +114,7 @@
 
 typedef struct
 {
-  uint64_t claim_id; /* pairs votes with the claim; the claimant's own */
+  uint64_t claim_id; /* assigned by the claimant; matches votes to the claim */
   uint8_t key[MF_DIGEST_BYTES];
   uint64_t body_digest;
   uint64_t key_created_ms;
@@ -127,12 +128,12 @@
   uint8_t key[MF_DIGEST_BYTES];
   bool granted;
   bool abstained;
-  bool forgotten; /* abstained for good: the voter cannot vouch for so old a key */
+  bool forgotten; /* abstained for good: the voter may have lost a record of so old a key */
   bool body_differs;
-  MfOwner holder; /* who was granted it, when not granted now */
+  MfOwner holder; /* the claimant that holds the key, when not granted */
   uint64_t holder_claim_id;
   MfKeyState state;
-  MfOwner view[MF_VOTERS_PER_KEY_MAX]; /* highest incarnation known of each voter of the cell */
+  MfOwner view[MF_VOTERS_PER_KEY_MAX]; /* highest known incarnation of each voter of the cell */
   uint32_t n_view;
 } MfVoteMessage;
 
@@ -150,7 +151,7 @@
   uint32_t body_bytes;
 } MfOutcomeMessage;
 
-/* One record handed to a fresh voter. */
+/* A key record sent to a voter that requests admission. */
 typedef struct
 {
   uint8_t key[MF_DIGEST_BYTES];
@@ -172,20 +173,19 @@
 {
   uint64_t admit_id;
   bool agreed;
-  bool voter_admitted; /* whether the answering voter is itself admitted */
-  uint64_t
-      cold_start_at_ms;    /* wall clock before which the cell forgot its keys; 0 when it has not */
-  uint64_t opaque_wait_ms; /* until opaque keys are voted on again */
-  uint64_t highest_incarnation; /* of the applicant's slot; the applicant must be above it */
+  bool voter_admitted;          /* whether the voter that answers is admitted itself */
+  uint64_t cold_start_at_ms;    /* wall clock; keys created earlier may be lost; 0 when none are */
+  uint64_t opaque_wait_ms;      /* until keys without a creation time are voted on again */
+  uint64_t highest_incarnation; /* known of the applicant; a lower one is not admitted */
   MfOwner view[MF_VOTERS_PER_KEY_MAX];
   uint32_t n_view;
-  uint32_t part; /* an answer too large for one frame comes in parts, from 0 */
+  uint32_t part; /* from 0; an answer too large for one frame is sent in parts */
   uint32_t n_parts;
   const MfKeyRecord *records; /* borrowed */
   uint32_t n_records;
 } MfAdmittedMessage;
 
-/* Records in one part of an answer. */
+/* Key records in one part of an answer. */
 #define MF_RECORDS_PER_PART_MAX 4096
 
 typedef struct
@@ -193,9 +193,9 @@
   MfPeerMessageType type;
   union
   {
-    MfDigestMessage digest;  /* every member of the union starts where this one does */
-    uint64_t known_revision; /* MF_PEER_CONFIG_REQUEST: the asker's own revision */
-    uint64_t known_index;    /* MF_PEER_LIST_REQUEST: the asker's own index */
+    MfDigestMessage digest;  /* all members of the union start at the same offset */
+    uint64_t known_revision; /* MF_PEER_CONFIG_REQUEST: revision that the requester has */
+    uint64_t known_index;    /* MF_PEER_LIST_REQUEST: index that the requester has */
     MfListMessage list;
     MfConfigMessage config;
     MfClaimMessage claim;
