--- a/libmangofork/member.c
+++ b/libmangofork/member.c
@@ -362,9 +362,9 @@
   mf_name_set (row->member.address, sizeof row->member.address, listed->address);
   mf_name_set (row->member.data_centre, sizeof row->member.data_centre, listed->data_centre);
   if (listed->leaving && row->member.state == MF_MEMBER_ALIVE)
-    mf_member_set_state (core, row, MF_MEMBER_LEAVING, core->board.now_us, "listed as leaving");
+    mf_member_set_state (core, row, MF_MEMBER_LEAVING, core->board.now_us, "published list");
   else if (!listed->leaving && row->member.state == MF_MEMBER_LEAVING && row->digest_us == 0)
-    mf_member_set_state (core, row, MF_MEMBER_ALIVE, core->board.now_us, "listed as not leaving");
+    mf_member_set_state (core, row, MF_MEMBER_ALIVE, core->board.now_us, "published list");
 }
 
 /* Applies the published list of instances, from the platform or from a peer, unless it is older
@@ -419,7 +419,7 @@
   row->is_guarded = digest->guardian;
   mf_member_add_neighbour (core, row);
   if (digest->leaving && row->member.state == MF_MEMBER_ALIVE)
-    mf_member_set_state (core, row, MF_MEMBER_LEAVING, core->board.now_us, "leaving in its digest");
+    mf_member_set_state (core, row, MF_MEMBER_LEAVING, core->board.now_us, "in its digest");
   mf_guardian_record_work (core, row, digest);
 }
 
@@ -498,7 +498,7 @@
            && now_us - row->suspected_since_us >= scaled_periods_us (core, row, CONFIRM_PERIODS))
     {
       mf_member_close_links (core, row);
-      mf_member_set_state (core, row, MF_MEMBER_DEAD, now_us, "suspicion not refuted");
+      mf_member_set_state (core, row, MF_MEMBER_DEAD, now_us, "no messages");
       mf_gossip_publish (core, MF_GOSSIP_INSTANCE_DEAD, row->name_hash,
                          row->member.owner.incarnation);
       mf_member_drop_neighbour (core, row);
