--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -14,20 +14,20 @@
 
 #define N_INSTANCES 5
 #define STEP_US MF_US_PER_MS
-#define ORDER_TIME_US (20 * MF_US_PER_MS) /* the order desk's time for one order */
+#define ORDER_TIME_US (20 * MF_US_PER_MS) /* time the order service takes for one order */
 #define REQUESTS_MAX 4096
 #define KEYS_MAX 256
 #define KEY_LIFE_S 900
 
-/* One request a caller sent, and what it was told. */
+/* A request and the answer the caller got. */
 typedef struct
 {
   uint32_t key;
   uint32_t slot;
   uint64_t incarnation;
-  bool received; /* the order desk has it */
+  bool received; /* by the order service */
   uint64_t call_id;
-  uint64_t done_us; /* when the order desk answers; 0 when it does not any more */
+  uint64_t done_us; /* when the order service answers; 0 before the call and after the answer */
   bool answered;
   uint16_t status; /* 0 for a refusal */
   bool replayed;
@@ -36,7 +36,7 @@
   char body[32];
 } Request;
 
-/* Five instances before one order desk, which counts how often each key ran. */
+/* Five instances and one order service, which counts how often each key ran. */
 typedef struct
 {
   FakeCores *cores;
@@ -112,7 +112,7 @@
     fake_cores_start (fleet->cores, i);
 }
 
-/* The order desk's answer, unless the instance that called is gone. */
+/* Sends the answer of the order service, unless the instance that called has died. */
 static void
 service_answer (Fleet *fleet, Request *request)
 {
@@ -151,7 +151,7 @@
     }
 }
 
-/* Sends an order with a key through an instance; returns its place in desk->requests. */
+/* Sends an order with a key through an instance; returns its entry in fleet->requests. */
 static Request *
 fleet_send (Fleet *fleet, uint32_t slot, uint32_t key, uint64_t created_ms, uint64_t body_digest)
 {
@@ -287,7 +287,8 @@
   assert_int_equal (fleet->ran[1], 1);
 }
 
-/* Every voter is replaced, one after the other, while a call of an opaque key runs on record. */
+/* Every voter is replaced in turn after a call with a key without a creation time has run: no
+ * replacement may lose the record and let the call run again. */
 static void
 test_rolling_replacement_forgets_nothing (void **state)
 {
@@ -312,8 +313,8 @@
     }
 }
 
-/* Whether an instance votes is shown to operators and told to peers; a fresh one does not at once.
- */
+/* Whether an instance votes is shown to operators and sent to peers; a restarted instance does not
+ * vote before it is admitted again. */
 static void
 test_admission_is_shown (void **state)
 {
@@ -330,8 +331,8 @@
   assert_true (member->admitted);
 }
 
-/* Too few voters are left to have met every quorum: what they remember is still told, and a key
- * that may have been forgotten is not run. */
+/* So many voters restart that some quorum has lost all its records: the recorded answers are still
+ * served, and a key whose record may be lost is not run. */
 static void
 test_cold_start_refuses_keys_from_before (void **state)
 {
@@ -361,7 +362,8 @@
   assert_int_equal (fleet->ran[2] + fleet->ran[4], 0);
 }
 
-/* A cell that lost its whole memory knows of a minted key that it is older than the cell. */
+/* All voters of the cell restart: a key with a creation time before that is refused, as its record
+ * may be lost. */
 static void
 test_whole_cell_lost_refuses_minted_keys_from_before (void **state)
 {
@@ -381,8 +383,8 @@
   assert_int_equal (fleet->ran[1], 1);
 }
 
-/* Half of an even cell restarts at once: the other half met every quorum, so nothing is forgotten.
- */
+/* Half of an even cell restarts at once: every quorum included one of the other half, so no record
+ * is lost. */
 static void
 test_survivors_of_half_the_cell_hand_everything_over (void **state)
 {
@@ -406,7 +408,7 @@
   assert_int_equal (again->status, 201);
 }
 
-/* More keys than one frame holds are handed over whole. */
+/* All keys arrive at a restarted voter when they do not fit in one frame. */
 static void
 test_many_keys_are_handed_over_in_parts (void **state)
 {
@@ -441,8 +443,8 @@
   assert_int_equal (fleet->ran[1], 1);
 }
 
-/* A new fleet serves keyed calls at once: the first waits for its voters instead of being refused.
- */
+/* The first keyed call of a new fleet waits for the admission of the voters instead of being
+ * refused. */
 static void
 test_new_fleet_serves_its_first_order (void **state)
 {
@@ -487,7 +489,8 @@
   return (z ^ (z >> 31)) % bound;
 }
 
-/* One fault: a kill that is heard or not, a restart, a pause, or a link cut or mended. */
+/* Injects a random fault: a kill with or without closed links, a restart, a pause, or a link cut or
+ * restored. */
 static void
 inject_fault (Fleet *fleet)
 {
@@ -531,7 +534,7 @@
     }
 }
 
-/* Keys are sent again and again, anywhere, while faults come two at a time. */
+/* Sends keys repeatedly through random instances while faults are injected two at a time. */
 static void
 run_random_faults (uint64_t seed)
 {
@@ -581,7 +584,7 @@
     run_random_faults (seed);
 }
 
-/* A vote is delivered to a core that claims a key; the view is what the voter knows of n1. */
+/* Delivers a vote to a core that claims a key; the view of the voter has an incarnation of n1. */
 static void
 deliver_vote (MfCore *core, const char *voter, uint64_t incarnation, uint64_t incarnation_of_n1,
               const uint8_t key[MF_DIGEST_BYTES])
@@ -603,7 +606,7 @@
   mf_core_step (core, &event);
 }
 
-/* What a core asked of its order desk. */
+/* The calls of a core to the order service. */
 typedef struct
 {
   uint32_t n_calls;
@@ -624,7 +627,7 @@
   calls->n_aborted += action->type == MF_ACTION_CALL_ABORT;
 }
 
-/* A core that is no voter itself and has one keyed order, which waits for votes. */
+/* Returns a core that is no voter and has one keyed order, which waits for votes. */
 static MfCore *
 nonvoter_core_new (Calls *calls, uint8_t key[MF_DIGEST_BYTES])
 {
@@ -653,7 +656,8 @@
   return core;
 }
 
-/* n1 voted, was replaced, and the replacement is known to a later voter: the old vote is void. */
+/* n1 votes and is replaced, and the view of a later vote has the new incarnation: the vote of n1 is
+ * void. */
 static void
 test_vote_of_a_replaced_voter_does_not_count (void **state)
 {
@@ -671,7 +675,7 @@
   mf_core_free (core);
 }
 
-/* The process is paused while it waits for votes: the voters get their time afterwards. */
+/* The process is paused while it waits for votes: the voting time-out restarts afterwards. */
 static void
 test_pause_gives_voters_their_time (void **state)
 {
@@ -690,8 +694,8 @@
   mf_core_free (core);
 }
 
-/* The process is paused between the grant and the first byte: the byte is held back, and the call
- * waits for votes again. */
+/* The process is paused between the grant and the first byte of the call: the call is aborted, as
+ * the grant has expired, and the claim waits for votes again. */
 static void
 test_grant_that_went_stale_sends_nothing (void **state)
 {
--- a/tests/test_gossip.c
+++ b/tests/test_gossip.c
@@ -13,12 +13,12 @@
 
 #include <cmocka.h>
 
-/* What the calls of a fleet asked of upstream 0. */
+/* The cancels that the instances sent for dead instances. */
 typedef struct
 {
-  uint64_t released_us; /* first time a dead owner's work was released */
+  uint64_t released_us; /* when the first cancel was sent */
   uint32_t n_released;
-  uint64_t incarnation; /* whose */
+  uint64_t incarnation; /* of the dead instance, from the last cancel */
   bool answers;         /* the upstreams answer */
 } Calls;
 
@@ -58,7 +58,8 @@
   return cores;
 }
 
-/* Upstreams that answered a load report are in use; a later report tells that one is leaving. */
+/* Delivers a load report of an upstream to an instance: the first makes the upstream usable, a
+ * later one may report that it is leaving. */
 static void
 report_load (FakeCores *cores, uint32_t slot, const char *name, bool leaving)
 {
@@ -118,8 +119,8 @@
     }
 }
 
-/* An upstream that was leaving and stays, or came back as another incarnation, is used again, also
- * when late news of its leaving arrives. */
+/* An upstream that was leaving and stays, or returned as another incarnation, is used again; late
+ * gossip that it is leaving makes it unused only if it names the current incarnation. */
 static void
 test_upstream_that_stays_is_used_again (void **state)
 {
@@ -170,8 +171,8 @@
   fake_cores_free (cores);
 }
 
-/* More news than a digest holds: the urgent goes first, all of it arrives, and no digest exceeds
- * its limit. */
+/* More gossip than a digest holds: urgent items are sent first, all items arrive, and the digests
+ * keep within their byte rate. */
 static void
 test_flood_is_bounded_and_urgent_goes_first (void **state)
 {
@@ -188,7 +189,8 @@
     report_load (cores, slot, "d1", false);
   n_bytes = fake_cores_bytes_out (cores, 0);
   fake_cores_run (cores, 500 * MF_US_PER_MS);
-  assert_int_equal (count_usable (cores, 7, "d1"), 1); /* only the one that was told nothing */
+  assert_int_equal (count_usable (cores, 7, "d1"),
+                    1); /* only the instance that published the item */
   fake_cores_run (cores, 9500 * MF_US_PER_MS);
   n_bytes = fake_cores_bytes_out (cores, 0) - n_bytes;
   assert_true (n_bytes / 10 < 23000);
@@ -199,7 +201,8 @@
   fake_cores_free (cores);
 }
 
-/* Power is lost: the links say nothing. The engines' work is released by guardians in time. */
+/* An instance loses power, so that its links are not closed: its guardians cancel its work at the
+ * engines within 5 s. */
 static void
 test_work_of_a_dead_instance_is_released (void **state)
 {
@@ -240,7 +243,8 @@
   fake_cores_free (cores);
 }
 
-/* With many upstreams only those it told its guardians of are asked. */
+/* With many upstreams, cancels are sent only to those that the dead instance reported to its
+ * guardians. */
 static void
 test_only_reported_upstreams_are_released_when_there_are_many (void **state)
 {
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -46,7 +46,7 @@
   return member->state;
 }
 
-/* How many running slots hold another one to be in a state. */
+/* Returns how many running instances see another one in a state. */
 static uint32_t
 count_state (FakeCores *cores, uint32_t n_slots, uint32_t of, MfMemberState state)
 {
@@ -72,7 +72,7 @@
   fake_cores_free (cores);
 }
 
-/* Marks what a walk over the neighbours reaches. */
+/* Marks the instances that can be reached over links between neighbours. */
 static void
 mark_reachable (FakeCores *cores, uint32_t slot, bool *reached)
 {
@@ -146,8 +146,8 @@
   fake_cores_free (cores);
 }
 
-/* The one that was paused was thought dead; it does not think so of the others, and is believed
- * alive again. */
+/* An instance is declared dead while it is paused. After the pause it suspects no other instance,
+ * and is alive to the others again. */
 static void
 test_paused_instance_suspects_nobody_and_is_alive_again (void **state)
 {
@@ -229,7 +229,7 @@
   fake_cores_free (cores);
 }
 
-/* Few instances read the list; the others hear it from them, and an older one changes nothing. */
+/* One instance reads a new list and the others receive it from peers; an older list is ignored. */
 static void
 test_list_travels_between_peers (void **state)
 {
--- a/tests/test_suspect.c
+++ b/tests/test_suspect.c
@@ -13,7 +13,7 @@
                                         .two_deaths_quarantine_us = 30 * S,
                                         .three_deaths_quarantine_us = 600 * S };
 
-/* The verdicts on the breaks of one upstream, by digest. */
+/* The results for the failures at one upstream, by digest. */
 typedef struct
 {
   MfSuspectResult own;
@@ -54,7 +54,8 @@
   return results;
 }
 
-/* Ends one upstream after the other under the digest; returns the last verdict. */
+/* Fails a call of DIGEST at an upstream that then dies; without isolation another suspect runs
+ * there as well. Returns the result for DIGEST. */
 static MfSuspectResult
 fail_and_die_at (MfSuspects *suspects, uint64_t upstream_id, bool isolated)
 {
@@ -90,7 +91,8 @@
   mf_suspects_free (suspects);
 }
 
-/* Two instances each had one suspect at a process that ended; what the other tells comes later. */
+/* Two instances each had one suspect at a process that died, and the other instance's report
+ * arrives after the quarantine: either request may be the cause, so neither is quarantined. */
 static void
 test_suspects_of_two_instances_at_one_death_are_not_quarantined (void **state)
 {
@@ -112,7 +114,7 @@
   mf_suspects_free (suspects);
 }
 
-/* A sentence for two deaths ends; the next death is the third, and its sentence the long one. */
+/* The quarantine for two deaths expires; the next death is the third and has the long one. */
 static void
 test_quarantine_expires_and_third_death_renews_it (void **state)
 {
@@ -129,7 +131,7 @@
   mf_suspects_free (suspects);
 }
 
-/* Tries of one request at three upstreams that lose power together are one death. */
+/* Attempts of one request at three upstreams that lose power together count as one death. */
 static void
 test_simultaneous_deaths_count_once (void **state)
 {
@@ -160,7 +162,7 @@
   mf_suspects_free (suspects);
 }
 
-/* A break is not counted when the upstream has answered since, or ended long after. */
+/* A failure is not counted when the upstream answered later, or died long after. */
 static void
 test_failures_at_living_upstreams_are_not_counted (void **state)
 {
@@ -183,7 +185,7 @@
   mf_suspects_free (suspects);
 }
 
-/* Many suspects push out those that were never convicted, and no conviction. */
+/* Many new suspects evict entries that are not quarantined, but none that is. */
 static void
 test_quarantines_survive_eviction (void **state)
 {
--- a/tests/test_suspect_core.c
+++ b/tests/test_suspect_core.c
@@ -9,7 +9,7 @@
 
 #define DIGEST 77
 
-/* Sends a read of that digest; returns the call it became, which has left for the upstream. */
+/* Sends a read request with DIGEST; returns the id of its call, which has been sent upstream. */
 static uint64_t
 send_read (OneCore *one, uint64_t id)
 {
@@ -38,8 +38,8 @@
   one_core_step (one, &event);
 }
 
-/* The upstream is found dead and comes back; what waited for it is called again. Returns the call.
- */
+/* Declares the upstream dead and lets it return; the waiting request is sent again. Returns the id
+ * of its call. */
 static uint64_t
 restart_upstream (OneCore *one)
 {
@@ -59,7 +59,7 @@
   return one->core->board.counters.values[MF_COUNTER_QUARANTINES];
 }
 
-/* Many callers read the same while their upstream dies: that is one death. */
+/* The upstream dies while several callers read the same: that counts as one death. */
 static void
 test_one_death_under_many_is_one_death (void **state)
 {
@@ -95,7 +95,7 @@
   one_core_free (one);
 }
 
-/* What has run to its end is not blamed for later deaths. */
+/* A request that was answered is not suspected, however often its upstream dies before a retry. */
 static void
 test_answered_request_is_no_suspect (void **state)
 {
