--- a/libmangofork/cancel.h
+++ b/libmangofork/cancel.h
@@ -8,7 +8,7 @@
 
 void mf_cancel_add (MfCore *core, uint32_t upstream, uint64_t request_id, uint64_t call_id,
                     uint32_t attempt);
-void mf_cancel_add_instance (MfCore *core, uint32_t upstream, const MfOwner *owner);
+void mf_cancel_add_instance (MfCore *core, uint32_t upstream, const MfOwner *instance);
 void mf_cancel_upstream_restarted (MfCore *core, uint32_t upstream);
 uint32_t mf_cancel_count (const MfCore *core);
 
--- a/libmangofork/guardian.c
+++ b/libmangofork/guardian.c
@@ -12,7 +12,7 @@
 #define HELD_WORK_MAX 512
 /* With at most this many upstreams, a guardian cancels the work of a dead instance at all of them,
  * which includes work that no digest has reported yet. */
-#define RELEASE_ALL_MAX 64
+#define CANCEL_ALL_UPSTREAMS_MAX 64
 
 /* An upstream at which a guarded instance has work. */
 struct MfHeldWork
@@ -118,26 +118,26 @@
 }
 
 static void
-release_all (MfCore *core, const MfOwner *owner)
+cancel_at_all_upstreams (MfCore *core, const MfOwner *instance)
 {
   for (uint32_t i = 0; i < core->board.n_upstreams; i++)
     {
       const MfUpstream *upstream = &core->board.upstreams[i];
 
       if (upstream->in_config && upstream->role != MF_ROLE_PLAIN)
-        mf_cancel_add_instance (core, i, owner);
+        mf_cancel_add_instance (core, i, instance);
     }
 }
 
 static void
-release_held (MfCore *core, const MfMemberRow *row, const MfOwner *owner)
+cancel_at_reported_upstreams (MfCore *core, const MfMemberRow *row, const MfOwner *instance)
 {
   for (uint32_t i = 0; i < row->n_held; i++)
     {
       uint32_t upstream = mf_upstream_find (core, row->held[i].upstream);
 
       if (upstream != MF_NONE && core->board.now_us - row->held[i].reported_us < HELD_WORK_LIFE_US)
-        mf_cancel_add_instance (core, upstream, owner);
+        mf_cancel_add_instance (core, upstream, instance);
     }
 }
 
@@ -146,15 +146,15 @@
 void
 mf_guardian_instance_died (MfCore *core, MfMemberRow *row, uint64_t incarnation)
 {
-  MfOwner owner = row->member.owner;
+  MfOwner instance = row->member.owner;
 
-  owner.incarnation = incarnation;
+  instance.incarnation = incarnation;
   if (row->is_guarded && incarnation != 0)
     {
-      if (core->board.n_upstreams <= RELEASE_ALL_MAX)
-        release_all (core, &owner);
+      if (core->board.n_upstreams <= CANCEL_ALL_UPSTREAMS_MAX)
+        cancel_at_all_upstreams (core, &instance);
       else
-        release_held (core, row, &owner);
+        cancel_at_reported_upstreams (core, row, &instance);
     }
   row->n_held = 0;
 }
--- a/libmangofork/voter.c
+++ b/libmangofork/voter.c
@@ -152,7 +152,7 @@
 /* Returns whether the voter that answered may hold keys from before the cell last started as a new
  * cell. */
 static bool
-predates_cold_start (const MfCore *core, const MfAdmittedMessage *answer)
+predates_new_cell (const MfCore *core, const MfAdmittedMessage *answer)
 {
   uint64_t cold_start_ms = core->board.options.cold_start_us / MF_US_PER_MS;
 
@@ -168,23 +168,22 @@
 try_cold_start (MfCore *core, MfVoterState *voter)
 {
   uint64_t age_us = core->board.now_us - voter->started_us;
-  uint64_t cold_us = core->board.options.cold_start_us;
+  uint64_t cold_start_us = core->board.options.cold_start_us;
   uint32_t n_answers = 1;
   uint32_t n_older = 0;
 
   for (uint32_t i = 0; i < voter->cell.n; i++)
     {
       n_answers += voter->answer_incarnation[i] != 0;
-      n_older
-          += voter->answer_incarnation[i] != 0 && predates_cold_start (core, &voter->answers[i]);
+      n_older += voter->answer_incarnation[i] != 0 && predates_new_cell (core, &voter->answers[i]);
     }
   if (n_answers < voter->cell.quorum)
     return;
-  if (n_older == 0 && age_us >= (n_answers == voter->cell.n ? cold_us / 4 : cold_us))
-    set_admitted (core, voter, core->board.wall_ms, cold_us, "new cell");
-  else if (age_us >= cold_us && n_older > voter->cell.n - voter->cell.quorum)
+  if (n_older == 0 && age_us >= (n_answers == voter->cell.n ? cold_start_us / 4 : cold_start_us))
+    set_admitted (core, voter, core->board.wall_ms, cold_start_us, "new cell");
+  else if (age_us >= cold_start_us && n_older > voter->cell.n - voter->cell.quorum)
     merge_answers (core, voter, "keys received from the surviving voters");
-  else if (age_us >= cold_us)
+  else if (age_us >= cold_start_us)
     set_admitted (core, voter, core->board.wall_ms, voter->key_life_us, "cold start");
 }
 
