--- a/tests/test_gossip.c
+++ b/tests/test_gossip.c
@@ -189,8 +189,7 @@
     report_load (cores, slot, "d1", false);
   n_bytes = fake_cores_bytes_out (cores, 0);
   fake_cores_run (cores, 500 * MF_US_PER_MS);
-  assert_int_equal (count_usable (cores, 7, "d1"),
-                    1); /* only the instance that published the item */
+  assert_int_equal (count_usable (cores, 7, "d1"), 1); /* only the publisher */
   fake_cores_run (cores, 9500 * MF_US_PER_MS);
   n_bytes = fake_cores_bytes_out (cores, 0) - n_bytes;
   assert_true (n_bytes / 10 < 23000);
