--- a/libmangofork/answer.c
+++ b/libmangofork/answer.c
@@ -10,7 +10,7 @@
 
 /* Opens an object with the members that every answer of the model interface has. */
 static void
-head_add (MfBuffer *out, const MfAnswerShape *shape, const char *object)
+object_begin (MfBuffer *out, const MfAnswerShape *shape, const char *object)
 {
   add_text (out, "{\"id\":\"");
   mf_buffer_add_escaped (out, shape->name);
@@ -24,17 +24,17 @@
 }
 
 static void
-chunk_head_add (MfBuffer *out, const MfAnswerShape *shape)
+chunk_begin (MfBuffer *out, const MfAnswerShape *shape)
 {
   add_text (out, "data: ");
-  head_add (out, shape, shape->chat ? "chat.completion.chunk" : "text_completion");
+  object_begin (out, shape, shape->chat ? "chat.completion.chunk" : "text_completion");
 }
 
 void
 mf_answer_chunk (MfBuffer *out, const MfAnswerShape *shape, bool first, const char *text,
                  size_t text_bytes)
 {
-  chunk_head_add (out, shape);
+  chunk_begin (out, shape);
   if (!shape->chat)
     add_text (out, "\"text\":\"");
   else
@@ -67,7 +67,7 @@
 void
 mf_answer_chunk_end (MfBuffer *out, const MfAnswerShape *shape, uint32_t n_tokens)
 {
-  chunk_head_add (out, shape);
+  chunk_begin (out, shape);
   add_text (out, shape->chat ? "\"delta\":{}" : "\"text\":\"\"");
   add_text (out, ",\"finish_reason\":\"");
   add_text (out, finish_reason (shape, n_tokens));
@@ -89,7 +89,7 @@
 mf_answer_whole (MfBuffer *out, const MfAnswerShape *shape, const char *text, size_t text_bytes,
                  uint32_t n_tokens)
 {
-  head_add (out, shape, shape->chat ? "chat.completion" : "text_completion");
+  object_begin (out, shape, shape->chat ? "chat.completion" : "text_completion");
   add_text (out,
             shape->chat ? "\"message\":{\"role\":\"assistant\",\"content\":\"" : "\"text\":\"");
   mf_buffer_add (out, text, text_bytes);
--- a/libmangofork/exchange.c
+++ b/libmangofork/exchange.c
@@ -49,7 +49,7 @@
 
 /* Forgets what only a running request needs. */
 static void
-exchange_ungive (MfExchange *exchange)
+exchange_leave_core (MfExchange *exchange)
 {
   if (!exchange->given)
     return;
@@ -68,7 +68,7 @@
   exchange->departed = true;
   if (!exchange->given)
     return;
-  exchange_ungive (exchange);
+  exchange_leave_core (exchange);
   if (!exchange->set->closing)
     exchange->set->hooks.on_event (&event, exchange->set->data);
 }
@@ -78,7 +78,7 @@
 {
   MfExchanges *set = exchange->set;
 
-  exchange_ungive (exchange);
+  exchange_leave_core (exchange);
   if (exchange->response != NULL)
     MHD_destroy_response (exchange->response);
   mf_buffer_clear (&exchange->body);
@@ -102,27 +102,27 @@
 /* Pauses the call that feeds a caller who takes its answer slowly, and has it go on once half of
  * what was held back is taken. */
 static void
-exchange_pace (MfExchange *exchange)
+exchange_apply_backpressure (MfExchange *exchange)
 {
   MfExchanges *set = exchange->set;
-  size_t unsent = mf_buffer_bytes (&exchange->out);
-  bool hold = exchange->held ? unsent > set->options.caller_buffer_bytes / 2
-                             : unsent > set->options.caller_buffer_bytes;
+  size_t unsent_bytes = mf_buffer_bytes (&exchange->out);
+  bool paused = exchange->held ? unsent_bytes > set->options.caller_buffer_bytes / 2
+                               : unsent_bytes > set->options.caller_buffer_bytes;
 
-  if (hold == exchange->held || exchange->call_id == 0 || !exchange->given)
+  if (paused == exchange->held || exchange->call_id == 0 || !exchange->given)
     return;
-  exchange->held = hold;
-  set->hooks.on_hold (exchange->call_id, hold, set->data);
+  exchange->held = paused;
+  set->hooks.on_hold (exchange->call_id, paused, set->data);
 }
 
 /* Hands the library the next bytes of a streamed answer. */
 static ssize_t
-stream_read (void *cls, uint64_t at, char *dst, size_t dst_bytes)
+stream_read (void *cls, uint64_t offset, char *dst, size_t dst_bytes)
 {
   MfExchange *exchange = cls;
   size_t n = mf_buffer_bytes (&exchange->out);
 
-  (void)at;
+  (void)offset;
   if (exchange->departed || exchange->out.failed)
     return MHD_CONTENT_READER_END_WITH_ERROR;
   if (n == 0 && exchange->ended)
@@ -136,7 +136,7 @@
     n = dst_bytes;
   memcpy (dst, mf_buffer_data (&exchange->out), n);
   mf_buffer_take (&exchange->out, n);
-  exchange_pace (exchange);
+  exchange_apply_backpressure (exchange);
   return (ssize_t)n;
 }
 
@@ -149,7 +149,7 @@
 
 /* Begins a streamed answer. */
 static void
-response_stream (MfExchange *exchange)
+response_create_stream (MfExchange *exchange)
 {
   exchange->streaming = true;
   exchange->status = MHD_HTTP_OK;
@@ -167,8 +167,8 @@
 
 /* Makes a whole answer of bytes that are copied. */
 static void
-response_whole (MfExchange *exchange, uint16_t status, const char *content_type, const void *body,
-                size_t body_bytes)
+response_create (MfExchange *exchange, uint16_t status, const char *content_type, const void *body,
+                 size_t body_bytes)
 {
   exchange->status = status;
   exchange->ended = true;
@@ -185,7 +185,7 @@
 
 /* Makes the answer of a refusal. */
 static void
-response_problem (MfExchange *exchange, const MfAnswerAction *refusal, const char *detail)
+response_create_problem (MfExchange *exchange, const MfAnswerAction *refusal, const char *detail)
 {
   const MfCodeInfo *info = mf_code_info (refusal->code);
   uint64_t retry_after_s = mf_answer_retry_after_s (refusal->retry_after_ms);
@@ -193,8 +193,8 @@
   char number[24];
 
   mf_answer_problem (&body, refusal, exchange->intake.name, detail);
-  response_whole (exchange, refusal->status != 0 ? refusal->status : info->http_status,
-                  "application/problem+json", mf_buffer_data (&body), mf_buffer_bytes (&body));
+  response_create (exchange, refusal->status != 0 ? refusal->status : info->http_status,
+                   "application/problem+json", mf_buffer_data (&body), mf_buffer_bytes (&body));
   mf_buffer_clear (&body);
   if (exchange->response == NULL)
     return;
@@ -216,7 +216,7 @@
 
   if (exchange->intake.name[0] == '\0')
     mf_name_set (exchange->intake.name, sizeof exchange->intake.name, exchange->made_name);
-  response_problem (exchange, &refusal, error->text);
+  response_create_problem (exchange, &refusal, error->text);
   mf_buffer_clear (&exchange->body);
   exchange->set->hooks.on_refused (error->code, exchange->set->data);
 }
@@ -238,7 +238,7 @@
 
 /* Something new is in the answer: has the library fetch it. */
 static void
-exchange_push (MfExchange *exchange)
+exchange_wake_connection (MfExchange *exchange)
 {
   if (!exchange->in_handler)
     mf_exchange_resume (exchange);
@@ -273,8 +273,8 @@
   if (strcmp (exchange->path, "/v1/models") != 0 || strcmp (exchange->method, "GET") != 0)
     return false;
   mf_answer_models (&body, exchange->set->hooks.on_config (exchange->set->data));
-  response_whole (exchange, MHD_HTTP_OK, "application/json", mf_buffer_data (&body),
-                  mf_buffer_bytes (&body));
+  response_create (exchange, MHD_HTTP_OK, "application/json", mf_buffer_data (&body),
+                   mf_buffer_bytes (&body));
   mf_buffer_clear (&body);
   return true;
 }
@@ -316,8 +316,8 @@
     return;
   mf_answer_chunk (&exchange->out, &exchange->shape, first, answer->data, answer->data_bytes);
   if (!exchange->streaming)
-    response_stream (exchange);
-  exchange_pace (exchange);
+    response_create_stream (exchange);
+  exchange_apply_backpressure (exchange);
 }
 
 static void
@@ -329,23 +329,24 @@
     {
       mf_answer_chunk_end (&exchange->out, &exchange->shape, exchange->n_tokens);
       if (!exchange->streaming)
-        response_stream (exchange);
+        response_create_stream (exchange);
       exchange->ended = true;
       return;
     }
   mf_answer_whole (&body, &exchange->shape, mf_buffer_data (&exchange->delivered),
                    mf_buffer_bytes (&exchange->delivered), exchange->n_tokens);
-  response_whole (exchange, MHD_HTTP_OK, "application/json", mf_buffer_data (&body),
-                  mf_buffer_bytes (&body));
+  response_create (exchange, MHD_HTTP_OK, "application/json", mf_buffer_data (&body),
+                   mf_buffer_bytes (&body));
   if (body.failed || exchange->delivered.failed)
     exchange->departed = true;
   mf_buffer_clear (&body);
 }
 
 static void
-answer_whole (MfExchange *exchange, const MfAnswerAction *answer)
+answer_plain (MfExchange *exchange, const MfAnswerAction *answer)
 {
-  response_whole (exchange, answer->status, answer->content_type, answer->data, answer->data_bytes);
+  response_create (exchange, answer->status, answer->content_type, answer->data,
+                   answer->data_bytes);
   if (answer->replayed && exchange->response != NULL)
     header_add (exchange, "Mangofork-Replayed", "yes");
 }
@@ -355,7 +356,7 @@
 {
   if (!exchange->streaming)
     {
-      response_problem (exchange, answer, NULL);
+      response_create_problem (exchange, answer, NULL);
       return;
     }
   mf_answer_chunk_refuse (&exchange->out, answer, exchange->intake.name);
@@ -373,11 +374,11 @@
   else if (action->type == MF_ACTION_ANSWER_END)
     answer_end (exchange);
   else if (action->type == MF_ACTION_ANSWER_PLAIN)
-    answer_whole (exchange, &action->answer);
+    answer_plain (exchange, &action->answer);
   else
     answer_refuse (exchange, &action->answer);
   if (exchange->ended)
-    exchange_ungive (exchange);
+    exchange_leave_core (exchange);
   if (exchange->response != NULL || exchange->streaming || exchange->departed)
-    exchange_push (exchange);
+    exchange_wake_connection (exchange);
 }
--- a/libmangofork/http_in.c
+++ b/libmangofork/http_in.c
@@ -19,8 +19,8 @@
 /* A connection that neither sends nor takes anything for this long is closed. */
 #define IDLE_TIMEOUT_S 60
 /* Memory of a connection beyond its headers. */
-#define CONNECTION_BYTES_SPARE 8192
-#define WATCH_BATCH 64
+#define CONNECTION_MEMORY_BYTES_EXTRA 8192
+#define WATCH_EVENTS_MAX 64
 
 typedef struct Connection Connection;
 
@@ -39,7 +39,7 @@
   MfExchanges exchanges;
   Connection *connections;
   uint64_t last_id;
-  uint64_t name_salt;
+  uint64_t name_prefix;
   int watch_fd; /* epoll of the sockets of requests, for callers who leave */
   ev_io watch;
   ev_timer sweep;
@@ -56,43 +56,44 @@
 static void
 exchange_watch (MfHttpIn *in, MfExchange *exchange)
 {
-  struct epoll_event wanted = { .events = EPOLLRDHUP | EPOLLET, .data.ptr = exchange };
+  struct epoll_event event = { .events = EPOLLRDHUP | EPOLLET, .data.ptr = exchange };
 
-  exchange->watched = epoll_ctl (in->watch_fd, EPOLL_CTL_ADD, exchange->fd, &wanted) == 0;
+  exchange->watched = epoll_ctl (in->watch_fd, EPOLL_CTL_ADD, exchange->fd, &event) == 0;
 }
 
 /* What the length headers of a request say, taken together. */
 typedef struct
 {
-  uint32_t n_lengths;
-  uint32_t n_encodings;
-  uint32_t n_keys;
+  uint32_t n_content_lengths;
+  uint32_t n_transfer_encodings;
+  uint32_t n_idempotency_keys;
   uint32_t n_hosts;
-  const char *length;
-  bool conflict;
-  bool unsound; /* a name that no header may have */
-} Lengths;
+  const char *content_length;
+  bool length_conflict;
+  bool name_invalid; /* a name that no header may have */
+} HeaderSummary;
 
 static enum MHD_Result
-lengths_read (void *cls, enum MHD_ValueKind kind, const char *name, const char *value)
+header_summarize (void *cls, enum MHD_ValueKind kind, const char *name, const char *value)
 {
-  Lengths *lengths = cls;
+  HeaderSummary *summary = cls;
 
   (void)kind;
   if (strcasecmp (name, "Content-Length") == 0)
     {
-      lengths->n_lengths++;
-      if (lengths->length != NULL && (value == NULL || strcmp (lengths->length, value) != 0))
-        lengths->conflict = true;
-      lengths->length = value;
+      summary->n_content_lengths++;
+      if (summary->content_length != NULL
+          && (value == NULL || strcmp (summary->content_length, value) != 0))
+        summary->length_conflict = true;
+      summary->content_length = value;
     }
   else if (strcasecmp (name, "Transfer-Encoding") == 0)
-    lengths->n_encodings++;
+    summary->n_transfer_encodings++;
   else if (strcasecmp (name, "Idempotency-Key") == 0)
-    lengths->n_keys++;
+    summary->n_idempotency_keys++;
   else if (strcasecmp (name, "Host") == 0)
-    lengths->n_hosts++;
-  lengths->unsound = lengths->unsound || !mf_header_name_is_sound (name, strlen (name));
+    summary->n_hosts++;
+  summary->name_invalid = summary->name_invalid || !mf_header_name_is_sound (name, strlen (name));
   return MHD_YES;
 }
 
@@ -103,23 +104,23 @@
   const MfHttpInOptions *options = &exchange->set->options;
   const union MHD_ConnectionInfo *info
       = MHD_get_connection_info (exchange->connection, MHD_CONNECTION_INFO_REQUEST_HEADER_SIZE);
-  Lengths lengths = { 0 };
+  HeaderSummary summary = { 0 };
 
-  MHD_get_connection_values (exchange->connection, MHD_HEADER_KIND, lengths_read, &lengths);
+  MHD_get_connection_values (exchange->connection, MHD_HEADER_KIND, header_summarize, &summary);
   if (info != NULL && info->header_size > options->header_bytes_max)
     mf_error_set (error, MF_CODE_HEADERS_TOO_LARGE, "the headers exceed the limit");
-  else if (lengths.unsound)
+  else if (summary.name_invalid)
     mf_error_set (error, MF_CODE_BAD_HEADER, "the name of a header is malformed");
-  else if (lengths.n_hosts != 1)
+  else if (summary.n_hosts != 1)
     mf_error_set (error, MF_CODE_BAD_HEADER, "Host is missing or given twice");
-  else if (lengths.conflict || lengths.n_encodings > 1
-           || (lengths.n_lengths > 0 && lengths.n_encodings > 0))
+  else if (summary.length_conflict || summary.n_transfer_encodings > 1
+           || (summary.n_content_lengths > 0 && summary.n_transfer_encodings > 0))
     mf_error_set (error, MF_CODE_BAD_LENGTH, "the lengths of the body conflict");
-  else if (lengths.n_keys > 1)
+  else if (summary.n_idempotency_keys > 1)
     mf_error_set (error, MF_CODE_KEY_BAD, "Idempotency-Key is given twice");
-  exchange->has_length = lengths.length != NULL;
+  exchange->has_length = summary.content_length != NULL;
   if (exchange->has_length)
-    exchange->declared_bytes = strtoull (lengths.length, NULL, 10);
+    exchange->declared_bytes = strtoull (summary.content_length, NULL, 10);
   if (exchange->declared_bytes > options->body_bytes_max)
     mf_error_set (error, MF_CODE_BODY_TOO_LARGE, "the body exceeds %llu bytes",
                   (unsigned long long)options->body_bytes_max);
@@ -128,7 +129,7 @@
 
 /* The headers are whole: the library has called for the first time. */
 static enum MHD_Result
-exchange_headers (MfHttpIn *in, MfExchange *exchange, const char *method)
+exchange_handle_headers (MfHttpIn *in, MfExchange *exchange, const char *method)
 {
   const char *content_type = header_get (exchange, "Content-Type");
   MfError error = { 0 };
@@ -148,7 +149,7 @@
 }
 
 static void
-exchange_body (MfExchange *exchange, const char *data, size_t *data_bytes)
+exchange_append_body (MfExchange *exchange, const char *data, size_t *data_bytes)
 {
   if (mf_buffer_bytes (&exchange->body) + *data_bytes > exchange->set->options.body_bytes_max)
     {
@@ -162,7 +163,7 @@
 
 /* Reads the whole request into the intake. */
 static bool
-exchange_read (MfExchange *exchange, MfError *error)
+exchange_parse (MfExchange *exchange, MfError *error)
 {
   const char *name = header_get (exchange, "X-Request-Id");
   const MfIntakeSource source = {
@@ -189,13 +190,13 @@
 
 /* The request is whole. Answers it, or suspends it until the core does. */
 static enum MHD_Result
-exchange_whole (MfExchange *exchange)
+exchange_handle_complete (MfExchange *exchange)
 {
   MfError error = { 0 };
 
   exchange->whole = true;
   exchange->in_handler = true;
-  if (!exchange_read (exchange, &error))
+  if (!exchange_parse (exchange, &error))
     mf_exchange_refuse (exchange, &error);
   else if (!mf_exchange_answer_models (exchange))
     mf_exchange_give (exchange);
@@ -219,19 +220,19 @@
   if (exchange == NULL)
     return MHD_NO;
   if (!exchange->headers_seen)
-    return exchange_headers (cls, exchange, method);
+    return exchange_handle_headers (cls, exchange, method);
   if (*upload_data_bytes > 0)
     {
-      exchange_body (exchange, upload_data, upload_data_bytes);
+      exchange_append_body (exchange, upload_data, upload_data_bytes);
       return MHD_YES;
     }
   if (!exchange->whole)
-    return exchange_whole (exchange);
+    return exchange_handle_complete (exchange);
   return mf_exchange_queue (exchange);
 }
 
 static Connection *
-connection_of (struct MHD_Connection *connection)
+connection_state (struct MHD_Connection *connection)
 {
   const union MHD_ConnectionInfo *info
       = MHD_get_connection_info (connection, MHD_CONNECTION_INFO_SOCKET_CONTEXT);
@@ -244,17 +245,17 @@
 on_uri (void *cls, const char *uri, struct MHD_Connection *connection)
 {
   MfHttpIn *in = cls;
-  Connection *peer = connection_of (connection);
+  Connection *conn = connection_state (connection);
   MfExchange *exchange;
 
-  if (peer == NULL)
+  if (conn == NULL)
     return NULL;
-  exchange = mf_exchange_new (&in->exchanges, connection, peer->fd, ++in->last_id, uri);
+  exchange = mf_exchange_new (&in->exchanges, connection, conn->fd, ++in->last_id, uri);
   if (exchange == NULL)
     return NULL;
   snprintf (exchange->made_name, sizeof exchange->made_name, "%016llx-%llu",
-            (unsigned long long)in->name_salt, (unsigned long long)exchange->id);
-  peer->exchange = exchange;
+            (unsigned long long)in->name_prefix, (unsigned long long)exchange->id);
+  conn->exchange = exchange;
   return exchange;
 }
 
@@ -264,16 +265,16 @@
 {
   MfHttpIn *in = cls;
   MfExchange *exchange = *request_cls;
-  Connection *peer = connection_of (connection);
+  Connection *conn = connection_state (connection);
 
   (void)code;
   if (exchange == NULL)
     return;
   *request_cls = NULL;
-  if (peer != NULL)
+  if (conn != NULL)
     {
-      peer->exchange = NULL;
-      peer->idle_since_s = ev_now (in->exchanges.loop);
+      conn->exchange = NULL;
+      conn->idle_since_s = ev_now (in->exchanges.loop);
     }
   if (exchange->watched)
     epoll_ctl (in->watch_fd, EPOLL_CTL_DEL, exchange->fd, NULL);
@@ -286,42 +287,42 @@
                enum MHD_ConnectionNotificationCode code)
 {
   MfHttpIn *in = cls;
-  Connection *peer = *socket_context;
+  Connection *conn = *socket_context;
 
   if (code == MHD_CONNECTION_NOTIFY_STARTED)
     {
-      peer = calloc (1, sizeof *peer);
-      *socket_context = peer;
-      if (peer == NULL)
+      conn = calloc (1, sizeof *conn);
+      *socket_context = conn;
+      if (conn == NULL)
         return;
-      peer->fd
+      conn->fd
           = MHD_get_connection_info (connection, MHD_CONNECTION_INFO_CONNECTION_FD)->connect_fd;
-      peer->idle_since_s = ev_now (in->exchanges.loop);
-      DL_APPEND (in->connections, peer);
+      conn->idle_since_s = ev_now (in->exchanges.loop);
+      DL_APPEND (in->connections, conn);
       return;
     }
-  if (peer == NULL)
+  if (conn == NULL)
     return;
-  DL_DELETE (in->connections, peer);
-  free (peer);
+  DL_DELETE (in->connections, conn);
+  free (conn);
   *socket_context = NULL;
 }
 
 /* The caller has closed its side. What it sent before may still be unread. */
 static void
-exchange_hung_up (MfExchange *exchange)
+exchange_handle_hangup (MfExchange *exchange)
 {
-  int unread = 0;
+  int unread_bytes = 0;
 
   if (exchange->departed || exchange->ended)
     return;
   if (!exchange->whole)
     {
-      uint64_t arrived = mf_buffer_bytes (&exchange->body);
+      uint64_t received_bytes = mf_buffer_bytes (&exchange->body);
 
-      ioctl (exchange->fd, FIONREAD, &unread);
-      arrived += (uint64_t)unread;
-      if (exchange->has_length ? arrived < exchange->declared_bytes : unread == 0)
+      ioctl (exchange->fd, FIONREAD, &unread_bytes);
+      received_bytes += (uint64_t)unread_bytes;
+      if (exchange->has_length ? received_bytes < exchange->declared_bytes : unread_bytes == 0)
         mf_exchange_reject (exchange, MF_CODE_BODY_TRUNCATED);
       return;
     }
@@ -334,13 +335,13 @@
 watch_ready (struct ev_loop *loop, ev_io *watcher, int events)
 {
   MfHttpIn *in = watcher->data;
-  struct epoll_event ready[WATCH_BATCH];
-  int n = epoll_wait (in->watch_fd, ready, WATCH_BATCH, 0);
+  struct epoll_event ready[WATCH_EVENTS_MAX];
+  int n = epoll_wait (in->watch_fd, ready, WATCH_EVENTS_MAX, 0);
 
   (void)loop;
   (void)events;
   for (int i = 0; i < n; i++)
-    exchange_hung_up (ready[i].data.ptr);
+    exchange_handle_hangup (ready[i].data.ptr);
 }
 
 /* Ends requests that arrive too slowly and connections that send headers forever or nothing. */
@@ -349,18 +350,18 @@
 {
   MfHttpIn *in = watcher->data;
   double now_s = ev_now (loop);
-  double slow_s = (double)in->exchanges.options.slow_sender_us / (double)MF_US_PER_S;
-  Connection *peer;
+  double limit_s = (double)in->exchanges.options.slow_sender_us / (double)MF_US_PER_S;
+  Connection *conn;
 
   (void)events;
-  DL_FOREACH (in->connections, peer)
+  DL_FOREACH (in->connections, conn)
   {
-    MfExchange *exchange = peer->exchange;
+    MfExchange *exchange = conn->exchange;
 
-    if (exchange == NULL && now_s - peer->idle_since_s > IDLE_TIMEOUT_S)
-      shutdown (peer->fd, SHUT_RDWR);
+    if (exchange == NULL && now_s - conn->idle_since_s > IDLE_TIMEOUT_S)
+      shutdown (conn->fd, SHUT_RDWR);
     if (exchange != NULL && !exchange->whole && !exchange->ended && !exchange->departed
-        && now_s - exchange->begun_s > slow_s)
+        && now_s - exchange->begun_s > limit_s)
       mf_exchange_reject (exchange, MF_CODE_SLOW_SENDER);
   }
 }
@@ -402,7 +403,7 @@
   in->exchanges.options = *options;
   in->exchanges.hooks = *hooks;
   in->exchanges.data = data;
-  randombytes_buf (&in->name_salt, sizeof in->name_salt);
+  randombytes_buf (&in->name_prefix, sizeof in->name_prefix);
   if (watch_open (in, error))
     {
       const MfHttpdOptions httpd = {
@@ -410,7 +411,7 @@
         .connections_max = options->connections_max,
         .connections_per_address_max = options->connections_per_address_max,
         .idle_timeout_s = IDLE_TIMEOUT_S,
-        .connection_bytes = options->header_bytes_max + CONNECTION_BYTES_SPARE,
+        .connection_bytes = options->header_bytes_max + CONNECTION_MEMORY_BYTES_EXTRA,
         .on_access = on_access,
         .on_uri = on_uri,
         .on_completed = on_completed,
@@ -429,17 +430,17 @@
 void
 mf_http_in_free (MfHttpIn *in)
 {
-  Connection *peer;
+  Connection *conn;
 
   if (in == NULL)
     return;
   in->exchanges.closing = true;
-  DL_FOREACH (in->connections, peer)
+  DL_FOREACH (in->connections, conn)
   {
-    if (peer->exchange == NULL)
+    if (conn->exchange == NULL)
       continue;
-    peer->exchange->departed = true;
-    mf_exchange_resume (peer->exchange);
+    conn->exchange->departed = true;
+    mf_exchange_resume (conn->exchange);
   }
   mf_httpd_free (in->exchanges.httpd);
   if (in->watch_fd >= 0)
--- a/libmangofork/http_out.c
+++ b/libmangofork/http_out.c
@@ -31,11 +31,11 @@
   ev_timer first_byte_timer;
   uint64_t answer_bytes;
   uint16_t status;
-  bool added;     /* libcurl has it */
-  bool sent;      /* a byte of it may have left */
-  bool answering; /* a byte of the answer has come */
-  bool held;      /* libcurl has paused it */
-  bool hold;      /* it should be paused */
+  bool added;          /* libcurl has it */
+  bool sent;           /* a byte of it may have left */
+  bool answer_started; /* a byte of the answer has come */
+  bool reading_paused; /* libcurl has paused it */
+  bool pause_wanted;   /* it should be paused */
   bool refused;
   bool leaving;
   bool timed_out;
@@ -64,7 +64,7 @@
   Call *to_add;
   Call *to_fail;
   Call *to_free;
-  Call *to_unhold;
+  Call *to_resume_reading;
   KvHandle *kv_handles;
 };
 
@@ -137,7 +137,7 @@
 }
 
 static void
-on_report_event (const MfEvent *found, void *data)
+on_upstream_event (const MfEvent *found, void *data)
 {
   Call *call = data;
   MfEvent event = *found;
@@ -162,7 +162,7 @@
 }
 
 static void
-list_drop (Call **list, const Call *call)
+list_remove (Call **list, const Call *call)
 {
   for (; *list != NULL; list = &(*list)->next)
     {
@@ -191,21 +191,22 @@
   ev_timer_stop (out->loop, &call->first_byte_timer);
   if (!call->added)
     {
-      list_drop (&out->to_add, call);
-      list_drop (&out->to_fail, call);
+      list_remove (&out->to_add, call);
+      list_remove (&out->to_fail, call);
     }
-  list_drop (&out->to_unhold, call);
+  list_remove (&out->to_resume_reading, call);
 }
 
 /* Ends a call with its last event. */
 static void
-call_end (Call *call, bool whole)
+call_end (Call *call, bool complete)
 {
   MfHttpOut *out = call->out;
 
   ev_timer_stop (out->loop, &call->first_byte_timer);
   if (call->state != NULL)
-    call->adapter->end (call->state, call->status, whole && !call->too_large, mf_clock_now_us ());
+    call->adapter->end (call->state, call->status, complete && !call->too_large,
+                        mf_clock_now_us ());
   else
     on_call_event (MF_EVENT_CALL_FAILED, &(MfCallEvent){ 0 }, call);
   if (call->ended)
@@ -257,10 +258,10 @@
   Call *call;
 
   free_ended (out);
-  while ((call = out->to_unhold) != NULL)
+  while ((call = out->to_resume_reading) != NULL)
     {
-      out->to_unhold = call->next;
-      call->held = false;
+      out->to_resume_reading = call->next;
+      call->reading_paused = false;
       mf_multi_unpause (out->multi, call->easy);
     }
   while ((call = out->to_add) != NULL)
@@ -273,7 +274,7 @@
       out->to_fail = call->next;
       call_end (call, false);
     }
-  if (out->to_free != NULL || out->to_unhold != NULL || out->to_add != NULL)
+  if (out->to_free != NULL || out->to_resume_reading != NULL || out->to_add != NULL)
     mf_multi_wake (out->multi);
 }
 
@@ -314,9 +315,9 @@
 
   if (call->ended || line_bytes > HEADER_LINE_BYTES_MAX)
     return 0;
-  if (!call->answering)
+  if (!call->answer_started)
     {
-      call->answering = true;
+      call->answer_started = true;
       ev_timer_stop (call->out->loop, &call->first_byte_timer);
     }
   curl_easy_getinfo (call->easy, CURLINFO_RESPONSE_CODE, &status);
@@ -329,9 +330,9 @@
 }
 
 static size_t
-on_body (char *data, size_t size, size_t n, void *user)
+on_body (char *data, size_t size, size_t n, void *user_data)
 {
-  Call *call = user;
+  Call *call = user_data;
   size_t data_bytes = size * n;
   bool streams = call->kind == MF_CALL_DECODE || call->kind == MF_CALL_RESUME;
   MfError error = { 0 };
@@ -350,7 +351,7 @@
 }
 
 static void
-on_first_byte_late (struct ev_loop *loop, ev_timer *timer, int events)
+on_first_byte_timeout (struct ev_loop *loop, ev_timer *timer, int events)
 {
   Call *call = timer->data;
 
@@ -436,7 +437,7 @@
       || !call->adapter->build (action, &with_handle, &call->out->hooks.self, &call->request,
                                 &error))
     return false;
-  call->state = call->adapter->begin (action, on_call_event, on_report_event, call);
+  call->state = call->adapter->begin (action, on_call_event, on_upstream_event, call);
   call->easy = curl_easy_init ();
   return call->state != NULL && call->easy != NULL && set_transfer (call, action->fresh_connection);
 }
@@ -463,7 +464,7 @@
   call->out = out;
   call->kind = action->kind;
   call->adapter = find_adapter (action);
-  ev_timer_init (&call->first_byte_timer, on_first_byte_late, (double)timeout_us / 1e6, 0.0);
+  ev_timer_init (&call->first_byte_timer, on_first_byte_timeout, (double)timeout_us / 1e6, 0.0);
   call->first_byte_timer.data = call;
   HASH_ADD (hh, out->calls, id, sizeof call->id, call);
   list_push (call_prepare (call, action, material) ? &out->to_add : &out->to_fail, call);
@@ -494,21 +495,21 @@
 
 /* Stops or goes on reading the call's answer, so that a slow caller slows its upstream. */
 void
-mf_http_out_hold (MfHttpOut *out, uint64_t call_id, bool hold)
+mf_http_out_hold (MfHttpOut *out, uint64_t call_id, bool pause_wanted)
 {
   Call *call = call_find (out, call_id);
 
   if (call == NULL || !call->added)
     return;
-  list_drop (&out->to_unhold, call);
-  if (hold && !call->held)
+  list_remove (&out->to_resume_reading, call);
+  if (pause_wanted && !call->reading_paused)
     {
-      call->held = true;
+      call->reading_paused = true;
       curl_easy_pause (call->easy, CURLPAUSE_RECV);
     }
-  else if (!hold && call->held)
+  else if (!pause_wanted && call->reading_paused)
     {
-      list_push (&out->to_unhold, call);
+      list_push (&out->to_resume_reading, call);
       mf_multi_wake (out->multi);
     }
 }
--- a/libmangofork/httpd.c
+++ b/libmangofork/httpd.c
@@ -12,7 +12,7 @@
   ev_io readable;
   ev_timer timeout;
   ev_prepare before_wait;
-  bool due; /* there is work that the epoll descriptor does not show */
+  bool run_due; /* there is work that the epoll descriptor does not show */
   uint16_t port;
 };
 
@@ -22,7 +22,7 @@
 {
   MHD_UNSIGNED_LONG_LONG timeout_ms = 0;
 
-  httpd->due = false;
+  httpd->run_due = false;
   MHD_run (httpd->daemon);
   if (MHD_get_timeout (httpd->daemon, &timeout_ms) != MHD_YES)
     {
@@ -31,7 +31,7 @@
     }
   if (timeout_ms == 0)
     {
-      httpd->due = true;
+      httpd->run_due = true;
       return;
     }
   httpd->timeout.repeat = (double)timeout_ms / 1000;
@@ -62,9 +62,9 @@
   MfHttpd *httpd = watcher->data;
 
   (void)events;
-  if (httpd->due)
+  if (httpd->run_due)
     httpd_run (httpd);
-  if (httpd->due)
+  if (httpd->run_due)
     {
       httpd->timeout.repeat = 1e-9;
       ev_timer_again (loop, &httpd->timeout);
@@ -143,5 +143,5 @@
 void
 mf_httpd_wake (MfHttpd *httpd)
 {
-  httpd->due = true;
+  httpd->run_due = true;
 }
--- a/libmangofork/intake.c
+++ b/libmangofork/intake.c
@@ -8,12 +8,12 @@
 #include <xxhash.h>
 
 /* Bytes of prompt text taken for one token when only the text is known. */
-#define TOKEN_BYTES 4
+#define BYTES_PER_TOKEN 4
 /* Tokens a chat template adds to each message. */
-#define MESSAGE_TOKENS 4
+#define TOKENS_PER_MESSAGE 4
 #define MAX_TOKENS_LIMIT 1000000
 #define DEADLINE_MS_MAX UINT64_C (86400000)
-#define PIECE_BYTES ((size_t)MF_PIECE_TOKENS * TOKEN_BYTES)
+#define PIECE_BYTES ((size_t)MF_PIECE_TOKENS * BYTES_PER_TOKEN)
 #define UUID_CHARS 36
 
 /* Takes in the prompt's bytes and hashes each whole piece together with all before it. */
@@ -155,18 +155,18 @@
       json_object_object_get_ex (message, "content", &content);
       if (!content_read (reader, content, error))
         return false;
-      reader->total_bytes += (uint64_t)MESSAGE_TOKENS * TOKEN_BYTES;
+      reader->total_bytes += (uint64_t)TOKENS_PER_MESSAGE * BYTES_PER_TOKEN;
     }
   return n > 0 ? true : field_error (error, "messages", "is empty");
 }
 
 /* Reads the prompt of either form. */
 static bool
-prompt_any_read (struct json_object *root, bool chat, uint64_t *hashes, uint32_t *n_hashes,
-                 uint64_t *n_tokens, MfError *error)
+prompt_or_messages_read (struct json_object *root, bool chat, uint64_t *hashes, uint32_t *n_hashes,
+                         uint64_t *n_tokens, MfError *error)
 {
   PromptReader reader = { .state = XXH3_createState (), .hashes = hashes };
-  bool good;
+  bool ok;
 
   if (reader.state == NULL)
     {
@@ -174,11 +174,11 @@
       return false;
     }
   XXH3_64bits_reset (reader.state);
-  good = chat ? messages_read (&reader, root, error) : prompt_read (&reader, root, error);
+  ok = chat ? messages_read (&reader, root, error) : prompt_read (&reader, root, error);
   XXH3_freeState (reader.state);
   *n_hashes = reader.n_hashes;
-  *n_tokens = (reader.total_bytes + TOKEN_BYTES - 1) / TOKEN_BYTES;
-  return good;
+  *n_tokens = (reader.total_bytes + BYTES_PER_TOKEN - 1) / BYTES_PER_TOKEN;
+  return ok;
 }
 
 /* Parses a body that must be one JSON value in UTF-8 with nothing after it. */
@@ -289,17 +289,17 @@
   MfRequestEvent *request = &intake->request;
   struct json_object *root = body_parse (source->body, source->body_bytes, error);
   uint64_t n_tokens = 0;
-  bool good;
+  bool ok;
 
   if (root == NULL)
     return false;
-  good = model_read (root, intake, error) && max_tokens_read (root, &request->max_tokens, error)
-         && stream_read (root, &request->stream, error) && single_answer_check (root, error)
-         && prompt_any_read (root, intake->chat, request->prefix_hashes, &request->n_prefix_hashes,
-                             &n_tokens, error);
+  ok = model_read (root, intake, error) && max_tokens_read (root, &request->max_tokens, error)
+       && stream_read (root, &request->stream, error) && single_answer_check (root, error)
+       && prompt_or_messages_read (root, intake->chat, request->prefix_hashes,
+                                   &request->n_prefix_hashes, &n_tokens, error);
   json_object_put (root);
   request->prompt_tokens = n_tokens > UINT32_MAX ? UINT32_MAX : (uint32_t)n_tokens;
-  return good;
+  return ok;
 }
 
 /* A plain service's body is its own affair, but what claims to be JSON is checked. */
@@ -410,9 +410,9 @@
 
 /* Returns when a UUIDv7 was minted, or 0 when the key is none. */
 static uint64_t
-uuid7_minted_ms (const char *key, size_t key_bytes)
+uuid7_created_ms (const char *key, size_t key_bytes)
 {
-  uint64_t minted_ms = 0;
+  uint64_t created_ms = 0;
   int n_digits = 0;
 
   if (key_bytes != UUID_CHARS || key[14] != '7' || strchr ("89abAB", key[19]) == NULL)
@@ -424,15 +424,15 @@
       if (dash ? key[i] != '-' : hex_value (key[i]) < 0)
         return 0;
       if (!dash && n_digits++ < 12)
-        minted_ms = minted_ms << 4 | (uint64_t)hex_value (key[i]);
+        created_ms = created_ms << 4 | (uint64_t)hex_value (key[i]);
     }
-  return minted_ms;
+  return created_ms;
 }
 
 /* Reads the key, quoted or bare. Its digest takes in the API key, so that customers never share
  * one. */
 static bool
-key_read (const char *text, MfRequestEvent *request, MfError *error)
+idempotency_key_read (const char *text, MfRequestEvent *request, MfError *error)
 {
   crypto_generichash_state state;
   size_t n_bytes;
@@ -451,7 +451,7 @@
       return false;
     }
   request->has_idempotency_key = true;
-  request->key_created_ms = uuid7_minted_ms (text, n_bytes);
+  request->key_created_ms = uuid7_created_ms (text, n_bytes);
   crypto_generichash_init (&state, NULL, 0, MF_DIGEST_BYTES);
   crypto_generichash_update (&state, request->api_key_digest, MF_DIGEST_BYTES);
   crypto_generichash_update (&state, (const unsigned char *)text, n_bytes);
@@ -504,7 +504,7 @@
       || !deadline_read (source->deadline_ms, request, error)
       || !class_read (source->class_, request, error)
       || !authorization_read (source->authorization, request, error)
-      || !key_read (source->idempotency_key, request, error))
+      || !idempotency_key_read (source->idempotency_key, request, error))
     return false;
   if (is_model ? !model_body_read (source, intake, error) : !plain_body_check (source, error))
     return false;
@@ -527,8 +527,8 @@
   if (root == NULL)
     return 0;
   if (json_object_is_type (root, json_type_object)
-      && !prompt_any_read (root, json_object_object_get_ex (root, "messages", &messages), hashes,
-                           &n_hashes, &n_tokens, &error))
+      && !prompt_or_messages_read (root, json_object_object_get_ex (root, "messages", &messages),
+                                   hashes, &n_hashes, &n_tokens, &error))
     n_hashes = 0;
   json_object_put (root);
   return n_hashes;
--- a/libmangofork/keybook.c
+++ b/libmangofork/keybook.c
@@ -8,7 +8,7 @@
 #define BODY_BYTES_MAX (64 * 1024 * 1024)
 
 static void
-answer_drop (MfKeybook *book, MfKeyEntry *entry)
+recorded_answer_clear (MfKeybook *book, MfKeyEntry *entry)
 {
   if (entry->body != NULL)
     book->body_bytes -= entry->result.body_bytes;
@@ -22,7 +22,7 @@
 /* Copies an answer's text. Returns false, with nothing kept, when it is too large or memory ran
  * out. */
 static bool
-answer_copy (MfKeybook *book, MfKeyEntry *entry, const MfClaimResult *result)
+recorded_answer_copy (MfKeybook *book, MfKeyEntry *entry, const MfClaimResult *result)
 {
   const char *type = result->content_type != NULL ? result->content_type : "";
 
@@ -77,8 +77,8 @@
 {
   bool kept;
 
-  answer_drop (book, entry);
-  kept = answer_copy (book, entry, result);
+  recorded_answer_clear (book, entry);
+  kept = recorded_answer_copy (book, entry, result);
   entry->state = state;
   entry->result = *result;
   entry->result.body = entry->body;
@@ -90,7 +90,7 @@
 mf_keybook_remove (MfKeybook *book, MfKeyEntry *entry)
 {
   HASH_DEL (book->entries, entry);
-  answer_drop (book, entry);
+  recorded_answer_clear (book, entry);
   free (entry);
 }
 
--- a/libmangofork/multi.c
+++ b/libmangofork/multi.c
@@ -8,9 +8,9 @@
   MfMultiHooks hooks;
   void *data;
   CURLM *handle;
-  ev_timer timer; /* libcurl's own time-out */
-  ev_timer soon;  /* fed, never started: settles from the loop */
-  bool in_curl;   /* libcurl is on the stack */
+  ev_timer timer;    /* libcurl's own time-out */
+  ev_timer deferred; /* fed, never started: settles from the loop */
+  bool in_curl;      /* libcurl is on the stack */
 };
 
 /* A socket that libcurl wants watched. */
@@ -18,11 +18,11 @@
 {
   ev_io io;
   MfMulti *multi;
-} Watch;
+} SocketWatch;
 
 /* Reports each transfer that has ended, then what had to wait for libcurl to be off the stack. */
 static void
-settle (MfMulti *multi)
+run_deferred (MfMulti *multi)
 {
   CURLMsg *message;
   int n_left;
@@ -39,49 +39,49 @@
 }
 
 static void
-run (MfMulti *multi, curl_socket_t fd, int mask)
+run_socket_action (MfMulti *multi, curl_socket_t fd, int mask)
 {
   int n_running;
 
   multi->in_curl = true;
   curl_multi_socket_action (multi->handle, fd, mask, &n_running);
   multi->in_curl = false;
-  settle (multi);
+  run_deferred (multi);
 }
 
 static void
-on_timer (struct ev_loop *loop, ev_timer *timer, int events)
+on_timeout (struct ev_loop *loop, ev_timer *timer, int events)
 {
   (void)loop;
   (void)events;
-  run (timer->data, CURL_SOCKET_TIMEOUT, 0);
+  run_socket_action (timer->data, CURL_SOCKET_TIMEOUT, 0);
 }
 
 static void
-on_soon (struct ev_loop *loop, ev_timer *timer, int events)
+on_deferred_event (struct ev_loop *loop, ev_timer *timer, int events)
 {
   (void)loop;
   (void)events;
-  settle (timer->data);
+  run_deferred (timer->data);
 }
 
 static void
-on_ready (struct ev_loop *loop, ev_io *io, int events)
+on_socket_ready (struct ev_loop *loop, ev_io *io, int events)
 {
-  Watch *watch = io->data;
+  SocketWatch *watch = io->data;
   int mask
       = ((events & EV_READ) ? CURL_CSELECT_IN : 0) | ((events & EV_WRITE) ? CURL_CSELECT_OUT : 0);
 
   (void)loop;
-  run (watch->multi, io->fd, mask);
+  run_socket_action (watch->multi, io->fd, mask);
 }
 
 /* libcurl wants another set of events on a socket. */
 static int
-on_wants_socket (CURL *easy, curl_socket_t fd, int what, void *data, void *socket_data)
+on_socket_change (CURL *easy, curl_socket_t fd, int what, void *data, void *socket_data)
 {
   MfMulti *multi = data;
-  Watch *watch = socket_data;
+  SocketWatch *watch = socket_data;
   int events = ((what & CURL_POLL_IN) ? EV_READ : 0) | ((what & CURL_POLL_OUT) ? EV_WRITE : 0);
 
   (void)easy;
@@ -101,7 +101,7 @@
       watch->multi = multi;
       curl_multi_assign (multi->handle, fd, watch);
     }
-  ev_io_init (&watch->io, on_ready, fd, events);
+  ev_io_init (&watch->io, on_socket_ready, fd, events);
   watch->io.data = watch;
   if (events != 0)
     ev_io_start (multi->loop, &watch->io);
@@ -109,7 +109,7 @@
 }
 
 static int
-on_wants_timer (CURLM *handle, long timeout_ms, void *data)
+on_timer_change (CURLM *handle, long timeout_ms, void *data)
 {
   MfMulti *multi = data;
 
@@ -127,9 +127,9 @@
 {
   CURLM *handle = multi->handle;
 
-  return curl_multi_setopt (handle, CURLMOPT_SOCKETFUNCTION, on_wants_socket) == CURLM_OK
+  return curl_multi_setopt (handle, CURLMOPT_SOCKETFUNCTION, on_socket_change) == CURLM_OK
          && curl_multi_setopt (handle, CURLMOPT_SOCKETDATA, multi) == CURLM_OK
-         && curl_multi_setopt (handle, CURLMOPT_TIMERFUNCTION, on_wants_timer) == CURLM_OK
+         && curl_multi_setopt (handle, CURLMOPT_TIMERFUNCTION, on_timer_change) == CURLM_OK
          && curl_multi_setopt (handle, CURLMOPT_TIMERDATA, multi) == CURLM_OK
          && curl_multi_setopt (handle, CURLMOPT_PIPELINING, (long)CURLPIPE_NOTHING) == CURLM_OK;
 }
@@ -148,13 +148,13 @@
   multi->loop = loop;
   multi->hooks = *hooks;
   multi->data = data;
-  ev_timer_init (&multi->timer, on_timer, 0.0, 0.0);
-  ev_timer_init (&multi->soon, on_soon, 0.0, 0.0);
+  ev_timer_init (&multi->timer, on_timeout, 0.0, 0.0);
+  ev_timer_init (&multi->deferred, on_deferred_event, 0.0, 0.0);
   /* A call that begins or ends goes before the tokens of those that run. */
   ev_set_priority (&multi->timer, EV_MAXPRI);
-  ev_set_priority (&multi->soon, EV_MAXPRI);
+  ev_set_priority (&multi->deferred, EV_MAXPRI);
   multi->timer.data = multi;
-  multi->soon.data = multi;
+  multi->deferred.data = multi;
   curl_global_init (CURL_GLOBAL_DEFAULT);
   multi->handle = curl_multi_init ();
   if (multi->handle == NULL || !set_callbacks (multi))
@@ -173,7 +173,7 @@
     return;
   curl_multi_cleanup (multi->handle);
   ev_timer_stop (multi->loop, &multi->timer);
-  ev_clear_pending (multi->loop, &multi->soon);
+  ev_clear_pending (multi->loop, &multi->deferred);
   curl_global_cleanup ();
   free (multi);
 }
@@ -209,7 +209,7 @@
 void
 mf_multi_wake (MfMulti *multi)
 {
-  ev_feed_event (multi->loop, &multi->soon, EV_TIMER);
+  ev_feed_event (multi->loop, &multi->deferred, EV_TIMER);
 }
 
 void
--- a/libmangofork/openai.c
+++ b/libmangofork/openai.c
@@ -10,7 +10,7 @@
 /* Bytes of one line of a stream. */
 #define LINE_BYTES_MAX ((size_t)1024 * 1024)
 #define CACHE_EVENTS_MAX 4096
-#define WORK_ID_BYTES 160
+#define ATTEMPT_ID_BYTES 160
 
 /* One answer of an engine. */
 typedef struct
@@ -26,14 +26,14 @@
   uint32_t next_index;
   uint32_t n_tokens; /* in text */
   bool imported;
-  bool finished; /* a finish reason was seen */
-  bool done;     /* the closing line was seen */
-  bool broken;   /* the stream carried an error */
+  bool finished;  /* a finish reason was seen */
+  bool done;      /* the closing line was seen */
+  bool has_error; /* the stream carried an error */
   char *kv_handle;
 } EngineAnswer;
 
 static void
-buffer_empty (MfBuffer *buffer)
+buffer_drop_all (MfBuffer *buffer)
 {
   mf_buffer_take (buffer, mf_buffer_bytes (buffer));
 }
@@ -46,9 +46,9 @@
 
 /* The name under which an engine knows one attempt at a request. */
 static void
-work_id (char *id, const MfInstanceId *owner, uint64_t request_id, uint32_t attempt)
+attempt_id (char *id, const MfInstanceId *owner, uint64_t request_id, uint32_t attempt)
 {
-  snprintf (id, WORK_ID_BYTES, "%s:%" PRIx64 ":%" PRIu64 ":%" PRIu32, owner->name,
+  snprintf (id, ATTEMPT_ID_BYTES, "%s:%" PRIx64 ":%" PRIu64 ":%" PRIu32, owner->name,
             owner->incarnation, request_id, attempt);
 }
 
@@ -171,12 +171,12 @@
 }
 
 static json_object *
-work_body (const MfCallAction *call, const MfInstanceId *self)
+attempt_body (const MfCallAction *call, const MfInstanceId *self)
 {
-  char id[WORK_ID_BYTES];
+  char id[ATTEMPT_ID_BYTES];
   json_object *body;
 
-  work_id (id, self, call->request_id, call->target_attempt);
+  attempt_id (id, self, call->request_id, call->target_attempt);
   body = string_body ("rid", id);
   if (call->kind == MF_CALL_RESUME)
     {
@@ -189,7 +189,7 @@
 static json_object *
 owner_body (const MfCallAction *call)
 {
-  char owner[WORK_ID_BYTES];
+  char owner[ATTEMPT_ID_BYTES];
 
   snprintf (owner, sizeof owner, "%s:%" PRIx64, call->owner.name, call->owner.incarnation);
   return string_body ("owner", owner);
@@ -234,7 +234,7 @@
       return completion_body (call, material);
     case MF_CALL_RESUME:
     case MF_CALL_CANCEL:
-      return work_body (call, self);
+      return attempt_body (call, self);
     case MF_CALL_CANCEL_OWNER:
       return owner_body (call);
     case MF_CALL_ORDER:
@@ -247,10 +247,10 @@
 static bool
 set_headers (MfHttpRequest *request, const MfCallAction *call, const MfInstanceId *self)
 {
-  char id[WORK_ID_BYTES];
+  char id[ATTEMPT_ID_BYTES];
   char fence[48] = "";
 
-  work_id (id, self, call->request_id, call->attempt);
+  attempt_id (id, self, call->request_id, call->attempt);
   if (call->kind == MF_CALL_ORDER && call->fence > 0)
     snprintf (fence, sizeof fence, "X-Fence: %" PRIu64 "\n", call->fence);
   return asprintf (&request->headers, "Content-Type: application/json\nX-Request-Id: %s\n%s", id,
@@ -319,7 +319,7 @@
 /* Returns what follows a key and its colon, or NULL. A quote inside a JSON string is escaped, so
  * the quoted key is never found in the middle of one. */
 static const char *
-after_key (const char *data, const char *end, const char *key, size_t key_bytes)
+value_after_key (const char *data, const char *end, const char *key, size_t key_bytes)
 {
   const char *at = memmem (data, (size_t)(end - data), key, key_bytes);
 
@@ -331,7 +331,8 @@
   return at;
 }
 
-#define AFTER_KEY(data, end, key) after_key (data, end, "\"" key "\":", sizeof ("\"" key "\":") - 1)
+#define VALUE_AFTER_KEY(data, end, key)                                                            \
+  value_after_key (data, end, "\"" key "\":", sizeof ("\"" key "\":") - 1)
 
 /* Returns the quote that ends the JSON string whose first byte is at data, or NULL. */
 static const char *
@@ -356,11 +357,11 @@
 static const char *
 token_text (const char *data, const char *end, size_t *text_bytes)
 {
-  const char *text = AFTER_KEY (data, end, "text");
+  const char *text = VALUE_AFTER_KEY (data, end, "text");
   const char *close;
 
   if (text == NULL)
-    text = AFTER_KEY (data, end, "content");
+    text = VALUE_AFTER_KEY (data, end, "content");
   if (text == NULL || text >= end || *text != '"')
     return NULL;
   close = string_end (text + 1, end);
@@ -375,12 +376,12 @@
 {
   size_t n = 0;
   const char *text = token_text (data, end, &n);
-  const char *reason = AFTER_KEY (data, end, "finish_reason");
+  const char *reason = VALUE_AFTER_KEY (data, end, "finish_reason");
 
   if (reason != NULL && reason < end && *reason == '"')
     answer->finished = true;
-  if (text == NULL && AFTER_KEY (data, end, "error") != NULL)
-    answer->broken = true;
+  if (text == NULL && VALUE_AFTER_KEY (data, end, "error") != NULL)
+    answer->has_error = true;
   if (n == 0)
     return true;
   answer->n_tokens++;
@@ -435,12 +436,12 @@
   answer->next_index += answer->n_tokens;
   answer->n_tokens = 0;
   answer->on_event (MF_EVENT_CALL_TOKENS, &event, answer->data);
-  buffer_empty (&answer->text);
+  buffer_drop_all (&answer->text);
 }
 
 /* Feeds a line whose beginning came earlier. */
 static bool
-feed_rest (EngineAnswer *answer, const char *data, const char *newline)
+feed_line_end (EngineAnswer *answer, const char *data, const char *newline)
 {
   const char *line;
   bool ok;
@@ -448,7 +449,7 @@
   mf_buffer_add (&answer->line, data, (size_t)(newline - data));
   line = mf_buffer_data (&answer->line);
   ok = !answer->line.failed && feed_line (answer, line, line + mf_buffer_bytes (&answer->line));
-  buffer_empty (&answer->line);
+  buffer_drop_all (&answer->line);
   return ok;
 }
 
@@ -460,9 +461,9 @@
 
   while (data < end && (newline = memchr (data, '\n', (size_t)(end - data))) != NULL)
     {
-      bool whole = mf_buffer_bytes (&answer->line) == 0;
+      bool complete = mf_buffer_bytes (&answer->line) == 0;
 
-      if (!(whole ? feed_line (answer, data, newline) : feed_rest (answer, data, newline)))
+      if (!(complete ? feed_line (answer, data, newline) : feed_line_end (answer, data, newline)))
         return false;
       data = newline + 1;
     }
@@ -594,7 +595,7 @@
 }
 
 static void
-end_with (EngineAnswer *answer, bool done, uint16_t status)
+emit_end (EngineAnswer *answer, bool done, uint16_t status)
 {
   answer->on_event (done ? MF_EVENT_CALL_DONE : MF_EVENT_CALL_FAILED,
                     &(MfCallEvent){ .status = status, .stopped = done && answer->finished },
@@ -619,7 +620,7 @@
       answer->on_event (MF_EVENT_CALL_PREFILLED, &event, answer->data);
     }
   else
-    end_with (answer, false, status);
+    emit_end (answer, false, status);
   json_object_put (body);
 }
 
@@ -631,26 +632,26 @@
   bool ok = status == 200 && report != NULL && report_load (answer, report, now_us);
 
   json_object_put (report);
-  end_with (answer, ok, status);
+  emit_end (answer, ok, status);
 }
 
 static void
-openai_end (void *state, uint16_t status, bool whole, uint64_t now_us)
+openai_end (void *state, uint16_t status, bool complete, uint64_t now_us)
 {
   EngineAnswer *answer = state;
 
   if (kind_streams (answer->kind))
-    end_with (answer, status == 200 && answer->done && !answer->broken, status);
-  else if (!whole)
-    end_with (answer, false, status);
+    emit_end (answer, status == 200 && answer->done && !answer->has_error, status);
+  else if (!complete)
+    emit_end (answer, false, status);
   else if (answer->kind == MF_CALL_PREFILL)
     end_prefill (answer, status, now_us);
   else if (answer->kind == MF_CALL_LOAD)
     end_load (answer, status, now_us);
   else if (answer->kind == MF_CALL_ORDER)
-    end_with (answer, status < 500, status);
+    emit_end (answer, status < 500, status);
   else
-    end_with (answer, status == 200 || status == 404, status);
+    emit_end (answer, status == 200 || status == 404, status);
 }
 
 static void
--- a/tests/test_answer.c
+++ b/tests/test_answer.c
@@ -49,7 +49,7 @@
 }
 
 static void
-test_chat_chunk_names_the_role_once (void **state)
+test_only_first_chat_chunk_has_role (void **state)
 {
   MfAnswerShape chat = shape;
 
@@ -71,7 +71,7 @@
 }
 
 static void
-test_end_says_why_and_how_much (void **state)
+test_chunk_end_has_finish_reason_and_usage (void **state)
 {
   MfBuffer out = { 0 };
   struct json_object *root;
@@ -90,7 +90,7 @@
 }
 
 static void
-test_whole_answer_of_both_forms (void **state)
+test_full_answer_of_both_forms (void **state)
 {
   MfAnswerShape chat = shape;
   MfBuffer out = { 0 };
@@ -116,7 +116,7 @@
 }
 
 static void
-test_problem_is_honest_and_numbered (void **state)
+test_problem_document_has_code_and_outcome (void **state)
 {
   const MfAnswerAction refusal
       = { .code = MF_CODE_QUEUE_FULL, .outcome = MF_OUTCOME_UNKNOWN, .retry_after_ms = 1001 };
@@ -137,7 +137,7 @@
 }
 
 static void
-test_models_are_those_in_force (void **state)
+test_models_are_those_of_the_config (void **state)
 {
   MfService services[] = { { .name = "s", .kind = MF_SERVICE_MODEL, .model = "m1" },
                            { .name = "p", .kind = MF_SERVICE_PLAIN },
@@ -159,11 +159,11 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_chunk_carries_escaped_text),
-    cmocka_unit_test (test_chat_chunk_names_the_role_once),
-    cmocka_unit_test (test_end_says_why_and_how_much),
-    cmocka_unit_test (test_whole_answer_of_both_forms),
-    cmocka_unit_test (test_problem_is_honest_and_numbered),
-    cmocka_unit_test (test_models_are_those_in_force),
+    cmocka_unit_test (test_only_first_chat_chunk_has_role),
+    cmocka_unit_test (test_chunk_end_has_finish_reason_and_usage),
+    cmocka_unit_test (test_full_answer_of_both_forms),
+    cmocka_unit_test (test_problem_document_has_code_and_outcome),
+    cmocka_unit_test (test_models_are_those_of_the_config),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_http_in.c
+++ b/tests/test_http_in.c
@@ -14,7 +14,7 @@
 
 #define HEAD "POST /v1/completions HTTP/1.1\r\nHost: x\r\n"
 #define BODY_STREAM "{\"model\":\"m\",\"prompt\":\"hello\",\"stream\":true,\"max_tokens\":2}"
-#define BODY_WHOLE "{\"model\":\"m\",\"prompt\":\"hello\"}"
+#define BODY_GATHERED "{\"model\":\"m\",\"prompt\":\"hello\"}"
 
 /* A core that only remembers what it was told. */
 typedef struct
@@ -27,8 +27,8 @@
   uint64_t last_departed;
   MfCode last_refused;
   uint32_t n_refused;
-  uint32_t n_held;
-  uint32_t n_released;
+  uint32_t n_paused;
+  uint32_t n_resumed;
   bool refuse_at_once;
 } Fixture;
 
@@ -61,9 +61,9 @@
 
   assert_int_equal (call_id, 77);
   if (hold)
-    fixture->n_held++;
+    fixture->n_paused++;
   else
-    fixture->n_released++;
+    fixture->n_resumed++;
 }
 
 static const MfConfig *
@@ -130,15 +130,15 @@
 }
 
 static bool
-has_held (void *data)
+has_paused (void *data)
 {
-  return ((Fixture *)data)->n_held > 0;
+  return ((Fixture *)data)->n_paused > 0;
 }
 
 static bool
-has_released (void *data)
+has_resumed (void *data)
 {
-  return ((Fixture *)data)->n_released > 0;
+  return ((Fixture *)data)->n_resumed > 0;
 }
 
 static bool
@@ -179,55 +179,55 @@
 }
 
 static void
-test_stream_is_whole_and_in_order (void **state)
+test_stream_is_complete_and_in_order (void **state)
 {
   Fixture *fixture = *state;
-  char got[8192];
+  char received[8192];
   int fd = request_send (fixture, HEAD, BODY_STREAM);
 
   assert_true (loop_pump (fixture->loop, has_request, fixture));
   answer (fixture, MF_ACTION_ANSWER_TOKENS, "a\\n", 1);
-  loop_receive (fixture->loop, fd, "a\\n", got, sizeof got);
-  assert_non_null (strstr (got, "HTTP/1.1 200"));
-  assert_non_null (strstr (got, "text/event-stream"));
+  loop_receive (fixture->loop, fd, "a\\n", received, sizeof received);
+  assert_non_null (strstr (received, "HTTP/1.1 200"));
+  assert_non_null (strstr (received, "text/event-stream"));
   answer (fixture, MF_ACTION_ANSWER_TOKENS, "b", 1);
   answer (fixture, MF_ACTION_ANSWER_END, "", 0);
-  loop_receive (fixture->loop, fd, "\r\n0\r\n\r\n", got, sizeof got);
-  assert_non_null (strstr (got, "\"text\":\"b\""));
-  assert_non_null (strstr (got, "\"finish_reason\":\"length\""));
-  assert_non_null (strstr (got, "\"completion_tokens\":2"));
-  assert_non_null (strstr (got, "data: [DONE]"));
+  loop_receive (fixture->loop, fd, "\r\n0\r\n\r\n", received, sizeof received);
+  assert_non_null (strstr (received, "\"text\":\"b\""));
+  assert_non_null (strstr (received, "\"finish_reason\":\"length\""));
+  assert_non_null (strstr (received, "\"completion_tokens\":2"));
+  assert_non_null (strstr (received, "data: [DONE]"));
   assert_true (loop_pump (fixture->loop, is_empty, fixture));
   assert_int_equal (fixture->n_departed, 0);
   close (fd);
 }
 
 static void
-test_whole_answer_then_another_on_the_same_connection (void **state)
+test_gathered_answer_then_plain_answer_on_one_connection (void **state)
 {
   Fixture *fixture = *state;
-  char got[8192];
-  int fd = request_send (fixture, HEAD "X-Request-Id: first\r\n", BODY_WHOLE);
+  char received[8192];
+  int fd = request_send (fixture, HEAD "X-Request-Id: first\r\n", BODY_GATHERED);
 
   assert_true (loop_pump (fixture->loop, has_request, fixture));
   answer (fixture, MF_ACTION_ANSWER_TOKENS, "a", 1);
   answer (fixture, MF_ACTION_ANSWER_TOKENS, "b", 1);
   answer (fixture, MF_ACTION_ANSWER_END, "", 0);
-  loop_receive (fixture->loop, fd, "}}", got, sizeof got);
-  assert_non_null (strstr (got, "\"text\":\"ab\""));
-  assert_non_null (strstr (got, "X-Request-Id: first"));
+  loop_receive (fixture->loop, fd, "}}", received, sizeof received);
+  assert_non_null (strstr (received, "\"text\":\"ab\""));
+  assert_non_null (strstr (received, "X-Request-Id: first"));
   fixture->n_requests = 0;
   loop_send (fd, "GET /stock/3?x=1 HTTP/1.1\r\nHost: x\r\n\r\n", 39);
   assert_true (loop_pump (fixture->loop, has_request, fixture));
   answer (fixture, MF_ACTION_ANSWER_PLAIN, "seven", 0);
-  loop_receive (fixture->loop, fd, "seven", got, sizeof got);
-  assert_non_null (strstr (got, "Mangofork-Replayed: yes"));
-  assert_non_null (strstr (got, "text/plain"));
+  loop_receive (fixture->loop, fd, "seven", received, sizeof received);
+  assert_non_null (strstr (received, "Mangofork-Replayed: yes"));
+  assert_non_null (strstr (received, "text/plain"));
   close (fd);
 }
 
 static void
-test_material_is_kept_for_a_resume (void **state)
+test_call_input_is_kept_for_a_resume (void **state)
 {
   Fixture *fixture = *state;
   MfCallMaterial material = { 0 };
@@ -250,17 +250,17 @@
 test_refusal_within_the_event (void **state)
 {
   Fixture *fixture = *state;
-  char got[8192];
+  char received[8192];
   int fd;
 
   fixture->refuse_at_once = true;
   fd = request_send (fixture, HEAD, BODY_STREAM);
-  loop_receive (fixture->loop, fd, "}", got, sizeof got);
-  assert_non_null (strstr (got, "HTTP/1.1 503"));
-  assert_non_null (strstr (got, "Mangofork-Outcome: not-run"));
-  assert_non_null (strstr (got, "Mangofork-Code: 2001"));
-  assert_non_null (strstr (got, "Retry-After: 2"));
-  assert_non_null (strstr (got, "application/problem+json"));
+  loop_receive (fixture->loop, fd, "}", received, sizeof received);
+  assert_non_null (strstr (received, "HTTP/1.1 503"));
+  assert_non_null (strstr (received, "Mangofork-Outcome: not-run"));
+  assert_non_null (strstr (received, "Mangofork-Code: 2001"));
+  assert_non_null (strstr (received, "Retry-After: 2"));
+  assert_non_null (strstr (received, "application/problem+json"));
   assert_true (loop_pump (fixture->loop, is_empty, fixture));
   close (fd);
 }
@@ -269,16 +269,16 @@
 test_refusal_after_the_stream_began (void **state)
 {
   Fixture *fixture = *state;
-  char got[8192];
+  char received[8192];
   int fd = request_send (fixture, HEAD, BODY_STREAM);
 
   assert_true (loop_pump (fixture->loop, has_request, fixture));
   answer (fixture, MF_ACTION_ANSWER_TOKENS, "a", 1);
   answer (fixture, MF_ACTION_ANSWER_REFUSE, "", 0);
-  loop_receive (fixture->loop, fd, NULL, got, sizeof got);
-  assert_non_null (strstr (got, "event: error\ndata: {\"type\":\"urn:mangofork:code:3002\""));
-  assert_null (strstr (got, "[DONE]"));
-  assert_null (strstr (got, "\r\n0\r\n"));
+  loop_receive (fixture->loop, fd, NULL, received, sizeof received);
+  assert_non_null (strstr (received, "event: error\ndata: {\"type\":\"urn:mangofork:code:3002\""));
+  assert_null (strstr (received, "[DONE]"));
+  assert_null (strstr (received, "\r\n0\r\n"));
   close (fd);
 }
 
@@ -301,12 +301,12 @@
 test_caller_who_leaves_in_mid_stream (void **state)
 {
   Fixture *fixture = *state;
-  char got[8192];
+  char received[8192];
   int fd = request_send (fixture, HEAD, BODY_STREAM);
 
   assert_true (loop_pump (fixture->loop, has_request, fixture));
   answer (fixture, MF_ACTION_ANSWER_TOKENS, "a", 1);
-  loop_receive (fixture->loop, fd, "\"a\"", got, sizeof got);
+  loop_receive (fixture->loop, fd, "\"a\"", received, sizeof received);
   close (fd);
   assert_true (loop_pump (fixture->loop, has_departed, fixture));
   answer (fixture, MF_ACTION_ANSWER_TOKENS, "b", 1);
@@ -324,18 +324,18 @@
   memset (text, 'x', sizeof text - 1);
   assert_true (loop_pump (fixture->loop, has_request, fixture));
   mf_http_in_fed_by (fixture->in, fixture->last_request, 77);
-  for (int i = 0; i < 100 && fixture->n_held == 0; i++)
+  for (int i = 0; i < 100 && fixture->n_paused == 0; i++)
     {
       answer (fixture, MF_ACTION_ANSWER_TOKENS, text, 1);
       loop_spin (fixture->loop, 1);
     }
-  assert_true (has_held (fixture));
-  for (int i = 0; i < 4000 && !has_released (fixture); i++)
+  assert_true (has_paused (fixture));
+  for (int i = 0; i < 4000 && !has_resumed (fixture); i++)
     {
       if (recv (fd, text, sizeof text, MSG_DONTWAIT) <= 0)
         loop_spin (fixture->loop, 1);
     }
-  assert_true (has_released (fixture));
+  assert_true (has_resumed (fixture));
   close (fd);
   assert_true (loop_pump (fixture->loop, is_empty, fixture));
 }
@@ -383,20 +383,20 @@
     {
       const Malformed *bad = &malformed[i];
       int fd = loop_connect (mf_http_in_port (fixture->in));
-      char got[4096];
-      char wanted[64];
+      char received[4096];
+      char expected[64];
 
       loop_send (fd, bad->text, strlen (bad->text));
       if (bad->half_close)
         shutdown (fd, SHUT_WR);
-      loop_receive (fixture->loop, fd, "\"}", got, sizeof got);
-      snprintf (wanted, sizeof wanted, "HTTP/1.1 %s ", bad->status);
-      if (strstr (got, wanted) == NULL)
-        print_message ("malformed %zu: %s\n", i, got);
-      assert_non_null (strstr (got, wanted));
-      snprintf (wanted, sizeof wanted, "Mangofork-Code: %d\r\n", (int)bad->code);
-      assert_non_null (strstr (got, wanted));
-      assert_non_null (strstr (got, "Mangofork-Outcome: not-run"));
+      loop_receive (fixture->loop, fd, "\"}", received, sizeof received);
+      snprintf (expected, sizeof expected, "HTTP/1.1 %s ", bad->status);
+      if (strstr (received, expected) == NULL)
+        print_message ("malformed %zu: %s\n", i, received);
+      assert_non_null (strstr (received, expected));
+      snprintf (expected, sizeof expected, "Mangofork-Code: %d\r\n", (int)bad->code);
+      assert_non_null (strstr (received, expected));
+      assert_non_null (strstr (received, "Mangofork-Outcome: not-run"));
       assert_int_equal (fixture->last_refused, bad->code);
       close (fd);
     }
@@ -412,13 +412,13 @@
   static const char text[] = HEAD "Content-Length : 38\r\n\r\n"
                                   "GET /stock HTTP/1.1\r\nHost: x\r\n\r\n";
   Fixture *fixture = *state;
-  char got[4096];
+  char received[4096];
   int fd = loop_connect (mf_http_in_port (fixture->in));
 
   loop_send (fd, text, strlen (text));
-  loop_receive (fixture->loop, fd, NULL, got, sizeof got);
-  assert_non_null (strstr (got, "HTTP/1.1 400"));
-  assert_null (strstr (got + 9, "HTTP/1.1"));
+  loop_receive (fixture->loop, fd, NULL, received, sizeof received);
+  assert_non_null (strstr (received, "HTTP/1.1 400"));
+  assert_null (strstr (received + 9, "HTTP/1.1"));
   close (fd);
   assert_true (loop_pump (fixture->loop, is_empty, fixture));
   assert_int_equal (fixture->n_requests, 0);
@@ -430,7 +430,7 @@
 {
   Fixture *fixture = *state;
   char chunk[1100];
-  char got[4096];
+  char received[4096];
   int fd = loop_connect (mf_http_in_port (fixture->in));
   int n = snprintf (chunk, sizeof chunk, "400\r\n%01024d\r\n", 0);
 
@@ -438,9 +438,9 @@
   for (int i = 0; i < 8; i++)
     loop_send (fd, chunk, (size_t)n);
   loop_send (fd, "0\r\n\r\n", 5);
-  loop_receive (fixture->loop, fd, "\"}", got, sizeof got);
-  assert_non_null (strstr (got, "HTTP/1.1 413"));
-  assert_non_null (strstr (got, "Mangofork-Code: 1004"));
+  loop_receive (fixture->loop, fd, "\"}", received, sizeof received);
+  assert_non_null (strstr (received, "HTTP/1.1 413"));
+  assert_non_null (strstr (received, "Mangofork-Code: 1004"));
   close (fd);
   assert_true (loop_pump (fixture->loop, is_empty, fixture));
   assert_int_equal (fixture->n_requests, 0);
@@ -451,14 +451,14 @@
 {
   Fixture *fixture = *state;
   char text[4096];
-  char got[4096];
+  char received[4096];
   int fd = loop_connect (mf_http_in_port (fixture->in));
   int n = snprintf (text, sizeof text, "GET /a HTTP/1.1\r\nHost: x\r\nX-Long: %02500d\r\n\r\n", 0);
 
   loop_send (fd, text, (size_t)n);
-  loop_receive (fixture->loop, fd, "\"}", got, sizeof got);
-  assert_non_null (strstr (got, "HTTP/1.1 431"));
-  assert_non_null (strstr (got, "Mangofork-Code: 1006"));
+  loop_receive (fixture->loop, fd, "\"}", received, sizeof received);
+  assert_non_null (strstr (received, "HTTP/1.1 431"));
+  assert_non_null (strstr (received, "Mangofork-Code: 1006"));
   close (fd);
   assert_true (loop_pump (fixture->loop, is_empty, fixture));
   assert_int_equal (fixture->n_requests, 0);
@@ -479,12 +479,12 @@
 
   for (size_t i = 0; i < MF_ARRAY_LEN (texts); i++)
     {
-      char got[4096];
+      char received[4096];
       int fd = loop_connect (mf_http_in_port (fixture->in));
 
       loop_send (fd, texts[i], strlen (texts[i]));
-      loop_receive (fixture->loop, fd, NULL, got, sizeof got);
-      assert_true (got[0] == '\0' || strncmp (got, "HTTP/1.1 4", 10) == 0);
+      loop_receive (fixture->loop, fd, NULL, received, sizeof received);
+      assert_true (received[0] == '\0' || strncmp (received, "HTTP/1.1 4", 10) == 0);
       close (fd);
     }
   assert_true (loop_pump (fixture->loop, is_empty, fixture));
@@ -492,16 +492,16 @@
 }
 
 static void
-test_ends_with_requests_in_every_state (void **state)
+test_free_with_requests_in_every_state (void **state)
 {
   Fixture *fixture = *state;
   int queued = request_send (fixture, HEAD, BODY_STREAM);
-  int half = loop_connect (mf_http_in_port (fixture->in));
+  int incomplete = loop_connect (mf_http_in_port (fixture->in));
   int streaming;
 
   assert_true (loop_pump (fixture->loop, has_request, fixture));
   streaming = request_send (fixture, HEAD, BODY_STREAM);
-  loop_send (half, HEAD "Content-Length: 9\r\n\r\n{", strlen (HEAD) + 22);
+  loop_send (incomplete, HEAD "Content-Length: 9\r\n\r\n{", strlen (HEAD) + 22);
   fixture->n_requests = 0;
   assert_true (loop_pump (fixture->loop, has_request, fixture));
   answer (fixture, MF_ACTION_ANSWER_TOKENS, "a", 1);
@@ -509,7 +509,7 @@
   teardown (state);
   setup (state);
   close (queued);
-  close (half);
+  close (incomplete);
   close (streaming);
 }
 
@@ -517,10 +517,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test_setup_teardown (test_stream_is_whole_and_in_order, setup, teardown),
-    cmocka_unit_test_setup_teardown (test_whole_answer_then_another_on_the_same_connection, setup,
-                                     teardown),
-    cmocka_unit_test_setup_teardown (test_material_is_kept_for_a_resume, setup, teardown),
+    cmocka_unit_test_setup_teardown (test_stream_is_complete_and_in_order, setup, teardown),
+    cmocka_unit_test_setup_teardown (test_gathered_answer_then_plain_answer_on_one_connection,
+                                     setup, teardown),
+    cmocka_unit_test_setup_teardown (test_call_input_is_kept_for_a_resume, setup, teardown),
     cmocka_unit_test_setup_teardown (test_refusal_within_the_event, setup, teardown),
     cmocka_unit_test_setup_teardown (test_refusal_after_the_stream_began, setup, teardown),
     cmocka_unit_test_setup_teardown (test_caller_who_leaves_while_queued, setup, teardown),
@@ -532,7 +532,7 @@
     cmocka_unit_test_setup_teardown (test_chunked_bodies_are_bounded, setup, teardown),
     cmocka_unit_test_setup_teardown (test_large_headers_are_refused, setup, teardown),
     cmocka_unit_test_setup_teardown (test_requests_the_library_refuses, setup, teardown),
-    cmocka_unit_test_setup_teardown (test_ends_with_requests_in_every_state, setup, teardown),
+    cmocka_unit_test_setup_teardown (test_free_with_requests_in_every_state, setup, teardown),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_http_out.c
+++ b/tests/test_http_out.c
@@ -12,8 +12,8 @@
 #include <string.h>
 
 #define EVENTS_MAX 64
-#define TURN_S 0.01
-#define TURNS_MAX 3000
+#define TICK_S 0.01
+#define TICKS_MAX 3000
 #define BODY_BYTES 65536
 
 /* What the server does with a request. */
@@ -25,8 +25,8 @@
   SERVER_RESETS,    /* resets in the middle of the answer */
   SERVER_REFUSES,
   SERVER_REDIRECTS,
-  SERVER_POURS, /* answers with BODY_BYTES */
-  SERVER_SILENT,
+  SERVER_SENDS_LARGE_BODY, /* answers with BODY_BYTES */
+  SERVER_NEVER_ANSWERS,
   SERVER_STREAMS,
 } Behaviour;
 
@@ -43,17 +43,17 @@
   uint32_t n_events;
   char body[256];
   uint64_t abort_on_tokens; /* a call to abort from within the event */
-} Rig;
+} Fixture;
 
 static void
 on_request (FakeConn *conn, const FakeHttpRequest *request, void *data)
 {
-  static const char half[] = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf";
-  static char much[BODY_BYTES];
-  Rig *rig = data;
+  static const char partial[] = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf";
+  static char large[BODY_BYTES];
+  Fixture *fixture = data;
 
-  rig->n_arrived++;
-  switch (rig->behaviour)
+  fixture->n_arrived++;
+  switch (fixture->behaviour)
     {
     case SERVER_ANSWERS:
       fake_conn_answer (conn, 200, "Content-Type: text/x\r\n", request->path,
@@ -64,8 +64,8 @@
       break;
     case SERVER_TRUNCATES:
     case SERVER_RESETS:
-      fake_conn_raw (conn, half, sizeof half - 1);
-      fake_conn_close (conn, rig->behaviour == SERVER_RESETS);
+      fake_conn_raw (conn, partial, sizeof partial - 1);
+      fake_conn_close (conn, fixture->behaviour == SERVER_RESETS);
       break;
     case SERVER_REFUSES:
       fake_conn_answer (conn, 503, "Mangofork-Ran: no\r\nMangofork-Leaving: yes\r\n", "", 0);
@@ -73,14 +73,14 @@
     case SERVER_REDIRECTS:
       fake_conn_answer (conn, 302, "Location: /elsewhere\r\n", "", 0);
       break;
-    case SERVER_POURS:
-      fake_conn_answer (conn, 200, "", much, sizeof much);
+    case SERVER_SENDS_LARGE_BODY:
+      fake_conn_answer (conn, 200, "", large, sizeof large);
       break;
     case SERVER_STREAMS:
       fake_conn_begin (conn);
-      rig->conn = conn;
+      fixture->conn = conn;
       break;
-    case SERVER_SILENT:
+    case SERVER_NEVER_ANSWERS:
       break;
     }
 }
@@ -88,27 +88,28 @@
 static void
 on_closed (FakeConn *conn, void *data)
 {
-  Rig *rig = data;
+  Fixture *fixture = data;
 
-  if (rig->conn == conn)
-    rig->conn = NULL;
+  if (fixture->conn == conn)
+    fixture->conn = NULL;
 }
 
 static void
 on_event (const MfEvent *event, void *data)
 {
-  Rig *rig = data;
+  Fixture *fixture = data;
 
-  assert_true (rig->n_events < EVENTS_MAX);
-  rig->events[rig->n_events++] = *event;
+  assert_true (fixture->n_events < EVENTS_MAX);
+  fixture->events[fixture->n_events++] = *event;
   if (event->type == MF_EVENT_CALL_DONE && event->call.data != NULL)
-    snprintf (rig->body, sizeof rig->body, "%.*s", (int)event->call.data_bytes, event->call.data);
-  if (event->type == MF_EVENT_CALL_TOKENS && rig->abort_on_tokens != 0)
-    mf_http_out_abort (rig->out, rig->abort_on_tokens);
+    snprintf (fixture->body, sizeof fixture->body, "%.*s", (int)event->call.data_bytes,
+              event->call.data);
+  if (event->type == MF_EVENT_CALL_TOKENS && fixture->abort_on_tokens != 0)
+    mf_http_out_abort (fixture->out, fixture->abort_on_tokens);
 }
 
 static int
-rig_setup (void **state)
+setup (void **state)
 {
   static const FakeHttpHooks server_hooks = { .on_request = on_request, .on_closed = on_closed };
   const MfHttpOutHooks hooks = {
@@ -116,31 +117,32 @@
     .answer_bytes_max = BODY_BYTES / 2,
     .on_event = on_event,
   };
-  Rig *rig = calloc (1, sizeof *rig);
+  Fixture *fixture = calloc (1, sizeof *fixture);
   MfError error = { 0 };
 
-  rig->loop = ev_loop_new (0);
-  rig->http = fake_http_new (rig->loop, "127.0.0.1:0", &server_hooks, rig);
-  snprintf (rig->address, sizeof rig->address, "127.0.0.1:%u", fake_http_port (rig->http));
-  rig->out = mf_http_out_new (rig->loop, &hooks, rig, &error);
-  *state = rig;
-  return rig->out == NULL;
+  fixture->loop = ev_loop_new (0);
+  fixture->http = fake_http_new (fixture->loop, "127.0.0.1:0", &server_hooks, fixture);
+  snprintf (fixture->address, sizeof fixture->address, "127.0.0.1:%u",
+            fake_http_port (fixture->http));
+  fixture->out = mf_http_out_new (fixture->loop, &hooks, fixture, &error);
+  *state = fixture;
+  return fixture->out == NULL;
 }
 
 static int
-rig_teardown (void **state)
+teardown (void **state)
 {
-  Rig *rig = *state;
+  Fixture *fixture = *state;
 
-  mf_http_out_free (rig->out);
-  fake_http_free (rig->http);
-  ev_loop_destroy (rig->loop);
-  free (rig);
+  mf_http_out_free (fixture->out);
+  fake_http_free (fixture->http);
+  ev_loop_destroy (fixture->loop);
+  free (fixture);
   return 0;
 }
 
 static void
-on_turn (struct ev_loop *loop, ev_timer *timer, int events)
+on_tick (struct ev_loop *loop, ev_timer *timer, int events)
 {
   (void)loop;
   (void)timer;
@@ -148,11 +150,11 @@
 }
 
 static bool
-has_event (const Rig *rig, MfEventType type)
+has_event (const Fixture *fixture, MfEventType type)
 {
-  for (uint32_t i = 0; i < rig->n_events; i++)
+  for (uint32_t i = 0; i < fixture->n_events; i++)
     {
-      if (rig->events[i].type == type)
+      if (fixture->events[i].type == type)
         return true;
     }
   return false;
@@ -160,55 +162,55 @@
 
 /* Runs the loop until the condition holds; the timer only keeps it turning. */
 static void
-run_until (Rig *rig, bool (*reached) (const Rig *rig))
+run_until (Fixture *fixture, bool (*condition) (const Fixture *fixture))
 {
-  ev_timer turn;
-  int n_turns = 0;
+  ev_timer tick;
+  int n_ticks = 0;
 
-  ev_timer_init (&turn, on_turn, TURN_S, TURN_S);
-  ev_timer_start (rig->loop, &turn);
-  while (!reached (rig) && n_turns++ < TURNS_MAX)
-    ev_run (rig->loop, EVRUN_ONCE);
-  ev_timer_stop (rig->loop, &turn);
-  assert_true (reached (rig));
+  ev_timer_init (&tick, on_tick, TICK_S, TICK_S);
+  ev_timer_start (fixture->loop, &tick);
+  while (!condition (fixture) && n_ticks++ < TICKS_MAX)
+    ev_run (fixture->loop, EVRUN_ONCE);
+  ev_timer_stop (fixture->loop, &tick);
+  assert_true (condition (fixture));
 }
 
 static bool
-has_ended (const Rig *rig)
+has_ended (const Fixture *fixture)
 {
-  return has_event (rig, MF_EVENT_CALL_DONE) || has_event (rig, MF_EVENT_CALL_FAILED);
+  return has_event (fixture, MF_EVENT_CALL_DONE) || has_event (fixture, MF_EVENT_CALL_FAILED);
 }
 
 static bool
-has_tokens (const Rig *rig)
+has_tokens (const Fixture *fixture)
 {
-  return has_event (rig, MF_EVENT_CALL_TOKENS);
+  return has_event (fixture, MF_EVENT_CALL_TOKENS);
 }
 
 static bool
-has_stream (const Rig *rig)
+has_stream (const Fixture *fixture)
 {
-  return rig->conn != NULL;
+  return fixture->conn != NULL;
 }
 
 static bool
-has_no_stream (const Rig *rig)
+has_no_stream (const Fixture *fixture)
 {
-  return rig->conn == NULL;
+  return fixture->conn == NULL;
 }
 
 static const MfCallEvent *
-last (const Rig *rig)
+last (const Fixture *fixture)
 {
-  return &rig->events[rig->n_events - 1].call;
+  return &fixture->events[fixture->n_events - 1].call;
 }
 
 static void
-start_plain (Rig *rig, uint64_t call_id, const char *method, bool fresh_connection)
+start_plain (Fixture *fixture, uint64_t call_id, const char *method, bool fresh_connection)
 {
   MfCallAction call = { .call_id = call_id,
                         .kind = MF_CALL_PLAIN,
-                        .address = rig->address,
+                        .address = fixture->address,
                         .engine = "plain",
                         .fresh_connection = fresh_connection,
                         .timeout_us = 10 * MF_US_PER_S };
@@ -219,45 +221,45 @@
       material.body = "{}";
       material.body_bytes = 2;
     }
-  rig->n_events = 0;
-  mf_http_out_start (rig->out, &call, &material);
-  assert_int_equal (rig->n_events, 0);
+  fixture->n_events = 0;
+  mf_http_out_start (fixture->out, &call, &material);
+  assert_int_equal (fixture->n_events, 0);
 }
 
 static void
-run_plain (Rig *rig, uint64_t call_id, const char *method, bool fresh_connection)
+run_plain (Fixture *fixture, uint64_t call_id, const char *method, bool fresh_connection)
 {
-  start_plain (rig, call_id, method, fresh_connection);
-  run_until (rig, has_ended);
-  assert_int_equal (mf_http_out_count (rig->out), 0);
+  start_plain (fixture, call_id, method, fresh_connection);
+  run_until (fixture, has_ended);
+  assert_int_equal (mf_http_out_count (fixture->out), 0);
 }
 
 static void
-start_stream (Rig *rig)
+start_stream (Fixture *fixture)
 {
   static const char chunk[] = "data: {\"text\":\"a\"}\n\n";
   MfCallAction call = { .call_id = 9,
                         .kind = MF_CALL_RESUME,
-                        .address = rig->address,
+                        .address = fixture->address,
                         .engine = "openai",
                         .timeout_us = 10 * MF_US_PER_S };
 
-  rig->behaviour = SERVER_STREAMS;
-  mf_http_out_start (rig->out, &call, NULL);
-  run_until (rig, has_stream);
-  fake_conn_send (rig->conn, chunk, sizeof chunk - 1);
+  fixture->behaviour = SERVER_STREAMS;
+  mf_http_out_start (fixture->out, &call, NULL);
+  run_until (fixture, has_stream);
+  fake_conn_send (fixture->conn, chunk, sizeof chunk - 1);
 }
 
 static void
-test_answer_is_whole (void **state)
+test_answer_is_complete (void **state)
 {
-  Rig *rig = *state;
+  Fixture *fixture = *state;
 
-  run_plain (rig, 1, "GET", false);
-  assert_int_equal (rig->events[0].type, MF_EVENT_CALL_SENT);
-  assert_int_equal (rig->events[1].type, MF_EVENT_CALL_DONE);
-  assert_int_equal (last (rig)->status, 200);
-  assert_string_equal (rig->body, "/orders");
+  run_plain (fixture, 1, "GET", false);
+  assert_int_equal (fixture->events[0].type, MF_EVENT_CALL_SENT);
+  assert_int_equal (fixture->events[1].type, MF_EVENT_CALL_DONE);
+  assert_int_equal (last (fixture)->status, 200);
+  assert_string_equal (fixture->body, "/orders");
 }
 
 /* What a fresh connection guards against: libcurl sends a call again by itself when the reused
@@ -265,193 +267,193 @@
 static void
 test_read_on_a_closed_reused_connection_is_sent_again (void **state)
 {
-  Rig *rig = *state;
+  Fixture *fixture = *state;
 
-  run_plain (rig, 1, "GET", false);
-  rig->behaviour = SERVER_CLOSES;
-  run_plain (rig, 2, "GET", false);
-  assert_int_equal (rig->n_arrived, 3);
+  run_plain (fixture, 1, "GET", false);
+  fixture->behaviour = SERVER_CLOSES;
+  run_plain (fixture, 2, "GET", false);
+  assert_int_equal (fixture->n_arrived, 3);
 }
 
 static void
 test_order_is_never_sent_again (void **state)
 {
-  Rig *rig = *state;
+  Fixture *fixture = *state;
 
-  run_plain (rig, 1, "POST", false);
-  rig->behaviour = SERVER_CLOSES;
-  run_plain (rig, 2, "POST", true);
-  assert_int_equal (rig->n_arrived, 2);
-  assert_int_equal (rig->events[rig->n_events - 1].type, MF_EVENT_CALL_FAILED);
-  assert_true (last (rig)->sent);
-  assert_false (last (rig)->connect_failed);
+  run_plain (fixture, 1, "POST", false);
+  fixture->behaviour = SERVER_CLOSES;
+  run_plain (fixture, 2, "POST", true);
+  assert_int_equal (fixture->n_arrived, 2);
+  assert_int_equal (fixture->events[fixture->n_events - 1].type, MF_EVENT_CALL_FAILED);
+  assert_true (last (fixture)->sent);
+  assert_false (last (fixture)->connect_failed);
 }
 
 static void
-test_order_leaves_no_connection_behind (void **state)
+test_order_connection_is_not_reused (void **state)
 {
-  Rig *rig = *state;
+  Fixture *fixture = *state;
 
-  run_plain (rig, 1, "POST", true);
-  rig->behaviour = SERVER_CLOSES;
-  run_plain (rig, 2, "GET", false);
-  assert_int_equal (rig->n_arrived, 2);
+  run_plain (fixture, 1, "POST", true);
+  fixture->behaviour = SERVER_CLOSES;
+  run_plain (fixture, 2, "GET", false);
+  assert_int_equal (fixture->n_arrived, 2);
 }
 
 static void
-test_refused_connection_ran_nothing (void **state)
+test_refused_connection_is_not_sent (void **state)
 {
-  Rig *rig = *state;
+  Fixture *fixture = *state;
 
-  fake_http_stop (rig->http);
-  run_plain (rig, 1, "POST", true);
-  assert_int_equal (rig->n_events, 1);
-  assert_false (last (rig)->sent);
-  assert_true (last (rig)->connect_failed);
+  fake_http_stop (fixture->http);
+  run_plain (fixture, 1, "POST", true);
+  assert_int_equal (fixture->n_events, 1);
+  assert_false (last (fixture)->sent);
+  assert_true (last (fixture)->connect_failed);
 }
 
 static void
-test_broken_answers_fail_as_sent (void **state)
-{
-  Rig *rig = *state;
-
-  rig->behaviour = SERVER_TRUNCATES;
-  run_plain (rig, 1, "POST", true);
-  assert_int_equal (rig->events[rig->n_events - 1].type, MF_EVENT_CALL_FAILED);
-  assert_true (last (rig)->sent);
-  rig->behaviour = SERVER_RESETS;
-  run_plain (rig, 2, "POST", true);
-  assert_int_equal (rig->events[rig->n_events - 1].type, MF_EVENT_CALL_FAILED);
-  assert_true (last (rig)->sent);
-  assert_int_equal (rig->n_arrived, 2);
+test_truncated_answers_fail_as_sent (void **state)
+{
+  Fixture *fixture = *state;
+
+  fixture->behaviour = SERVER_TRUNCATES;
+  run_plain (fixture, 1, "POST", true);
+  assert_int_equal (fixture->events[fixture->n_events - 1].type, MF_EVENT_CALL_FAILED);
+  assert_true (last (fixture)->sent);
+  fixture->behaviour = SERVER_RESETS;
+  run_plain (fixture, 2, "POST", true);
+  assert_int_equal (fixture->events[fixture->n_events - 1].type, MF_EVENT_CALL_FAILED);
+  assert_true (last (fixture)->sent);
+  assert_int_equal (fixture->n_arrived, 2);
 }
 
 static void
-test_upstreams_refusal_is_told_apart (void **state)
+test_upstream_refusal_and_leaving_are_reported (void **state)
 {
-  Rig *rig = *state;
+  Fixture *fixture = *state;
 
-  rig->behaviour = SERVER_REFUSES;
-  run_plain (rig, 1, "POST", true);
-  assert_true (last (rig)->refused);
-  assert_true (last (rig)->leaving);
+  fixture->behaviour = SERVER_REFUSES;
+  run_plain (fixture, 1, "POST", true);
+  assert_true (last (fixture)->refused);
+  assert_true (last (fixture)->leaving);
 }
 
 static void
 test_redirect_is_not_followed (void **state)
 {
-  Rig *rig = *state;
+  Fixture *fixture = *state;
 
-  rig->behaviour = SERVER_REDIRECTS;
-  run_plain (rig, 1, "GET", false);
-  assert_int_equal (rig->n_arrived, 1);
-  assert_int_equal (last (rig)->status, 302);
+  fixture->behaviour = SERVER_REDIRECTS;
+  run_plain (fixture, 1, "GET", false);
+  assert_int_equal (fixture->n_arrived, 1);
+  assert_int_equal (last (fixture)->status, 302);
 }
 
 static void
 test_answer_is_bounded (void **state)
 {
-  Rig *rig = *state;
+  Fixture *fixture = *state;
 
-  rig->behaviour = SERVER_POURS;
-  run_plain (rig, 1, "GET", false);
-  assert_int_equal (rig->events[rig->n_events - 1].type, MF_EVENT_CALL_FAILED);
-  assert_true (last (rig)->too_large);
+  fixture->behaviour = SERVER_SENDS_LARGE_BODY;
+  run_plain (fixture, 1, "GET", false);
+  assert_int_equal (fixture->events[fixture->n_events - 1].type, MF_EVENT_CALL_FAILED);
+  assert_true (last (fixture)->too_large);
 }
 
 static void
-test_silence_times_out (void **state)
+test_no_answer_times_out (void **state)
 {
-  Rig *rig = *state;
+  Fixture *fixture = *state;
   MfCallAction call = { .call_id = 1,
                         .kind = MF_CALL_LOAD,
-                        .address = rig->address,
+                        .address = fixture->address,
                         .engine = "openai",
                         .timeout_us = 50 * MF_US_PER_MS };
 
-  rig->behaviour = SERVER_SILENT;
-  mf_http_out_start (rig->out, &call, NULL);
-  run_until (rig, has_ended);
-  assert_true (last (rig)->timed_out);
-  assert_true (last (rig)->sent);
+  fixture->behaviour = SERVER_NEVER_ANSWERS;
+  mf_http_out_start (fixture->out, &call, NULL);
+  run_until (fixture, has_ended);
+  assert_true (last (fixture)->timed_out);
+  assert_true (last (fixture)->sent);
 }
 
 static void
 test_call_that_cannot_be_built_fails_later (void **state)
 {
-  Rig *rig = *state;
+  Fixture *fixture = *state;
   MfCallAction call
-      = { .call_id = 1, .kind = MF_CALL_DECODE, .address = rig->address, .engine = "openai" };
+      = { .call_id = 1, .kind = MF_CALL_DECODE, .address = fixture->address, .engine = "openai" };
 
-  mf_http_out_start (rig->out, &call, NULL);
-  assert_int_equal (rig->n_events, 0);
-  run_until (rig, has_ended);
-  assert_false (last (rig)->sent);
+  mf_http_out_start (fixture->out, &call, NULL);
+  assert_int_equal (fixture->n_events, 0);
+  run_until (fixture, has_ended);
+  assert_false (last (fixture)->sent);
 }
 
 static void
 test_stream_reset_midway_fails (void **state)
 {
-  Rig *rig = *state;
+  Fixture *fixture = *state;
 
-  start_stream (rig);
-  run_until (rig, has_tokens);
-  fake_conn_close (rig->conn, true);
-  run_until (rig, has_ended);
-  assert_int_equal (rig->events[rig->n_events - 1].type, MF_EVENT_CALL_FAILED);
+  start_stream (fixture);
+  run_until (fixture, has_tokens);
+  fake_conn_close (fixture->conn, true);
+  run_until (fixture, has_ended);
+  assert_int_equal (fixture->events[fixture->n_events - 1].type, MF_EVENT_CALL_FAILED);
 }
 
 static void
 test_abort_from_within_an_event_closes_the_connection (void **state)
 {
-  Rig *rig = *state;
+  Fixture *fixture = *state;
 
-  rig->abort_on_tokens = 9;
-  start_stream (rig);
-  run_until (rig, has_no_stream);
-  assert_int_equal (mf_http_out_count (rig->out), 0);
-  assert_false (has_ended (rig));
+  fixture->abort_on_tokens = 9;
+  start_stream (fixture);
+  run_until (fixture, has_no_stream);
+  assert_int_equal (mf_http_out_count (fixture->out), 0);
+  assert_false (has_ended (fixture));
 }
 
 static void
-test_held_stream_goes_on_where_it_was (void **state)
+test_paused_stream_resumes_where_it_stopped (void **state)
 {
   static const char rest[] = "data: {\"text\":\"b\"}\n\ndata: [DONE]\n\n";
-  Rig *rig = *state;
+  Fixture *fixture = *state;
 
-  start_stream (rig);
-  run_until (rig, has_tokens);
-  mf_http_out_hold (rig->out, 9, true);
-  fake_conn_send (rig->conn, rest, sizeof rest - 1);
-  fake_conn_end (rig->conn);
+  start_stream (fixture);
+  run_until (fixture, has_tokens);
+  mf_http_out_hold (fixture->out, 9, true);
+  fake_conn_send (fixture->conn, rest, sizeof rest - 1);
+  fake_conn_end (fixture->conn);
   for (int i = 0; i < 20; i++)
-    ev_run (rig->loop, EVRUN_NOWAIT);
-  assert_false (has_ended (rig));
-  mf_http_out_hold (rig->out, 9, false);
-  run_until (rig, has_ended);
-  assert_int_equal (last (rig)->status, 200);
-  assert_int_equal (rig->events[rig->n_events - 2].call.first_index, 1);
+    ev_run (fixture->loop, EVRUN_NOWAIT);
+  assert_false (has_ended (fixture));
+  mf_http_out_hold (fixture->out, 9, false);
+  run_until (fixture, has_ended);
+  assert_int_equal (last (fixture)->status, 200);
+  assert_int_equal (fixture->events[fixture->n_events - 2].call.first_index, 1);
 }
 
 int
 main (void)
 {
-#define RIG_TEST(name) cmocka_unit_test_setup_teardown (name, rig_setup, rig_teardown)
+#define FIXTURE_TEST(name) cmocka_unit_test_setup_teardown (name, setup, teardown)
   const struct CMUnitTest tests[] = {
-    RIG_TEST (test_answer_is_whole),
-    RIG_TEST (test_read_on_a_closed_reused_connection_is_sent_again),
-    RIG_TEST (test_order_is_never_sent_again),
-    RIG_TEST (test_order_leaves_no_connection_behind),
-    RIG_TEST (test_refused_connection_ran_nothing),
-    RIG_TEST (test_broken_answers_fail_as_sent),
-    RIG_TEST (test_upstreams_refusal_is_told_apart),
-    RIG_TEST (test_redirect_is_not_followed),
-    RIG_TEST (test_answer_is_bounded),
-    RIG_TEST (test_silence_times_out),
-    RIG_TEST (test_call_that_cannot_be_built_fails_later),
-    RIG_TEST (test_stream_reset_midway_fails),
-    RIG_TEST (test_abort_from_within_an_event_closes_the_connection),
-    RIG_TEST (test_held_stream_goes_on_where_it_was),
+    FIXTURE_TEST (test_answer_is_complete),
+    FIXTURE_TEST (test_read_on_a_closed_reused_connection_is_sent_again),
+    FIXTURE_TEST (test_order_is_never_sent_again),
+    FIXTURE_TEST (test_order_connection_is_not_reused),
+    FIXTURE_TEST (test_refused_connection_is_not_sent),
+    FIXTURE_TEST (test_truncated_answers_fail_as_sent),
+    FIXTURE_TEST (test_upstream_refusal_and_leaving_are_reported),
+    FIXTURE_TEST (test_redirect_is_not_followed),
+    FIXTURE_TEST (test_answer_is_bounded),
+    FIXTURE_TEST (test_no_answer_times_out),
+    FIXTURE_TEST (test_call_that_cannot_be_built_fails_later),
+    FIXTURE_TEST (test_stream_reset_midway_fails),
+    FIXTURE_TEST (test_abort_from_within_an_event_closes_the_connection),
+    FIXTURE_TEST (test_paused_stream_resumes_where_it_stopped),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_intake.c
+++ b/tests/test_intake.c
@@ -47,7 +47,7 @@
 }
 
 static void
-test_bodies_of_each_fault (void **state)
+test_invalid_bodies (void **state)
 {
   static const struct
   {
@@ -110,7 +110,7 @@
 }
 
 static void
-test_prefix_hashes_chain_over_whole_pieces (void **state)
+test_prefix_hashes_chain_over_full_pieces (void **state)
 {
   size_t piece_bytes = (size_t)MF_PIECE_TOKENS * 4;
   char *one = long_body (piece_bytes * 2 + 10, "x");
@@ -128,7 +128,7 @@
 }
 
 static void
-test_messages_count_and_need_roles (void **state)
+test_messages_are_counted_and_need_roles (void **state)
 {
   MfIntakeSource source
       = model_source ("{\"model\":\"m\",\"messages\":[{\"role\":\"user\",\"content\":\"12345678\"},"
@@ -150,7 +150,7 @@
 }
 
 static void
-test_keys_and_their_mint_time (void **state)
+test_idempotency_keys_and_creation_time (void **state)
 {
   MfIntakeSource source = { .method = "POST", .path = "/orders", .request_name = "r", .body = "" };
   MfIntake first;
@@ -176,7 +176,7 @@
 }
 
 static void
-test_headers_of_each_fault (void **state)
+test_invalid_headers (void **state)
 {
   MfIntakeSource good = { .method = "GET",
                           .path = "/stock/a",
@@ -231,7 +231,7 @@
 }
 
 static void
-test_digest_tells_requests_apart (void **state)
+test_digest_differs_by_body (void **state)
 {
   MfIntakeSource source = model_source ("{\"model\":\"m\",\"prompt\":\"a\"}");
   MfIntake first;
@@ -252,14 +252,14 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_prompt_string_is_estimated),
-    cmocka_unit_test (test_bodies_of_each_fault),
+    cmocka_unit_test (test_invalid_bodies),
     cmocka_unit_test (test_deep_nesting_is_refused),
-    cmocka_unit_test (test_prefix_hashes_chain_over_whole_pieces),
-    cmocka_unit_test (test_messages_count_and_need_roles),
-    cmocka_unit_test (test_keys_and_their_mint_time),
-    cmocka_unit_test (test_headers_of_each_fault),
+    cmocka_unit_test (test_prefix_hashes_chain_over_full_pieces),
+    cmocka_unit_test (test_messages_are_counted_and_need_roles),
+    cmocka_unit_test (test_idempotency_keys_and_creation_time),
+    cmocka_unit_test (test_invalid_headers),
     cmocka_unit_test (test_plain_json_is_checked_and_the_rest_is_not),
-    cmocka_unit_test (test_digest_tells_requests_apart),
+    cmocka_unit_test (test_digest_differs_by_body),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_openai.c
+++ b/tests/test_openai.c
@@ -129,7 +129,7 @@
 }
 
 static void
-test_cancel_and_order_name_their_work (void **state)
+test_cancel_and_order_requests (void **state)
 {
   MfCallAction cancel
       = { .kind = MF_CALL_CANCEL, .address = "127.0.0.1:1", .request_id = 7, .target_attempt = 4 };
@@ -215,7 +215,7 @@
 }
 
 static void
-ends_as (const char *stream, uint16_t status, MfEventType expected)
+assert_ends_with (const char *stream, uint16_t status, MfEventType expected)
 {
   MfCallAction call = { .kind = MF_CALL_DECODE };
   Found found = { 0 };
@@ -231,11 +231,11 @@
 test_stream_without_its_closing_line_has_failed (void **state)
 {
   (void)state;
-  ends_as ("data: {\"text\":\"a\"}\n\n", 200, MF_EVENT_CALL_FAILED);
-  ends_as ("data: {\"text\":\"a\"}\n\ndata: [DONE]", 200, MF_EVENT_CALL_FAILED);
-  ends_as ("data: {\"error\":\"x\"}\n\ndata: [DONE]\n\n", 200, MF_EVENT_CALL_FAILED);
-  ends_as ("data: [DONE]\n\n", 503, MF_EVENT_CALL_FAILED);
-  ends_as ("data: [DONE]\n\n", 200, MF_EVENT_CALL_DONE);
+  assert_ends_with ("data: {\"text\":\"a\"}\n\n", 200, MF_EVENT_CALL_FAILED);
+  assert_ends_with ("data: {\"text\":\"a\"}\n\ndata: [DONE]", 200, MF_EVENT_CALL_FAILED);
+  assert_ends_with ("data: {\"error\":\"x\"}\n\ndata: [DONE]\n\n", 200, MF_EVENT_CALL_FAILED);
+  assert_ends_with ("data: [DONE]\n\n", 503, MF_EVENT_CALL_FAILED);
+  assert_ends_with ("data: [DONE]\n\n", 200, MF_EVENT_CALL_DONE);
 }
 
 static void
@@ -286,7 +286,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_prefill_keeps_the_callers_fields),
     cmocka_unit_test (test_decode_carries_the_handle_and_what_was_delivered),
-    cmocka_unit_test (test_cancel_and_order_name_their_work),
+    cmocka_unit_test (test_cancel_and_order_requests),
     cmocka_unit_test (test_decode_without_a_handle_is_not_built),
     cmocka_unit_test (test_stream_is_the_same_however_it_is_cut),
     cmocka_unit_test (test_stream_without_its_closing_line_has_failed),
