--- a/bench/relay_upstream.c
+++ b/bench/relay_upstream.c
@@ -284,7 +284,7 @@
                     MSG_DONTWAIT | MSG_NOSIGNAL);
 
   if (n > 0)
-    mf_buffer_take (&pipe->out, (size_t)n);
+    mf_buffer_consume (&pipe->out, (size_t)n);
   if (mf_buffer_bytes (&pipe->out) > 0)
     ev_io_start (loop, &pipe->write);
   else
--- a/libmangofork/adapter.h
+++ b/libmangofork/adapter.h
@@ -29,7 +29,7 @@
   size_t delivered_bytes;
   const char *kv_handle; /* JSON object the prefill engine returned; NULL before */
   size_t kv_handle_bytes;
-} MfCallMaterial;
+} MfCallInput;
 
 /* Called for each event found in an upstream's answer. */
 typedef void (*MfCallEventFunc) (MfEventType type, const MfCallEvent *event, void *data);
@@ -40,7 +40,7 @@
 {
   const char *name;
   /* Builds the request of a call. */
-  bool (*build) (const MfCallAction *call, const MfCallMaterial *material, const MfInstanceId *self,
+  bool (*build) (const MfCallAction *call, const MfCallInput *input, const MfInstanceId *self,
                  MfHttpRequest *request, MfError *error);
   /* Takes in bytes of the answer's body as they arrive. */
   bool (*feed) (void *state, const char *data, size_t data_bytes, MfError *error);
@@ -49,7 +49,7 @@
                   void *data);
   /* The answer ended with this status; emits the last event. A prefill's is CALL_PREFILLED, any
    * other call's CALL_DONE or CALL_FAILED. status is 0 when no answer began. */
-  void (*end) (void *state, uint16_t status, bool whole, uint64_t now_us);
+  void (*end) (void *state, uint16_t status, bool complete, uint64_t now_us);
   void (*release) (void *state);
   /* The prefill engine's KV handle once prefilled; NULL before. Borrowed from state. */
   const char *(*kv_handle) (const void *state, size_t *handle_bytes);
--- a/libmangofork/admin.c
+++ b/libmangofork/admin.c
@@ -171,7 +171,7 @@
     .address = options->listen,
     .connections_max = CONNECTIONS_MAX,
     .idle_timeout_s = IDLE_TIMEOUT_S,
-    .connection_bytes = CONNECTION_BYTES,
+    .connection_memory_bytes = CONNECTION_BYTES,
     .on_access = on_access,
     .data = admin,
   };
--- a/libmangofork/answer.c
+++ b/libmangofork/answer.c
@@ -78,7 +78,7 @@
 
 /* A stream that cannot be made whole ends with an error event and without its end mark. */
 void
-mf_answer_chunk_refuse (MfBuffer *out, const MfAnswerAction *refusal, const char *name)
+mf_answer_chunk_error (MfBuffer *out, const MfAnswerAction *refusal, const char *name)
 {
   add_text (out, "event: error\ndata: ");
   mf_answer_problem (out, refusal, name, NULL);
@@ -86,8 +86,8 @@
 }
 
 void
-mf_answer_whole (MfBuffer *out, const MfAnswerShape *shape, const char *text, size_t text_bytes,
-                 uint32_t n_tokens)
+mf_answer_full (MfBuffer *out, const MfAnswerShape *shape, const char *text, size_t text_bytes,
+                uint32_t n_tokens)
 {
   object_begin (out, shape, shape->chat ? "chat.completion" : "text_completion");
   add_text (out,
--- a/libmangofork/answer.h
+++ b/libmangofork/answer.h
@@ -20,11 +20,11 @@
                       size_t text_bytes);
 void mf_answer_chunk_end (MfBuffer *out, const MfAnswerShape *shape, uint32_t n_tokens);
 /* Ends a stream that has begun. */
-void mf_answer_chunk_refuse (MfBuffer *out, const MfAnswerAction *refusal, const char *name);
+void mf_answer_chunk_error (MfBuffer *out, const MfAnswerAction *refusal, const char *name);
 
 /* A gathered answer. The text is JSON-escaped. */
-void mf_answer_whole (MfBuffer *out, const MfAnswerShape *shape, const char *text,
-                      size_t text_bytes, uint32_t n_tokens);
+void mf_answer_full (MfBuffer *out, const MfAnswerShape *shape, const char *text, size_t text_bytes,
+                     uint32_t n_tokens);
 /* The problem document of a refusal. detail may be NULL. */
 void mf_answer_problem (MfBuffer *out, const MfAnswerAction *refusal, const char *name,
                         const char *detail);
--- a/libmangofork/buffer.c
+++ b/libmangofork/buffer.c
@@ -101,7 +101,7 @@
 
 /* Drops bytes from the front. */
 void
-mf_buffer_take (MfBuffer *buffer, size_t n_bytes)
+mf_buffer_consume (MfBuffer *buffer, size_t n_bytes)
 {
   buffer->start += n_bytes;
   if (buffer->start == buffer->end)
--- a/libmangofork/buffer.h
+++ b/libmangofork/buffer.h
@@ -32,6 +32,6 @@
 void mf_buffer_add_number (MfBuffer *buffer, uint64_t number);
 /* Adds text as the inside of a JSON string. */
 void mf_buffer_add_escaped (MfBuffer *buffer, const char *text);
-void mf_buffer_take (MfBuffer *buffer, size_t n_bytes);
+void mf_buffer_consume (MfBuffer *buffer, size_t n_bytes);
 
 #endif
--- a/libmangofork/claim.c
+++ b/libmangofork/claim.c
@@ -37,10 +37,10 @@
 claim_grant (MfCore *core, MfClaim *claim)
 {
   MfClaims *claims = core->board.claims;
-  MfKeyEntry *entry = mf_keybook_find (&claims->book, claim->key);
+  MfKeyEntry *entry = mf_key_table_find (&claims->key_table, claim->key);
 
   if (entry == NULL)
-    entry = mf_keybook_add (&claims->book, claim->key, core->board.now_us);
+    entry = mf_key_table_add (&claims->key_table, claim->key, core->board.now_us);
   if (entry == NULL)
     {
       mf_claim_release (core, claim->key, &claim->cell, claim->claim_id);
@@ -183,7 +183,7 @@
 static void
 claim_start_local (MfCore *core, MfClaim *claim)
 {
-  MfKeyEntry *entry = mf_keybook_find (&core->board.claims->book, claim->key);
+  MfKeyEntry *entry = mf_key_table_find (&core->board.claims->key_table, claim->key);
 
   if (entry == NULL)
     {
@@ -278,14 +278,15 @@
 
   if (claim == NULL)
     return;
-  entry = mf_keybook_find (&claims->book, claim->key);
+  entry = mf_key_table_find (&claims->key_table, claim->key);
   if (result->outcome == MF_OUTCOME_NOT_RUN || entry == NULL)
     {
       mf_claim_cancel (core, request_id);
       return;
     }
-  mf_keybook_finish (&claims->book, entry,
-                     result->outcome == MF_OUTCOME_RAN ? MF_KEY_FINISHED : MF_KEY_UNKNOWN, result);
+  mf_key_table_finish (&claims->key_table, entry,
+                       result->outcome == MF_OUTCOME_RAN ? MF_KEY_FINISHED : MF_KEY_UNKNOWN,
+                       result);
   mf_claim_fill_outcome (entry, &message);
   mf_claim_send_cell (core, &claim->cell, &message);
   mf_claim_free (claims, claim);
@@ -362,7 +363,7 @@
 
   mf_voter_tick (core, &claims->voter);
   if (claims->voter.configured && core->board.now_us > keep_us)
-    mf_keybook_expire (&claims->book, core->board.now_us - keep_us);
+    mf_key_table_expire (&claims->key_table, core->board.now_us - keep_us);
   if (core->board.now_us < claims->due_us)
     {
       mf_core_wake_at (core, claims->due_us);
@@ -437,7 +438,7 @@
     }
   core->board.claims = claims;
   claims->due_us = UINT64_MAX;
-  mf_voter_init (&claims->voter, &claims->book, core->board.now_us);
+  mf_voter_init (&claims->voter, &claims->key_table, core->board.now_us);
   return true;
 }
 
@@ -450,7 +451,7 @@
     return;
   while (claims->by_request != NULL)
     mf_claim_free (claims, claims->by_request);
-  mf_keybook_clear (&claims->book);
+  mf_key_table_clear (&claims->key_table);
   free (claims);
   core->board.claims = NULL;
 }
--- a/libmangofork/claim_row.h
+++ b/libmangofork/claim_row.h
@@ -49,7 +49,7 @@
 
 struct MfClaims
 {
-  MfKeybook book;
+  MfKeyTable key_table;
   MfVoterState voter;
   MfClaim *by_request;
   MfClaim *by_claim; /* those with a claim id of their own */
--- a/libmangofork/claim_table.c
+++ b/libmangofork/claim_table.c
@@ -133,14 +133,14 @@
                   uint64_t claim_id)
 {
   MfClaims *claims = core->board.claims;
-  MfKeyEntry *entry = mf_keybook_find (&claims->book, key);
+  MfKeyEntry *entry = mf_key_table_find (&claims->key_table, key);
   MfPeerMessage message = {
     .type = MF_PEER_OUTCOME,
     .outcome = { .claimant = core->board.options.self, .claim_id = claim_id, .state = MF_KEY_NONE },
   };
 
   if (entry != NULL && entry->claim_id == claim_id && mf_claim_is_self (core, &entry->holder))
-    mf_keybook_remove (&claims->book, entry);
+    mf_key_table_remove (&claims->key_table, entry);
   memcpy (message.outcome.key, key, MF_DIGEST_BYTES);
   mf_claim_send_cell (core, cell, &message);
 }
--- a/libmangofork/claim_wait.c
+++ b/libmangofork/claim_wait.c
@@ -87,7 +87,7 @@
 void
 mf_claim_wait_tick (MfCore *core, MfClaim *claim)
 {
-  MfKeyEntry *entry = mf_keybook_find (&core->board.claims->book, claim->key);
+  MfKeyEntry *entry = mf_key_table_find (&core->board.claims->key_table, claim->key);
   uint64_t request_id = claim->request_id;
   MfPeerMessage message = {
     .type = MF_PEER_OUTCOME_REQUEST,
@@ -113,7 +113,7 @@
 record_outcome (MfCore *core, const MfInstanceId *from, const MfOutcomeMessage *outcome)
 {
   MfClaims *claims = core->board.claims;
-  MfKeyEntry *entry = mf_keybook_find (&claims->book, outcome->key);
+  MfKeyEntry *entry = mf_key_table_find (&claims->key_table, outcome->key);
   MfClaimResult result = {
     .status = outcome->status,
     .code = (MfCode)outcome->code,
@@ -129,9 +129,9 @@
       || strcmp (entry->holder.name, outcome->claimant.name) != 0)
     return;
   if (outcome->state == MF_KEY_NONE && is_holder && !mf_claim_is_self (core, &entry->holder))
-    mf_keybook_remove (&claims->book, entry);
+    mf_key_table_remove (&claims->key_table, entry);
   else if (outcome->state == MF_KEY_FINISHED || outcome->state == MF_KEY_UNKNOWN)
-    mf_keybook_finish (&claims->book, entry, outcome->state, &result);
+    mf_key_table_finish (&claims->key_table, entry, outcome->state, &result);
 }
 
 /* Serves the requests here that wait for this key. */
@@ -175,7 +175,7 @@
                                  const MfOutcomeMessage *request)
 {
   MfClaims *claims = core->board.claims;
-  MfKeyEntry *entry = mf_keybook_find (&claims->book, request->key);
+  MfKeyEntry *entry = mf_key_table_find (&claims->key_table, request->key);
   bool is_holder = mf_claim_is_self (core, &request->claimant);
   MfPeerMessage message = {
     .type = MF_PEER_OUTCOME,
--- a/libmangofork/exchange.c
+++ b/libmangofork/exchange.c
@@ -21,7 +21,7 @@
   exchange->connection = connection;
   exchange->fd = fd;
   exchange->id = id;
-  exchange->begun_s = ev_now (set->loop);
+  exchange->started_s = ev_now (set->loop);
   exchange->uri = strdup (uri);
   exchange->path = strndup (uri, strcspn (uri, "?"));
   if (exchange->uri != NULL && exchange->path != NULL)
@@ -37,7 +37,7 @@
     return;
   exchange->suspended = false;
   MHD_resume_connection (exchange->connection);
-  mf_httpd_wake (exchange->set->httpd);
+  mf_httpd_schedule_run (exchange->set->httpd);
 }
 
 void
@@ -51,22 +51,22 @@
 static void
 exchange_leave_core (MfExchange *exchange)
 {
-  if (!exchange->given)
+  if (!exchange->in_core)
     return;
-  exchange->given = false;
-  HASH_DEL (exchange->set->given, exchange);
+  exchange->in_core = false;
+  HASH_DEL (exchange->set->in_core, exchange);
   mf_buffer_clear (&exchange->body);
   mf_buffer_clear (&exchange->delivered);
 }
 
 /* Tells the core that the caller of a running request has gone. */
 void
-mf_exchange_depart (MfExchange *exchange)
+mf_exchange_handle_departure (MfExchange *exchange)
 {
   MfEvent event = { .type = MF_EVENT_DEPARTED, .departed_id = exchange->id };
 
   exchange->departed = true;
-  if (!exchange->given)
+  if (!exchange->in_core)
     return;
   exchange_leave_core (exchange);
   if (!exchange->set->closing)
@@ -95,7 +95,7 @@
 {
   MfExchange *exchange;
 
-  HASH_FIND (hh, set->given, &id, sizeof id, exchange);
+  HASH_FIND (hh, set->in_core, &id, sizeof id, exchange);
   return exchange;
 }
 
@@ -106,13 +106,13 @@
 {
   MfExchanges *set = exchange->set;
   size_t unsent_bytes = mf_buffer_bytes (&exchange->out);
-  bool paused = exchange->held ? unsent_bytes > set->options.caller_buffer_bytes / 2
-                               : unsent_bytes > set->options.caller_buffer_bytes;
+  bool paused = exchange->reading_paused ? unsent_bytes > set->options.caller_buffer_bytes / 2
+                                         : unsent_bytes > set->options.caller_buffer_bytes;
 
-  if (paused == exchange->held || exchange->call_id == 0 || !exchange->given)
+  if (paused == exchange->reading_paused || exchange->call_id == 0 || !exchange->in_core)
     return;
-  exchange->held = paused;
-  set->hooks.on_hold (exchange->call_id, paused, set->data);
+  exchange->reading_paused = paused;
+  set->hooks.on_pause_reading (exchange->call_id, paused, set->data);
 }
 
 /* Hands the library the next bytes of a streamed answer. */
@@ -126,7 +126,8 @@
   if (exchange->departed || exchange->out.failed)
     return MHD_CONTENT_READER_END_WITH_ERROR;
   if (n == 0 && exchange->ended)
-    return exchange->cut ? MHD_CONTENT_READER_END_WITH_ERROR : MHD_CONTENT_READER_END_OF_STREAM;
+    return exchange->truncated ? MHD_CONTENT_READER_END_WITH_ERROR
+                               : MHD_CONTENT_READER_END_OF_STREAM;
   if (n == 0)
     {
       mf_exchange_suspend (exchange);
@@ -135,7 +136,7 @@
   if (n > dst_bytes)
     n = dst_bytes;
   memcpy (dst, mf_buffer_data (&exchange->out), n);
-  mf_buffer_take (&exchange->out, n);
+  mf_buffer_consume (&exchange->out, n);
   exchange_apply_backpressure (exchange);
   return (ssize_t)n;
 }
@@ -215,7 +216,7 @@
   MfAnswerAction refusal = { .code = error->code, .outcome = MF_OUTCOME_NOT_RUN };
 
   if (exchange->intake.name[0] == '\0')
-    mf_name_set (exchange->intake.name, sizeof exchange->intake.name, exchange->made_name);
+    mf_name_set (exchange->intake.name, sizeof exchange->intake.name, exchange->generated_name);
   response_create_problem (exchange, &refusal, error->text);
   mf_buffer_clear (&exchange->body);
   exchange->set->hooks.on_refused (error->code, exchange->set->data);
@@ -223,7 +224,7 @@
 
 /* Queues the answer that was made, or closes the connection when there can be none. */
 enum MHD_Result
-mf_exchange_queue (MfExchange *exchange)
+mf_exchange_queue_response (MfExchange *exchange)
 {
   struct MHD_Response *response = exchange->response;
   enum MHD_Result result;
@@ -246,7 +247,7 @@
 
 /* Gives the core a request that is whole. */
 void
-mf_exchange_give (MfExchange *exchange)
+mf_exchange_submit (MfExchange *exchange)
 {
   MfExchanges *set = exchange->set;
   MfEvent event = { .type = MF_EVENT_REQUEST, .request = exchange->intake.request };
@@ -259,8 +260,8 @@
     .prompt_tokens = event.request.prompt_tokens,
     .max_tokens = event.request.max_tokens,
   };
-  exchange->given = true;
-  HASH_ADD (hh, set->given, id, sizeof exchange->id, exchange);
+  exchange->in_core = true;
+  HASH_ADD (hh, set->in_core, id, sizeof exchange->id, exchange);
   set->hooks.on_event (&event, set->data);
 }
 
@@ -282,7 +283,7 @@
 /* Answers a request that will never be whole, past the library, which can queue no answer while a
  * body is arriving. The connection is of no more use. */
 void
-mf_exchange_reject (MfExchange *exchange, MfCode code)
+mf_exchange_refuse_on_socket (MfExchange *exchange, MfCode code)
 {
   const MfCodeInfo *info = mf_code_info (code);
   MfAnswerAction refusal = { .code = code, .outcome = MF_OUTCOME_NOT_RUN };
@@ -290,7 +291,7 @@
   char head[256];
   int head_bytes;
 
-  mf_answer_problem (&body, &refusal, exchange->made_name, NULL);
+  mf_answer_problem (&body, &refusal, exchange->generated_name, NULL);
   head_bytes = snprintf (head, sizeof head,
                          "HTTP/1.1 %u %s\r\nContent-Type: application/problem+json\r\n"
                          "Mangofork-Outcome: not-run\r\nMangofork-Code: %d\r\n"
@@ -333,8 +334,8 @@
       exchange->ended = true;
       return;
     }
-  mf_answer_whole (&body, &exchange->shape, mf_buffer_data (&exchange->delivered),
-                   mf_buffer_bytes (&exchange->delivered), exchange->n_tokens);
+  mf_answer_full (&body, &exchange->shape, mf_buffer_data (&exchange->delivered),
+                  mf_buffer_bytes (&exchange->delivered), exchange->n_tokens);
   response_create (exchange, MHD_HTTP_OK, "application/json", mf_buffer_data (&body),
                    mf_buffer_bytes (&body));
   if (body.failed || exchange->delivered.failed)
@@ -359,9 +360,9 @@
       response_create_problem (exchange, answer, NULL);
       return;
     }
-  mf_answer_chunk_refuse (&exchange->out, answer, exchange->intake.name);
+  mf_answer_chunk_error (&exchange->out, answer, exchange->intake.name);
   exchange->ended = true;
-  exchange->cut = true;
+  exchange->truncated = true;
 }
 
 void
--- a/libmangofork/exchange.h
+++ b/libmangofork/exchange.h
@@ -21,7 +21,7 @@
   MfHttpInHooks hooks;
   void *data;
   MfHttpd *httpd;
-  MfExchange *given; /* those that the core knows, by id */
+  MfExchange *in_core; /* those that the core knows, by id */
   uint32_t n_exchanges;
   bool closing; /* the core is not told any more */
 } MfExchanges;
@@ -33,7 +33,7 @@
   struct MHD_Connection *connection;
   int fd;
   uint64_t id;
-  double begun_s;
+  double started_s;
   char *uri;  /* as sent */
   char *path; /* without the query */
   char method[MF_METHOD_BYTES];
@@ -43,20 +43,20 @@
   bool has_length;
   bool headers_seen;
   bool too_large;
-  bool whole;      /* the request has arrived */
-  bool given;      /* the core knows it and has not ended it */
+  bool complete;   /* the request has arrived */
+  bool in_core;    /* the core knows it and has not ended it */
   bool in_handler; /* the library is inside the access handler for it */
   bool suspended;
   bool departed;
-  bool streaming; /* a streamed answer has begun */
-  bool ended;     /* the answer's last byte is in out */
-  bool cut;       /* the answer ends without being whole */
-  bool held;      /* the call that feeds it was told to pause */
+  bool streaming;      /* a streamed answer has begun */
+  bool ended;          /* the answer's last byte is in out */
+  bool truncated;      /* the answer ends without being whole */
+  bool reading_paused; /* the call that feeds it was told to pause */
   bool watched;
   uint64_t call_id; /* the call that feeds it; 0 for none */
   MfIntake intake;
   MfAnswerShape shape;
-  char made_name[MF_REQUEST_NAME_BYTES];
+  char generated_name[MF_REQUEST_NAME_BYTES];
   MfBuffer out;       /* not yet taken by the library */
   MfBuffer delivered; /* the answer's text so far, JSON-escaped */
   uint32_t n_tokens;
@@ -73,9 +73,9 @@
 MfExchange *mf_exchange_find (const MfExchanges *set, uint64_t id);
 
 /* Gives the core a request that is whole. */
-void mf_exchange_give (MfExchange *exchange);
+void mf_exchange_submit (MfExchange *exchange);
 /* The caller has gone: tells the core when it knows the request. */
-void mf_exchange_depart (MfExchange *exchange);
+void mf_exchange_handle_departure (MfExchange *exchange);
 /* Have the library leave the connection alone, and take it up again. */
 void mf_exchange_suspend (MfExchange *exchange);
 void mf_exchange_resume (MfExchange *exchange);
@@ -87,8 +87,8 @@
 /* Carries out one of the core's answer actions. */
 void mf_exchange_answer (MfExchange *exchange, const MfAction *action);
 /* Hands the answer that was made to the library, or closes the connection when there is none. */
-enum MHD_Result mf_exchange_queue (MfExchange *exchange);
+enum MHD_Result mf_exchange_queue_response (MfExchange *exchange);
 /* Answers a request that will never be whole, and ends its connection. */
-void mf_exchange_reject (MfExchange *exchange, MfCode code);
+void mf_exchange_refuse_on_socket (MfExchange *exchange, MfCode code);
 
 #endif
--- a/libmangofork/header.c
+++ b/libmangofork/header.c
@@ -13,7 +13,7 @@
 
 /* Whether all bytes, of a name or a part of one, may stand in the name of a header. */
 bool
-mf_header_name_is_sound (const char *name, size_t name_bytes)
+mf_header_name_is_valid (const char *name, size_t name_bytes)
 {
   for (size_t i = 0; i < name_bytes; i++)
     {
--- a/libmangofork/header.h
+++ b/libmangofork/header.h
@@ -4,6 +4,6 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-bool mf_header_name_is_sound (const char *name, size_t name_bytes);
+bool mf_header_name_is_valid (const char *name, size_t name_bytes);
 
 #endif
--- a/libmangofork/http_in.c
+++ b/libmangofork/http_in.c
@@ -93,7 +93,7 @@
     summary->n_idempotency_keys++;
   else if (strcasecmp (name, "Host") == 0)
     summary->n_hosts++;
-  summary->name_invalid = summary->name_invalid || !mf_header_name_is_sound (name, strlen (name));
+  summary->name_invalid = summary->name_invalid || !mf_header_name_is_valid (name, strlen (name));
   return MHD_YES;
 }
 
@@ -145,7 +145,7 @@
   /* Where the next request begins is not known. */
   if (exchange->response != NULL)
     MHD_add_response_header (exchange->response, MHD_HTTP_HEADER_CONNECTION, "close");
-  return mf_exchange_queue (exchange);
+  return mf_exchange_queue_response (exchange);
 }
 
 static void
@@ -172,7 +172,7 @@
     .content_type = exchange->content_type,
     .authorization = header_get (exchange, "Authorization"),
     .idempotency_key = header_get (exchange, "Idempotency-Key"),
-    .request_name = name != NULL ? name : exchange->made_name,
+    .request_name = name != NULL ? name : exchange->generated_name,
     .deadline_ms = header_get (exchange, "Mangofork-Deadline-Ms"),
     .class_ = header_get (exchange, "Mangofork-Class"),
     .body = mf_buffer_data (&exchange->body),
@@ -194,15 +194,15 @@
 {
   MfError error = { 0 };
 
-  exchange->whole = true;
+  exchange->complete = true;
   exchange->in_handler = true;
   if (!exchange_parse (exchange, &error))
     mf_exchange_refuse (exchange, &error);
   else if (!mf_exchange_answer_models (exchange))
-    mf_exchange_give (exchange);
+    mf_exchange_submit (exchange);
   exchange->in_handler = false;
   if (exchange->response != NULL || exchange->departed)
-    return mf_exchange_queue (exchange);
+    return mf_exchange_queue_response (exchange);
   mf_exchange_suspend (exchange);
   return MHD_YES;
 }
@@ -226,9 +226,9 @@
       exchange_append_body (exchange, upload_data, upload_data_bytes);
       return MHD_YES;
     }
-  if (!exchange->whole)
+  if (!exchange->complete)
     return exchange_handle_complete (exchange);
-  return mf_exchange_queue (exchange);
+  return mf_exchange_queue_response (exchange);
 }
 
 static Connection *
@@ -253,7 +253,7 @@
   exchange = mf_exchange_new (&in->exchanges, connection, conn->fd, ++in->last_id, uri);
   if (exchange == NULL)
     return NULL;
-  snprintf (exchange->made_name, sizeof exchange->made_name, "%016llx-%llu",
+  snprintf (exchange->generated_name, sizeof exchange->generated_name, "%016llx-%llu",
             (unsigned long long)in->name_prefix, (unsigned long long)exchange->id);
   conn->exchange = exchange;
   return exchange;
@@ -278,7 +278,7 @@
     }
   if (exchange->watched)
     epoll_ctl (in->watch_fd, EPOLL_CTL_DEL, exchange->fd, NULL);
-  mf_exchange_depart (exchange);
+  mf_exchange_handle_departure (exchange);
   mf_exchange_free (exchange);
 }
 
@@ -316,18 +316,18 @@
 
   if (exchange->departed || exchange->ended)
     return;
-  if (!exchange->whole)
+  if (!exchange->complete)
     {
       uint64_t received_bytes = mf_buffer_bytes (&exchange->body);
 
       ioctl (exchange->fd, FIONREAD, &unread_bytes);
       received_bytes += (uint64_t)unread_bytes;
       if (exchange->has_length ? received_bytes < exchange->declared_bytes : unread_bytes == 0)
-        mf_exchange_reject (exchange, MF_CODE_BODY_TRUNCATED);
+        mf_exchange_refuse_on_socket (exchange, MF_CODE_BODY_TRUNCATED);
       return;
     }
   shutdown (exchange->fd, SHUT_RDWR);
-  mf_exchange_depart (exchange);
+  mf_exchange_handle_departure (exchange);
   mf_exchange_resume (exchange);
 }
 
@@ -360,9 +360,9 @@
 
     if (exchange == NULL && now_s - conn->idle_since_s > IDLE_TIMEOUT_S)
       shutdown (conn->fd, SHUT_RDWR);
-    if (exchange != NULL && !exchange->whole && !exchange->ended && !exchange->departed
-        && now_s - exchange->begun_s > limit_s)
-      mf_exchange_reject (exchange, MF_CODE_SLOW_SENDER);
+    if (exchange != NULL && !exchange->complete && !exchange->ended && !exchange->departed
+        && now_s - exchange->started_s > limit_s)
+      mf_exchange_refuse_on_socket (exchange, MF_CODE_SLOW_SENDER);
   }
 }
 
@@ -411,7 +411,7 @@
         .connections_max = options->connections_max,
         .connections_per_address_max = options->connections_per_address_max,
         .idle_timeout_s = IDLE_TIMEOUT_S,
-        .connection_bytes = options->header_bytes_max + CONNECTION_MEMORY_BYTES_EXTRA,
+        .connection_memory_bytes = options->header_bytes_max + CONNECTION_MEMORY_BYTES_EXTRA,
         .on_access = on_access,
         .on_uri = on_uri,
         .on_completed = on_completed,
@@ -474,25 +474,25 @@
 }
 
 void
-mf_http_in_fed_by (MfHttpIn *in, uint64_t request_id, uint64_t call_id)
+mf_http_in_set_call (MfHttpIn *in, uint64_t request_id, uint64_t call_id)
 {
   MfExchange *exchange = mf_exchange_find (&in->exchanges, request_id);
 
   if (exchange == NULL)
     return;
   exchange->call_id = call_id;
-  if (exchange->held)
-    in->exchanges.hooks.on_hold (call_id, true, in->exchanges.data);
+  if (exchange->reading_paused)
+    in->exchanges.hooks.on_pause_reading (call_id, true, in->exchanges.data);
 }
 
 bool
-mf_http_in_material (const MfHttpIn *in, uint64_t request_id, MfCallMaterial *material)
+mf_http_in_call_input (const MfHttpIn *in, uint64_t request_id, MfCallInput *input)
 {
   const MfExchange *exchange = mf_exchange_find (&in->exchanges, request_id);
 
   if (exchange == NULL)
     return false;
-  *material = (MfCallMaterial){
+  *input = (MfCallInput){
     .name = exchange->intake.name,
     .body = mf_buffer_data (&exchange->body),
     .body_bytes = mf_buffer_bytes (&exchange->body),
--- a/libmangofork/http_in.h
+++ b/libmangofork/http_in.h
@@ -25,7 +25,7 @@
    * of this module, and may call any of them but mf_http_in_free. */
   void (*on_event) (const MfEvent *event, void *data);
   /* The call that feeds a request is to pause, or to go on. */
-  void (*on_hold) (uint64_t call_id, bool hold, void *data);
+  void (*on_pause_reading) (uint64_t call_id, bool paused, void *data);
   /* The text in force, for the list of models; may return NULL. */
   const MfConfig *(*on_config) (void *data);
   /* A request was refused before it became an event. */
@@ -43,8 +43,8 @@
 /* Carries out one of the MF_ACTION_ANSWER_ actions. Requests that are gone are passed over. */
 void mf_http_in_answer (MfHttpIn *in, const MfAction *action);
 /* Says which call feeds a request's answer from now on. */
-void mf_http_in_fed_by (MfHttpIn *in, uint64_t request_id, uint64_t call_id);
+void mf_http_in_set_call (MfHttpIn *in, uint64_t request_id, uint64_t call_id);
 /* What is kept of a request, borrowed until the loop runs. False when the request is gone. */
-bool mf_http_in_material (const MfHttpIn *in, uint64_t request_id, MfCallMaterial *material);
+bool mf_http_in_call_input (const MfHttpIn *in, uint64_t request_id, MfCallInput *input);
 
 #endif
--- a/libmangofork/http_out.c
+++ b/libmangofork/http_out.c
@@ -252,7 +252,7 @@
 
 /* Does what had to wait until libcurl was off the stack. Each step may queue more. */
 static void
-on_settle (void *data)
+on_deferred (void *data)
 {
   MfHttpOut *out = data;
   Call *call;
@@ -275,7 +275,7 @@
       call_end (call, false);
     }
   if (out->to_free != NULL || out->to_resume_reading != NULL || out->to_add != NULL)
-    mf_multi_wake (out->multi);
+    mf_multi_schedule_deferred (out->multi);
 }
 
 /* libcurl is connected and about to send: from here on, "not run" is no longer certain. */
@@ -359,7 +359,7 @@
   (void)events;
   call->timed_out = true;
   call_end (call, false);
-  mf_multi_wake (call->out->multi);
+  mf_multi_schedule_deferred (call->out->multi);
 }
 
 static bool
@@ -422,9 +422,9 @@
 }
 
 static bool
-call_prepare (Call *call, const MfCallAction *action, const MfCallMaterial *material)
+call_prepare (Call *call, const MfCallAction *action, const MfCallInput *input)
 {
-  MfCallMaterial with_handle = material != NULL ? *material : (MfCallMaterial){ 0 };
+  MfCallInput with_handle = input != NULL ? *input : (MfCallInput){ 0 };
   KvHandle *handle = kv_handle_find (call->out, action->prefill_call_id);
   MfError error = { 0 };
 
@@ -453,7 +453,7 @@
 /* Starts a call. Whatever becomes of it, its last event comes later, from the loop. The material is
  * borrowed for the duration of this function and may be NULL for calls that serve no request. */
 void
-mf_http_out_start (MfHttpOut *out, const MfCallAction *action, const MfCallMaterial *material)
+mf_http_out_start (MfHttpOut *out, const MfCallAction *action, const MfCallInput *input)
 {
   Call *call = calloc (1, sizeof *call);
   uint64_t timeout_us = action->timeout_us > 0 ? action->timeout_us : TIMEOUT_US_DEFAULT;
@@ -467,8 +467,8 @@
   ev_timer_init (&call->first_byte_timer, on_first_byte_timeout, (double)timeout_us / 1e6, 0.0);
   call->first_byte_timer.data = call;
   HASH_ADD (hh, out->calls, id, sizeof call->id, call);
-  list_push (call_prepare (call, action, material) ? &out->to_add : &out->to_fail, call);
-  mf_multi_wake (out->multi);
+  list_push (call_prepare (call, action, input) ? &out->to_add : &out->to_fail, call);
+  mf_multi_schedule_deferred (out->multi);
 }
 
 static Call *
@@ -490,12 +490,12 @@
     return;
   call_unlink (call);
   list_push (&out->to_free, call);
-  mf_multi_wake (out->multi);
+  mf_multi_schedule_deferred (out->multi);
 }
 
 /* Stops or goes on reading the call's answer, so that a slow caller slows its upstream. */
 void
-mf_http_out_hold (MfHttpOut *out, uint64_t call_id, bool pause_wanted)
+mf_http_out_pause_reading (MfHttpOut *out, uint64_t call_id, bool pause_wanted)
 {
   Call *call = call_find (out, call_id);
 
@@ -510,13 +510,13 @@
   else if (!pause_wanted && call->reading_paused)
     {
       list_push (&out->to_resume_reading, call);
-      mf_multi_wake (out->multi);
+      mf_multi_schedule_deferred (out->multi);
     }
 }
 
 /* Drops the KV handle that a prefill left under its call id. */
 void
-mf_http_out_forget (MfHttpOut *out, uint64_t call_id)
+mf_http_out_drop_kv_handle (MfHttpOut *out, uint64_t call_id)
 {
   KvHandle *handle = kv_handle_find (out, call_id);
 
@@ -548,7 +548,7 @@
 MfHttpOut *
 mf_http_out_new (struct ev_loop *loop, const MfHttpOutHooks *hooks, void *data, MfError *error)
 {
-  static const MfMultiHooks multi_hooks = { .on_done = on_done, .on_settle = on_settle };
+  static const MfMultiHooks multi_hooks = { .on_done = on_done, .on_deferred = on_deferred };
   MfHttpOut *out = calloc (1, sizeof *out);
 
   if (out == NULL)
--- a/libmangofork/http_out.h
+++ b/libmangofork/http_out.h
@@ -15,18 +15,18 @@
   uint32_t connections_max;      /* to all upstreams; 0 for the default */
   uint32_t host_connections_max; /* to one upstream; 0 for the default */
   /* Gets call, load and cache events, with both clocks filled in. Never called from within
-   * mf_http_out_start, mf_http_out_abort, mf_http_out_hold or mf_http_out_forget, and may call any
-   * of them. */
+   * mf_http_out_start, mf_http_out_abort, mf_http_out_pause_reading or mf_http_out_drop_kv_handle,
+   * and may call any of them. */
   void (*on_event) (const MfEvent *event, void *data);
 } MfHttpOutHooks;
 
 MfHttpOut *mf_http_out_new (struct ev_loop *loop, const MfHttpOutHooks *hooks, void *data,
                             MfError *error);
 void mf_http_out_free (MfHttpOut *out);
-void mf_http_out_start (MfHttpOut *out, const MfCallAction *call, const MfCallMaterial *material);
+void mf_http_out_start (MfHttpOut *out, const MfCallAction *call, const MfCallInput *input);
 void mf_http_out_abort (MfHttpOut *out, uint64_t call_id);
-void mf_http_out_hold (MfHttpOut *out, uint64_t call_id, bool hold);
-void mf_http_out_forget (MfHttpOut *out, uint64_t call_id);
+void mf_http_out_pause_reading (MfHttpOut *out, uint64_t call_id, bool paused);
+void mf_http_out_drop_kv_handle (MfHttpOut *out, uint64_t call_id);
 /* Calls that have not ended. */
 uint32_t mf_http_out_count (const MfHttpOut *out);
 
--- a/libmangofork/httpd.c
+++ b/libmangofork/httpd.c
@@ -104,7 +104,7 @@
         (unsigned)options->connections_max, MHD_OPTION_PER_IP_CONNECTION_LIMIT,
         (unsigned)options->connections_per_address_max, MHD_OPTION_CONNECTION_TIMEOUT,
         (unsigned)options->idle_timeout_s, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
-        options->connection_bytes, MHD_OPTION_NOTIFY_COMPLETED, options->on_completed,
+        options->connection_memory_bytes, MHD_OPTION_NOTIFY_COMPLETED, options->on_completed,
         options->data, MHD_OPTION_NOTIFY_CONNECTION, options->on_connection, options->data,
         MHD_OPTION_URI_LOG_CALLBACK, options->on_uri, options->data,
         MHD_OPTION_SIGPIPE_HANDLED_BY_APP, 1, MHD_OPTION_END);
@@ -141,7 +141,7 @@
 }
 
 void
-mf_httpd_wake (MfHttpd *httpd)
+mf_httpd_schedule_run (MfHttpd *httpd)
 {
   httpd->run_due = true;
 }
--- a/libmangofork/httpd.h
+++ b/libmangofork/httpd.h
@@ -15,7 +15,7 @@
   uint32_t connections_max;
   uint32_t connections_per_address_max; /* 0 for no limit */
   uint32_t idle_timeout_s;
-  size_t connection_bytes; /* memory of one connection */
+  size_t connection_memory_bytes; /* memory of one connection */
   MHD_AccessHandlerCallback on_access;
   void *(*on_uri) (void *data, const char *uri, struct MHD_Connection *connection); /* or NULL */
   MHD_RequestCompletedCallback on_completed;  /* may be NULL */
@@ -27,6 +27,6 @@
 void mf_httpd_free (MfHttpd *httpd);
 uint16_t mf_httpd_port (const MfHttpd *httpd);
 /* A connection has been resumed: the daemon runs before the loop next waits. */
-void mf_httpd_wake (MfHttpd *httpd);
+void mf_httpd_schedule_run (MfHttpd *httpd);
 
 #endif
--- a/libmangofork/intake.c
+++ b/libmangofork/intake.c
@@ -445,7 +445,7 @@
       text++;
       n_bytes -= 2;
     }
-  if (n_bytes == 0 || n_bytes > MF_KEY_BYTES_MAX)
+  if (n_bytes == 0 || n_bytes > MF_IDEMPOTENCY_KEY_BYTES_MAX)
     {
       mf_error_set (error, MF_CODE_KEY_BAD, "Idempotency-Key has no 1 to 255 characters");
       return false;
--- a/libmangofork/intake.h
+++ b/libmangofork/intake.h
@@ -4,7 +4,7 @@
 #include "event.h"
 
 #define MF_REQUEST_NAME_BYTES 64
-#define MF_KEY_BYTES_MAX 255
+#define MF_IDEMPOTENCY_KEY_BYTES_MAX 255
 
 /* A caller's request as it came over HTTP. Headers that were not sent are NULL. */
 typedef struct
--- a/libmangofork/multi.c
+++ b/libmangofork/multi.c
@@ -34,8 +34,8 @@
       if (message->msg == CURLMSG_DONE)
         multi->hooks.on_done (message->easy_handle, message->data.result, multi->data);
     }
-  if (multi->hooks.on_settle != NULL)
-    multi->hooks.on_settle (multi->data);
+  if (multi->hooks.on_deferred != NULL)
+    multi->hooks.on_deferred (multi->data);
 }
 
 static void
@@ -207,7 +207,7 @@
 }
 
 void
-mf_multi_wake (MfMulti *multi)
+mf_multi_schedule_deferred (MfMulti *multi)
 {
   ev_feed_event (multi->loop, &multi->deferred, EV_TIMER);
 }
--- a/libmangofork/openai.c
+++ b/libmangofork/openai.c
@@ -35,7 +35,7 @@
 static void
 buffer_drop_all (MfBuffer *buffer)
 {
-  mf_buffer_take (buffer, mf_buffer_bytes (buffer));
+  mf_buffer_consume (buffer, mf_buffer_bytes (buffer));
 }
 
 static bool
@@ -77,13 +77,13 @@
 
 /* Undoes the escaping of the delivered text, by parsing it as the JSON string it came from. */
 static json_object *
-delivered_string (const MfCallMaterial *material)
+delivered_string (const MfCallInput *input)
 {
   MfBuffer quoted = { 0 };
   json_object *string = NULL;
 
   mf_buffer_add (&quoted, "\"", 1);
-  mf_buffer_add (&quoted, material->delivered, material->delivered_bytes);
+  mf_buffer_add (&quoted, input->delivered, input->delivered_bytes);
   mf_buffer_add (&quoted, "\"", 2);
   if (!quoted.failed)
     string = json_tokener_parse (mf_buffer_data (&quoted));
@@ -92,14 +92,14 @@
 }
 
 static void
-add_resume (json_object *body, const MfCallAction *call, const MfCallMaterial *material)
+add_resume (json_object *body, const MfCallAction *call, const MfCallInput *input)
 {
   json_object *resume;
 
   if (call->from_token == 0)
     return;
   resume = json_object_new_object ();
-  json_object_object_add (resume, "text", delivered_string (material));
+  json_object_object_add (resume, "text", delivered_string (input));
   json_object_object_add (resume, "from_token", json_object_new_int64 (call->from_token));
   json_object_object_add (body, "mangofork_resume", resume);
 }
@@ -125,9 +125,9 @@
 }
 
 static bool
-add_decode (json_object *body, const MfCallAction *call, const MfCallMaterial *material)
+add_decode (json_object *body, const MfCallAction *call, const MfCallInput *input)
 {
-  json_object *transfer = parse_object (material->kv_handle, material->kv_handle_bytes);
+  json_object *transfer = parse_object (input->kv_handle, input->kv_handle_bytes);
 
   if (transfer == NULL)
     return false;
@@ -139,9 +139,9 @@
 
 /* The caller's own body with what disaggregation needs. */
 static json_object *
-completion_body (const MfCallAction *call, const MfCallMaterial *material)
+completion_body (const MfCallAction *call, const MfCallInput *input)
 {
-  json_object *body = parse_object (material->body, material->body_bytes);
+  json_object *body = parse_object (input->body, input->body_bytes);
   char salt[24];
 
   if (body == NULL)
@@ -150,10 +150,10 @@
   json_object_object_del (body, "max_completion_tokens");
   json_object_object_add (body, "priority", json_object_new_int64 (call->priority));
   json_object_object_add (body, "cache_salt", json_object_new_string (salt));
-  add_resume (body, call, material);
+  add_resume (body, call, input);
   if (call->kind == MF_CALL_PREFILL)
     add_prefill (body);
-  else if (!add_decode (body, call, material))
+  else if (!add_decode (body, call, input))
     {
       json_object_put (body);
       return NULL;
@@ -208,7 +208,7 @@
 };
 
 static const char *
-call_path (const MfCallAction *call, const MfCallMaterial *material)
+call_path (const MfCallAction *call, const MfCallInput *input)
 {
   switch (call->kind)
     {
@@ -220,18 +220,18 @@
     case MF_CALL_ORDER:
       return orders[call->order].path;
     default:
-      return material->path;
+      return input->path;
     }
 }
 
 static json_object *
-call_body (const MfCallAction *call, const MfCallMaterial *material, const MfInstanceId *self)
+call_body (const MfCallAction *call, const MfCallInput *input, const MfInstanceId *self)
 {
   switch (call->kind)
     {
     case MF_CALL_PREFILL:
     case MF_CALL_DECODE:
-      return completion_body (call, material);
+      return completion_body (call, input);
     case MF_CALL_RESUME:
     case MF_CALL_CANCEL:
       return attempt_body (call, self);
@@ -259,13 +259,13 @@
 }
 
 static bool
-set_url (MfHttpRequest *request, const MfCallAction *call, const MfCallMaterial *material)
+set_url (MfHttpRequest *request, const MfCallAction *call, const MfCallInput *input)
 {
   if (call->kind == MF_CALL_LOAD)
     return asprintf (&request->url, "http://%s/load?after=%" PRIu64, call->address,
                      call->cache_after)
            >= 0;
-  return asprintf (&request->url, "http://%s%s", call->address, call_path (call, material)) >= 0;
+  return asprintf (&request->url, "http://%s%s", call->address, call_path (call, input)) >= 0;
 }
 
 static bool
@@ -280,15 +280,15 @@
 }
 
 static bool
-openai_build (const MfCallAction *call, const MfCallMaterial *material, const MfInstanceId *self,
+openai_build (const MfCallAction *call, const MfCallInput *input, const MfInstanceId *self,
               MfHttpRequest *request, MfError *error)
 {
   bool has_body = call->kind != MF_CALL_LOAD;
-  json_object *body = call_body (call, material, self);
+  json_object *body = call_body (call, input, self);
   bool ok = has_body == (body != NULL);
 
   *request = (MfHttpRequest){ .method = has_body ? "POST" : "GET" };
-  ok = ok && (!has_body || set_body (request, body)) && set_url (request, call, material)
+  ok = ok && (!has_body || set_body (request, body)) && set_url (request, call, input)
        && set_headers (request, call, self);
   json_object_put (body);
   if (!ok)
--- a/libmangofork/peer_link.c
+++ b/libmangofork/peer_link.c
@@ -165,7 +165,7 @@
           return;
         }
       link->links->stats.bytes_out += (uint64_t)n;
-      mf_buffer_take (&link->out, (size_t)n);
+      mf_buffer_consume (&link->out, (size_t)n);
     }
   ev_io_stop (link->links->loop, &link->write);
 }
@@ -321,7 +321,7 @@
       if (!(link->state == LINK_UP ? message_take (link, data + LENGTH_BYTES, length)
                                    : handshake_take (link, data + LENGTH_BYTES, length)))
         return false;
-      mf_buffer_take (&link->in, LENGTH_BYTES + (size_t)length);
+      mf_buffer_consume (&link->in, LENGTH_BYTES + (size_t)length);
     }
   return true;
 }
--- a/libmangofork/plain.c
+++ b/libmangofork/plain.c
@@ -27,16 +27,16 @@
 /* Forwards the caller's method, path, content type and body. A header without a value keeps the
  * HTTP library from adding its own. */
 static bool
-plain_build (const MfCallAction *call, const MfCallMaterial *material, const MfInstanceId *self,
+plain_build (const MfCallAction *call, const MfCallInput *input, const MfInstanceId *self,
              MfHttpRequest *request, MfError *error)
 {
-  const char *type = material->content_type != NULL ? material->content_type : "";
+  const char *type = input->content_type != NULL ? input->content_type : "";
   bool ok;
 
   (void)self;
-  *request = (MfHttpRequest){ .method = material->method };
-  if (call->kind != MF_CALL_PLAIN || has_control_char (material->path)
-      || has_control_char (material->name) || has_control_char (type))
+  *request = (MfHttpRequest){ .method = input->method };
+  if (call->kind != MF_CALL_PLAIN || has_control_char (input->path)
+      || has_control_char (input->name) || has_control_char (type))
     {
       mf_error_set (
           error, MF_CODE_BAD_HEADER,
@@ -44,16 +44,16 @@
           "path, content type or request id");
       return false;
     }
-  ok = asprintf (&request->url, "http://%s%s", call->address, material->path) >= 0
-       && asprintf (&request->headers, "Content-Type: %s\nX-Request-Id: %s\n", type, material->name)
+  ok = asprintf (&request->url, "http://%s%s", call->address, input->path) >= 0
+       && asprintf (&request->headers, "Content-Type: %s\nX-Request-Id: %s\n", type, input->name)
               >= 0;
-  if (ok && material->body != NULL)
+  if (ok && input->body != NULL)
     {
-      request->body = malloc (material->body_bytes + 1);
-      request->body_bytes = material->body_bytes;
+      request->body = malloc (input->body_bytes + 1);
+      request->body_bytes = input->body_bytes;
       ok = request->body != NULL;
       if (ok)
-        memcpy (request->body, material->body, material->body_bytes);
+        memcpy (request->body, input->body, input->body_bytes);
     }
   if (!ok)
     {
--- a/libmangofork/platform.c
+++ b/libmangofork/platform.c
@@ -173,7 +173,7 @@
     return;
   read_stop (read);
   read->failed = true;
-  mf_multi_wake (platform->multi);
+  mf_multi_schedule_deferred (platform->multi);
 }
 
 /* Parses a whole answer and hands it on. Returns false when it makes no sense. */
@@ -218,7 +218,7 @@
 }
 
 static void
-on_settle (void *data)
+on_deferred (void *data)
 {
   MfPlatform *platform = data;
 
@@ -235,7 +235,7 @@
 mf_platform_new (struct ev_loop *loop, const MfSettings *settings,
                  void (*on_event) (const MfEvent *event, void *data), void *data, MfError *error)
 {
-  static const MfMultiHooks hooks = { .on_done = on_done, .on_settle = on_settle };
+  static const MfMultiHooks hooks = { .on_done = on_done, .on_deferred = on_deferred };
   MfPlatform *platform = calloc (1, sizeof *platform);
 
   if (platform == NULL)
--- a/libmangofork/relay/caller.c
+++ b/libmangofork/relay/caller.c
@@ -175,7 +175,7 @@
           caller_write_failed (caller);
           return;
         }
-      mf_buffer_take (&caller->out, (size_t)n_sent);
+      mf_buffer_consume (&caller->out, (size_t)n_sent);
     }
   if (caller->fd >= 0)
     ev_io_stop (caller->listener->loop, &caller->writer);
@@ -408,7 +408,7 @@
       message->head_bytes_max = caller->listener->limits.header_bytes_max;
       taken
           = mf_message_feed (message, mf_buffer_data (&caller->in), mf_buffer_bytes (&caller->in));
-      mf_buffer_take (&caller->in, taken);
+      mf_buffer_consume (&caller->in, taken);
       if (!had_begun)
         caller->begun_us = mf_clock_now_us ();
       if (message->error_code == MF_CODE_OK && message->done)
--- a/libmangofork/relay/events.c
+++ b/libmangofork/relay/events.c
@@ -79,7 +79,7 @@
               stream->has_last_id = true;
             }
         }
-      mf_buffer_take (&stream->partial, complete_bytes);
+      mf_buffer_consume (&stream->partial, complete_bytes);
     }
 }
 
--- a/libmangofork/relay/line.c
+++ b/libmangofork/relay/line.c
@@ -87,7 +87,7 @@
 
       if (n_written <= 0)
         break;
-      mf_buffer_take (&log->pending, (size_t)n_written);
+      mf_buffer_consume (&log->pending, (size_t)n_written);
     }
   if (log->pending.failed)
     mf_buffer_clear (&log->pending);
--- a/libmangofork/relay/link.c
+++ b/libmangofork/relay/link.c
@@ -320,7 +320,7 @@
       if (n_sent < 0)
         return false;
       link->has_sent = true;
-      mf_buffer_take (&link->out, (size_t)n_sent);
+      mf_buffer_consume (&link->out, (size_t)n_sent);
     }
   ev_io_stop (link->pool->loop, &link->writer);
   return true;
--- a/libmangofork/relay/message.c
+++ b/libmangofork/relay/message.c
@@ -59,7 +59,7 @@
   MfMessage *message = parser->data;
   MfHead *head = &message->head;
 
-  if (!mf_header_name_is_sound (bytes, n_bytes))
+  if (!mf_header_name_is_valid (bytes, n_bytes))
     return message_fail (message, MF_CODE_BAD_HEADER);
   if (message->in_value || head->n_fields == 0)
     {
--- a/libmangofork/relay/peers.c
+++ b/libmangofork/relay/peers.c
@@ -98,7 +98,7 @@
           mf_peer_disconnect (peers, peer);
           return;
         }
-      mf_buffer_take (&peer->out, (size_t)n_sent);
+      mf_buffer_consume (&peer->out, (size_t)n_sent);
     }
   if (peer->fd >= 0)
     ev_io_stop (peers->loop, &peer->writer);
@@ -336,7 +336,7 @@
         return true;
       if (!mf_relay_message_decode ((const char *)bytes + 4, n_bytes, &peers->in))
         return false;
-      mf_buffer_take (&incoming->in, 4 + n_bytes);
+      mf_buffer_consume (&incoming->in, 4 + n_bytes);
       if (peers->in.kind == MF_RELAY_MESSAGE_REPORT)
         {
           memcpy (incoming->address, peers->in.report.address, sizeof incoming->address);
--- a/libmangofork/server.c
+++ b/libmangofork/server.c
@@ -90,18 +90,18 @@
 static void
 call_start (MfServer *server, const MfCallAction *call)
 {
-  MfCallMaterial material = { 0 };
+  MfCallInput input = { 0 };
   bool feeds = call->kind == MF_CALL_DECODE || call->kind == MF_CALL_RESUME;
 
-  if (call->request_id != 0 && !mf_http_in_material (server->in, call->request_id, &material)
+  if (call->request_id != 0 && !mf_http_in_call_input (server->in, call->request_id, &input)
       && (feeds || call->kind == MF_CALL_PREFILL || call->kind == MF_CALL_PLAIN))
     {
       call_fail (server, call->call_id);
       return;
     }
-  mf_http_out_start (server->out, call, &material);
+  mf_http_out_start (server->out, call, &input);
   if (feeds)
-    mf_http_in_fed_by (server->in, call->request_id, call->call_id);
+    mf_http_in_set_call (server->in, call->request_id, call->call_id);
 }
 
 static void
@@ -131,7 +131,7 @@
       mf_http_out_abort (server->out, action->call_id);
       break;
     case MF_ACTION_KV_HANDLE_DROP:
-      mf_http_out_forget (server->out, action->call_id);
+      mf_http_out_drop_kv_handle (server->out, action->call_id);
       break;
     case MF_ACTION_ANSWER_TOKENS:
     case MF_ACTION_ANSWER_END:
@@ -164,11 +164,11 @@
 }
 
 static void
-on_hold (uint64_t call_id, bool hold, void *data)
+on_pause_reading (uint64_t call_id, bool paused, void *data)
 {
   MfServer *server = data;
 
-  mf_http_out_hold (server->out, call_id, hold);
+  mf_http_out_pause_reading (server->out, call_id, paused);
 }
 
 static const MfConfig *
@@ -325,7 +325,7 @@
   };
   const MfHttpInHooks hooks = {
     .on_event = on_event,
-    .on_hold = on_hold,
+    .on_pause_reading = on_pause_reading,
     .on_config = on_config,
     .on_refused = on_refused,
   };
--- a/libmangofork/voter.c
+++ b/libmangofork/voter.c
@@ -62,9 +62,9 @@
 }
 
 void
-mf_voter_init (MfVoterState *voter, MfKeybook *book, uint64_t now_us)
+mf_voter_init (MfVoterState *voter, MfKeyTable *key_table, uint64_t now_us)
 {
-  *voter = (MfVoterState){ .book = book, .index = MF_NONE, .started_us = now_us };
+  *voter = (MfVoterState){ .key_table = key_table, .index = MF_NONE, .started_us = now_us };
 }
 
 /* Takes over the incarnations known of those voters that stay in the cell. */
@@ -254,7 +254,7 @@
 static bool
 record_grant (MfCore *core, MfVoterState *voter, const MfClaimMessage *claim)
 {
-  MfKeyEntry *entry = mf_keybook_add (voter->book, claim->key, core->board.now_us);
+  MfKeyEntry *entry = mf_key_table_add (voter->key_table, claim->key, core->board.now_us);
 
   if (entry == NULL)
     return false;
@@ -267,7 +267,7 @@
 void
 mf_voter_vote (MfCore *core, MfVoterState *voter, const MfClaimMessage *claim, MfVoteMessage *vote)
 {
-  MfKeyEntry *entry = mf_keybook_find (voter->book, claim->key);
+  MfKeyEntry *entry = mf_key_table_find (voter->key_table, claim->key);
 
   *vote = (MfVoteMessage){ .claim_id = claim->claim_id };
   memcpy (vote->key, claim->key, MF_DIGEST_BYTES);
@@ -333,7 +333,7 @@
     .holder = entry->holder,
     .claim_id = entry->claim_id,
     .state = entry->state,
-    .age_ms = (uint32_t)((handover->core->board.now_us - entry->noted_us) / MF_US_PER_MS),
+    .age_ms = (uint32_t)((handover->core->board.now_us - entry->added_us) / MF_US_PER_MS),
   };
   memcpy (record->key, entry->key, MF_DIGEST_BYTES);
   if (++answer->n_records == MF_RECORDS_PER_PART_MAX && answer->part + 1 < answer->n_parts)
@@ -343,17 +343,17 @@
 
 /* Sends every key of the cell, so that no vote given here is forgotten by the applicant. */
 static void
-handover_send_all (Handover *handover, const MfKeybook *book)
+handover_send_all (Handover *handover, const MfKeyTable *key_table)
 {
   MfAdmittedMessage *answer = &handover->message.admitted;
 
-  mf_keybook_foreach (book, handover_count, handover);
+  mf_key_table_foreach (key_table, handover_count, handover);
   answer->n_parts = (answer->n_records + MF_RECORDS_PER_PART_MAX - 1) / MF_RECORDS_PER_PART_MAX;
   if (answer->n_parts == 0)
     answer->n_parts = 1;
   answer->n_records = 0;
   answer->records = handover->records;
-  mf_keybook_foreach (book, handover_add, handover);
+  mf_key_table_foreach (key_table, handover_add, handover);
   handover_send (handover);
 }
 
@@ -397,7 +397,7 @@
   handover.records = calloc (MF_RECORDS_PER_PART_MAX, sizeof *handover.records);
   if (handover.records == NULL)
     return;
-  handover_send_all (&handover, voter->book);
+  handover_send_all (&handover, voter->key_table);
   free (handover.records);
 }
 
@@ -406,11 +406,11 @@
 static bool
 inherit_record (MfCore *core, MfVoterState *voter, const MfKeyRecord *record)
 {
-  MfKeyEntry *entry = mf_keybook_find (voter->book, record->key);
+  MfKeyEntry *entry = mf_key_table_find (voter->key_table, record->key);
 
   if (entry == NULL)
     {
-      entry = mf_keybook_add (voter->book, record->key, core->board.now_us);
+      entry = mf_key_table_add (voter->key_table, record->key, core->board.now_us);
       if (entry == NULL)
         return false;
       entry->body_digest = record->body_digest;
--- a/libmangofork/voter.h
+++ b/libmangofork/voter.h
@@ -11,7 +11,7 @@
  * later vote and has handed over the keys it knows. docs/AT-MOST-ONCE.md has the argument. */
 typedef struct
 {
-  MfKeybook *book;
+  MfKeyTable *key_table;
   MfCell cell;
   uint32_t index; /* own place in the cell; MF_NONE when no voter */
   uint64_t epoch;
@@ -35,7 +35,7 @@
 /* This instance's own; owned by the claim controller. */
 MfVoterState *mf_claim_voter (const MfCore *core);
 
-void mf_voter_init (MfVoterState *voter, MfKeybook *book, uint64_t now_us);
+void mf_voter_init (MfVoterState *voter, MfKeyTable *key_table, uint64_t now_us);
 /* A text is in force: finds the cell, and asks to be admitted when it is another one. */
 void mf_voter_apply_config (MfCore *core, MfVoterState *voter);
 void mf_voter_tick (MfCore *core, MfVoterState *voter);
--- a/tests/fakes/http.c
+++ b/tests/fakes/http.c
@@ -84,7 +84,7 @@
 
       if (n <= 0)
         break;
-      mf_buffer_take (&conn->out, (size_t)n);
+      mf_buffer_consume (&conn->out, (size_t)n);
     }
   if (mf_buffer_bytes (&conn->out) > 0)
     ev_io_start (conn->http->loop, &conn->writable);
@@ -268,7 +268,7 @@
       return false;
     }
   body = strndup (data + head_bytes, body_bytes);
-  mf_buffer_take (&conn->in, head_bytes + body_bytes);
+  mf_buffer_consume (&conn->in, head_bytes + body_bytes);
   conn_request (conn, head, body, body_bytes);
   free (head);
   free (body);
--- a/tests/fakes/relay.c
+++ b/tests/fakes/relay.c
@@ -125,7 +125,7 @@
 
       if (n <= 0)
         break;
-      mf_buffer_take (&side->pending, (size_t)n);
+      mf_buffer_consume (&side->pending, (size_t)n);
     }
   if (mf_buffer_bytes (&side->pending) > 0 && side_flows (side))
     ev_io_start (loop, &side->writable);
--- a/tests/test_answer.c
+++ b/tests/test_answer.c
@@ -97,7 +97,7 @@
   struct json_object *root;
 
   (void)state;
-  mf_answer_whole (&out, &shape, "ab", 2, 2);
+  mf_answer_full (&out, &shape, "ab", 2, 2);
   root = parse (&out, "");
   assert_string_equal (json_object_get_string (json_object_object_get (choice (root), "text")),
                        "ab");
@@ -106,7 +106,7 @@
   json_object_put (root);
   mf_buffer_clear (&out);
   chat.chat = true;
-  mf_answer_whole (&out, &chat, "ab", 2, 2);
+  mf_answer_full (&out, &chat, "ab", 2, 2);
   root = parse (&out, "");
   assert_string_equal (json_object_get_string (json_object_object_get (
                            json_object_object_get (choice (root), "message"), "content")),
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -424,7 +424,7 @@
         {
           MfVoterState *voter = mf_claim_voter (fake_cores_core (fleet->cores, slot));
 
-          assert_non_null (mf_keybook_add (voter->book, key, core->board.now_us));
+          assert_non_null (mf_key_table_add (voter->key_table, key, core->board.now_us));
         }
     }
   fleet_send (fleet, 1, 1, created_ms, 7);
@@ -433,7 +433,7 @@
   fleet_run (fleet, 3 * MF_US_PER_S);
   core = fake_cores_core (fleet->cores, 0);
   assert_true (mf_claim_voter (core)->admitted);
-  assert_int_equal (HASH_COUNT (mf_claim_voter (core)->book->entries),
+  assert_int_equal (HASH_COUNT (mf_claim_voter (core)->key_table->entries),
                     MF_RECORDS_PER_PART_MAX * 2 + 1);
   again = fleet_send (fleet, 0, 1, created_ms, 7);
   fleet_run (fleet, 4 * MF_US_PER_S);
--- a/tests/test_http_in.c
+++ b/tests/test_http_in.c
@@ -55,12 +55,12 @@
 }
 
 static void
-on_hold (uint64_t call_id, bool hold, void *data)
+on_pause_reading (uint64_t call_id, bool paused, void *data)
 {
   Fixture *fixture = data;
 
   assert_int_equal (call_id, 77);
-  if (hold)
+  if (paused)
     fixture->n_paused++;
   else
     fixture->n_resumed++;
@@ -94,9 +94,10 @@
     .slow_sender_us = 100000,
     .caller_buffer_bytes = 1024,
   };
-  const MfHttpInHooks hooks = {
-    .on_event = on_event, .on_hold = on_hold, .on_config = on_config, .on_refused = on_refused
-  };
+  const MfHttpInHooks hooks = { .on_event = on_event,
+                                .on_pause_reading = on_pause_reading,
+                                .on_config = on_config,
+                                .on_refused = on_refused };
   MfError error = { 0 };
 
   fixture->loop = ev_loop_new (EVFLAG_AUTO);
@@ -230,19 +231,19 @@
 test_call_input_is_kept_for_a_resume (void **state)
 {
   Fixture *fixture = *state;
-  MfCallMaterial material = { 0 };
+  MfCallInput input = { 0 };
   int fd
       = request_send (fixture, "POST /v1/completions?q=%41 HTTP/1.1\r\nHost: x\r\n", BODY_STREAM);
 
   assert_true (loop_pump (fixture->loop, has_request, fixture));
   answer (fixture, MF_ACTION_ANSWER_TOKENS, "a", 1);
   answer (fixture, MF_ACTION_ANSWER_TOKENS, "b", 1);
-  assert_true (mf_http_in_material (fixture->in, fixture->last_request, &material));
-  assert_memory_equal (material.delivered, "ab", material.delivered_bytes);
-  assert_memory_equal (material.body, BODY_STREAM, material.body_bytes);
-  assert_string_equal (material.path, "/v1/completions?q=%41");
+  assert_true (mf_http_in_call_input (fixture->in, fixture->last_request, &input));
+  assert_memory_equal (input.delivered, "ab", input.delivered_bytes);
+  assert_memory_equal (input.body, BODY_STREAM, input.body_bytes);
+  assert_string_equal (input.path, "/v1/completions?q=%41");
   answer (fixture, MF_ACTION_ANSWER_END, "", 0);
-  assert_false (mf_http_in_material (fixture->in, fixture->last_request, &material));
+  assert_false (mf_http_in_call_input (fixture->in, fixture->last_request, &input));
   close (fd);
 }
 
@@ -323,7 +324,7 @@
 
   memset (text, 'x', sizeof text - 1);
   assert_true (loop_pump (fixture->loop, has_request, fixture));
-  mf_http_in_fed_by (fixture->in, fixture->last_request, 77);
+  mf_http_in_set_call (fixture->in, fixture->last_request, 77);
   for (int i = 0; i < 100 && fixture->n_paused == 0; i++)
     {
       answer (fixture, MF_ACTION_ANSWER_TOKENS, text, 1);
--- a/tests/test_http_out.c
+++ b/tests/test_http_out.c
@@ -214,15 +214,15 @@
                         .engine = "plain",
                         .fresh_connection = fresh_connection,
                         .timeout_us = 10 * MF_US_PER_S };
-  MfCallMaterial material = { .method = method, .path = "/orders", .name = "r-1" };
+  MfCallInput input = { .method = method, .path = "/orders", .name = "r-1" };
 
   if (strcmp (method, "POST") == 0)
     {
-      material.body = "{}";
-      material.body_bytes = 2;
+      input.body = "{}";
+      input.body_bytes = 2;
     }
   fixture->n_events = 0;
-  mf_http_out_start (fixture->out, &call, &material);
+  mf_http_out_start (fixture->out, &call, &input);
   assert_int_equal (fixture->n_events, 0);
 }
 
@@ -423,13 +423,13 @@
 
   start_stream (fixture);
   run_until (fixture, has_tokens);
-  mf_http_out_hold (fixture->out, 9, true);
+  mf_http_out_pause_reading (fixture->out, 9, true);
   fake_conn_send (fixture->conn, rest, sizeof rest - 1);
   fake_conn_end (fixture->conn);
   for (int i = 0; i < 20; i++)
     ev_run (fixture->loop, EVRUN_NOWAIT);
   assert_false (has_ended (fixture));
-  mf_http_out_hold (fixture->out, 9, false);
+  mf_http_out_pause_reading (fixture->out, 9, false);
   run_until (fixture, has_ended);
   assert_int_equal (last (fixture)->status, 200);
   assert_int_equal (fixture->events[fixture->n_events - 2].call.first_index, 1);
--- a/tests/test_openai.c
+++ b/tests/test_openai.c
@@ -55,11 +55,11 @@
 }
 
 static json_object *
-build (const MfCallAction *call, const MfCallMaterial *material, MfHttpRequest *request)
+build (const MfCallAction *call, const MfCallInput *input, MfHttpRequest *request)
 {
   MfError error = { 0 };
 
-  assert_true (adapter->build (call, material, &self, request, &error));
+  assert_true (adapter->build (call, input, &self, request, &error));
   return request->body == NULL ? NULL : json_tokener_parse (request->body);
 }
 
@@ -80,10 +80,10 @@
                         .attempt = 2,
                         .priority = 3,
                         .cache_salt = 0xab };
-  MfCallMaterial material
+  MfCallInput input
       = { .body = caller, .body_bytes = sizeof caller - 1, .path = "/v1/completions" };
   MfHttpRequest request;
-  json_object *body = build (&call, &material, &request);
+  json_object *body = build (&call, &input, &request);
 
   (void)state;
   assert_string_equal (request.url, "http://127.0.0.1:1/v1/completions");
@@ -107,15 +107,15 @@
   static const char handle[] = "{\"remote_handle\":4}";
   MfCallAction call
       = { .kind = MF_CALL_DECODE, .address = "127.0.0.1:1", .from_token = 3, .max_tokens = 6 };
-  MfCallMaterial material = { .body = caller,
-                              .body_bytes = sizeof caller - 1,
-                              .path = "/v1/completions",
-                              .delivered = delivered,
-                              .delivered_bytes = sizeof delivered - 1,
-                              .kv_handle = handle,
-                              .kv_handle_bytes = sizeof handle - 1 };
+  MfCallInput input = { .body = caller,
+                        .body_bytes = sizeof caller - 1,
+                        .path = "/v1/completions",
+                        .delivered = delivered,
+                        .delivered_bytes = sizeof delivered - 1,
+                        .kv_handle = handle,
+                        .kv_handle_bytes = sizeof handle - 1 };
   MfHttpRequest request;
-  json_object *body = build (&call, &material, &request);
+  json_object *body = build (&call, &input, &request);
   json_object *resume = json_object_object_get (body, "mangofork_resume");
 
   (void)state;
@@ -138,7 +138,7 @@
                          .order = MF_ORDER_ROLE,
                          .order_value = "decode",
                          .fence = 12 };
-  MfCallMaterial none = { 0 };
+  MfCallInput none = { 0 };
   MfHttpRequest request;
   json_object *body = build (&cancel, &none, &request);
 
@@ -158,12 +158,12 @@
 test_decode_without_a_handle_is_not_built (void **state)
 {
   MfCallAction call = { .kind = MF_CALL_DECODE, .address = "127.0.0.1:1" };
-  MfCallMaterial material = { .body = "{}", .body_bytes = 2, .path = "/v1/completions" };
+  MfCallInput input = { .body = "{}", .body_bytes = 2, .path = "/v1/completions" };
   MfHttpRequest request;
   MfError error = { 0 };
 
   (void)state;
-  assert_false (adapter->build (&call, &material, &self, &request, &error));
+  assert_false (adapter->build (&call, &input, &self, &request, &error));
   assert_true (mf_error_is_set (&error));
 }
 
