--- a/libmangofork/keybook.c
+++ b/libmangofork/key_table.c
@@ -1,4 +1,4 @@
-#include "keybook.h"
+#include "key_table.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/libmangofork/keybook.h
+++ b/libmangofork/key_table.h
@@ -1,5 +1,5 @@
-#ifndef MF_KEYBOOK_H
-#define MF_KEYBOOK_H
+#ifndef MF_KEY_TABLE_H
+#define MF_KEY_TABLE_H
 
 #include "claim.h"
 
--- a/libmangofork/voter.h
+++ b/libmangofork/voter.h
@@ -2,7 +2,7 @@
 #define MF_VOTER_H
 
 #include "cell.h"
-#include "keybook.h"
+#include "key_table.h"
 
 /* What this instance is as a voter of its own cell.
  *
