--- a/libmangofork/adapter.c
+++ b/libmangofork/adapter.c
@@ -5,7 +5,7 @@
 
 static const MfEngineAdapter *const adapters[] = { &mf_openai_adapter, &mf_plain_adapter };
 
-/* Frees what a built request owns; the struct itself stays the caller's. */
+/* Frees the strings of a request, but not the struct. */
 void
 mf_http_request_clear (MfHttpRequest *request)
 {
@@ -15,7 +15,7 @@
   *request = (MfHttpRequest){ 0 };
 }
 
-/* Returns the adapter of that name, or NULL. */
+/* Returns the adapter with this name, or NULL. */
 const MfEngineAdapter *
 mf_adapter_find (const char *name)
 {
--- a/libmangofork/answer.c
+++ b/libmangofork/answer.c
@@ -8,7 +8,7 @@
   mf_buffer_add_text (out, text);
 }
 
-/* Opens an object with the members that every answer of the model interface has. */
+/* Starts an object with the members that all answers of the model interface have. */
 static void
 object_begin (MfBuffer *out, const MfAnswerShape *shape, const char *object)
 {
@@ -45,7 +45,7 @@
             shape->chat ? "\"},\"finish_reason\":null}]}\n\n" : "\",\"finish_reason\":null}]}\n\n");
 }
 
-/* Whether the answer ended by itself or by the caller's limit. */
+/* "length" when the answer reached the caller's limit, "stop" when it ended before. */
 static const char *
 finish_reason (const MfAnswerShape *shape, uint32_t n_tokens)
 {
@@ -76,7 +76,7 @@
   add_text (out, "\n\ndata: [DONE]\n\n");
 }
 
-/* A stream that cannot be made whole ends with an error event and without its end mark. */
+/* A stream that cannot be completed ends with an error event and without the line data: [DONE]. */
 void
 mf_answer_chunk_error (MfBuffer *out, const MfAnswerAction *refusal, const char *name)
 {
--- a/libmangofork/buffer.c
+++ b/libmangofork/buffer.c
@@ -6,7 +6,8 @@
 
 #define BUFFER_BYTES_MIN 256
 
-/* Makes room for more bytes at the end, first by moving what is there to the front. */
+/* Reserves space at the end: moves the content to the front if that is enough and the regions do
+ * not overlap, else grows the memory. */
 static bool
 buffer_reserve (MfBuffer *buffer, size_t n_bytes)
 {
@@ -35,7 +36,7 @@
   return true;
 }
 
-/* Frees what the buffer holds and leaves it empty. */
+/* Frees the memory and leaves an empty buffer. */
 void
 mf_buffer_clear (MfBuffer *buffer)
 {
@@ -43,7 +44,7 @@
   *buffer = (MfBuffer){ 0 };
 }
 
-/* Appends bytes, or marks the buffer as failed when memory runs out. */
+/* Appends bytes. Sets failed when memory runs out. */
 void
 mf_buffer_add (MfBuffer *buffer, const void *data, size_t data_bytes)
 {
@@ -99,7 +100,7 @@
     }
 }
 
-/* Drops bytes from the front. */
+/* Removes bytes from the front. */
 void
 mf_buffer_consume (MfBuffer *buffer, size_t n_bytes)
 {
--- a/libmangofork/buffer.h
+++ b/libmangofork/buffer.h
@@ -3,8 +3,9 @@
 
 #include "types.h"
 
-/* Bytes that grow at the end and are taken from the front. Zeroed memory is an empty buffer. Once
- * memory runs out the buffer keeps what it has, and failed stays set until it is cleared. */
+/* A byte queue: data is added at the end and consumed from the front. Zeroed memory is an empty
+ * buffer. When memory runs out, the buffer keeps its content, and failed stays set until the buffer
+ * is cleared. */
 typedef struct
 {
   char *memory;
@@ -30,7 +31,7 @@
 void mf_buffer_add (MfBuffer *buffer, const void *data, size_t data_bytes);
 void mf_buffer_add_text (MfBuffer *buffer, const char *text);
 void mf_buffer_add_number (MfBuffer *buffer, uint64_t number);
-/* Adds text as the inside of a JSON string. */
+/* Adds text escaped for use inside a JSON string. */
 void mf_buffer_add_escaped (MfBuffer *buffer, const char *text);
 void mf_buffer_consume (MfBuffer *buffer, size_t n_bytes);
 
--- a/libmangofork/exchange.c
+++ b/libmangofork/exchange.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <sys/socket.h>
 
-/* Bytes handed to the library at once for one streamed answer. */
+/* Block size of a streamed answer in libmicrohttpd. */
 #define STREAM_BLOCK_BYTES 16384
 
 MfExchange *
@@ -47,7 +47,7 @@
   MHD_suspend_connection (exchange->connection);
 }
 
-/* Forgets what only a running request needs. */
+/* Removes the exchange from those in the core and frees what only a running request needs. */
 static void
 exchange_leave_core (MfExchange *exchange)
 {
@@ -59,7 +59,6 @@
   mf_buffer_clear (&exchange->delivered);
 }
 
-/* Tells the core that the caller of a running request has gone. */
 void
 mf_exchange_handle_departure (MfExchange *exchange)
 {
@@ -99,8 +98,8 @@
   return exchange;
 }
 
-/* Pauses the call that feeds a caller who takes its answer slowly, and has it go on once half of
- * what was held back is taken. */
+/* Pauses reading from the upstream when more than caller_buffer_bytes are unsent to the caller, and
+ * resumes it once at most half of that is left. */
 static void
 exchange_apply_backpressure (MfExchange *exchange)
 {
@@ -115,7 +114,7 @@
   set->hooks.on_pause_reading (exchange->call_id, paused, set->data);
 }
 
-/* Hands the library the next bytes of a streamed answer. */
+/* Content reader of a streamed answer. Suspends the connection while there is nothing to send. */
 static ssize_t
 stream_read (void *cls, uint64_t offset, char *dst, size_t dst_bytes)
 {
@@ -148,7 +147,6 @@
     MHD_add_response_header (exchange->response, name, value);
 }
 
-/* Begins a streamed answer. */
 static void
 response_create_stream (MfExchange *exchange)
 {
@@ -166,7 +164,7 @@
   header_add (exchange, "X-Request-Id", exchange->intake.name);
 }
 
-/* Makes a whole answer of bytes that are copied. */
+/* Creates a complete response. The body is copied. */
 static void
 response_create (MfExchange *exchange, uint16_t status, const char *content_type, const void *body,
                  size_t body_bytes)
@@ -184,7 +182,7 @@
   header_add (exchange, "X-Request-Id", exchange->intake.name);
 }
 
-/* Makes the answer of a refusal. */
+/* Creates the response of a refusal: a problem document (RFC 9457) and its headers. */
 static void
 response_create_problem (MfExchange *exchange, const MfAnswerAction *refusal, const char *detail)
 {
@@ -209,7 +207,6 @@
     header_add (exchange, "WWW-Authenticate", "Bearer");
 }
 
-/* Refuses a request that never reached the core. */
 void
 mf_exchange_refuse (MfExchange *exchange, const MfError *error)
 {
@@ -222,7 +219,7 @@
   exchange->set->hooks.on_refused (error->code, exchange->set->data);
 }
 
-/* Queues the answer that was made, or closes the connection when there can be none. */
+/* MHD_NO makes libmicrohttpd close the connection. */
 enum MHD_Result
 mf_exchange_queue_response (MfExchange *exchange)
 {
@@ -237,7 +234,8 @@
   return result;
 }
 
-/* Something new is in the answer: has the library fetch it. */
+/* Resumes the connection so that libmicrohttpd fetches new bytes or the response. Inside the access
+ * handler the connection is not suspended yet. */
 static void
 exchange_wake_connection (MfExchange *exchange)
 {
@@ -245,7 +243,6 @@
     mf_exchange_resume (exchange);
 }
 
-/* Gives the core a request that is whole. */
 void
 mf_exchange_submit (MfExchange *exchange)
 {
@@ -265,7 +262,7 @@
   set->hooks.on_event (&event, set->data);
 }
 
-/* The list of models is answered from the text in force. */
+/* The list comes from the configuration in force; the core takes no part. */
 bool
 mf_exchange_answer_models (MfExchange *exchange)
 {
@@ -280,8 +277,8 @@
   return true;
 }
 
-/* Answers a request that will never be whole, past the library, which can queue no answer while a
- * body is arriving. The connection is of no more use. */
+/* Writes to the socket directly, because libmicrohttpd cannot queue a response while a body is
+ * arriving. The connection cannot be used after that. */
 void
 mf_exchange_refuse_on_socket (MfExchange *exchange, MfCode code)
 {
--- a/libmangofork/exchange.h
+++ b/libmangofork/exchange.h
@@ -7,13 +7,13 @@
 #include "intake.h"
 #include "table.h"
 
-/* Longest content type that is kept of a request. */
+/* Buffer size for a request's content type; a longer one is cut. */
 #define MF_CONTENT_TYPE_BYTES 128
 #define MF_METHOD_BYTES 16
 
 typedef struct MfExchange MfExchange;
 
-/* The exchanges of one listening address. */
+/* All exchanges of one listening address. */
 typedef struct
 {
   struct ev_loop *loop;
@@ -21,12 +21,12 @@
   MfHttpInHooks hooks;
   void *data;
   MfHttpd *httpd;
-  MfExchange *in_core; /* those that the core knows, by id */
+  MfExchange *in_core; /* those submitted to the core and not ended, by id */
   uint32_t n_exchanges;
-  bool closing; /* the core is not told any more */
+  bool closing; /* shutting down: no more events for the core */
 } MfExchanges;
 
-/* One request of a caller and its answer. */
+/* One HTTP request of a caller and its answer. */
 struct MfExchange
 {
   MfExchanges *set;
@@ -34,7 +34,7 @@
   int fd;
   uint64_t id;
   double started_s;
-  char *uri;  /* as sent */
+  char *uri;  /* as received, with the query */
   char *path; /* without the query */
   char method[MF_METHOD_BYTES];
   char content_type[MF_CONTENT_TYPE_BYTES];
@@ -43,52 +43,53 @@
   bool has_length;
   bool headers_seen;
   bool too_large;
-  bool complete;   /* the request has arrived */
-  bool in_core;    /* the core knows it and has not ended it */
-  bool in_handler; /* the library is inside the access handler for it */
+  bool complete;   /* the whole request has been received */
+  bool in_core;    /* submitted to the core, which has not ended it */
+  bool in_handler; /* libmicrohttpd is inside its access handler */
   bool suspended;
   bool departed;
-  bool streaming;      /* a streamed answer has begun */
-  bool ended;          /* the answer's last byte is in out */
-  bool truncated;      /* the answer ends without being whole */
-  bool reading_paused; /* the call that feeds it was told to pause */
-  bool watched;
-  uint64_t call_id; /* the call that feeds it; 0 for none */
+  bool streaming;      /* a streamed answer has started */
+  bool ended;          /* the last byte of the answer is in out */
+  bool truncated;      /* the answer ends before it is complete */
+  bool reading_paused; /* reading from the upstream call is paused */
+  bool watched;        /* its socket is in the epoll set */
+  uint64_t call_id;    /* the upstream call that provides the answer; 0 for none */
   MfIntake intake;
   MfAnswerShape shape;
   char generated_name[MF_REQUEST_NAME_BYTES];
-  MfBuffer out;       /* not yet taken by the library */
-  MfBuffer delivered; /* the answer's text so far, JSON-escaped */
+  MfBuffer out;       /* not yet read by libmicrohttpd */
+  MfBuffer delivered; /* text of the answer so far, JSON-escaped */
   uint32_t n_tokens;
-  struct MHD_Response *response; /* to be queued once the library asks */
+  struct MHD_Response *response; /* queued when libmicrohttpd next calls */
   uint16_t status;
-  UT_hash_handle hh; /* by id, while given */
+  UT_hash_handle hh; /* by id, while in_core */
 };
 
-/* Begins an exchange when its request line has arrived; returns NULL when memory ran out. */
+/* Creates an exchange when the request line has arrived. Returns NULL when out of memory. */
 MfExchange *mf_exchange_new (MfExchanges *set, struct MHD_Connection *connection, int fd,
                              uint64_t id, const char *uri);
 void mf_exchange_free (MfExchange *exchange);
-/* Returns an exchange that the core knows, or NULL. */
+/* Returns an exchange that is in the core, or NULL. */
 MfExchange *mf_exchange_find (const MfExchanges *set, uint64_t id);
 
-/* Gives the core a request that is whole. */
+/* Submits a complete request to the core. */
 void mf_exchange_submit (MfExchange *exchange);
-/* The caller has gone: tells the core when it knows the request. */
+/* The caller has disconnected: sends MF_EVENT_DEPARTED if the request is in the core. */
 void mf_exchange_handle_departure (MfExchange *exchange);
-/* Have the library leave the connection alone, and take it up again. */
+/* Suspend and resume the connection in libmicrohttpd. */
 void mf_exchange_suspend (MfExchange *exchange);
 void mf_exchange_resume (MfExchange *exchange);
 
-/* Makes the answer of a request that the core does not get. */
+/* Creates the error answer of a request that is not submitted to the core. */
 void mf_exchange_refuse (MfExchange *exchange, const MfError *error);
-/* Answers a list of models; returns false when the request is for something else. */
+/* Answers a request for the list of models. Returns false for any other request. */
 bool mf_exchange_answer_models (MfExchange *exchange);
-/* Carries out one of the core's answer actions. */
+/* Executes one of the core's MF_ACTION_ANSWER_ actions. */
 void mf_exchange_answer (MfExchange *exchange, const MfAction *action);
-/* Hands the answer that was made to the library, or closes the connection when there is none. */
+/* Queues the created response in libmicrohttpd, or closes the connection when there is none. */
 enum MHD_Result mf_exchange_queue_response (MfExchange *exchange);
-/* Answers a request that will never be whole, and ends its connection. */
+/* Answers a request that will never be complete, directly on the socket, and closes the
+ * connection. */
 void mf_exchange_refuse_on_socket (MfExchange *exchange, MfCode code);
 
 #endif
--- a/libmangofork/header.c
+++ b/libmangofork/header.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* A byte that RFC 9110 allows in the name of a header. */
+/* Returns whether RFC 9110 allows a byte in the name of a header. */
 static bool
 is_token (unsigned char byte)
 {
@@ -11,7 +11,7 @@
          || (byte != '\0' && strchr ("!#$%&'*+-.^_`|~", byte) != NULL);
 }
 
-/* Whether all bytes, of a name or a part of one, may stand in the name of a header. */
+/* Returns whether all bytes of a header name, or of a part of one, are allowed. Empty text is. */
 bool
 mf_header_name_is_valid (const char *name, size_t name_bytes)
 {
--- a/libmangofork/http_in.c
+++ b/libmangofork/http_in.c
@@ -16,15 +16,16 @@
 #include "table.h"
 #include <utlist.h>
 
-/* A connection that neither sends nor takes anything for this long is closed. */
+/* A connection on which nothing is sent or received for this long is closed. */
 #define IDLE_TIMEOUT_S 60
-/* Memory of a connection beyond its headers. */
+/* Memory of a connection in addition to the limit on its headers. */
 #define CONNECTION_MEMORY_BYTES_EXTRA 8192
+/* Events read from the epoll descriptor at once. */
 #define WATCH_EVENTS_MAX 64
 
 typedef struct Connection Connection;
 
-/* A caller's connection. */
+/* State of a caller's connection. */
 struct Connection
 {
   int fd;
@@ -39,8 +40,8 @@
   MfExchanges exchanges;
   Connection *connections;
   uint64_t last_id;
-  uint64_t name_prefix;
-  int watch_fd; /* epoll of the sockets of requests, for callers who leave */
+  uint64_t name_prefix; /* random; starts each generated request id */
+  int watch_fd;         /* epoll descriptor for hang-ups of callers during a request */
   ev_io watch;
   ev_timer sweep;
 };
@@ -51,8 +52,8 @@
   return MHD_lookup_connection_value (exchange->connection, MHD_HEADER_KIND, name);
 }
 
-/* Has the sockets of requests watched for callers who leave: the library itself does not look at a
- * suspended connection. */
+/* Watches the socket for a hang-up of the caller. libmicrohttpd does not watch a suspended
+ * connection. */
 static void
 exchange_watch (MfHttpIn *in, MfExchange *exchange)
 {
@@ -61,7 +62,7 @@
   exchange->watched = epoll_ctl (in->watch_fd, EPOLL_CTL_ADD, exchange->fd, &event) == 0;
 }
 
-/* What the length headers of a request say, taken together. */
+/* What is checked over all headers of a request. */
 typedef struct
 {
   uint32_t n_content_lengths;
@@ -69,8 +70,8 @@
   uint32_t n_idempotency_keys;
   uint32_t n_hosts;
   const char *content_length;
-  bool length_conflict;
-  bool name_invalid; /* a name that no header may have */
+  bool length_conflict; /* several Content-Length with different values */
+  bool name_invalid;    /* a header name with a character that RFC 9110 does not allow */
 } HeaderSummary;
 
 static enum MHD_Result
@@ -97,7 +98,7 @@
   return MHD_YES;
 }
 
-/* Checks what can be checked before the body. */
+/* Checks the headers and the announced length before the body is read. */
 static bool
 headers_check (MfExchange *exchange, MfError *error)
 {
@@ -108,16 +109,17 @@
 
   MHD_get_connection_values (exchange->connection, MHD_HEADER_KIND, header_summarize, &summary);
   if (info != NULL && info->header_size > options->header_bytes_max)
-    mf_error_set (error, MF_CODE_HEADERS_TOO_LARGE, "the headers exceed the limit");
+    mf_error_set (error, MF_CODE_HEADERS_TOO_LARGE, "request headers exceed the size limit");
   else if (summary.name_invalid)
-    mf_error_set (error, MF_CODE_BAD_HEADER, "the name of a header is malformed");
+    mf_error_set (error, MF_CODE_BAD_HEADER, "a header name contains an invalid character");
   else if (summary.n_hosts != 1)
-    mf_error_set (error, MF_CODE_BAD_HEADER, "Host is missing or given twice");
+    mf_error_set (error, MF_CODE_BAD_HEADER, "header Host is missing or repeated");
   else if (summary.length_conflict || summary.n_transfer_encodings > 1
            || (summary.n_content_lengths > 0 && summary.n_transfer_encodings > 0))
-    mf_error_set (error, MF_CODE_BAD_LENGTH, "the lengths of the body conflict");
+    mf_error_set (error, MF_CODE_BAD_LENGTH,
+                  "conflicting Content-Length or Transfer-Encoding headers");
   else if (summary.n_idempotency_keys > 1)
-    mf_error_set (error, MF_CODE_KEY_BAD, "Idempotency-Key is given twice");
+    mf_error_set (error, MF_CODE_KEY_BAD, "header Idempotency-Key is repeated");
   exchange->has_length = summary.content_length != NULL;
   if (exchange->has_length)
     exchange->declared_bytes = strtoull (summary.content_length, NULL, 10);
@@ -127,7 +129,7 @@
   return !mf_error_is_set (error);
 }
 
-/* The headers are whole: the library has called for the first time. */
+/* Handles complete headers, on the first call of the access handler. */
 static enum MHD_Result
 exchange_handle_headers (MfHttpIn *in, MfExchange *exchange, const char *method)
 {
@@ -142,12 +144,13 @@
   if (headers_check (exchange, &error))
     return MHD_YES;
   mf_exchange_refuse (exchange, &error);
-  /* Where the next request begins is not known. */
+  /* The body is not read, so where the next request starts is unknown. */
   if (exchange->response != NULL)
     MHD_add_response_header (exchange->response, MHD_HTTP_HEADER_CONNECTION, "close");
   return mf_exchange_queue_response (exchange);
 }
 
+/* Appends a part of the body. A body over the limit is read to its end but not kept. */
 static void
 exchange_append_body (MfExchange *exchange, const char *data, size_t *data_bytes)
 {
@@ -161,7 +164,7 @@
   *data_bytes = 0;
 }
 
-/* Reads the whole request into the intake. */
+/* Parses and checks the complete request. */
 static bool
 exchange_parse (MfExchange *exchange, MfError *error)
 {
@@ -183,12 +186,13 @@
     mf_error_set (error, MF_CODE_BODY_TOO_LARGE, "the body exceeds %llu bytes",
                   (unsigned long long)exchange->set->options.body_bytes_max);
   else if (exchange->body.failed)
-    mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the body");
+    mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory for the request body");
   return !mf_error_is_set (error)
          && mf_intake_read (&source, exchange->id, &exchange->intake, error);
 }
 
-/* The request is whole. Answers it, or suspends it until the core does. */
+/* Handles a complete request: answers it, or submits it to the core and suspends the connection
+ * until the core answers. */
 static enum MHD_Result
 exchange_handle_complete (MfExchange *exchange)
 {
@@ -231,6 +235,7 @@
   return mf_exchange_queue_response (exchange);
 }
 
+/* Returns the state kept for a connection, or NULL when memory for it was lacking. */
 static Connection *
 connection_state (struct MHD_Connection *connection)
 {
@@ -240,7 +245,8 @@
   return info == NULL ? NULL : info->socket_context;
 }
 
-/* The request line has arrived: makes the exchange, which the library then hands back. */
+/* Creates the exchange when the request line has arrived. libmicrohttpd passes it to the later
+ * callbacks as request_cls. */
 static void *
 on_uri (void *cls, const char *uri, struct MHD_Connection *connection)
 {
@@ -308,7 +314,8 @@
   *socket_context = NULL;
 }
 
-/* The caller has closed its side. What it sent before may still be unread. */
+/* The caller has closed its side of the connection. What it sent before may still be unread in the
+ * socket, so an incomplete request is refused only when the rest of it cannot arrive any more. */
 static void
 exchange_handle_hangup (MfExchange *exchange)
 {
@@ -344,7 +351,9 @@
     exchange_handle_hangup (ready[i].data.ptr);
 }
 
-/* Ends requests that arrive too slowly and connections that send headers forever or nothing. */
+/* Refuses requests that take longer than slow_sender_us to arrive, and closes connections on which
+ * no request line has arrived for IDLE_TIMEOUT_S: a client that sends a byte now and then does not
+ * run into the idle time-out of libmicrohttpd. */
 static void
 sweep_due (struct ev_loop *loop, ev_timer *watcher, int events)
 {
@@ -374,7 +383,8 @@
   in->watch_fd = epoll_create1 (EPOLL_CLOEXEC);
   if (in->watch_fd < 0)
     {
-      mf_error_set (error, MF_CODE_LISTEN, "no epoll descriptor: %s", strerror (errno));
+      mf_error_set (error, MF_CODE_LISTEN, "cannot create an epoll descriptor: %s",
+                    strerror (errno));
       return false;
     }
   ev_io_init (&in->watch, watch_ready, in->watch_fd, EV_READ);
@@ -387,7 +397,8 @@
   return true;
 }
 
-/* Starts to listen for callers. */
+/* Starts to listen for callers. Returns a handle owned by the caller of this function, or NULL with
+ * error set. */
 MfHttpIn *
 mf_http_in_new (struct ev_loop *loop, const MfHttpInOptions *options, const MfHttpInHooks *hooks,
                 void *data, MfError *error)
@@ -396,7 +407,7 @@
 
   if (in == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the callers' side");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory for the HTTP server");
       return NULL;
     }
   in->exchanges.loop = loop;
--- a/libmangofork/http_out.c
+++ b/libmangofork/http_out.c
@@ -16,8 +16,8 @@
 
 typedef struct Call Call;
 
-/* One call to an upstream. It is found in the table by its id until its last event or its abort;
- * after that it only waits to be taken off libcurl. */
+/* One call to an upstream. It is in the table of calls until its last event or its abort; then it
+ * waits to be removed from libcurl, which is not allowed inside libcurl's callbacks. */
 struct Call
 {
   uint64_t id;
@@ -31,21 +31,21 @@
   ev_timer first_byte_timer;
   uint64_t answer_bytes;
   uint16_t status;
-  bool added;          /* libcurl has it */
-  bool sent;           /* a byte of it may have left */
-  bool answer_started; /* a byte of the answer has come */
-  bool reading_paused; /* libcurl has paused it */
-  bool pause_wanted;   /* it should be paused */
+  bool added;          /* to libcurl */
+  bool sent;           /* a byte of the request may have left this process */
+  bool answer_started; /* a byte of the answer has arrived */
+  bool reading_paused; /* paused in libcurl */
+  bool pause_wanted;   /* not used */
   bool refused;
   bool leaving;
   bool timed_out;
   bool too_large;
   bool ended;
-  Call *next; /* in one of the lists of out */
+  Call *next; /* in one of the to_ lists of MfHttpOut */
   UT_hash_handle hh;
 };
 
-/* What a prefill engine returned, kept until it is forgotten. */
+/* KV handle returned by a prefill engine, kept until mf_http_out_drop_kv_handle. */
 typedef struct
 {
   uint64_t call_id;
@@ -61,6 +61,7 @@
   void *data;
   MfMulti *multi;
   Call *calls;
+  /* Work deferred until libcurl is off the stack; see on_deferred. */
   Call *to_add;
   Call *to_fail;
   Call *to_free;
@@ -110,7 +111,7 @@
   HASH_ADD (hh, call->out->kv_handles, call_id, sizeof handle->call_id, handle);
 }
 
-/* Hands on an event that the adapter found, with what only the connection knows. */
+/* Emits an event found by the adapter, completed with what is known of the connection. */
 static void
 on_call_event (MfEventType type, const MfCallEvent *found, void *data)
 {
@@ -180,7 +181,7 @@
   *list = call;
 }
 
-/* Takes a call out of the table and off every list: no event of it is handed on any more. */
+/* Removes a call from the table and the lists of work. No event of it is emitted after that. */
 static void
 call_unlink (Call *call)
 {
@@ -197,7 +198,7 @@
   list_remove (&out->to_resume_reading, call);
 }
 
-/* Ends a call with its last event. */
+/* Ends a call and emits its last event. */
 static void
 call_end (Call *call, bool complete)
 {
@@ -250,7 +251,7 @@
     }
 }
 
-/* Does what had to wait until libcurl was off the stack. Each step may queue more. */
+/* Executes the work deferred until libcurl was off the stack. Each step may add to the lists. */
 static void
 on_deferred (void *data)
 {
@@ -278,7 +279,8 @@
     mf_multi_schedule_deferred (out->multi);
 }
 
-/* libcurl is connected and about to send: from here on, "not run" is no longer certain. */
+/* Called when libcurl is connected and about to send. From here on the upstream may have run the
+ * request, so a failure can no longer be reported as not run. */
 static int
 on_before_send (void *data, char *remote_ip, char *local_ip, int remote_port, int local_port)
 {
@@ -396,8 +398,9 @@
     curl_easy_setopt (easy, CURLOPT_CUSTOMREQUEST, request->method);
 }
 
-/* Sets the transfer up: no redirect, no proxy, HTTP/1.1, and nothing that libcurl would send again
- * by itself when the call may not be repeated. */
+/* Sets the options of the transfer. libcurl sends a request again by itself when a reused
+ * connection is closed before the answer, so a call that must not be sent twice gets a connection
+ * of its own. */
 static bool
 set_transfer (Call *call, bool fresh_connection)
 {
@@ -450,8 +453,9 @@
   return mf_adapter_find (action->engine);
 }
 
-/* Starts a call. Whatever becomes of it, its last event comes later, from the loop. The material is
- * borrowed for the duration of this function and may be NULL for calls that serve no request. */
+/* Starts a call. Its last event is always emitted later, from the loop, even if the call cannot be
+ * built. input is borrowed until this function returns and may be NULL for calls that serve no
+ * request. */
 void
 mf_http_out_start (MfHttpOut *out, const MfCallAction *action, const MfCallInput *input)
 {
@@ -480,7 +484,7 @@
   return call;
 }
 
-/* Closes the call's connection. No event of it follows. Unknown calls are passed over. */
+/* Aborts a call and closes its connection. No event of it follows. Ignored for unknown calls. */
 void
 mf_http_out_abort (MfHttpOut *out, uint64_t call_id)
 {
@@ -493,7 +497,7 @@
   mf_multi_schedule_deferred (out->multi);
 }
 
-/* Stops or goes on reading the call's answer, so that a slow caller slows its upstream. */
+/* Pauses or resumes reading the call's answer: flow control from a slow caller to its upstream. */
 void
 mf_http_out_pause_reading (MfHttpOut *out, uint64_t call_id, bool pause_wanted)
 {
@@ -514,7 +518,7 @@
     }
 }
 
-/* Drops the KV handle that a prefill left under its call id. */
+/* Drops the KV handle that the prefill call of this id returned. */
 void
 mf_http_out_drop_kv_handle (MfHttpOut *out, uint64_t call_id)
 {
@@ -537,8 +541,8 @@
 {
   CURLM *multi = mf_multi_handle (out->multi);
 
-  /* libcurl counts connections in use among those it keeps: a lower limit than their total would
-   * have it look through all of them, and close one, at the end of each call. */
+  /* libcurl counts connections in use among its cached ones: with a cache limit below the total
+   * limit it would search all of them, and close one, at the end of each call. */
   curl_multi_setopt (multi, CURLMOPT_MAXCONNECTS, (long)out->hooks.connections_max);
   curl_multi_setopt (multi, CURLMOPT_MAX_TOTAL_CONNECTIONS, (long)out->hooks.connections_max);
   curl_multi_setopt (multi, CURLMOPT_MAX_HOST_CONNECTIONS, (long)out->hooks.host_connections_max);
@@ -553,7 +557,7 @@
 
   if (out == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for calls to upstreams");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory for calls to upstreams");
       return NULL;
     }
   out->loop = loop;
--- a/libmangofork/httpd.c
+++ b/libmangofork/httpd.c
@@ -12,11 +12,11 @@
   ev_io readable;
   ev_timer timeout;
   ev_prepare before_wait;
-  bool run_due; /* there is work that the epoll descriptor does not show */
+  bool run_due; /* there is work that does not show on the epoll descriptor */
   uint16_t port;
 };
 
-/* Runs the daemon once, and has its own timer follow the daemon's next time-out. */
+/* Runs the daemon once and sets the timer to the daemon's next time-out. */
 static void
 httpd_run (MfHttpd *httpd)
 {
@@ -54,8 +54,8 @@
   httpd_run (watcher->data);
 }
 
-/* Runs what is due before the loop waits. Work that stays due is done after the next poll of the
- * loop, which then does not wait, so that other watchers get their turn. */
+/* Runs the daemon before the loop waits if it has work. If work is left after that, a timer that
+ * expires at once makes the loop poll without waiting, so that other watchers run in between. */
 static void
 httpd_before_wait (struct ev_loop *loop, ev_prepare *watcher, int events)
 {
@@ -78,7 +78,7 @@
 
   ev_io_init (&httpd->readable, httpd_readable, info->epoll_fd, EV_READ);
   httpd->readable.data = httpd;
-  ev_set_priority (&httpd->readable, EV_MAXPRI); /* new requests go before tokens */
+  ev_set_priority (&httpd->readable, EV_MAXPRI); /* new requests have priority over tokens */
   ev_io_start (httpd->loop, &httpd->readable);
   ev_init (&httpd->timeout, httpd_timeout);
   httpd->timeout.data = httpd;
@@ -87,7 +87,8 @@
   ev_prepare_start (httpd->loop, &httpd->before_wait);
 }
 
-/* Starts to serve. The options' address may name port 0 for any free port. */
+/* Starts to serve. Port 0 in the address selects any free port. Returns NULL with error set when it
+ * cannot listen. */
 MfHttpd *
 mf_httpd_new (struct ev_loop *loop, const MfHttpdOptions *options, MfError *error)
 {
@@ -110,7 +111,7 @@
         MHD_OPTION_SIGPIPE_HANDLED_BY_APP, 1, MHD_OPTION_END);
   if (httpd == NULL || httpd->daemon == NULL)
     {
-      mf_error_set (error, MF_CODE_LISTEN, "cannot serve HTTP on %s", options->address);
+      mf_error_set (error, MF_CODE_LISTEN, "cannot start the HTTP server on %s", options->address);
       close (fd);
       free (httpd);
       return NULL;
@@ -121,7 +122,7 @@
   return httpd;
 }
 
-/* Stops serving. Every suspended connection must have been resumed. Accepts NULL. */
+/* Stops serving. All suspended connections must have been resumed before. Accepts NULL. */
 void
 mf_httpd_free (MfHttpd *httpd)
 {
--- a/libmangofork/httpd.h
+++ b/libmangofork/httpd.h
@@ -6,7 +6,8 @@
 #include <ev.h>
 #include <microhttpd.h>
 
-/* A libmicrohttpd daemon without a thread, run by a libev loop through its epoll descriptor. */
+/* A libmicrohttpd daemon without threads of its own, run by a libev loop that watches the daemon's
+ * epoll descriptor. */
 typedef struct MfHttpd MfHttpd;
 
 typedef struct
@@ -15,7 +16,7 @@
   uint32_t connections_max;
   uint32_t connections_per_address_max; /* 0 for no limit */
   uint32_t idle_timeout_s;
-  size_t connection_memory_bytes; /* memory of one connection */
+  size_t connection_memory_bytes; /* for each connection */
   MHD_AccessHandlerCallback on_access;
   void *(*on_uri) (void *data, const char *uri, struct MHD_Connection *connection); /* or NULL */
   MHD_RequestCompletedCallback on_completed;  /* may be NULL */
@@ -26,7 +27,7 @@
 MfHttpd *mf_httpd_new (struct ev_loop *loop, const MfHttpdOptions *options, MfError *error);
 void mf_httpd_free (MfHttpd *httpd);
 uint16_t mf_httpd_port (const MfHttpd *httpd);
-/* A connection has been resumed: the daemon runs before the loop next waits. */
+/* Makes the daemon run before the loop next waits. To be called after a connection was resumed. */
 void mf_httpd_schedule_run (MfHttpd *httpd);
 
 #endif
--- a/libmangofork/intake.c
+++ b/libmangofork/intake.c
@@ -7,16 +7,17 @@
 #include <strings.h>
 #include <xxhash.h>
 
-/* Bytes of prompt text taken for one token when only the text is known. */
+/* Bytes of prompt text that are estimated as one token. */
 #define BYTES_PER_TOKEN 4
-/* Tokens a chat template adds to each message. */
+/* Tokens that a chat template adds to each message. */
 #define TOKENS_PER_MESSAGE 4
 #define MAX_TOKENS_LIMIT 1000000
 #define DEADLINE_MS_MAX UINT64_C (86400000)
 #define PIECE_BYTES ((size_t)MF_PIECE_TOKENS * BYTES_PER_TOKEN)
 #define UUID_CHARS 36
 
-/* Takes in the prompt's bytes and hashes each whole piece together with all before it. */
+/* Counts the bytes of a prompt and hashes them in pieces. The hash of a piece covers all pieces
+ * before it as well. */
 typedef struct
 {
   XXH3_state_t *state;
@@ -71,7 +72,7 @@
                (size_t)json_object_get_string_len (string));
 }
 
-/* A prompt given as an array of token numbers. */
+/* Reads a prompt given as an array of token ids. */
 static bool
 prompt_feed_tokens (PromptReader *reader, struct json_object *tokens, MfError *error)
 {
@@ -83,7 +84,7 @@
       int32_t token;
 
       if (!json_object_is_type (item, json_type_int))
-        return field_error (error, "prompt", "is an array of something else than token numbers");
+        return field_error (error, "prompt", "is an array with an item that is not an integer");
       token = json_object_get_int (item);
       prompt_feed (reader, &token, sizeof token);
     }
@@ -100,14 +101,15 @@
   if (json_object_is_type (prompt, json_type_array))
     return prompt_feed_tokens (reader, prompt, error);
   if (!json_object_is_type (prompt, json_type_string))
-    return field_error (error, "prompt", "is neither a string nor an array of token numbers");
+    return field_error (error, "prompt", "is neither a string nor an array of token ids");
   if (json_object_get_string_len (prompt) == 0)
     return field_error (error, "prompt", "is empty");
   prompt_feed_string (reader, prompt);
   return true;
 }
 
-/* The content of one message: a string, or an array of parts of which text ones count. */
+/* Reads the content of one message: a string, or an array of parts of which only the text ones are
+ * counted. */
 static bool
 content_read (PromptReader *reader, struct json_object *content, MfError *error)
 {
@@ -139,7 +141,7 @@
 
   if (!json_object_object_get_ex (root, "messages", &messages)
       || !json_object_is_type (messages, json_type_array))
-    return field_error (error, "messages", "is missing or no array");
+    return field_error (error, "messages", "is missing or not an array");
   n = json_object_array_length (messages);
   for (size_t i = 0; i < n; i++)
     {
@@ -150,7 +152,7 @@
       if (!json_object_is_type (message, json_type_object)
           || !json_object_object_get_ex (message, "role", &role)
           || !json_object_is_type (role, json_type_string))
-        return field_error (error, "messages", "has an item without a role");
+        return field_error (error, "messages", "has an item without a string role");
       prompt_feed_string (reader, role);
       json_object_object_get_ex (message, "content", &content);
       if (!content_read (reader, content, error))
@@ -160,7 +162,7 @@
   return n > 0 ? true : field_error (error, "messages", "is empty");
 }
 
-/* Reads the prompt of either form. */
+/* Reads the prompt of a completion or the messages of a chat completion. */
 static bool
 prompt_or_messages_read (struct json_object *root, bool chat, uint64_t *hashes, uint32_t *n_hashes,
                          uint64_t *n_tokens, MfError *error)
@@ -170,7 +172,7 @@
 
   if (reader.state == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for a prompt");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory for the prompt");
       return false;
     }
   XXH3_64bits_reset (reader.state);
@@ -181,7 +183,8 @@
   return ok;
 }
 
-/* Parses a body that must be one JSON value in UTF-8 with nothing after it. */
+/* Parses a body, which must be one JSON value in UTF-8 with nothing after it. Returns NULL with
+ * error set when it is not, or is null. */
 static struct json_object *
 body_parse (const char *body, size_t body_bytes, MfError *error)
 {
@@ -192,7 +195,7 @@
   if (tokener == NULL || body_bytes > INT32_MAX)
     {
       json_tokener_free (tokener);
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for a body");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory for parsing the body");
       return NULL;
     }
   json_tokener_set_flags (tokener, JSON_TOKENER_STRICT | JSON_TOKENER_VALIDATE_UTF8);
@@ -207,7 +210,7 @@
     mf_error_set (error, MF_CODE_BAD_ENCODING, "the body is not valid UTF-8");
   else if (fault != json_tokener_success)
     mf_error_set (error, MF_CODE_BAD_JSON, "the body is not valid JSON: %s",
-                  body_bytes == 0 ? "it is empty" : json_tokener_error_desc (fault));
+                  body_bytes == 0 ? "empty body" : json_tokener_error_desc (fault));
   if (fault != json_tokener_success)
     {
       json_object_put (root);
@@ -232,7 +235,7 @@
     return true;
   number = json_object_get_int64 (value);
   if (!json_object_is_type (value, json_type_int) || number < 1 || number > MAX_TOKENS_LIMIT)
-    return field_error (error, "max_tokens", "is no number from 1 to 1000000");
+    return field_error (error, "max_tokens", "is not an integer from 1 to 1000000");
   *max_tokens = (uint32_t)number;
   return true;
 }
@@ -245,12 +248,13 @@
   if (!json_object_object_get_ex (root, "stream", &value) || value == NULL)
     return true;
   if (!json_object_is_type (value, json_type_boolean))
-    return field_error (error, "stream", "is no boolean");
+    return field_error (error, "stream", "is not a boolean");
   *stream = json_object_get_boolean (value) != 0;
   return true;
 }
 
-/* One answer a request: what asks for several is refused rather than answered in part. */
+/* The router returns one choice for each request. A request for several is refused, because the
+ * answer would be incomplete. */
 static bool
 single_answer_check (struct json_object *root, MfError *error)
 {
@@ -262,7 +266,7 @@
 
       if (json_object_object_get_ex (root, fields[i], &value) && value != NULL
           && json_object_get_int64 (value) != 1)
-        return field_error (error, fields[i], "is other than 1");
+        return field_error (error, fields[i], "is not 1; only one choice per request is supported");
     }
   return true;
 }
@@ -273,10 +277,10 @@
   struct json_object *model = NULL;
 
   if (!json_object_is_type (root, json_type_object))
-    return field_error (error, "the body", "is no object");
+    return field_error (error, "the body", "is not an object");
   if (!json_object_object_get_ex (root, "model", &model)
       || !json_object_is_type (model, json_type_string))
-    return field_error (error, "model", "is missing or no string");
+    return field_error (error, "model", "is missing or not a string");
   if (!mf_name_set (intake->model, sizeof intake->model, json_object_get_string (model)))
     return field_error (error, "model", "is too long");
   intake->request.model = intake->model;
@@ -302,7 +306,8 @@
   return ok;
 }
 
-/* A plain service's body is its own affair, but what claims to be JSON is checked. */
+/* The body of a request to a plain service is checked only if its content type is JSON. Any JSON
+ * value is valid, null included. */
 static bool
 plain_body_check (const MfIntakeSource *source, MfError *error)
 {
@@ -339,7 +344,8 @@
 
       intake->name[i] = c > ' ' && c < 0x7f ? c : '?';
       if (c != intake->name[i])
-        return header_error (error, "X-Request-Id", "has a character that is not printable");
+        return header_error (error, "X-Request-Id",
+                             "contains a space or a character that is not printable ASCII");
     }
   if (n_bytes == 0 || n_bytes >= sizeof intake->name)
     return header_error (error, "X-Request-Id", "is empty or longer than 63 characters");
@@ -356,7 +362,7 @@
     return true;
   ms = strtoull (text, &end, 10);
   if (*text < '0' || *text > '9' || *end != '\0' || ms == 0 || ms > DEADLINE_MS_MAX)
-    return header_error (error, "Mangofork-Deadline-Ms", "is no number from 1 to 86400000");
+    return header_error (error, "Mangofork-Deadline-Ms", "is not an integer from 1 to 86400000");
   request->has_deadline = true;
   request->deadline_us = ms * MF_US_PER_MS;
   return true;
@@ -376,7 +382,7 @@
           return true;
         }
     }
-  return header_error (error, "Mangofork-Class", "is none of read, order, summary");
+  return header_error (error, "Mangofork-Class", "is not one of read, order, summary");
 }
 
 static bool
@@ -387,12 +393,12 @@
   if (text == NULL)
     return true;
   if (strncasecmp (text, scheme, sizeof scheme - 1) != 0)
-    return header_error (error, "Authorization", "is of another scheme than Bearer");
+    return header_error (error, "Authorization", "does not use the Bearer scheme");
   text += sizeof scheme - 1;
   while (*text == ' ')
     text++;
   if (*text == '\0')
-    return header_error (error, "Authorization", "holds no API key");
+    return header_error (error, "Authorization", "contains no API key");
   request->has_api_key = true;
   crypto_generichash (request->api_key_digest, MF_DIGEST_BYTES, (const unsigned char *)text,
                       strlen (text), NULL, 0);
@@ -408,7 +414,7 @@
   return c >= 'a' && c <= 'f' ? c - 'a' + 10 : -1;
 }
 
-/* Returns when a UUIDv7 was minted, or 0 when the key is none. */
+/* Returns the creation time of a UUIDv7 in ms since 1970, or 0 when the key is not a UUIDv7. */
 static uint64_t
 uuid7_created_ms (const char *key, size_t key_bytes)
 {
@@ -429,8 +435,8 @@
   return created_ms;
 }
 
-/* Reads the key, quoted or bare. Its digest takes in the API key, so that customers never share
- * one. */
+/* Reads the idempotency key, quoted or bare. Its digest includes the API key, so that equal keys of
+ * different customers are different keys. */
 static bool
 idempotency_key_read (const char *text, MfRequestEvent *request, MfError *error)
 {
@@ -447,7 +453,8 @@
     }
   if (n_bytes == 0 || n_bytes > MF_IDEMPOTENCY_KEY_BYTES_MAX)
     {
-      mf_error_set (error, MF_CODE_KEY_BAD, "Idempotency-Key has no 1 to 255 characters");
+      mf_error_set (error, MF_CODE_KEY_BAD,
+                    "Idempotency-Key is empty or longer than 255 characters");
       return false;
     }
   request->has_idempotency_key = true;
@@ -459,7 +466,8 @@
   return true;
 }
 
-/* A path that climbs could be routed as one service and served as another. */
+/* Refuses dot segments and encoded separators: after normalization by the upstream, such a path
+ * could belong to another service than the one it was routed to. */
 static bool
 path_check (const char *path, MfError *error)
 {
@@ -470,7 +478,7 @@
       && (n_bytes < 2 || strcmp (path + n_bytes - 2, "/.") != 0)
       && (n_bytes < 3 || strcmp (path + n_bytes - 3, "/..") != 0))
     return true;
-  return field_error (error, "the path", "holds dot segments or encoded separators");
+  return field_error (error, "the path", "contains dot segments or encoded separators");
 }
 
 static bool
@@ -485,7 +493,7 @@
       if (strcmp (method, plain_methods[i]) == 0)
         return true;
     }
-  mf_error_set (error, MF_CODE_BAD_METHOD, "the method is not offered here");
+  mf_error_set (error, MF_CODE_BAD_METHOD, "the method is not supported on this path");
   return false;
 }
 
--- a/libmangofork/key_table.c
+++ b/libmangofork/key_table.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Keys remembered at once, and bytes of their recorded answers. */
+/* Limits of a table: number of keys, and bytes of all recorded answers. */
 #define ENTRIES_MAX 400000
 #define BODY_BYTES_MAX (64 * 1024 * 1024)
 
@@ -19,8 +19,8 @@
   entry->result = (MfClaimResult){ 0 };
 }
 
-/* Copies an answer's text. Returns false, with nothing kept, when it is too large or memory ran
- * out. */
+/* Copies the body of an answer. Returns false, with nothing kept, when it is too large or memory is
+ * exhausted. */
 static bool
 recorded_answer_copy (MfKeyTable *key_table, MfKeyEntry *entry, const MfClaimResult *result)
 {
@@ -94,7 +94,7 @@
   free (entry);
 }
 
-/* Entries stand in the order they were noted, so the walk ends at the first that is young. */
+/* Entries are in the order in which they were added, so the loop ends at the first newer one. */
 void
 mf_key_table_expire (MfKeyTable *key_table, uint64_t before_us)
 {
--- a/libmangofork/multi.c
+++ b/libmangofork/multi.c
@@ -8,19 +8,20 @@
   MfMultiHooks hooks;
   void *data;
   CURLM *handle;
-  ev_timer timer;    /* libcurl's own time-out */
-  ev_timer deferred; /* fed, never started: settles from the loop */
-  bool in_curl;      /* libcurl is on the stack */
+  ev_timer timer;    /* the time-out requested by libcurl */
+  ev_timer deferred; /* never started, only fed with events: runs run_deferred from the loop */
+  bool in_curl;      /* inside a call of libcurl */
 };
 
-/* A socket that libcurl wants watched. */
+/* Watcher of a socket of libcurl. */
 typedef struct
 {
   ev_io io;
   MfMulti *multi;
 } SocketWatch;
 
-/* Reports each transfer that has ended, then what had to wait for libcurl to be off the stack. */
+/* Reports each transfer that has ended, then calls on_deferred. Does nothing inside libcurl, which
+ * must not be called from its own callbacks. */
 static void
 run_deferred (MfMulti *multi)
 {
@@ -76,7 +77,7 @@
   run_socket_action (watch->multi, io->fd, mask);
 }
 
-/* libcurl wants another set of events on a socket. */
+/* libcurl's socket callback: changes which events of a socket are watched. */
 static int
 on_socket_change (CURL *easy, curl_socket_t fd, int what, void *data, void *socket_data)
 {
@@ -108,6 +109,7 @@
   return 0;
 }
 
+/* libcurl's timer callback: restarts or stops the time-out. */
 static int
 on_timer_change (CURLM *handle, long timeout_ms, void *data)
 {
@@ -142,7 +144,7 @@
 
   if (multi == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for transfers");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory for HTTP transfers");
       return NULL;
     }
   multi->loop = loop;
@@ -150,7 +152,7 @@
   multi->data = data;
   ev_timer_init (&multi->timer, on_timeout, 0.0, 0.0);
   ev_timer_init (&multi->deferred, on_deferred_event, 0.0, 0.0);
-  /* A call that begins or ends goes before the tokens of those that run. */
+  /* Starting and ending calls has priority over passing on the tokens of running ones. */
   ev_set_priority (&multi->timer, EV_MAXPRI);
   ev_set_priority (&multi->deferred, EV_MAXPRI);
   multi->timer.data = multi;
@@ -159,7 +161,7 @@
   multi->handle = curl_multi_init ();
   if (multi->handle == NULL || !set_callbacks (multi))
     {
-      mf_error_set (error, MF_CODE_INTERNAL, "libcurl's multi interface could not be set up");
+      mf_error_set (error, MF_CODE_INTERNAL, "cannot initialize the multi interface of libcurl");
       mf_multi_free (multi);
       return NULL;
     }
@@ -184,14 +186,14 @@
   return multi->handle;
 }
 
-/* Starts a transfer. Not from within a callback of libcurl. */
+/* Starts a transfer. Must not be called from within a callback of libcurl. */
 bool
 mf_multi_add (MfMulti *multi, CURL *easy)
 {
   return curl_multi_add_handle (multi->handle, easy) == CURLM_OK;
 }
 
-/* Ends a transfer without a report. Not from within a callback of libcurl. */
+/* Ends a transfer without calling on_done. Must not be called from within a callback of libcurl. */
 void
 mf_multi_remove (MfMulti *multi, CURL *easy)
 {
--- a/libmangofork/multi.h
+++ b/libmangofork/multi.h
@@ -11,24 +11,25 @@
 
 typedef struct
 {
-  /* A transfer has ended; its easy handle is still added. Optional hooks are NULL. */
+  /* A transfer has ended. Its easy handle is still in the multi handle. */
   void (*on_done) (CURL *easy, CURLcode result, void *data);
-  /* libcurl is off the stack: transfers may be added, removed and unpaused. Optional. */
+  /* libcurl is off the stack, so transfers may be added, removed and unpaused. May be NULL. */
   void (*on_deferred) (void *data);
 } MfMultiHooks;
 
 MfMulti *mf_multi_new (struct ev_loop *loop, const MfMultiHooks *hooks, void *data, MfError *error);
-/* Every transfer must have been removed. Accepts NULL. */
+/* All transfers must have been removed. Accepts NULL. */
 void mf_multi_free (MfMulti *multi);
 CURLM *mf_multi_handle (MfMulti *multi);
 bool mf_multi_add (MfMulti *multi, CURL *easy);
 void mf_multi_remove (MfMulti *multi, CURL *easy);
-/* Lets a paused transfer go on. What it had buffered arrives before this returns. */
+/* Resumes a paused transfer. Its buffered data is delivered before this returns. */
 void mf_multi_unpause (MfMulti *multi, CURL *easy);
-/* Has on_deferred called from the loop, soon. */
+/* Schedules a call of on_deferred from the loop. */
 void mf_multi_schedule_deferred (MfMulti *multi);
 
-/* What every transfer here has in common: plain HTTP/1.1, no redirect, no proxy, no signal. */
+/* Sets the options that all transfers share: HTTP/1.1 without TLS, no redirects, no proxy, no
+ * signals. */
 void mf_multi_set_common (CURL *easy);
 
 #endif
--- a/libmangofork/openai.c
+++ b/libmangofork/openai.c
@@ -7,12 +7,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Bytes of one line of a stream. */
+/* Limit of one line of a stream. */
 #define LINE_BYTES_MAX ((size_t)1024 * 1024)
 #define CACHE_EVENTS_MAX 4096
 #define ATTEMPT_ID_BYTES 160
 
-/* One answer of an engine. */
+/* State for parsing one answer of an engine. */
 typedef struct
 {
   MfCallKind kind;
@@ -20,15 +20,15 @@
   MfCallEventFunc on_event;
   MfUpstreamEventFunc on_report;
   void *data;
-  MfBuffer body; /* an answer that is not streamed */
-  MfBuffer line; /* the beginning of a line whose end has not arrived */
-  MfBuffer text; /* of the tokens found in the bytes being fed */
+  MfBuffer body; /* of an answer that is not streamed */
+  MfBuffer line; /* start of a line whose end has not arrived */
+  MfBuffer text; /* of the tokens found in the bytes being parsed */
   uint32_t next_index;
   uint32_t n_tokens; /* in text */
   bool imported;
-  bool finished;  /* a finish reason was seen */
-  bool done;      /* the closing line was seen */
-  bool has_error; /* the stream carried an error */
+  bool finished;  /* a finish reason has arrived */
+  bool done;      /* the line data: [DONE] has arrived */
+  bool has_error; /* the stream contained an error */
   char *kv_handle;
 } EngineAnswer;
 
@@ -44,7 +44,7 @@
   return kind == MF_CALL_DECODE || kind == MF_CALL_RESUME;
 }
 
-/* The name under which an engine knows one attempt at a request. */
+/* Writes the request id under which an engine knows one attempt at a request. */
 static void
 attempt_id (char *id, const MfInstanceId *owner, uint64_t request_id, uint32_t attempt)
 {
@@ -75,7 +75,7 @@
   return object;
 }
 
-/* Undoes the escaping of the delivered text, by parsing it as the JSON string it came from. */
+/* Unescapes the delivered text, by parsing it as a JSON string. */
 static json_object *
 delivered_string (const MfCallInput *input)
 {
@@ -116,7 +116,7 @@
   json_object_object_add (body, "kv_transfer_params", transfer);
 }
 
-/* A caller that names no limit leaves it to the engine. */
+/* When the caller set no limit, the engine applies its own. */
 static void
 add_max_tokens (json_object *body, const MfCallAction *call)
 {
@@ -137,7 +137,8 @@
   return true;
 }
 
-/* The caller's own body with what disaggregation needs. */
+/* Returns the caller's body with the fields for disaggregated prefill and decode added. NULL when
+ * the body or the KV handle is not a JSON object. */
 static json_object *
 completion_body (const MfCallAction *call, const MfCallInput *input)
 {
@@ -195,7 +196,7 @@
   return string_body ("owner", owner);
 }
 
-/* What an order of each kind is sent to, and the field its value goes in. */
+/* Path of each kind of order and the body field of its value. */
 static const struct
 {
   const char *path;
@@ -294,7 +295,9 @@
   if (!ok)
     {
       mf_http_request_clear (request);
-      mf_error_set (error, MF_CODE_BAD_FIELD, "the call cannot be put to an engine");
+      mf_error_set (error, MF_CODE_BAD_FIELD,
+                    "cannot build the request to the engine: invalid body, missing KV handle, or "
+                    "out of memory");
     }
   return ok;
 }
@@ -316,8 +319,8 @@
   return answer;
 }
 
-/* Returns what follows a key and its colon, or NULL. A quote inside a JSON string is escaped, so
- * the quoted key is never found in the middle of one. */
+/* Returns the position after a quoted key and its colon, or NULL. Quotes inside a JSON string are
+ * escaped, so the key is never found in the middle of a string. */
 static const char *
 value_after_key (const char *data, const char *end, const char *key, size_t key_bytes)
 {
@@ -334,7 +337,8 @@
 #define VALUE_AFTER_KEY(data, end, key)                                                            \
   value_after_key (data, end, "\"" key "\":", sizeof ("\"" key "\":") - 1)
 
-/* Returns the quote that ends the JSON string whose first byte is at data, or NULL. */
+/* Returns the closing quote of the JSON string whose first byte is at data, or NULL. A quote after
+ * an odd number of backslashes is escaped. */
 static const char *
 string_end (const char *data, const char *end)
 {
@@ -353,7 +357,7 @@
   return NULL;
 }
 
-/* Finds the token's text: `text` of a completion, `content` of a chat's delta. */
+/* Returns the text of a token: `text` of a completion or `content` of a chat delta. */
 static const char *
 token_text (const char *data, const char *end, size_t *text_bytes)
 {
@@ -420,7 +424,7 @@
   return feed_chunk (answer, line, end);
 }
 
-/* Hands on the tokens gathered from one piece of the stream. */
+/* Emits the tokens found in the bytes being parsed as one event. */
 static void
 emit_tokens (EngineAnswer *answer)
 {
@@ -439,7 +443,7 @@
   buffer_drop_all (&answer->text);
 }
 
-/* Feeds a line whose beginning came earlier. */
+/* Parses a line whose start arrived earlier. */
 static bool
 feed_line_end (EngineAnswer *answer, const char *data, const char *newline)
 {
@@ -486,7 +490,8 @@
       ok = !answer->body.failed;
     }
   if (!ok)
-    mf_error_set (error, MF_CODE_UPSTREAM_ERROR, "an engine's answer could not be taken in");
+    mf_error_set (error, MF_CODE_UPSTREAM_ERROR,
+                  "engine answer has a line longer than 1 MiB, or out of memory");
   return ok;
 }
 
--- a/libmangofork/text_delta.c
+++ b/libmangofork/text_delta.c
@@ -10,8 +10,7 @@
   return XXH3_64bits (text, text_bytes);
 }
 
-/* Fills message with what turns base into text: the bytes between their common start and their
- * common end. */
+/* Fills message with the bytes of text between its common prefix and common suffix with base. */
 void
 mf_text_delta_make (const char *base, size_t base_bytes, const char *text, size_t text_bytes,
                     MfConfigMessage *message)
@@ -30,8 +29,8 @@
   message->text_bytes = (uint32_t)(text_bytes - prefix - suffix);
 }
 
-/* Rebuilds the whole text. Returns NULL when the message does not fit the base or memory ran
- * out. */
+/* Rebuilds the full text. Returns NULL when the message does not fit the base, the hash of the
+ * result differs from that in the message, or memory is exhausted. */
 char *
 mf_text_delta_apply (const char *base, size_t base_bytes, const MfConfigMessage *message,
                      size_t *text_bytes)
--- a/libmangofork/text_delta.h
+++ b/libmangofork/text_delta.h
@@ -3,12 +3,12 @@
 
 #include "peer.h"
 
-/* Fills message with what turns base into text: the bytes between their common start and their
- * common end. Pointers are borrowed from text. */
+/* Fills message with the difference that turns base into text: the bytes between their common
+ * prefix and common suffix. Pointers are borrowed from text. */
 void mf_text_delta_make (const char *base, size_t base_bytes, const char *text, size_t text_bytes,
                          MfConfigMessage *message);
-/* Rebuilds the whole text. Returns NULL when the message does not fit the base or memory ran out;
- * the caller frees the result, which is closed by NUL. */
+/* Rebuilds the full text, NUL-terminated and freed by the caller. Returns NULL when the message
+ * does not fit the base or memory is exhausted. */
 char *mf_text_delta_apply (const char *base, size_t base_bytes, const MfConfigMessage *message,
                            size_t *text_bytes);
 uint64_t mf_text_hash (const char *text, size_t text_bytes);
--- a/tests/test_answer.c
+++ b/tests/test_answer.c
@@ -11,7 +11,7 @@
   .name = "r-1", .model = "a \"model\"", .created_s = 5, .prompt_tokens = 3, .max_tokens = 2
 };
 
-/* Closes the text and parses the JSON that starts after a prefix. */
+/* Terminates the text with NUL and parses the JSON after a prefix. */
 static struct json_object *
 parse (MfBuffer *out, const char *prefix)
 {
--- a/tests/test_http_in.c
+++ b/tests/test_http_in.c
@@ -16,7 +16,7 @@
 #define BODY_STREAM "{\"model\":\"m\",\"prompt\":\"hello\",\"stream\":true,\"max_tokens\":2}"
 #define BODY_GATHERED "{\"model\":\"m\",\"prompt\":\"hello\"}"
 
-/* A core that only remembers what it was told. */
+/* Stands in for the core and records the events it receives. */
 typedef struct
 {
   struct ev_loop *loop;
@@ -148,7 +148,7 @@
   return mf_http_in_count (((Fixture *)data)->in) == 0;
 }
 
-/* Sends a request line, headers and body with its length. */
+/* Connects and sends a request line, headers, Content-Length and body. */
 static int
 request_send (Fixture *fixture, const char *head, const char *body)
 {
@@ -341,7 +341,7 @@
   assert_true (loop_pump (fixture->loop, is_empty, fixture));
 }
 
-/* A malformed request and the numbered answer it gets. */
+/* A malformed request and the code and status of its answer. */
 typedef struct
 {
   const char *text;
@@ -393,7 +393,7 @@
       loop_receive (fixture->loop, fd, "\"}", received, sizeof received);
       snprintf (expected, sizeof expected, "HTTP/1.1 %s ", bad->status);
       if (strstr (received, expected) == NULL)
-        print_message ("malformed %zu: %s\n", i, received);
+        print_message ("malformed request %zu: got %s\n", i, received);
       assert_non_null (strstr (received, expected));
       snprintf (expected, sizeof expected, "Mangofork-Code: %d\r\n", (int)bad->code);
       assert_non_null (strstr (received, expected));
@@ -406,7 +406,8 @@
   assert_int_equal (fixture->n_refused, MF_ARRAY_LEN (malformed));
 }
 
-/* What stands where the body of a request without a sound length would be is no request. */
+/* Request smuggling: when the length header is invalid, the bytes after the headers must not be
+ * parsed as another request. The connection is closed after the refusal. */
 static void
 test_nothing_is_smuggled_behind_an_unsound_header (void **state)
 {
@@ -425,7 +426,7 @@
   assert_int_equal (fixture->n_requests, 0);
 }
 
-/* A chunked body of a request, too large or cut off. */
+/* A chunked body has no Content-Length, so its size is limited while it arrives. */
 static void
 test_chunked_bodies_are_bounded (void **state)
 {
@@ -465,8 +466,8 @@
   assert_int_equal (fixture->n_requests, 0);
 }
 
-/* Faults that the library itself finds get its own 4xx without a number, or for a line that is no
- * request line none, and reach no core. */
+/* Faults found by libmicrohttpd itself get its own 4xx answer without a code, or none for an
+ * invalid request line, and do not reach the core. */
 static void
 test_requests_the_library_refuses (void **state)
 {
--- a/tests/test_http_out.c
+++ b/tests/test_http_out.c
@@ -16,11 +16,11 @@
 #define TICKS_MAX 3000
 #define BODY_BYTES 65536
 
-/* What the server does with a request. */
+/* How the fake server handles a request. */
 typedef enum
 {
   SERVER_ANSWERS,
-  SERVER_CLOSES,    /* closes the connection and answers nothing */
+  SERVER_CLOSES,    /* closes the connection without an answer */
   SERVER_TRUNCATES, /* closes in the middle of the answer */
   SERVER_RESETS,    /* resets in the middle of the answer */
   SERVER_REFUSES,
@@ -38,11 +38,11 @@
   char address[MF_ADDRESS_BYTES];
   Behaviour behaviour;
   uint32_t n_arrived;
-  FakeConn *conn; /* of the stream under way */
+  FakeConn *conn; /* of the running stream */
   MfEvent events[EVENTS_MAX];
   uint32_t n_events;
   char body[256];
-  uint64_t abort_on_tokens; /* a call to abort from within the event */
+  uint64_t abort_on_tokens; /* call to abort from within the event */
 } Fixture;
 
 static void
@@ -160,7 +160,7 @@
   return false;
 }
 
-/* Runs the loop until the condition holds; the timer only keeps it turning. */
+/* Runs the loop until the condition holds. The timer keeps the loop from waiting for ever. */
 static void
 run_until (Fixture *fixture, bool (*condition) (const Fixture *fixture))
 {
@@ -262,8 +262,8 @@
   assert_string_equal (fixture->body, "/orders");
 }
 
-/* What a fresh connection guards against: libcurl sends a call again by itself when the reused
- * connection it went out on closes before any answer. */
+/* Shows why a call that must not run twice needs a fresh connection: libcurl sends a request again
+ * by itself when a reused connection is closed before the answer. */
 static void
 test_read_on_a_closed_reused_connection_is_sent_again (void **state)
 {
--- a/tests/test_intake.c
+++ b/tests/test_intake.c
@@ -82,7 +82,7 @@
     }
 }
 
-/* A nesting that would exhaust the stack of a careless parser. */
+/* Deep nesting would exhaust the stack of a recursive parser without a depth limit. */
 static void
 test_deep_nesting_is_refused (void **state)
 {
@@ -96,7 +96,7 @@
   assert_int_equal (read_code (&source), MF_CODE_BAD_JSON);
 }
 
-/* Makes a completion body whose prompt repeats one letter. */
+/* Creates a completion body with a prompt of n times one letter and the tail. */
 static char *
 long_body (size_t n, const char *tail)
 {
--- a/tests/test_openai.c
+++ b/tests/test_openai.c
@@ -13,7 +13,7 @@
 #define TEXT_BYTES 256
 #define NOW_US UINT64_C (5000000)
 
-/* What an answer was found to hold. */
+/* Records the events that the adapter emits for an answer. */
 typedef struct
 {
   MfEventType types[EVENTS_MAX];
@@ -177,7 +177,8 @@
     assert_true (adapter->feed (answer, data + at, n - at < step ? n - at : step, &error));
 }
 
-/* The same stream, cut at every width, is always the same tokens. */
+/* The tokens do not depend on how the stream is split into reads: the stream is fed in pieces of
+ * every size, so that each line, key and escape is split somewhere. */
 static void
 test_stream_is_the_same_however_it_is_cut (void **state)
 {
