--- a/tests/test_http_in.c
+++ b/tests/test_http_in.c
@@ -14,7 +14,7 @@
 
 #define HEAD "POST /v1/completions HTTP/1.1\r\nHost: x\r\n"
 #define BODY_STREAM "{\"model\":\"m\",\"prompt\":\"hello\",\"stream\":true,\"max_tokens\":2}"
-#define BODY_GATHERED "{\"model\":\"m\",\"prompt\":\"hello\"}"
+#define BODY_NO_STREAM "{\"model\":\"m\",\"prompt\":\"hello\"}"
 
 /* Stands in for the core and records the events it receives. */
 typedef struct
@@ -204,11 +204,11 @@
 }
 
 static void
-test_gathered_answer_then_plain_answer_on_one_connection (void **state)
+test_full_answer_then_plain_answer_on_one_connection (void **state)
 {
   Fixture *fixture = *state;
   char received[8192];
-  int fd = request_send (fixture, HEAD "X-Request-Id: first\r\n", BODY_GATHERED);
+  int fd = request_send (fixture, HEAD "X-Request-Id: first\r\n", BODY_NO_STREAM);
 
   assert_true (loop_pump (fixture->loop, has_request, fixture));
   answer (fixture, MF_ACTION_ANSWER_TOKENS, "a", 1);
@@ -520,8 +520,8 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test_setup_teardown (test_stream_is_complete_and_in_order, setup, teardown),
-    cmocka_unit_test_setup_teardown (test_gathered_answer_then_plain_answer_on_one_connection,
-                                     setup, teardown),
+    cmocka_unit_test_setup_teardown (test_full_answer_then_plain_answer_on_one_connection, setup,
+                                     teardown),
     cmocka_unit_test_setup_teardown (test_call_input_is_kept_for_a_resume, setup, teardown),
     cmocka_unit_test_setup_teardown (test_refusal_within_the_event, setup, teardown),
     cmocka_unit_test_setup_teardown (test_refusal_after_the_stream_began, setup, teardown),
