--- a/libmangofork/exchange.h
+++ b/libmangofork/exchange.h
@@ -47,7 +47,7 @@
   bool in_core;    /* submitted to the core, which has not ended it */
   bool in_handler; /* libmicrohttpd is inside its access handler */
   bool suspended;
-  bool departed;
+  bool departed;       /* the caller has disconnected, or the connection is to be closed */
   bool streaming;      /* a streamed answer has started */
   bool ended;          /* the last byte of the answer is in out */
   bool truncated;      /* the answer ends before it is complete */
@@ -56,9 +56,9 @@
   uint64_t call_id;    /* the upstream call that provides the answer; 0 for none */
   MfIntake intake;
   MfAnswerShape shape;
-  char generated_name[MF_REQUEST_NAME_BYTES];
-  MfBuffer out;       /* not yet read by libmicrohttpd */
-  MfBuffer delivered; /* text of the answer so far, JSON-escaped */
+  char generated_name[MF_REQUEST_NAME_BYTES]; /* request id if the caller sent no X-Request-Id */
+  MfBuffer out;                               /* not yet read by libmicrohttpd */
+  MfBuffer delivered;                         /* text of the answer so far, JSON-escaped */
   uint32_t n_tokens;
   struct MHD_Response *response; /* queued when libmicrohttpd next calls */
   uint16_t status;
--- a/libmangofork/header.c
+++ b/libmangofork/header.c
@@ -11,7 +11,7 @@
          || (byte != '\0' && strchr ("!#$%&'*+-.^_`|~", byte) != NULL);
 }
 
-/* Returns whether all bytes of a header name, or of a part of one, are allowed. Empty text is. */
+/* Empty text is valid. */
 bool
 mf_header_name_is_valid (const char *name, size_t name_bytes)
 {
--- a/libmangofork/header.h
+++ b/libmangofork/header.h
@@ -4,6 +4,7 @@
 #include <stdbool.h>
 #include <stddef.h>
 
+/* Returns whether all bytes of a header name, or of a part of one, are allowed by RFC 9110. */
 bool mf_header_name_is_valid (const char *name, size_t name_bytes);
 
 #endif
--- a/libmangofork/http_in.c
+++ b/libmangofork/http_in.c
@@ -43,7 +43,7 @@
   uint64_t name_prefix; /* random; starts each generated request id */
   int watch_fd;         /* epoll descriptor for hang-ups of callers during a request */
   ev_io watch;
-  ev_timer sweep;
+  ev_timer sweep; /* periodic search for slow requests and idle connections */
 };
 
 static const char *
@@ -235,7 +235,7 @@
   return mf_exchange_queue_response (exchange);
 }
 
-/* Returns the state kept for a connection, or NULL when memory for it was lacking. */
+/* Returns the state kept for a connection, or NULL if it could not be allocated. */
 static Connection *
 connection_state (struct MHD_Connection *connection)
 {
--- a/libmangofork/http_in.h
+++ b/libmangofork/http_in.h
@@ -15,7 +15,7 @@
   uint64_t body_bytes_max;
   uint32_t connections_max;
   uint32_t connections_per_address_max; /* 0 for no limit */
-  uint64_t slow_sender_us;
+  uint64_t slow_sender_us;              /* time limit for a request to arrive */
   /* Unsent bytes of an answer above which reading from its upstream is paused. */
   uint64_t caller_buffer_bytes;
 } MfHttpInOptions;
--- a/libmangofork/intake.c
+++ b/libmangofork/intake.c
@@ -12,7 +12,7 @@
 /* Tokens that a chat template adds to each message. */
 #define TOKENS_PER_MESSAGE 4
 #define MAX_TOKENS_LIMIT 1000000
-#define DEADLINE_MS_MAX UINT64_C (86400000)
+#define DEADLINE_MS_MAX UINT64_C (86400000) /* 24 h */
 #define PIECE_BYTES ((size_t)MF_PIECE_TOKENS * BYTES_PER_TOKEN)
 #define UUID_CHARS 36
 
