--- a/libmangofork/http_out.c
+++ b/libmangofork/http_out.c
@@ -16,8 +16,8 @@
 
 typedef struct Call Call;
 
-/* One call to an upstream. It is found in the table by its id until its last event or its abort;
- * after that it only waits to be taken off libcurl. */
+/* One call to an upstream. It is in the table of calls until its last event or its abort; then it
+ * waits to be removed from libcurl, which is not allowed inside libcurl's callbacks. */
 struct Call
 {
   uint64_t id;
@@ -31,21 +31,21 @@
   ev_timer first_byte_timer;
   uint64_t answer_bytes;
   uint16_t status;
-  bool added;     /* libcurl has it */
-  bool sent;      /* a byte of it may have left */
-  bool answering; /* a byte of the answer has come */
-  bool held;      /* libcurl has paused it */
-  bool hold;      /* it should be paused */
+  bool added;          /* to libcurl */
+  bool sent;           /* a byte of the request may have left this process */
+  bool answer_started; /* a byte of the answer has arrived */
+  bool reading_paused; /* paused in libcurl */
+  bool pause_wanted;   /* not used */
   bool refused;
   bool leaving;
   bool timed_out;
   bool too_large;
   bool ended;
-  Call *next; /* in one of the lists of out */
+  Call *next; /* in one of the to_ lists of MfHttpOut */
   UT_hash_handle hh;
 };
 
-/* What a prefill engine returned, kept until it is forgotten. */
+/* KV handle returned by a prefill engine, kept until mf_http_out_drop_kv_handle. */
 typedef struct
 {
   uint64_t call_id;
@@ -61,10 +61,11 @@
   void *data;
   MfMulti *multi;
   Call *calls;
+  /* Work deferred until libcurl is off the stack; see on_deferred. */
   Call *to_add;
   Call *to_fail;
   Call *to_free;
-  Call *to_unhold;
+  Call *to_resume_reading;
   KvHandle *kv_handles;
 };
 
@@ -110,7 +111,7 @@
   HASH_ADD (hh, call->out->kv_handles, call_id, sizeof handle->call_id, handle);
 }
 
-/* Hands on an event that the adapter found, with what only the connection knows. */
+/* Emits an event found by the adapter, completed with what is known of the connection. */
 static void
 on_call_event (MfEventType type, const MfCallEvent *found, void *data)
 {
@@ -137,7 +138,7 @@
 }
 
 static void
-on_report_event (const MfEvent *found, void *data)
+on_upstream_event (const MfEvent *found, void *data)
 {
   Call *call = data;
   MfEvent event = *found;
@@ -162,7 +163,7 @@
 }
 
 static void
-list_drop (Call **list, const Call *call)
+list_remove (Call **list, const Call *call)
 {
   for (; *list != NULL; list = &(*list)->next)
     {
@@ -180,7 +181,7 @@
   *list = call;
 }
 
-/* Takes a call out of the table and off every list: no event of it is handed on any more. */
+/* Removes a call from the table and the lists of work. No event of it is emitted after that. */
 static void
 call_unlink (Call *call)
 {
@@ -191,21 +192,22 @@
   ev_timer_stop (out->loop, &call->first_byte_timer);
   if (!call->added)
     {
-      list_drop (&out->to_add, call);
-      list_drop (&out->to_fail, call);
+      list_remove (&out->to_add, call);
+      list_remove (&out->to_fail, call);
     }
-  list_drop (&out->to_unhold, call);
+  list_remove (&out->to_resume_reading, call);
 }
 
-/* Ends a call with its last event. */
+/* Ends a call and emits its last event. */
 static void
-call_end (Call *call, bool whole)
+call_end (Call *call, bool complete)
 {
   MfHttpOut *out = call->out;
 
   ev_timer_stop (out->loop, &call->first_byte_timer);
   if (call->state != NULL)
-    call->adapter->end (call->state, call->status, whole && !call->too_large, mf_clock_now_us ());
+    call->adapter->end (call->state, call->status, complete && !call->too_large,
+                        mf_clock_now_us ());
   else
     on_call_event (MF_EVENT_CALL_FAILED, &(MfCallEvent){ 0 }, call);
   if (call->ended)
@@ -249,18 +251,18 @@
     }
 }
 
-/* Does what had to wait until libcurl was off the stack. Each step may queue more. */
+/* Executes the work deferred until libcurl was off the stack. Each step may add to the lists. */
 static void
-on_settle (void *data)
+on_deferred (void *data)
 {
   MfHttpOut *out = data;
   Call *call;
 
   free_ended (out);
-  while ((call = out->to_unhold) != NULL)
+  while ((call = out->to_resume_reading) != NULL)
     {
-      out->to_unhold = call->next;
-      call->held = false;
+      out->to_resume_reading = call->next;
+      call->reading_paused = false;
       mf_multi_unpause (out->multi, call->easy);
     }
   while ((call = out->to_add) != NULL)
@@ -273,11 +275,12 @@
       out->to_fail = call->next;
       call_end (call, false);
     }
-  if (out->to_free != NULL || out->to_unhold != NULL || out->to_add != NULL)
-    mf_multi_wake (out->multi);
+  if (out->to_free != NULL || out->to_resume_reading != NULL || out->to_add != NULL)
+    mf_multi_schedule_deferred (out->multi);
 }
 
-/* libcurl is connected and about to send: from here on, "not run" is no longer certain. */
+/* Called when libcurl is connected and about to send. From here on the upstream may have run the
+ * request, so a failure can no longer be reported as not run. */
 static int
 on_before_send (void *data, char *remote_ip, char *local_ip, int remote_port, int local_port)
 {
@@ -314,9 +317,9 @@
 
   if (call->ended || line_bytes > HEADER_LINE_BYTES_MAX)
     return 0;
-  if (!call->answering)
+  if (!call->answer_started)
     {
-      call->answering = true;
+      call->answer_started = true;
       ev_timer_stop (call->out->loop, &call->first_byte_timer);
     }
   curl_easy_getinfo (call->easy, CURLINFO_RESPONSE_CODE, &status);
@@ -329,9 +332,9 @@
 }
 
 static size_t
-on_body (char *data, size_t size, size_t n, void *user)
+on_body (char *data, size_t size, size_t n, void *user_data)
 {
-  Call *call = user;
+  Call *call = user_data;
   size_t data_bytes = size * n;
   bool streams = call->kind == MF_CALL_DECODE || call->kind == MF_CALL_RESUME;
   MfError error = { 0 };
@@ -350,7 +353,7 @@
 }
 
 static void
-on_first_byte_late (struct ev_loop *loop, ev_timer *timer, int events)
+on_first_byte_timeout (struct ev_loop *loop, ev_timer *timer, int events)
 {
   Call *call = timer->data;
 
@@ -358,7 +361,7 @@
   (void)events;
   call->timed_out = true;
   call_end (call, false);
-  mf_multi_wake (call->out->multi);
+  mf_multi_schedule_deferred (call->out->multi);
 }
 
 static bool
@@ -395,8 +398,9 @@
     curl_easy_setopt (easy, CURLOPT_CUSTOMREQUEST, request->method);
 }
 
-/* Sets the transfer up: no redirect, no proxy, HTTP/1.1, and nothing that libcurl would send again
- * by itself when the call may not be repeated. */
+/* Sets the options of the transfer. libcurl sends a request again by itself when a reused
+ * connection is closed before the answer, so a call that must not be sent twice gets a connection
+ * of its own. */
 static bool
 set_transfer (Call *call, bool fresh_connection)
 {
@@ -421,9 +425,9 @@
 }
 
 static bool
-call_prepare (Call *call, const MfCallAction *action, const MfCallMaterial *material)
+call_prepare (Call *call, const MfCallAction *action, const MfCallInput *input)
 {
-  MfCallMaterial with_handle = material != NULL ? *material : (MfCallMaterial){ 0 };
+  MfCallInput with_handle = input != NULL ? *input : (MfCallInput){ 0 };
   KvHandle *handle = kv_handle_find (call->out, action->prefill_call_id);
   MfError error = { 0 };
 
@@ -436,7 +440,7 @@
       || !call->adapter->build (action, &with_handle, &call->out->hooks.self, &call->request,
                                 &error))
     return false;
-  call->state = call->adapter->begin (action, on_call_event, on_report_event, call);
+  call->state = call->adapter->begin (action, on_call_event, on_upstream_event, call);
   call->easy = curl_easy_init ();
   return call->state != NULL && call->easy != NULL && set_transfer (call, action->fresh_connection);
 }
@@ -449,10 +453,11 @@
   return mf_adapter_find (action->engine);
 }
 
-/* Starts a call. Whatever becomes of it, its last event comes later, from the loop. The material is
- * borrowed for the duration of this function and may be NULL for calls that serve no request. */
+/* Starts a call. Its last event is always emitted later, from the loop, even if the call cannot be
+ * built. input is borrowed until this function returns and may be NULL for calls that serve no
+ * request. */
 void
-mf_http_out_start (MfHttpOut *out, const MfCallAction *action, const MfCallMaterial *material)
+mf_http_out_start (MfHttpOut *out, const MfCallAction *action, const MfCallInput *input)
 {
   Call *call = calloc (1, sizeof *call);
   uint64_t timeout_us = action->timeout_us > 0 ? action->timeout_us : TIMEOUT_US_DEFAULT;
@@ -463,11 +468,11 @@
   call->out = out;
   call->kind = action->kind;
   call->adapter = find_adapter (action);
-  ev_timer_init (&call->first_byte_timer, on_first_byte_late, (double)timeout_us / 1e6, 0.0);
+  ev_timer_init (&call->first_byte_timer, on_first_byte_timeout, (double)timeout_us / 1e6, 0.0);
   call->first_byte_timer.data = call;
   HASH_ADD (hh, out->calls, id, sizeof call->id, call);
-  list_push (call_prepare (call, action, material) ? &out->to_add : &out->to_fail, call);
-  mf_multi_wake (out->multi);
+  list_push (call_prepare (call, action, input) ? &out->to_add : &out->to_fail, call);
+  mf_multi_schedule_deferred (out->multi);
 }
 
 static Call *
@@ -479,7 +484,7 @@
   return call;
 }
 
-/* Closes the call's connection. No event of it follows. Unknown calls are passed over. */
+/* Aborts a call and closes its connection. No event of it follows. Ignored for unknown calls. */
 void
 mf_http_out_abort (MfHttpOut *out, uint64_t call_id)
 {
@@ -489,33 +494,33 @@
     return;
   call_unlink (call);
   list_push (&out->to_free, call);
-  mf_multi_wake (out->multi);
+  mf_multi_schedule_deferred (out->multi);
 }
 
-/* Stops or goes on reading the call's answer, so that a slow caller slows its upstream. */
+/* Pauses or resumes reading the call's answer: flow control from a slow caller to its upstream. */
 void
-mf_http_out_hold (MfHttpOut *out, uint64_t call_id, bool hold)
+mf_http_out_pause_reading (MfHttpOut *out, uint64_t call_id, bool pause_wanted)
 {
   Call *call = call_find (out, call_id);
 
   if (call == NULL || !call->added)
     return;
-  list_drop (&out->to_unhold, call);
-  if (hold && !call->held)
+  list_remove (&out->to_resume_reading, call);
+  if (pause_wanted && !call->reading_paused)
     {
-      call->held = true;
+      call->reading_paused = true;
       curl_easy_pause (call->easy, CURLPAUSE_RECV);
     }
-  else if (!hold && call->held)
+  else if (!pause_wanted && call->reading_paused)
     {
-      list_push (&out->to_unhold, call);
-      mf_multi_wake (out->multi);
+      list_push (&out->to_resume_reading, call);
+      mf_multi_schedule_deferred (out->multi);
     }
 }
 
-/* Drops the KV handle that a prefill left under its call id. */
+/* Drops the KV handle that the prefill call of this id returned. */
 void
-mf_http_out_forget (MfHttpOut *out, uint64_t call_id)
+mf_http_out_drop_kv_handle (MfHttpOut *out, uint64_t call_id)
 {
   KvHandle *handle = kv_handle_find (out, call_id);
 
@@ -536,8 +541,8 @@
 {
   CURLM *multi = mf_multi_handle (out->multi);
 
-  /* libcurl counts connections in use among those it keeps: a lower limit than their total would
-   * have it look through all of them, and close one, at the end of each call. */
+  /* libcurl counts connections in use among its cached ones: with a cache limit below the total
+   * limit it would search all of them, and close one, at the end of each call. */
   curl_multi_setopt (multi, CURLMOPT_MAXCONNECTS, (long)out->hooks.connections_max);
   curl_multi_setopt (multi, CURLMOPT_MAX_TOTAL_CONNECTIONS, (long)out->hooks.connections_max);
   curl_multi_setopt (multi, CURLMOPT_MAX_HOST_CONNECTIONS, (long)out->hooks.host_connections_max);
@@ -547,12 +552,12 @@
 MfHttpOut *
 mf_http_out_new (struct ev_loop *loop, const MfHttpOutHooks *hooks, void *data, MfError *error)
 {
-  static const MfMultiHooks multi_hooks = { .on_done = on_done, .on_settle = on_settle };
+  static const MfMultiHooks multi_hooks = { .on_done = on_done, .on_deferred = on_deferred };
   MfHttpOut *out = calloc (1, sizeof *out);
 
   if (out == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for calls to upstreams");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory for calls to upstreams");
       return NULL;
     }
   out->loop = loop;
--- a/libmangofork/httpd.c
+++ b/libmangofork/httpd.c
@@ -12,17 +12,17 @@
   ev_io readable;
   ev_timer timeout;
   ev_prepare before_wait;
-  bool due; /* there is work that the epoll descriptor does not show */
+  bool run_due; /* there is work that does not show on the epoll descriptor */
   uint16_t port;
 };
 
-/* Runs the daemon once, and has its own timer follow the daemon's next time-out. */
+/* Runs the daemon once and sets the timer to the daemon's next time-out. */
 static void
 httpd_run (MfHttpd *httpd)
 {
   MHD_UNSIGNED_LONG_LONG timeout_ms = 0;
 
-  httpd->due = false;
+  httpd->run_due = false;
   MHD_run (httpd->daemon);
   if (MHD_get_timeout (httpd->daemon, &timeout_ms) != MHD_YES)
     {
@@ -31,7 +31,7 @@
     }
   if (timeout_ms == 0)
     {
-      httpd->due = true;
+      httpd->run_due = true;
       return;
     }
   httpd->timeout.repeat = (double)timeout_ms / 1000;
@@ -54,17 +54,17 @@
   httpd_run (watcher->data);
 }
 
-/* Runs what is due before the loop waits. Work that stays due is done after the next poll of the
- * loop, which then does not wait, so that other watchers get their turn. */
+/* Runs the daemon before the loop waits if it has work. If work is left after that, a timer that
+ * expires at once makes the loop poll without waiting, so that other watchers run in between. */
 static void
 httpd_before_wait (struct ev_loop *loop, ev_prepare *watcher, int events)
 {
   MfHttpd *httpd = watcher->data;
 
   (void)events;
-  if (httpd->due)
+  if (httpd->run_due)
     httpd_run (httpd);
-  if (httpd->due)
+  if (httpd->run_due)
     {
       httpd->timeout.repeat = 1e-9;
       ev_timer_again (loop, &httpd->timeout);
@@ -78,7 +78,7 @@
 
   ev_io_init (&httpd->readable, httpd_readable, info->epoll_fd, EV_READ);
   httpd->readable.data = httpd;
-  ev_set_priority (&httpd->readable, EV_MAXPRI); /* new requests go before tokens */
+  ev_set_priority (&httpd->readable, EV_MAXPRI); /* new requests have priority over tokens */
   ev_io_start (httpd->loop, &httpd->readable);
   ev_init (&httpd->timeout, httpd_timeout);
   httpd->timeout.data = httpd;
@@ -87,7 +87,8 @@
   ev_prepare_start (httpd->loop, &httpd->before_wait);
 }
 
-/* Starts to serve. The options' address may name port 0 for any free port. */
+/* Starts to serve. Port 0 in the address selects any free port. Returns NULL with error set when it
+ * cannot listen. */
 MfHttpd *
 mf_httpd_new (struct ev_loop *loop, const MfHttpdOptions *options, MfError *error)
 {
@@ -104,13 +105,13 @@
         (unsigned)options->connections_max, MHD_OPTION_PER_IP_CONNECTION_LIMIT,
         (unsigned)options->connections_per_address_max, MHD_OPTION_CONNECTION_TIMEOUT,
         (unsigned)options->idle_timeout_s, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
-        options->connection_bytes, MHD_OPTION_NOTIFY_COMPLETED, options->on_completed,
+        options->connection_memory_bytes, MHD_OPTION_NOTIFY_COMPLETED, options->on_completed,
         options->data, MHD_OPTION_NOTIFY_CONNECTION, options->on_connection, options->data,
         MHD_OPTION_URI_LOG_CALLBACK, options->on_uri, options->data,
         MHD_OPTION_SIGPIPE_HANDLED_BY_APP, 1, MHD_OPTION_END);
   if (httpd == NULL || httpd->daemon == NULL)
     {
-      mf_error_set (error, MF_CODE_LISTEN, "cannot serve HTTP on %s", options->address);
+      mf_error_set (error, MF_CODE_LISTEN, "cannot start the HTTP server on %s", options->address);
       close (fd);
       free (httpd);
       return NULL;
@@ -121,7 +122,7 @@
   return httpd;
 }
 
-/* Stops serving. Every suspended connection must have been resumed. Accepts NULL. */
+/* Stops serving. All suspended connections must have been resumed before. Accepts NULL. */
 void
 mf_httpd_free (MfHttpd *httpd)
 {
@@ -141,7 +142,7 @@
 }
 
 void
-mf_httpd_wake (MfHttpd *httpd)
+mf_httpd_schedule_run (MfHttpd *httpd)
 {
-  httpd->due = true;
+  httpd->run_due = true;
 }
--- a/tests/test_openai.c
+++ b/tests/test_openai.c
@@ -13,7 +13,7 @@
 #define TEXT_BYTES 256
 #define NOW_US UINT64_C (5000000)
 
-/* What an answer was found to hold. */
+/* Records the events that the adapter emits for an answer. */
 typedef struct
 {
   MfEventType types[EVENTS_MAX];
@@ -55,11 +55,11 @@
 }
 
 static json_object *
-build (const MfCallAction *call, const MfCallMaterial *material, MfHttpRequest *request)
+build (const MfCallAction *call, const MfCallInput *input, MfHttpRequest *request)
 {
   MfError error = { 0 };
 
-  assert_true (adapter->build (call, material, &self, request, &error));
+  assert_true (adapter->build (call, input, &self, request, &error));
   return request->body == NULL ? NULL : json_tokener_parse (request->body);
 }
 
@@ -80,10 +80,10 @@
                         .attempt = 2,
                         .priority = 3,
                         .cache_salt = 0xab };
-  MfCallMaterial material
+  MfCallInput input
       = { .body = caller, .body_bytes = sizeof caller - 1, .path = "/v1/completions" };
   MfHttpRequest request;
-  json_object *body = build (&call, &material, &request);
+  json_object *body = build (&call, &input, &request);
 
   (void)state;
   assert_string_equal (request.url, "http://127.0.0.1:1/v1/completions");
@@ -107,15 +107,15 @@
   static const char handle[] = "{\"remote_handle\":4}";
   MfCallAction call
       = { .kind = MF_CALL_DECODE, .address = "127.0.0.1:1", .from_token = 3, .max_tokens = 6 };
-  MfCallMaterial material = { .body = caller,
-                              .body_bytes = sizeof caller - 1,
-                              .path = "/v1/completions",
-                              .delivered = delivered,
-                              .delivered_bytes = sizeof delivered - 1,
-                              .kv_handle = handle,
-                              .kv_handle_bytes = sizeof handle - 1 };
+  MfCallInput input = { .body = caller,
+                        .body_bytes = sizeof caller - 1,
+                        .path = "/v1/completions",
+                        .delivered = delivered,
+                        .delivered_bytes = sizeof delivered - 1,
+                        .kv_handle = handle,
+                        .kv_handle_bytes = sizeof handle - 1 };
   MfHttpRequest request;
-  json_object *body = build (&call, &material, &request);
+  json_object *body = build (&call, &input, &request);
   json_object *resume = json_object_object_get (body, "mangofork_resume");
 
   (void)state;
@@ -129,7 +129,7 @@
 }
 
 static void
-test_cancel_and_order_name_their_work (void **state)
+test_cancel_and_order_requests (void **state)
 {
   MfCallAction cancel
       = { .kind = MF_CALL_CANCEL, .address = "127.0.0.1:1", .request_id = 7, .target_attempt = 4 };
@@ -138,7 +138,7 @@
                          .order = MF_ORDER_ROLE,
                          .order_value = "decode",
                          .fence = 12 };
-  MfCallMaterial none = { 0 };
+  MfCallInput none = { 0 };
   MfHttpRequest request;
   json_object *body = build (&cancel, &none, &request);
 
@@ -158,12 +158,12 @@
 test_decode_without_a_handle_is_not_built (void **state)
 {
   MfCallAction call = { .kind = MF_CALL_DECODE, .address = "127.0.0.1:1" };
-  MfCallMaterial material = { .body = "{}", .body_bytes = 2, .path = "/v1/completions" };
+  MfCallInput input = { .body = "{}", .body_bytes = 2, .path = "/v1/completions" };
   MfHttpRequest request;
   MfError error = { 0 };
 
   (void)state;
-  assert_false (adapter->build (&call, &material, &self, &request, &error));
+  assert_false (adapter->build (&call, &input, &self, &request, &error));
   assert_true (mf_error_is_set (&error));
 }
 
@@ -177,7 +177,8 @@
     assert_true (adapter->feed (answer, data + at, n - at < step ? n - at : step, &error));
 }
 
-/* The same stream, cut at every width, is always the same tokens. */
+/* The tokens do not depend on how the stream is split into reads: the stream is fed in pieces of
+ * every size, so that each line, key and escape is split somewhere. */
 static void
 test_stream_is_the_same_however_it_is_cut (void **state)
 {
@@ -215,7 +216,7 @@
 }
 
 static void
-ends_as (const char *stream, uint16_t status, MfEventType expected)
+assert_ends_with (const char *stream, uint16_t status, MfEventType expected)
 {
   MfCallAction call = { .kind = MF_CALL_DECODE };
   Found found = { 0 };
@@ -231,11 +232,11 @@
 test_stream_without_its_closing_line_has_failed (void **state)
 {
   (void)state;
-  ends_as ("data: {\"text\":\"a\"}\n\n", 200, MF_EVENT_CALL_FAILED);
-  ends_as ("data: {\"text\":\"a\"}\n\ndata: [DONE]", 200, MF_EVENT_CALL_FAILED);
-  ends_as ("data: {\"error\":\"x\"}\n\ndata: [DONE]\n\n", 200, MF_EVENT_CALL_FAILED);
-  ends_as ("data: [DONE]\n\n", 503, MF_EVENT_CALL_FAILED);
-  ends_as ("data: [DONE]\n\n", 200, MF_EVENT_CALL_DONE);
+  assert_ends_with ("data: {\"text\":\"a\"}\n\n", 200, MF_EVENT_CALL_FAILED);
+  assert_ends_with ("data: {\"text\":\"a\"}\n\ndata: [DONE]", 200, MF_EVENT_CALL_FAILED);
+  assert_ends_with ("data: {\"error\":\"x\"}\n\ndata: [DONE]\n\n", 200, MF_EVENT_CALL_FAILED);
+  assert_ends_with ("data: [DONE]\n\n", 503, MF_EVENT_CALL_FAILED);
+  assert_ends_with ("data: [DONE]\n\n", 200, MF_EVENT_CALL_DONE);
 }
 
 static void
@@ -286,7 +287,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_prefill_keeps_the_callers_fields),
     cmocka_unit_test (test_decode_carries_the_handle_and_what_was_delivered),
-    cmocka_unit_test (test_cancel_and_order_name_their_work),
+    cmocka_unit_test (test_cancel_and_order_requests),
     cmocka_unit_test (test_decode_without_a_handle_is_not_built),
     cmocka_unit_test (test_stream_is_the_same_however_it_is_cut),
     cmocka_unit_test (test_stream_without_its_closing_line_has_failed),
