--- a/libmangofork/confsync.c
+++ b/libmangofork/confsync.c
@@ -8,16 +8,16 @@
 #include <string.h>
 
 /* How long a fresh instance asks peers before it believes the platform. */
-#define PEERS_FIRST_US (1500 * MF_US_PER_MS)
+#define PEERS_FIRST_TIMEOUT_US (1500 * MF_US_PER_MS)
 /* An ask that was not answered by then goes to another peer. */
-#define ASK_LIMIT_US (700 * MF_US_PER_MS)
+#define REQUEST_TIMEOUT_US (700 * MF_US_PER_MS)
 /* Earlier texts kept, so that peers that hold them get only what changed. */
-#define OLD_TEXTS 3
+#define N_OLD_TEXTS 3
 /* A faulty revision is asked for again only after this. */
-#define REFUSED_LIFE_US (60 * MF_US_PER_S)
+#define REFUSED_RETRY_US (60 * MF_US_PER_S)
 #define REFUSED_MAX 8
 /* Whole texts and lists handed to peers in one second. */
-#define SENDS_PER_S 8
+#define FULL_SENDS_PER_S 8
 
 typedef struct
 {
@@ -35,23 +35,23 @@
 /* A question to a peer. */
 typedef struct
 {
-  uint64_t until_us; /* 0 when none is out */
-  uint64_t peer;     /* hash of the slot asked last */
-} Ask;
+  uint64_t timeout_at_us; /* 0 when none is out */
+  uint64_t last_peer;     /* hash of the slot asked last */
+} PeerRequest;
 
 struct MfConfsync
 {
   MfPlatformReads reads;
   Text candidate; /* from the platform, while peers are asked first */
-  Text old[OLD_TEXTS];
+  Text old[N_OLD_TEXTS];
   uint32_t next_old;
   Refused refused[REFUSED_MAX];
   uint32_t next_refused;
-  uint64_t decide_us; /* when the platform is believed whatever the peers say; 0 before a list */
-  bool whole;         /* the last difference did not fit: ask for the whole text */
-  Ask text_ask;
-  Ask list_ask;
-  bool look; /* something may have changed that asks wait for */
+  uint64_t decide_by_us; /* when the platform is believed whatever the peers say; 0 before a list */
+  bool need_full_text;   /* the last difference did not fit: ask for the whole text */
+  PeerRequest text_request;
+  PeerRequest list_request;
+  bool check_peers; /* something may have changed that asks wait for */
   uint64_t send_second;
   uint32_t n_sent;
 };
@@ -107,7 +107,7 @@
   state->refused_fault = *fault;
   sync->refused[sync->next_refused++ % REFUSED_MAX] = (Refused){
     .revision = revision,
-    .until_us = core->board.now_us + REFUSED_LIFE_US,
+    .until_us = core->board.now_us + REFUSED_RETRY_US,
   };
   mf_counter_add (&core->board.counters, MF_COUNTER_CONFIG_REFUSED, 1);
   mf_core_log (core, "config", "text", "", "refused", "faulty");
@@ -143,9 +143,10 @@
       return;
     }
   if (old != NULL)
-    text_set (&sync->old[sync->next_old++ % OLD_TEXTS], old->revision, old->text, old->text_bytes);
-  sync->whole = false;
-  sync->text_ask.until_us = 0;
+    text_set (&sync->old[sync->next_old++ % N_OLD_TEXTS], old->revision, old->text,
+              old->text_bytes);
+  sync->need_full_text = false;
+  sync->text_request.timeout_at_us = 0;
   mf_counter_add (&core->board.counters, MF_COUNTER_CONFIG_ACCEPTED, 1);
   mf_core_log (core, "config", "text", "", "in force", source);
   core->board.config_state.accepted_us = core->board.now_us;
@@ -156,7 +157,7 @@
 
 /* Returns the linked neighbour to ask: one that has more than we do, another one than the last. */
 static MfMemberRow *
-better_peer (const MfCore *core, const Ask *ask, bool for_list)
+find_better_peer (const MfCore *core, const PeerRequest *request, bool for_list)
 {
   const MfMembers *members = core->board.members;
   MfMemberRow *best = NULL;
@@ -171,39 +172,39 @@
                    : row->config_revision <= own_revision (core)
                          || is_refused (core, row->config_revision))
         continue;
-      if (best == NULL || best->name_hash == ask->peer
+      if (best == NULL || best->name_hash == request->last_peer
           || (!for_list && row->config_revision > best->config_revision
-              && row->name_hash != ask->peer))
+              && row->name_hash != request->last_peer))
         best = row;
     }
   return best;
 }
 
 static void
-ask_peers (MfCore *core, Ask *ask, bool for_list)
+send_peer_request (MfCore *core, PeerRequest *request, bool for_list)
 {
   MfPeerMessage message = { .type = for_list ? MF_PEER_LIST_ASK : MF_PEER_CONFIG_ASK };
   MfMemberRow *row;
 
-  if (core->board.now_us < ask->until_us)
+  if (core->board.now_us < request->timeout_at_us)
     {
-      mf_core_wake_at (core, ask->until_us);
+      mf_core_wake_at (core, request->timeout_at_us);
       return;
     }
-  row = better_peer (core, ask, for_list);
+  row = find_better_peer (core, request, for_list);
   if (row == NULL)
     {
-      ask->until_us = 0;
+      request->timeout_at_us = 0;
       return;
     }
   if (for_list)
     message.ask_index = core->board.list_index;
   else
-    message.ask_revision = core->board.confsync->whole ? 0 : own_revision (core);
-  ask->peer = row->name_hash;
-  ask->until_us = core->board.now_us + ASK_LIMIT_US;
+    message.ask_revision = core->board.confsync->need_full_text ? 0 : own_revision (core);
+  request->last_peer = row->name_hash;
+  request->timeout_at_us = core->board.now_us + REQUEST_TIMEOUT_US;
   mf_member_send_row (core, row, &message);
-  mf_core_wake_at (core, ask->until_us);
+  mf_core_wake_at (core, request->timeout_at_us);
 }
 
 /* Bounds what one second of asks can cost. */
@@ -218,11 +219,11 @@
       sync->send_second = second;
       sync->n_sent = 0;
     }
-  return ++sync->n_sent <= SENDS_PER_S;
+  return ++sync->n_sent <= FULL_SENDS_PER_S;
 }
 
 static void
-answer_config_ask (MfCore *core, const MfPeerEvent *peer)
+answer_config_request (MfCore *core, const MfPeerEvent *peer)
 {
   const MfConfig *config = core->board.config;
   const MfConfsync *sync = core->board.confsync;
@@ -236,7 +237,7 @@
     .text_bytes = (uint32_t)config->text_bytes,
     .whole_hash = mf_text_hash (config->text, config->text_bytes),
   };
-  for (uint32_t i = 0; i < OLD_TEXTS; i++)
+  for (uint32_t i = 0; i < N_OLD_TEXTS; i++)
     {
       const Text *old = &sync->old[i];
 
@@ -252,33 +253,34 @@
 }
 
 static void
-take_config (MfCore *core, const MfConfigMessage *message)
+handle_config (MfCore *core, const MfConfigMessage *message)
 {
   MfConfsync *sync = core->board.confsync;
   const MfConfig *own = core->board.config;
   size_t text_bytes = message->text_bytes;
-  char *whole = NULL;
+  char *full_text = NULL;
 
-  sync->text_ask.until_us = 0;
+  sync->text_request.timeout_at_us = 0;
   if (message->revision <= own_revision (core))
     return;
   if (message->base_revision != 0)
     {
       if (own != NULL && own->revision == message->base_revision)
-        whole = mf_text_delta_apply (own->text, own->text_bytes, message, &text_bytes);
-      sync->whole = whole == NULL;
-      if (whole == NULL)
+        full_text = mf_text_delta_apply (own->text, own->text_bytes, message, &text_bytes);
+      sync->need_full_text = full_text == NULL;
+      if (full_text == NULL)
         return;
     }
   else if (message->text == NULL
            || mf_text_hash (message->text, message->text_bytes) != message->whole_hash)
     return;
-  offer_text (core, message->revision, whole != NULL ? whole : message->text, text_bytes, "peer");
-  free (whole);
+  offer_text (core, message->revision, full_text != NULL ? full_text : message->text, text_bytes,
+              "peer");
+  free (full_text);
 }
 
 static void
-answer_list_ask (MfCore *core, const MfPeerEvent *peer)
+answer_list_request (MfCore *core, const MfPeerEvent *peer)
 {
   const MfOptions *options = &core->board.options;
   MfPeerMessage message = { .type = MF_PEER_LIST };
@@ -316,7 +318,7 @@
 
 /* Whether every neighbour has told its revision, so that waiting longer would teach nothing. */
 static bool
-peers_were_heard (const MfCore *core)
+all_peers_reported (const MfCore *core)
 {
   const MfMembers *members = core->board.members;
 
@@ -348,24 +350,24 @@
 /* A fresh instance has no text. The platform may be stale, so peers are asked first; its text is
  * read when they have none, and taken when they could not be heard in time. */
 static void
-decide_first (MfCore *core)
+choose_first_text (MfCore *core)
 {
   MfConfsync *sync = core->board.confsync;
-  bool late;
+  bool timed_out;
 
-  if (core->board.config != NULL || sync->decide_us == 0)
+  if (core->board.config != NULL || sync->decide_by_us == 0)
     return;
-  late = core->board.now_us >= sync->decide_us;
-  if (!late)
-    mf_core_wake_at (core, sync->decide_us);
-  if (!late && (!peers_were_heard (core) || peers_revision (core) > 0))
+  timed_out = core->board.now_us >= sync->decide_by_us;
+  if (!timed_out)
+    mf_core_wake_at (core, sync->decide_by_us);
+  if (!timed_out && (!all_peers_reported (core) || peers_revision (core) > 0))
     return;
   if (sync->candidate.text == NULL)
     {
       sync->reads.want_text = true;
       return;
     }
-  if (peers_revision (core) <= sync->candidate.revision || late)
+  if (peers_revision (core) <= sync->candidate.revision || timed_out)
     offer_text (core, sync->candidate.revision, sync->candidate.text, sync->candidate.text_bytes,
                 "platform");
   text_clear (&sync->candidate);
@@ -377,7 +379,7 @@
   MfConfsync *sync = core->board.confsync;
 
   mf_platform_reads_done (core, &sync->reads, &sync->reads.text, text->revision);
-  if (core->board.config == NULL && sync->decide_us > core->board.now_us)
+  if (core->board.config == NULL && sync->decide_by_us > core->board.now_us)
     text_set (&sync->candidate, text->revision, text->text, text->text_bytes);
   else
     offer_text (core, text->revision, text->text, text->text_bytes, "platform");
@@ -389,8 +391,8 @@
   MfConfsync *sync = core->board.confsync;
 
   mf_platform_reads_done (core, &sync->reads, &sync->reads.list, index);
-  if (sync->decide_us == 0)
-    sync->decide_us = core->board.now_us + PEERS_FIRST_US;
+  if (sync->decide_by_us == 0)
+    sync->decide_by_us = core->board.now_us + PEERS_FIRST_TIMEOUT_US;
 }
 
 static void
@@ -401,16 +403,16 @@
   switch (message->type)
     {
     case MF_PEER_CONFIG_ASK:
-      answer_config_ask (core, peer);
+      answer_config_request (core, peer);
       break;
     case MF_PEER_CONFIG:
-      take_config (core, &message->config);
+      handle_config (core, &message->config);
       break;
     case MF_PEER_LIST_ASK:
-      answer_list_ask (core, peer);
+      answer_list_request (core, peer);
       break;
     case MF_PEER_LIST:
-      core->board.confsync->list_ask.until_us = 0;
+      core->board.confsync->list_request.timeout_at_us = 0;
       mf_member_apply_list (core, message->list.index, message->list.listed,
                             message->list.n_listed);
       break;
@@ -424,7 +426,7 @@
 {
   MfConfsync *sync = core->board.confsync;
 
-  sync->look |= event->type == MF_EVENT_PEER_MESSAGE || event->type == MF_EVENT_PEER_UP;
+  sync->check_peers |= event->type == MF_EVENT_PEER_MESSAGE || event->type == MF_EVENT_PEER_UP;
   switch (event->type)
     {
     case MF_EVENT_PLATFORM_TEXT:
@@ -438,8 +440,8 @@
     case MF_EVENT_PLATFORM_FAILED:
       core->board.config_state.platform_failed_us = core->board.now_us;
       mf_platform_reads_lost (core, &sync->reads, &event->platform_failed);
-      if (sync->decide_us == 0)
-        sync->decide_us = core->board.now_us + PEERS_FIRST_US;
+      if (sync->decide_by_us == 0)
+        sync->decide_by_us = core->board.now_us + PEERS_FIRST_TIMEOUT_US;
       break;
     case MF_EVENT_PEER_MESSAGE:
       handle_message (core, &event->peer);
@@ -454,13 +456,14 @@
 {
   MfConfsync *sync = core->board.confsync;
 
-  decide_first (core);
+  choose_first_text (core);
   mf_platform_reads_tick (core, &sync->reads);
-  if (!sync->look && sync->text_ask.until_us == 0 && sync->list_ask.until_us == 0)
+  if (!sync->check_peers && sync->text_request.timeout_at_us == 0
+      && sync->list_request.timeout_at_us == 0)
     return;
-  sync->look = false;
-  ask_peers (core, &sync->text_ask, false);
-  ask_peers (core, &sync->list_ask, true);
+  sync->check_peers = false;
+  send_peer_request (core, &sync->text_request, false);
+  send_peer_request (core, &sync->list_request, true);
 }
 
 static bool
@@ -484,7 +487,7 @@
   if (sync == NULL)
     return;
   text_clear (&sync->candidate);
-  for (uint32_t i = 0; i < OLD_TEXTS; i++)
+  for (uint32_t i = 0; i < N_OLD_TEXTS; i++)
     text_clear (&sync->old[i]);
   free (sync);
   core->board.confsync = NULL;
--- a/libmangofork/digest.c
+++ b/libmangofork/digest.c
@@ -13,19 +13,19 @@
 #define URGENT_GAP_US (20 * MF_US_PER_MS)
 /* Upper bounds of encoded sizes. */
 #define FIXED_BYTES 64
-#define NEWS_BYTES 28
+#define GOSSIP_BYTES 28
 #define SHARE_BYTES 16
 #define BURN_BYTES_MAX 1024
 /* All digests of one period together are at most this many times digest_bytes_max. */
-#define PERIOD_DIGESTS 2
+#define PERIOD_DIGESTS_MAX 2
 
 struct MfDigests
 {
   uint64_t sequence;
   uint64_t next_us;
   uint64_t last_us;
-  bool hurry;
-  uint32_t n_urgent; /* that may still be sent out of turn */
+  bool urgent;
+  uint32_t n_urgent_left; /* that may still be sent out of turn */
   uint64_t refill_us;
 };
 
@@ -35,15 +35,15 @@
 mf_digest_hurry (MfCore *core)
 {
   if (core->board.digests != NULL)
-    core->board.digests->hurry = true;
+    core->board.digests->urgent = true;
 }
 
 /* Bytes that one digest may have, so that a period's digests together keep to their limit. */
 static uint32_t
-digest_bytes (const MfCore *core, uint32_t n_linked)
+digest_bytes_limit (const MfCore *core, uint32_t n_linked)
 {
   uint32_t max = core->board.options.digest_bytes_max;
-  uint32_t part = PERIOD_DIGESTS * max / n_linked;
+  uint32_t part = PERIOD_DIGESTS_MAX * max / n_linked;
 
   return part < max ? part : max;
 }
@@ -63,13 +63,13 @@
 }
 
 static void
-digest_send (MfCore *core, uint32_t neighbour, MfPeerMessage *message, uint32_t n_news_max)
+digest_send (MfCore *core, uint32_t neighbour, MfPeerMessage *message, uint32_t n_gossip_max)
 {
   MfMemberRow *row = core->board.members->neighbours[neighbour];
 
   message->digest.n_news = 0;
   message->digest.guardian = row->guards_us;
-  mf_news_fill (core, neighbour, &message->digest, n_news_max);
+  mf_news_fill (core, neighbour, &message->digest, n_gossip_max);
   mf_member_send_row (core, row, message);
 }
 
@@ -98,7 +98,7 @@
 static void
 send_all (MfCore *core, uint32_t n_linked)
 {
-  uint32_t max_bytes = digest_bytes (core, n_linked);
+  uint32_t max_bytes = digest_bytes_limit (core, n_linked);
   MfPeerMessage message = { .type = MF_PEER_DIGEST };
   uint8_t burn[BURN_BYTES_MAX];
   uint32_t n_bytes;
@@ -112,7 +112,7 @@
 
       if (row != NULL && row->member.link_id != 0)
         digest_send (core, i, &message,
-                     max_bytes > n_bytes + NEWS_BYTES ? (max_bytes - n_bytes) / NEWS_BYTES : 1);
+                     max_bytes > n_bytes + GOSSIP_BYTES ? (max_bytes - n_bytes) / GOSSIP_BYTES : 1);
     }
 }
 
@@ -122,8 +122,8 @@
   if (now_us < digests->refill_us)
     return;
   digests->refill_us = now_us + URGENT_REFILL_US;
-  if (digests->n_urgent < URGENT_BURST)
-    digests->n_urgent++;
+  if (digests->n_urgent_left < URGENT_BURST)
+    digests->n_urgent_left++;
 }
 
 static void
@@ -133,7 +133,7 @@
   uint64_t now_us = core->board.now_us;
   uint32_t n_linked;
 
-  if (!digests->hurry && now_us < digests->next_us)
+  if (!digests->urgent && now_us < digests->next_us)
     {
       mf_core_wake_at (core, digests->next_us);
       return;
@@ -142,20 +142,20 @@
   urgent_refill (digests, now_us);
   if (n_linked == 0)
     {
-      digests->hurry = false;
+      digests->urgent = false;
       digests->next_us = now_us + core->board.options.digest_period_us;
     }
   else if (now_us >= digests->next_us
-           || (digests->n_urgent > 0 && now_us >= digests->last_us + URGENT_GAP_US))
+           || (digests->n_urgent_left > 0 && now_us >= digests->last_us + URGENT_GAP_US))
     {
       if (now_us < digests->next_us)
-        digests->n_urgent--;
-      digests->hurry = false;
+        digests->n_urgent_left--;
+      digests->urgent = false;
       digests->last_us = now_us;
       digests->next_us = now_us + core->board.options.digest_period_us;
       send_all (core, n_linked);
     }
-  else if (digests->n_urgent > 0)
+  else if (digests->n_urgent_left > 0)
     mf_core_wake_at (core, digests->last_us + URGENT_GAP_US);
   mf_core_wake_at (core, digests->next_us);
 }
@@ -169,7 +169,7 @@
       mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for digests");
       return false;
     }
-  core->board.digests->n_urgent = URGENT_BURST;
+  core->board.digests->n_urgent_left = URGENT_BURST;
   core->board.digests->next_us
       = core->board.now_us + mf_core_random_below (core, core->board.options.digest_period_us);
   return true;
--- a/libmangofork/health.c
+++ b/libmangofork/health.c
@@ -9,28 +9,28 @@
 #include <stdlib.h>
 
 #define FULL_WEIGHT_PPM 1000000
-#define LOOK_PERIOD_US (100 * MF_US_PER_MS)
+#define CHECK_PERIOD_US (100 * MF_US_PER_MS)
 /* Failed connections in a row that mean death, and polls without an answer that mean a stall. */
 #define DEAD_AFTER_FAILURES 2
 #define STALLED_AFTER_POLLS 3
 /* Calls of a window of which at least half failed are an error burst. */
-#define WINDOW_US (2 * MF_US_PER_S)
+#define FAILURE_WINDOW_US (2 * MF_US_PER_S)
 #define BURST_FAILURES_MIN 5
 /* Gray: slower than its pool's median by these. */
 #define SLOW_PERCENT 160
-#define SLOW_BACK_PERCENT 130
+#define RECOVERED_PERCENT 130
 /* Rates of prefill engines and plain services are noisier than gaps between tokens. */
 #define NOISY_SLOW_PERCENT 250
-#define GRAY_PERCENT 400
+#define EJECT_PERCENT 400
 #define SLOW_WEIGHT_PPM 150000
-#define GRAY_FLOOR_US (5 * MF_US_PER_MS)
+#define SLOW_EXCESS_MIN_US (5 * MF_US_PER_MS)
 /* At most one in this many of a pool is ejected on suspicion. */
 #define EJECTED_DIVISOR 3
 /* A load report so much later than the last sign of leaving, and without it, means that the
  * upstream stays. One without reports is tried again after a while; its own reply says when it
  * still leaves. */
 #define LEAVING_STALE_US (2 * MF_US_PER_S)
-#define LEAVING_TRIAL_US (30 * MF_US_PER_S)
+#define LEAVING_RETRY_US (30 * MF_US_PER_S)
 #define PROBE_FIRST_US (1 * MF_US_PER_S)
 #define PROBE_DOUBLINGS_MAX 4
 /* Return: weight rises by this at each look. */
@@ -39,7 +39,7 @@
 #define MEDIAN_MAX MF_POOL_ACTIVE_MAX
 
 static void
-watch (MfUpstream *row)
+start_watching (MfUpstream *row)
 {
   row->watched = true;
 }
@@ -68,7 +68,7 @@
     return;
   row->n_ejections++;
   row->probe_at_us = core->board.now_us + (PROBE_FIRST_US << doublings);
-  watch (row);
+  start_watching (row);
   mf_upstream_set_health (core, upstream, MF_HEALTH_EJECTED, reason);
 }
 
@@ -86,13 +86,13 @@
   row->probe_at_us = core->board.now_us + (PROBE_FIRST_US << doublings);
   row->died = true;
   core->board.health->n_died++;
-  watch (row);
+  start_watching (row);
   mf_upstream_set_health (core, upstream, MF_HEALTH_DEAD, MF_CODE_UPSTREAM_DIED);
   mf_news_note (core, MF_NEWS_UPSTREAM_DEAD, row->name_hash, row->load.incarnation);
 }
 
 static void
-bring_back (MfCore *core, uint32_t upstream)
+reinstate (MfCore *core, uint32_t upstream)
 {
   MfUpstream *row = &core->board.upstreams[upstream];
 
@@ -106,7 +106,7 @@
   row->prefill_sum_tokens = 0;
   row->prefill_sum_us = 0;
   row->prefill_tokens_per_s = 0;
-  watch (row);
+  start_watching (row);
   mf_upstream_set_health (core, upstream, MF_HEALTH_OK, MF_CODE_OK);
 }
 
@@ -114,7 +114,7 @@
 mf_health_last_resort (MfCore *core, uint32_t pool)
 {
   const MfPoolRow *row = &core->board.services.pools[pool];
-  uint32_t suspected[MF_POOL_ACTIVE_MAX];
+  uint32_t ejected[MF_POOL_ACTIVE_MAX];
   uint32_t n = 0;
 
   if (row->n_usable > 0)
@@ -122,10 +122,10 @@
   for (uint32_t i = 0; i < row->n_active; i++)
     {
       if (core->board.upstreams[row->active[i]].health == MF_HEALTH_EJECTED)
-        suspected[n++] = row->active[i];
+        ejected[n++] = row->active[i];
     }
   for (uint32_t i = 0; i < n; i++)
-    bring_back (core, suspected[i]);
+    reinstate (core, ejected[i]);
 }
 
 static void
@@ -134,7 +134,7 @@
   MfUpstream *row = &core->board.upstreams[upstream];
 
   row->leaving_at_us = core->board.now_us;
-  watch (row);
+  start_watching (row);
   if (row->health == MF_HEALTH_LEAVING)
     return;
   mf_upstream_set_health (core, upstream, MF_HEALTH_LEAVING, MF_CODE_NO_UPSTREAM);
@@ -154,7 +154,7 @@
         mf_suspect_upstream_lives (core, upstream);
       row->broke = false;
       if (row->health == MF_HEALTH_DEAD || (row->health == MF_HEALTH_EJECTED && row->silent))
-        bring_back (core, upstream);
+        reinstate (core, upstream);
       return;
     }
   row->n_failures_in_row++;
@@ -180,21 +180,21 @@
       mf_news_note (core, MF_NEWS_UPSTREAM_DEAD, row->name_hash, row->load.incarnation);
       mf_debt_upstream_restarted (core, upstream);
       if (row->health == MF_HEALTH_LEAVING && !load->leaving)
-        bring_back (core, upstream);
+        reinstate (core, upstream);
     }
   if (load->leaving)
     note_leaving (core, upstream);
   else if (row->health == MF_HEALTH_LEAVING
            && load->measured_us >= row->leaving_at_us + LEAVING_STALE_US)
-    bring_back (core, upstream);
+    reinstate (core, upstream);
 }
 
 static void
-note_window (MfCore *core, uint32_t upstream, bool failed)
+count_call (MfCore *core, uint32_t upstream, bool failed)
 {
   MfUpstream *row = &core->board.upstreams[upstream];
 
-  if (core->board.now_us - row->window_us > WINDOW_US)
+  if (core->board.now_us - row->window_us > FAILURE_WINDOW_US)
     {
       row->window_us = core->board.now_us;
       row->n_window_calls = 0;
@@ -225,10 +225,10 @@
   if (!failed)
     {
       row->n_failures_in_row = 0;
-      note_window (core, upstream, call->status >= 500);
+      count_call (core, upstream, call->status >= 500);
       return;
     }
-  note_window (core, upstream, true);
+  count_call (core, upstream, true);
   if (call->connect_failed && ++row->n_failures_in_row >= DEAD_AFTER_FAILURES)
     declare_dead (core, upstream);
   else if (!call->timed_out)
@@ -246,7 +246,7 @@
 }
 
 static void
-mean (uint64_t *value, uint64_t sample, int divisor)
+update_mean (uint64_t *value, uint64_t sample, int divisor)
 {
   if (*value == 0)
     *value = sample;
@@ -260,8 +260,8 @@
 {
   MfUpstream *row = &core->board.upstreams[upstream];
 
-  mean (&row->token_gap_us, gap_us, 64);
-  mean (&core->board.services.pools[row->pool].token_gap_us, gap_us, 256);
+  update_mean (&row->token_gap_us, gap_us, 64);
+  update_mean (&core->board.services.pools[row->pool].token_gap_us, gap_us, 256);
 }
 
 static uint64_t
@@ -306,7 +306,7 @@
 void
 mf_health_note_answer (MfCore *core, uint32_t upstream, uint64_t answer_us)
 {
-  mean (&core->board.upstreams[upstream].answer_us, answer_us, 16);
+  update_mean (&core->board.upstreams[upstream].answer_us, answer_us, 16);
 }
 
 /* Share of full weight for new work. */
@@ -360,25 +360,25 @@
 }
 
 static void
-judge_speed (MfCore *core, uint32_t upstream, uint64_t median)
+check_speed (MfCore *core, uint32_t upstream, uint64_t median)
 {
   MfUpstream *row = &core->board.upstreams[upstream];
   uint64_t percent = slowness (row) * 100 / median;
 
-  if (slowness (row) == 0 || slowness (row) < median + GRAY_FLOOR_US)
+  if (slowness (row) == 0 || slowness (row) < median + SLOW_EXCESS_MIN_US)
     percent = 100;
-  if (row->health <= MF_HEALTH_SLOW && percent >= GRAY_PERCENT)
+  if (row->health <= MF_HEALTH_SLOW && percent >= EJECT_PERCENT)
     eject (core, upstream, MF_CODE_UPSTREAM_STALLED);
   else if (row->health == MF_HEALTH_OK
            && percent >= (row->role == MF_ROLE_DECODE ? SLOW_PERCENT : NOISY_SLOW_PERCENT))
     mf_upstream_set_health (core, upstream, MF_HEALTH_SLOW, MF_CODE_UPSTREAM_STALLED);
-  else if (row->health == MF_HEALTH_SLOW && percent <= SLOW_BACK_PERCENT)
+  else if (row->health == MF_HEALTH_SLOW && percent <= RECOVERED_PERCENT)
     mf_upstream_set_health (core, upstream, MF_HEALTH_OK, MF_CODE_OK);
 }
 
 /* Raises the weight of what returns, and lets what is out be tried again when its time has come. */
 static void
-look_at (MfCore *core, uint32_t upstream)
+check_upstream (MfCore *core, uint32_t upstream)
 {
   MfUpstream *row = &core->board.upstreams[upstream];
   bool polled = row->role != MF_ROLE_PLAIN;
@@ -394,15 +394,15 @@
     }
   else if (row->health == MF_HEALTH_LEAVING)
     {
-      if (!polled && core->board.now_us >= row->leaving_at_us + LEAVING_TRIAL_US)
-        bring_back (core, upstream);
+      if (!polled && core->board.now_us >= row->leaving_at_us + LEAVING_RETRY_US)
+        reinstate (core, upstream);
     }
   else if (core->board.now_us >= row->probe_at_us && (!polled || row->health == MF_HEALTH_EJECTED))
-    bring_back (core, upstream);
+    reinstate (core, upstream);
 }
 
 static void
-look (MfCore *core)
+check_all (MfCore *core)
 {
   MfServices *services = &core->board.services;
 
@@ -418,16 +418,16 @@
       for (uint32_t j = 0; j < n_active; j++)
         {
           if (core->board.upstreams[active[j]].watched)
-            look_at (core, active[j]);
+            check_upstream (core, active[j]);
           if (median > 0)
-            judge_speed (core, active[j], median);
+            check_speed (core, active[j], median);
         }
     }
 }
 
 /* Ends what ran on upstreams found dead in this step. */
 static void
-settle_deaths (MfCore *core)
+handle_deaths (MfCore *core)
 {
   core->board.health->n_died = 0;
   for (uint32_t i = 0; i < core->board.n_upstreams; i++)
@@ -450,11 +450,11 @@
   MfHealthState *health = core->board.health;
 
   if (health->n_died > 0)
-    settle_deaths (core);
+    handle_deaths (core);
   if (core->board.now_us >= health->look_us)
     {
-      health->look_us = core->board.now_us + LOOK_PERIOD_US;
-      look (core);
+      health->look_us = core->board.now_us + CHECK_PERIOD_US;
+      check_all (core);
     }
   mf_core_wake_at (core, health->look_us);
 }
--- a/libmangofork/order.c
+++ b/libmangofork/order.c
@@ -5,32 +5,32 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CHECK_US (250 * MF_US_PER_MS)
+#define CHECK_PERIOD_US (250 * MF_US_PER_MS)
 /* A difference must last before anything is done about it, and this instance must have been the
  * issuer that long; longer where the engine does not check fencing numbers. */
 #define SETTLE_US MF_US_PER_S
-#define SETTLE_UNCHECKED_US (3 * MF_US_PER_S)
+#define SETTLE_NO_FENCING_US (3 * MF_US_PER_S)
 /* A load report older than this is no read-back. */
-#define REPORT_LIFE_US (2 * MF_US_PER_S)
+#define REPORT_AGE_MAX_US (2 * MF_US_PER_S)
 #define ORDER_TIMEOUT_US (30 * MF_US_PER_S)
 #define BACKOFF_MIN_US (10 * MF_US_PER_S)
 #define BACKOFF_MAX_US (600 * MF_US_PER_S)
 /* After another issuer's order was seen. */
-#define BACKOFF_FOREIGN_US (30 * MF_US_PER_S)
+#define BACKOFF_OTHER_ISSUER_US (30 * MF_US_PER_S)
 /* The part of a pool that may be emptied or loading at once. */
-#define POOL_PART 4
+#define POOL_BUSY_DIVISOR 4
 /* What one load takes of the weight store. */
 #define LOAD_BYTES_PER_S (UINT64_C (250) * 1000 * 1000)
 #define LOADS_MAX 64
 /* The turns of upstreams that wait for an order are drawn anew so often, so that one that cannot
  * be brought to the desired state does not keep the others from theirs. */
-#define TURN_MS (300 * UINT64_C (1000))
+#define SELECTION_EPOCH_MS (300 * UINT64_C (1000))
 #define CALLS_MAX 64
 /* An instance polls few upstreams for its own use. As issuer it looks after all of its upstreams:
  * so many are gone through at a time, and those without a recent report are polled. */
-#define LOOK_US (500 * MF_US_PER_MS)
-#define LOOK_ROWS 16
-#define LOOK_LIFE_US (10 * MF_US_PER_S)
+#define STALE_POLL_PERIOD_US (500 * MF_US_PER_MS)
+#define STALE_POLL_ROWS 16
+#define STALE_POLL_AGE_US (10 * MF_US_PER_S)
 
 /* What the text wants of an engine. */
 typedef struct
@@ -39,21 +39,21 @@
   const char *model;
   const char *adapter;
   const char *version;
-} Desired;
+} DesiredState;
 
 typedef struct
 {
   bool differs;
   MfOrderKind kind;
-  bool chosen; /* its turn has come: work is kept off it when the order needs that */
-  bool held;
-  uint64_t differs_us;
-  uint64_t chosen_us;
-  uint64_t issuer_us; /* since when this instance is its issuer; 0 when it is not */
+  bool selected; /* its turn has come: work is kept off it when the order needs that */
+  bool backing_off;
+  uint64_t differs_since_us;
+  uint64_t selected_us;
+  uint64_t issuer_since_us; /* since when this instance is its issuer; 0 when it is not */
   uint64_t ordered_us;
-  uint64_t next_us; /* no order before */
+  uint64_t next_order_us; /* no order before */
   uint64_t backoff_us;
-  bool calling;
+  bool call_running;
 } OrderRow;
 
 typedef struct
@@ -67,9 +67,9 @@
   OrderRow *rows; /* one an upstream */
   uint32_t n_rows;
   uint32_t n_differ;
-  uint64_t check_us;
-  uint64_t look_us;
-  uint32_t look_row;
+  uint64_t next_check_us;
+  uint64_t next_stale_poll_us;
+  uint32_t stale_poll_row;
   OrderCall calls[CALLS_MAX];
   uint32_t n_calls;
 };
@@ -77,18 +77,18 @@
 /* Keeps work off an upstream that serves another model than its pool's, or that is being emptied
  * for an order. */
 static void
-hold_update (MfCore *core, uint32_t upstream)
+update_hold (MfCore *core, uint32_t upstream)
 {
   const OrderRow *row = &core->board.orders->rows[upstream];
 
   core->board.upstreams[upstream].held = row->differs && row->kind != MF_ORDER_ADAPTER
-                                         && (row->kind == MF_ORDER_MODEL || row->chosen);
+                                         && (row->kind == MF_ORDER_MODEL || row->selected);
 }
 
-static Desired
+static DesiredState
 desired_state (const MfConfig *config, uint32_t pool)
 {
-  Desired desired = { config->pools[pool].role, "", "", "" };
+  DesiredState desired = { config->pools[pool].role, "", "", "" };
 
   for (uint32_t i = 0; i < config->n_services; i++)
     {
@@ -121,7 +121,7 @@
 {
   const MfConfig *config = core->board.config;
   const MfUpstream *state = &core->board.upstreams[upstream];
-  Desired desired;
+  DesiredState desired;
 
   if (config == NULL || !state->in_config || state->load_at_us == 0 || state->load.leaving
       || state->health == MF_HEALTH_DEAD || state->health == MF_HEALTH_LEAVING
@@ -163,8 +163,8 @@
 
   if (state->load.fence_seen > state->fence_last)
     {
-      if (state->fence_last != 0 && row->next_us < now_us + BACKOFF_FOREIGN_US)
-        row->next_us = now_us + BACKOFF_FOREIGN_US;
+      if (state->fence_last != 0 && row->next_order_us < now_us + BACKOFF_OTHER_ISSUER_US)
+        row->next_order_us = now_us + BACKOFF_OTHER_ISSUER_US;
       state->fence_last = state->load.fence_seen;
     }
   if (differs == row->differs && kind == row->kind)
@@ -173,12 +173,12 @@
   orders->n_differ -= row->differs;
   row->differs = differs;
   row->kind = kind;
-  row->chosen = false;
-  row->differs_us = now_us;
-  row->issuer_us = 0;
+  row->selected = false;
+  row->differs_since_us = now_us;
+  row->issuer_since_us = 0;
   if (now_us - row->ordered_us > BACKOFF_MAX_US)
     row->backoff_us = 0;
-  hold_update (core, upstream);
+  update_hold (core, upstream);
 }
 
 /* How far the choice has gone: loads in the fleet, and upstreams of each pool not in service. */
@@ -188,24 +188,25 @@
   uint32_t loads_max;
   uint32_t *pool_busy;
   uint32_t *pool_size;
-} Turns;
+} Selection;
 
 static bool
-turn_is_free (const Turns *turns, const OrderRow *row, uint32_t pool)
+selection_allows (const Selection *selection, const OrderRow *row, uint32_t pool)
 {
-  uint32_t pool_max = turns->pool_size[pool] / POOL_PART;
+  uint32_t pool_max = selection->pool_size[pool] / POOL_BUSY_DIVISOR;
 
-  if (row->kind != MF_ORDER_ROLE && turns->n_loading >= turns->loads_max)
+  if (row->kind != MF_ORDER_ROLE && selection->n_loading >= selection->loads_max)
     return false;
-  return row->kind == MF_ORDER_ADAPTER || turns->pool_busy[pool] < (pool_max > 1 ? pool_max : 1);
+  return row->kind == MF_ORDER_ADAPTER
+         || selection->pool_busy[pool] < (pool_max > 1 ? pool_max : 1);
 }
 
 /* Returns the upstream whose turn is next, or MF_NONE. */
 static uint32_t
-next_turn (const MfCore *core, const Turns *turns, const bool *taken)
+selection_next (const MfCore *core, const Selection *selection, const bool *selected)
 {
   const MfOrders *orders = core->board.orders;
-  uint64_t best_score = 0, epoch = core->board.wall_ms / TURN_MS;
+  uint64_t best_score = 0, epoch = core->board.wall_ms / SELECTION_EPOCH_MS;
   uint32_t best = MF_NONE;
 
   for (uint32_t i = 0; i < orders->n_rows; i++)
@@ -213,8 +214,8 @@
       const MfUpstream *state = &core->board.upstreams[i];
       uint64_t score;
 
-      if (!orders->rows[i].differs || state->load.loading || taken[i]
-          || !turn_is_free (turns, &orders->rows[i], state->config.pool))
+      if (!orders->rows[i].differs || state->load.loading || selected[i]
+          || !selection_allows (selection, &orders->rows[i], state->config.pool))
         continue;
       score = mf_rendezvous_score (state->name_hash, epoch);
       if (best == MF_NONE || score > best_score)
@@ -237,21 +238,21 @@
 }
 
 static void
-row_choose (MfCore *core, uint32_t upstream, bool chosen)
+row_set_selected (MfCore *core, uint32_t upstream, bool selected)
 {
   OrderRow *row = &core->board.orders->rows[upstream];
 
-  if (chosen && !row->chosen)
-    row->chosen_us = core->board.now_us;
-  row->chosen = chosen;
-  hold_update (core, upstream);
+  if (selected && !row->selected)
+    row->selected_us = core->board.now_us;
+  row->selected = selected;
+  update_hold (core, upstream);
 }
 
 /* Gives turns to upstreams that differ. Every instance computes the same turns from the same
  * reports, so that all keep work off an upstream that is being emptied, a pool is never out of
  * service as a whole, and the fleet's loads together keep to the weight store's rate. */
 static void
-choose_turns (MfCore *core, Turns *turns, bool *taken)
+select_upstreams (MfCore *core, Selection *selection, bool *selected)
 {
   MfOrders *orders = core->board.orders;
   uint32_t upstream;
@@ -262,30 +263,30 @@
 
       if (!state->in_config || state->config.pool >= core->board.config->n_pools)
         continue;
-      turns->pool_size[state->config.pool]++;
-      turns->pool_busy[state->config.pool] += state->load.loading;
-      turns->n_loading += state->load.loading;
+      selection->pool_size[state->config.pool]++;
+      selection->pool_busy[state->config.pool] += state->load.loading;
+      selection->n_loading += state->load.loading;
     }
-  while ((upstream = next_turn (core, turns, taken)) != MF_NONE)
+  while ((upstream = selection_next (core, selection, selected)) != MF_NONE)
     {
-      taken[upstream] = true;
-      turns->n_loading += orders->rows[upstream].kind != MF_ORDER_ROLE;
-      turns->pool_busy[core->board.upstreams[upstream].config.pool]++;
+      selected[upstream] = true;
+      selection->n_loading += orders->rows[upstream].kind != MF_ORDER_ROLE;
+      selection->pool_busy[core->board.upstreams[upstream].config.pool]++;
     }
   for (uint32_t i = 0; i < orders->n_rows; i++)
-    row_choose (core, i, taken[i]);
+    row_set_selected (core, i, selected[i]);
 }
 
 static bool
 report_is_fresh (const MfCore *core, const MfUpstream *state, const OrderRow *row)
 {
-  uint64_t since_us = row->chosen_us > row->ordered_us ? row->chosen_us : row->ordered_us;
+  uint64_t since_us = row->selected_us > row->ordered_us ? row->selected_us : row->ordered_us;
   uint64_t paused_us = mf_member_paused_us (core);
 
   if (since_us < paused_us)
     since_us = paused_us;
   return state->load.measured_us > since_us
-         && state->load.measured_us + REPORT_LIFE_US > core->board.now_us;
+         && state->load.measured_us + REPORT_AGE_MAX_US > core->board.now_us;
 }
 
 /* Whether nothing would be lost: the others have had time to stop placing work on it, and the
@@ -293,7 +294,7 @@
 static bool
 is_empty (const MfUpstream *state, const OrderRow *row)
 {
-  return state->load.measured_us > row->chosen_us + SETTLE_US && state->load.slots_used == 0
+  return state->load.measured_us > row->selected_us + SETTLE_US && state->load.slots_used == 0
          && state->load.queued == 0 && state->own_slots == 0;
 }
 
@@ -303,18 +304,19 @@
 may_order (const MfCore *core, const MfUpstream *state, const OrderRow *row)
 {
   uint64_t now_us = core->board.now_us;
-  uint64_t settle_us = state->config.checks_fencing ? SETTLE_US : SETTLE_UNCHECKED_US;
+  uint64_t settle_us = state->config.checks_fencing ? SETTLE_US : SETTLE_NO_FENCING_US;
 
-  if (row->calling || state->load.loading || core->board.draining || !mf_member_has_majority (core))
+  if (row->call_running || state->load.loading || core->board.draining
+      || !mf_member_has_majority (core))
     return false;
-  if (now_us < row->differs_us + SETTLE_US || now_us < row->issuer_us + settle_us)
+  if (now_us < row->differs_since_us + SETTLE_US || now_us < row->issuer_since_us + settle_us)
     return false;
   if (!report_is_fresh (core, state, row))
     return false;
   if (row->kind != MF_ORDER_ADAPTER && !is_empty (state, row))
     return false;
   return state->config.checks_fencing || mf_member_paused_us (core) == 0
-         || now_us > mf_member_paused_us (core) + SETTLE_UNCHECKED_US;
+         || now_us > mf_member_paused_us (core) + SETTLE_NO_FENCING_US;
 }
 
 /* A number above every one known, and above those of earlier incarnations, whose clocks were
@@ -354,8 +356,8 @@
   row->backoff_us = row->backoff_us < BACKOFF_MIN_US ? BACKOFF_MIN_US : 2 * row->backoff_us;
   if (row->backoff_us > BACKOFF_MAX_US)
     row->backoff_us = BACKOFF_MAX_US;
-  row->next_us = core->board.now_us + row->backoff_us;
-  row->calling = true;
+  row->next_order_us = core->board.now_us + row->backoff_us;
+  row->call_running = true;
   action.call.call_id = mf_core_next_call_id (core);
   action.call.fence = state->fence_last;
   mf_name_set (action.call.order_value, sizeof action.call.order_value, value);
@@ -369,56 +371,56 @@
 
 /* Brings one chosen upstream closer to its desired state when this instance is its issuer. */
 static void
-row_act (MfCore *core, uint32_t upstream)
+row_reconcile (MfCore *core, uint32_t upstream)
 {
   OrderRow *row = &core->board.orders->rows[upstream];
   const MfUpstream *state = &core->board.upstreams[upstream];
-  bool held;
+  bool backing_off;
 
   if (mf_member_rank (core, state->name_hash, NULL) > 0)
     {
-      row->issuer_us = 0;
+      row->issuer_since_us = 0;
       return;
     }
-  if (row->issuer_us == 0)
-    row->issuer_us = core->board.now_us;
+  if (row->issuer_since_us == 0)
+    row->issuer_since_us = core->board.now_us;
   if (state->load_at_us + MF_US_PER_S < core->board.now_us)
     mf_upstream_poll (core, upstream);
   if (!may_order (core, state, row))
     return;
-  held = core->board.now_us < row->next_us;
-  if (held && !row->held)
+  backing_off = core->board.now_us < row->next_order_us;
+  if (backing_off && !row->backing_off)
     mf_counter_add (&core->board.counters, MF_COUNTER_ORDERS_HELD, 1);
-  row->held = held;
-  if (!held)
+  row->backing_off = backing_off;
+  if (!backing_off)
     order_send (core, upstream);
 }
 
 static void
-check (MfCore *core)
+reconcile (MfCore *core)
 {
   MfOrders *orders = core->board.orders;
   uint32_t n_pools = core->board.config->n_pools;
   uint32_t *pools = calloc ((size_t)2 * n_pools + 1, sizeof *pools);
-  bool *taken = calloc (orders->n_rows + 1, sizeof *taken);
+  bool *selected = calloc (orders->n_rows + 1, sizeof *selected);
 
-  if (pools != NULL && taken != NULL)
+  if (pools != NULL && selected != NULL)
     {
-      Turns turns = {
+      Selection selection = {
         .loads_max = loads_max (core->board.config),
         .pool_busy = pools,
         .pool_size = pools + n_pools,
       };
 
-      choose_turns (core, &turns, taken);
+      select_upstreams (core, &selection, selected);
       for (uint32_t i = 0; i < orders->n_rows; i++)
         {
-          if (orders->rows[i].chosen)
-            row_act (core, i);
+          if (orders->rows[i].selected)
+            row_reconcile (core, i);
         }
     }
   free (pools);
-  free (taken);
+  free (selected);
 }
 
 static void
@@ -444,7 +446,7 @@
     {
       if (orders->calls[i].call_id != call_id)
         continue;
-      orders->rows[orders->calls[i].upstream].calling = false;
+      orders->rows[orders->calls[i].upstream].call_running = false;
       orders->calls[i] = orders->calls[--orders->n_calls];
       return;
     }
@@ -463,17 +465,17 @@
 
 /* Polls those of the next few upstreams that this instance is the issuer of and does not use. */
 static void
-look (MfCore *core)
+poll_stale (MfCore *core)
 {
   MfOrders *orders = core->board.orders;
 
-  for (uint32_t i = 0; i < LOOK_ROWS && i < orders->n_rows; i++)
+  for (uint32_t i = 0; i < STALE_POLL_ROWS && i < orders->n_rows; i++)
     {
-      uint32_t upstream = orders->look_row++ % orders->n_rows;
+      uint32_t upstream = orders->stale_poll_row++ % orders->n_rows;
       const MfUpstream *state = &core->board.upstreams[upstream];
 
       if (state->in_config && state->role != MF_ROLE_PLAIN
-          && state->load_at_us + LOOK_LIFE_US < core->board.now_us
+          && state->load_at_us + STALE_POLL_AGE_US < core->board.now_us
           && mf_member_rank (core, state->name_hash, NULL) == 0)
         mf_upstream_poll (core, upstream);
     }
@@ -484,19 +486,19 @@
 {
   MfOrders *orders = core->board.orders;
 
-  if (core->board.now_us >= orders->look_us)
+  if (core->board.now_us >= orders->next_stale_poll_us)
     {
-      orders->look_us = core->board.now_us + LOOK_US;
-      look (core);
+      orders->next_stale_poll_us = core->board.now_us + STALE_POLL_PERIOD_US;
+      poll_stale (core);
     }
   if (orders->n_differ == 0 || core->board.config == NULL)
     return;
-  if (core->board.now_us >= orders->check_us)
+  if (core->board.now_us >= orders->next_check_us)
     {
-      orders->check_us = core->board.now_us + CHECK_US;
-      check (core);
+      orders->next_check_us = core->board.now_us + CHECK_PERIOD_US;
+      reconcile (core);
     }
-  mf_core_wake_at (core, orders->check_us);
+  mf_core_wake_at (core, orders->next_check_us);
 }
 
 static void
--- a/libmangofork/service.c
+++ b/libmangofork/service.c
@@ -120,7 +120,7 @@
 }
 
 static uint32_t
-pool_of (const MfServices *services, uint32_t config_pool)
+pool_row_of_config (const MfServices *services, uint32_t config_pool)
 {
   return config_pool == MF_NONE ? MF_NONE : services->of_config_pool[config_pool];
 }
@@ -144,9 +144,9 @@
       row->config = config->services[i];
       row->in_config = true;
       row->index_in_config = i;
-      row->config.prefill_pool = pool_of (services, config->services[i].prefill_pool);
-      row->config.decode_pool = pool_of (services, config->services[i].decode_pool);
-      row->config.plain_pool = pool_of (services, config->services[i].plain_pool);
+      row->config.prefill_pool = pool_row_of_config (services, config->services[i].prefill_pool);
+      row->config.decode_pool = pool_row_of_config (services, config->services[i].decode_pool);
+      row->config.plain_pool = pool_row_of_config (services, config->services[i].plain_pool);
       for (uint32_t j = 0; j < row->config.n_depends; j++)
         row->config.depends[j] = services->of_config_service[config->services[i].depends[j]];
     }
--- a/libmangofork/upstream.c
+++ b/libmangofork/upstream.c
@@ -15,7 +15,7 @@
 #define POLL_GAP_MIN_US (3 * MF_US_PER_MS)
 #define POLL_TIMEOUT_US (400 * MF_US_PER_MS)
 /* Time between polls of an upstream that takes no work. */
-#define POLL_DOWN_US (500 * MF_US_PER_MS)
+#define POLL_UNUSABLE_PERIOD_US (500 * MF_US_PER_MS)
 
 uint64_t
 mf_hash_name (const char *name)
@@ -244,17 +244,17 @@
 }
 
 static void
-apply_one (MfCore *core, uint32_t row, const MfUpstreamConfig *config, uint32_t index)
+apply_upstream (MfCore *core, uint32_t row, const MfUpstreamConfig *config, uint32_t index)
 {
   MfUpstream *upstream = &core->board.upstreams[row];
-  bool moved = strcmp (upstream->config.address, config->address) != 0;
+  bool address_changed = strcmp (upstream->config.address, config->address) != 0;
 
   upstream->config = *config;
   upstream->in_config = true;
   upstream->index_in_config = index;
   upstream->pool = core->board.services.of_config_pool[config->pool];
   upstream->role = core->board.services.pools[upstream->pool].role;
-  if (moved)
+  if (address_changed)
     {
       upstream->health = MF_HEALTH_OK;
       upstream->load = (MfLoadEvent){ .role = upstream->role };
@@ -292,7 +292,7 @@
 
       if (found == NULL)
         rows[row] = (MfUpstream){ .name_hash = want.weight, .slow_start_ppm = 1000000 };
-      apply_one (core, row, &config->upstreams[i], i);
+      apply_upstream (core, row, &config->upstreams[i], i);
     }
   free (known);
   mf_upstream_index_build (core);
@@ -364,9 +364,9 @@
     return;
   action.call.call_id = mf_core_next_call_id (core);
   row->load_call_id = action.call.call_id;
-  row->load_due_us
-      = core->board.now_us
-        + (row->health <= MF_HEALTH_SLOW ? core->board.options.load_period_us / 2 : POLL_DOWN_US);
+  row->load_due_us = core->board.now_us
+                     + (row->health <= MF_HEALTH_SLOW ? core->board.options.load_period_us / 2
+                                                      : POLL_UNUSABLE_PERIOD_US);
   polls->running[polls->n_running].call_id = action.call.call_id;
   polls->running[polls->n_running++].upstream = upstream;
   mf_core_emit (core, &action);
--- a/tests/test_confsync.c
+++ b/tests/test_confsync.c
@@ -202,9 +202,9 @@
   static const uint32_t sizes[] = { 12, 60 };
   const uint64_t seconds = 100, period_s = 5, data_centres = 6;
   const uint64_t readers = MF_READERS_PER_DATA_CENTRE * data_centres;
-  const uint64_t asks_per_s
+  const uint64_t reads_per_s
       = 2 * MF_US_PER_S / MF_READ_SPREAD_US; // NOLINT(misc-redundant-expression)
-  const uint64_t budget = seconds * (2 * readers / period_s + asks_per_s);
+  const uint64_t budget = seconds * (2 * readers / period_s + reads_per_s);
 
   (void)state;
   for (size_t i = 0; i < MF_ARRAY_LEN (sizes); i++)
@@ -255,14 +255,14 @@
 {
   const uint32_t n_upstreams = 8000;
   FakeCores *cores = fleet_new (3, 1);
-  uint64_t whole_bytes, n_bytes = 0, n_bytes_after = 0;
+  uint64_t full_text_bytes, n_bytes = 0, n_bytes_after = 0;
 
   (void)state;
   publish (cores, 10, n_upstreams);
   start_all (cores, 3);
   assert_int_equal (count_revision (cores, 3, 10), 3);
-  whole_bytes = fake_cores_core (cores, 0)->board.config->text_bytes;
-  assert_in_range (whole_bytes, 800000, MF_TEXT_BYTES_MAX);
+  full_text_bytes = fake_cores_core (cores, 0)->board.config->text_bytes;
+  assert_in_range (full_text_bytes, 800000, MF_TEXT_BYTES_MAX);
   for (uint32_t i = 0; i < 3; i++)
     n_bytes += fake_cores_bytes_out (cores, i);
   publish (cores, 11, n_upstreams + 1);
@@ -271,7 +271,7 @@
   assert_int_equal (count_revision (cores, 3, 11), 3);
   for (uint32_t i = 0; i < 3; i++)
     n_bytes_after += fake_cores_bytes_out (cores, i);
-  assert_true (n_bytes_after - n_bytes < whole_bytes / 2);
+  assert_true (n_bytes_after - n_bytes < full_text_bytes / 2);
   fake_cores_free (cores);
 }
 
@@ -286,13 +286,13 @@
       const char *base = texts[i / MF_ARRAY_LEN (texts)], *text = texts[i % MF_ARRAY_LEN (texts)];
       MfConfigMessage message = { .whole_hash = mf_text_hash (text, strlen (text)) };
       size_t n_bytes;
-      char *again;
+      char *rebuilt;
 
       mf_text_delta_make (base, strlen (base), text, strlen (text), &message);
-      again = mf_text_delta_apply (base, strlen (base), &message, &n_bytes);
-      assert_non_null (again);
-      assert_string_equal (again, text);
-      free (again);
+      rebuilt = mf_text_delta_apply (base, strlen (base), &message, &n_bytes);
+      assert_non_null (rebuilt);
+      assert_string_equal (rebuilt, text);
+      free (rebuilt);
       message.whole_hash++;
       assert_null (mf_text_delta_apply (base, strlen (base), &message, &n_bytes));
     }
--- a/tests/test_order.c
+++ b/tests/test_order.c
@@ -11,7 +11,7 @@
 
 #include <cmocka.h>
 
-#define N 6
+#define N_SLOTS 6
 #define ENGINES_MAX 8
 #define STEP_US (100 * MF_US_PER_MS)
 #define LAG_US (50 * MF_US_PER_MS)
@@ -21,10 +21,10 @@
 typedef struct
 {
   char version[MF_NAME_BYTES];
-  char next[MF_NAME_BYTES];
-  uint64_t loaded_us; /* when the load in progress ends; 0 for none */
+  char next_version[MF_NAME_BYTES];
+  uint64_t load_end_us; /* when the load in progress ends; 0 for none */
   uint64_t fence_seen;
-  uint32_t used;
+  uint32_t n_used;
   uint32_t n_orders;
   uint32_t n_refused;
   uint32_t n_busy_orders; /* made while work was on it */
@@ -44,10 +44,10 @@
   Engine engines[ENGINES_MAX];
   uint32_t n_engines;
   bool checks_fencing;
-  bool silent[N]; /* slots that are paused: they are told nothing */
+  bool paused[N_SLOTS]; /* slots that are paused: they are told nothing */
   Reply replies[64];
   uint32_t n_replies;
-  uint32_t out_max; /* most engines loading at once */
+  uint32_t n_loading_max; /* most engines loading at once */
 } Fleet;
 
 static void
@@ -69,11 +69,11 @@
     }
   else
     {
-      engine->n_busy_orders += engine->used > 0;
+      engine->n_busy_orders += engine->n_used > 0;
       engine->fences[engine->n_orders++ % 64] = call->fence;
       engine->fence_seen = fleet->checks_fencing ? call->fence : 0;
-      engine->loaded_us = fake_cores_now_us (cores) + LOAD_US;
-      memcpy (engine->next, call->order_value, sizeof engine->next);
+      engine->load_end_us = fake_cores_now_us (cores) + LOAD_US;
+      memcpy (engine->next_version, call->order_value, sizeof engine->next_version);
     }
   fleet->replies[fleet->n_replies++] = (Reply){ slot, call->call_id, status };
 }
@@ -82,7 +82,7 @@
 fleet_new (Fleet *fleet, uint32_t n_engines, bool checks_fencing)
 {
   const FakeCoresOptions options = {
-    .n_slots = N,
+    .n_slots = N_SLOTS,
     .n_data_centres = 3,
     .delay_us = MF_US_PER_MS,
     .seed = 9,
@@ -101,7 +101,7 @@
     strcpy (fleet->engines[i].version, "v1");
   fake_cores_publish (fleet->cores, 1, text);
   free (text);
-  for (uint32_t i = 0; i < N; i++)
+  for (uint32_t i = 0; i < N_SLOTS; i++)
     fake_cores_start (fleet->cores, i);
   fake_cores_run (fleet->cores, 5 * MF_US_PER_S);
 }
@@ -127,12 +127,12 @@
                     .load = { .incarnation = 1,
                               .measured_us = fake_cores_now_us (fleet->cores) - LAG_US,
                               .slots_total = 20,
-                              .slots_used = engine->used,
+                              .slots_used = engine->n_used,
                               .pieces_total = 200,
                               .pieces_free = 200,
                               .role = MF_ROLE_DECODE,
                               .model = "m0",
-                              .loading = engine->loaded_us != 0,
+                              .loading = engine->load_end_us != 0,
                               .fence_seen = engine->fence_seen } };
   char name[MF_NAME_BYTES];
 
@@ -143,7 +143,7 @@
 }
 
 static bool
-is_held (Fleet *fleet, uint32_t slot, uint32_t at)
+is_on_hold (Fleet *fleet, uint32_t slot, uint32_t at)
 {
   MfCore *core = fake_cores_core (fleet->cores, slot);
   char name[MF_NAME_BYTES];
@@ -158,17 +158,17 @@
 {
   Engine *engine = &fleet->engines[at];
 
-  if (engine->loaded_us != 0 && engine->loaded_us <= fake_cores_now_us (fleet->cores))
+  if (engine->load_end_us != 0 && engine->load_end_us <= fake_cores_now_us (fleet->cores))
     {
-      memcpy (engine->version, engine->next, sizeof engine->version);
-      engine->loaded_us = 0;
+      memcpy (engine->version, engine->next_version, sizeof engine->version);
+      engine->load_end_us = 0;
     }
   if (!busy)
     return;
-  if (is_held (fleet, 0, at) || engine->loaded_us != 0)
-    engine->used -= engine->used > 0;
+  if (is_on_hold (fleet, 0, at) || engine->load_end_us != 0)
+    engine->n_used -= engine->n_used > 0;
   else
-    engine->used = 10;
+    engine->n_used = 10;
 }
 
 static void
@@ -176,19 +176,19 @@
 {
   for (uint64_t at_us = 0; at_us < for_us; at_us += STEP_US)
     {
-      uint32_t n_out = 0;
+      uint32_t n_loading = 0;
 
       for (uint32_t i = 0; i < fleet->n_engines; i++)
         {
           engine_step (fleet, i, busy);
-          n_out += fleet->engines[i].loaded_us != 0;
-          for (uint32_t slot = 0; slot < N; slot++)
+          n_loading += fleet->engines[i].load_end_us != 0;
+          for (uint32_t slot = 0; slot < N_SLOTS; slot++)
             {
-              if (!fleet->silent[slot] && fake_cores_core (fleet->cores, slot) != NULL)
+              if (!fleet->paused[slot] && fake_cores_core (fleet->cores, slot) != NULL)
                 report (fleet, slot, i);
             }
         }
-      fleet->out_max = n_out > fleet->out_max ? n_out : fleet->out_max;
+      fleet->n_loading_max = n_loading > fleet->n_loading_max ? n_loading : fleet->n_loading_max;
       for (uint32_t i = 0; i < fleet->n_replies; i++)
         {
           const Reply *reply = &fleet->replies[i];
@@ -242,7 +242,7 @@
       publish (&fleet, 2, "v2");
       fleet_run (&fleet, 120 * MF_US_PER_S, true);
       assert_all_at (&fleet, "v2", 1);
-      assert_in_range (fleet.out_max, 1, 2);
+      assert_in_range (fleet.n_loading_max, 1, 2);
       fake_cores_free (fleet.cores);
     }
 }
@@ -259,7 +259,7 @@
     {
       publish (&fleet, 2 + round, round % 2 == 0 ? "v2" : "v1");
       fleet_run (&fleet, 90 * MF_US_PER_S, false);
-      for (uint32_t slot = 0; slot < N; slot++)
+      for (uint32_t slot = 0; slot < N_SLOTS; slot++)
         fake_cores_start (fleet.cores, slot);
       fleet_run (&fleet, 5 * MF_US_PER_S, false);
     }
@@ -278,7 +278,7 @@
   static const bool checks[] = { true, false };
 
   (void)state;
-  for (size_t i = 0; i < 2 * N; i++)
+  for (size_t i = 0; i < 2 * N_SLOTS; i++)
     {
       Fleet fleet;
       uint32_t slot = (uint32_t)i / 2;
@@ -287,9 +287,9 @@
       publish (&fleet, 2, "v2");
       fleet_run (&fleet, MF_US_PER_S, false);
       fake_cores_pause (fleet.cores, slot, 30 * MF_US_PER_S);
-      fleet.silent[slot] = true;
+      fleet.paused[slot] = true;
       fleet_run (&fleet, 30 * MF_US_PER_S, false);
-      fleet.silent[slot] = false;
+      fleet.paused[slot] = false;
       fleet_run (&fleet, 30 * MF_US_PER_S, false);
       assert_all_at (&fleet, "v2", 1);
       fake_cores_free (fleet.cores);
@@ -310,11 +310,11 @@
       uint32_t n_orders = 0;
 
       fleet_new (&fleet, 4, checks[i]);
-      for (uint32_t a = 0; a < N; a++)
+      for (uint32_t a = 0; a < N_SLOTS; a++)
         {
           if (a < 2)
             fake_cores_platform (fleet.cores, a, FAKE_PLATFORM_DOWN);
-          for (uint32_t b = 0; b < N; b++)
+          for (uint32_t b = 0; b < N_SLOTS; b++)
             fake_cores_cut (fleet.cores, a, b, (a < 2) != (b < 2));
         }
       fleet_run (&fleet, 10 * MF_US_PER_S, false);
