--- a/libmangofork/call.c
+++ b/libmangofork/call.c
@@ -82,7 +82,7 @@
   if (call->kind == MF_CALL_DECODE && request->reserved == call->upstream)
     request->reserved = MF_NONE;
   else
-    mf_upstream_take (core, call->upstream, call->pieces);
+    mf_upstream_acquire_slot (core, call->upstream, call->pieces);
   if (call->kind == MF_CALL_PREFILL)
     {
       call->prefill_tokens = request->prompt_tokens + request->delivered;
@@ -91,7 +91,7 @@
       row->own_prefill_tokens += call->prefill_tokens;
     }
   call->suspect = request->suspect;
-  row->suspects += call->suspect;
+  row->n_suspects += call->suspect;
 }
 
 /* Creates a call for the request and asks the adapters to start it. */
@@ -139,10 +139,10 @@
   HASH_DEL (core->board.requests->calls, call);
   unlink_from_upstream (core, call);
   if (call->holds_pieces)
-    mf_upstream_give (core, call->upstream, call->pieces);
+    mf_upstream_release_slot (core, call->upstream, call->pieces);
   if (call->kind == MF_CALL_PREFILL && !call->prefilled)
     row->own_prefill_tokens -= call->prefill_tokens;
-  row->suspects -= call->suspect;
+  row->n_suspects -= call->suspect;
   free (call);
 }
 
@@ -174,7 +174,7 @@
 {
   for (MfCall *call = request->calls; call != NULL; call = call->next)
     {
-      core->board.upstreams[call->upstream].suspects -= call->suspect;
+      core->board.upstreams[call->upstream].n_suspects -= call->suspect;
       call->suspect = false;
     }
   request->suspect = false;
@@ -197,7 +197,7 @@
   request->transferring = true;
   row->transfer_bytes += request->kv_bytes;
   if (row->n_transfers++ == 0)
-    row->transfer_at_us = core->board.now_us;
+    row->transfer_progress_us = core->board.now_us;
 }
 
 void
@@ -221,7 +221,7 @@
     return;
   mf_call_end_transfer (core, request);
   mf_core_emit (core, &action);
-  mf_upstream_give (core, request->prefill_upstream, request->prefill_pieces);
+  mf_upstream_release_slot (core, request->prefill_upstream, request->prefill_pieces);
   if (!imported)
     {
       mf_debt_add (core, request->prefill_upstream, request->id, request->prefill_call_id,
@@ -238,14 +238,14 @@
   mf_call_unreserve (core, request);
   request->reserved = upstream;
   if (upstream != MF_NONE)
-    mf_upstream_take (core, upstream, request->pieces);
+    mf_upstream_acquire_slot (core, upstream, request->pieces);
 }
 
 void
 mf_call_unreserve (MfCore *core, MfRequest *request)
 {
   if (request->reserved != MF_NONE)
-    mf_upstream_give (core, request->reserved, request->pieces);
+    mf_upstream_release_slot (core, request->reserved, request->pieces);
   request->reserved = MF_NONE;
 }
 
--- a/libmangofork/confsync.c
+++ b/libmangofork/confsync.c
@@ -152,7 +152,7 @@
   core->board.config_state.accepted_us = core->board.now_us;
   mf_name_set (core->board.config_state.source, MF_NAME_BYTES, source);
   mf_core_set_config (core, config);
-  mf_digest_hurry (core);
+  mf_digest_schedule_urgent (core);
 }
 
 /* Returns the linked neighbour to ask: one that has more than we do, another one than the last. */
@@ -364,7 +364,7 @@
     return;
   if (sync->candidate.text == NULL)
     {
-      sync->reads.want_text = true;
+      sync->reads.text_needed = true;
       return;
     }
   if (peers_revision (core) <= sync->candidate.revision || timed_out)
@@ -439,7 +439,7 @@
       break;
     case MF_EVENT_PLATFORM_FAILED:
       core->board.config_state.platform_failed_us = core->board.now_us;
-      mf_platform_reads_lost (core, &sync->reads, &event->platform_failed);
+      mf_platform_reads_failed (core, &sync->reads, &event->platform_failed);
       if (sync->decide_by_us == 0)
         sync->decide_by_us = core->board.now_us + PEERS_FIRST_TIMEOUT_US;
       break;
--- a/libmangofork/confsync.h
+++ b/libmangofork/confsync.h
@@ -11,14 +11,14 @@
  * others together read once a spread. */
 #define MF_READERS_PER_DATA_CENTRE 2
 /* Instances that are no readers read every so many times the number of instances. */
-#define MF_READ_SPREAD_US (2 * MF_US_PER_S)
-#define MF_READ_SPREAD_MIN_US (60 * MF_US_PER_S)
+#define MF_READ_INTERVAL_PER_INSTANCE_US (2 * MF_US_PER_S)
+#define MF_READ_INTERVAL_MIN_US (60 * MF_US_PER_S)
 
 /* One of the two things that are read. */
 typedef struct
 {
   bool reading;
-  uint64_t read_us; /* when the read that is out began */
+  uint64_t started_us; /* when the read that is out began */
   uint64_t next_us;
   uint64_t index; /* the platform's own, of the last answer */
   uint32_t n_failures;
@@ -28,16 +28,16 @@
 {
   MfPlatformRead text;
   MfPlatformRead list;
-  bool want_text; /* a text is needed, reader or not */
+  bool text_needed; /* a text is needed, reader or not */
   bool is_reader;
-  uint64_t role_us; /* when the election is looked at again */
+  uint64_t next_election_us; /* when the election is looked at again */
 } MfPlatformReads;
 
 void mf_platform_reads_init (MfCore *core, MfPlatformReads *reads);
 void mf_platform_reads_done (MfCore *core, MfPlatformReads *reads, MfPlatformRead *read,
                              uint64_t index);
-void mf_platform_reads_lost (MfCore *core, MfPlatformReads *reads,
-                             const MfPlatformFailedEvent *lost);
+void mf_platform_reads_failed (MfCore *core, MfPlatformReads *reads,
+                               const MfPlatformFailedEvent *failed);
 void mf_platform_reads_tick (MfCore *core, MfPlatformReads *reads);
 
 #endif
--- a/libmangofork/counter.h
+++ b/libmangofork/counter.h
@@ -45,13 +45,13 @@
       MF_COUNTER_COUNT,
 } MfCounter;
 
-#define MF_CODE_SLOTS 64
+#define MF_CODES_MAX 64
 
 /* Counters of this process. Only ever rise. */
 typedef struct
 {
   uint64_t values[MF_COUNTER_COUNT];
-  uint64_t by_code[MF_CODE_SLOTS]; /* ended requests by mf_code_index */
+  uint64_t by_code[MF_CODES_MAX]; /* ended requests by mf_code_index */
 } MfCounters;
 
 static inline void
--- a/libmangofork/digest.c
+++ b/libmangofork/digest.c
@@ -32,7 +32,7 @@
 /* Sends digests at the end of this step instead of at the next period, as often as the rate of
  * urgent digests allows. */
 void
-mf_digest_hurry (MfCore *core)
+mf_digest_schedule_urgent (MfCore *core)
 {
   if (core->board.digests != NULL)
     core->board.digests->urgent = true;
--- a/libmangofork/digest.h
+++ b/libmangofork/digest.h
@@ -5,6 +5,6 @@
 
 /* Sends digests at the end of this step instead of at the next period, as often as the rate of
  * urgent digests allows. */
-void mf_digest_hurry (MfCore *core);
+void mf_digest_schedule_urgent (MfCore *core);
 
 #endif
--- a/libmangofork/health.c
+++ b/libmangofork/health.c
@@ -84,7 +84,7 @@
     return;
   row->n_ejections++;
   row->probe_at_us = core->board.now_us + (PROBE_FIRST_US << doublings);
-  row->died = true;
+  row->death_pending = true;
   core->board.health->n_died++;
   start_watching (row);
   mf_upstream_set_health (core, upstream, MF_HEALTH_DEAD, MF_CODE_UPSTREAM_DIED);
@@ -100,7 +100,7 @@
   row->n_failures_in_row = 0;
   row->n_window_failures = 0;
   row->n_window_calls = 0;
-  row->silent = false;
+  row->ejected_by_polls = false;
   row->token_gap_us = 0;
   row->answer_us = 0;
   row->prefill_sum_tokens = 0;
@@ -111,7 +111,7 @@
 }
 
 void
-mf_health_last_resort (MfCore *core, uint32_t pool)
+mf_health_readmit_ejected (MfCore *core, uint32_t pool)
 {
   const MfPoolRow *row = &core->board.services.pools[pool];
   uint32_t ejected[MF_POOL_ACTIVE_MAX];
@@ -150,20 +150,22 @@
   if (event->type == MF_EVENT_CALL_DONE && event->call.status < 300)
     {
       row->n_failures_in_row = 0;
-      if (row->broke)
+      if (row->call_failed)
         mf_suspect_upstream_lives (core, upstream);
-      row->broke = false;
-      if (row->health == MF_HEALTH_DEAD || (row->health == MF_HEALTH_EJECTED && row->silent))
+      row->call_failed = false;
+      if (row->health == MF_HEALTH_DEAD
+          || (row->health == MF_HEALTH_EJECTED && row->ejected_by_polls))
         reinstate (core, upstream);
       return;
     }
   row->n_failures_in_row++;
-  if (event->call.connect_failed && (row->broke || row->n_failures_in_row >= DEAD_AFTER_FAILURES))
+  if (event->call.connect_failed
+      && (row->call_failed || row->n_failures_in_row >= DEAD_AFTER_FAILURES))
     declare_dead (core, upstream);
   else if (event->call.timed_out && row->n_failures_in_row >= STALLED_AFTER_POLLS)
     {
       eject (core, upstream, MF_CODE_UPSTREAM_STALLED);
-      row->silent = row->health == MF_HEALTH_EJECTED;
+      row->ejected_by_polls = row->health == MF_HEALTH_EJECTED;
     }
 }
 
@@ -175,7 +177,7 @@
 
   if (row->load_at_us != 0 && load->incarnation != row->load.incarnation)
     {
-      row->died = true;
+      row->death_pending = true;
       core->board.health->n_died++;
       mf_news_note (core, MF_NEWS_UPSTREAM_DEAD, row->name_hash, row->load.incarnation);
       mf_debt_upstream_restarted (core, upstream);
@@ -194,9 +196,9 @@
 {
   MfUpstream *row = &core->board.upstreams[upstream];
 
-  if (core->board.now_us - row->window_us > FAILURE_WINDOW_US)
+  if (core->board.now_us - row->window_start_us > FAILURE_WINDOW_US)
     {
-      row->window_us = core->board.now_us;
+      row->window_start_us = core->board.now_us;
       row->n_window_calls = 0;
       row->n_window_failures = 0;
     }
@@ -233,7 +235,7 @@
     declare_dead (core, upstream);
   else if (!call->timed_out)
     {
-      row->broke = true;
+      row->call_failed = true;
       mf_upstream_poll (core, upstream);
     }
 }
@@ -288,7 +290,7 @@
 {
   MfUpstream *row = &core->board.upstreams[upstream];
 
-  row->transfer_at_us = core->board.now_us;
+  row->transfer_progress_us = core->board.now_us;
   row->link_sum_bytes += n_bytes - row->link_sum_bytes / 16;
   row->link_sum_us += taken_us - row->link_sum_us / 16;
   if (row->link_sum_us > 0 && row->link_sum_bytes > 0)
@@ -434,10 +436,10 @@
     {
       MfUpstream *row = &core->board.upstreams[i];
 
-      if (!row->died)
+      if (!row->death_pending)
         continue;
-      row->died = false;
-      row->broke = false;
+      row->death_pending = false;
+      row->call_failed = false;
       mf_prefix_clear (core, i);
       mf_request_upstream_died (core, i);
       mf_suspect_upstream_died (core, i);
@@ -451,12 +453,12 @@
 
   if (health->n_died > 0)
     handle_deaths (core);
-  if (core->board.now_us >= health->look_us)
+  if (core->board.now_us >= health->next_check_us)
     {
-      health->look_us = core->board.now_us + CHECK_PERIOD_US;
+      health->next_check_us = core->board.now_us + CHECK_PERIOD_US;
       check_all (core);
     }
-  mf_core_wake_at (core, health->look_us);
+  mf_core_wake_at (core, health->next_check_us);
 }
 
 static bool
--- a/libmangofork/health.h
+++ b/libmangofork/health.h
@@ -6,7 +6,7 @@
 struct MfHealthState
 {
   uint32_t n_died; /* upstreams found dead in this step */
-  uint64_t look_us;
+  uint64_t next_check_us;
 };
 
 /* What the detectors are told. */
@@ -25,7 +25,7 @@
 /* A call of this instance gave no sign of life for too long. */
 void mf_health_note_stall (MfCore *core, uint32_t upstream);
 /* A pool that has lost its last usable upstream takes back those that were only suspected. */
-void mf_health_last_resort (MfCore *core, uint32_t pool);
+void mf_health_readmit_ejected (MfCore *core, uint32_t pool);
 /* Share of full weight for new work, in parts of a million. */
 uint32_t mf_health_weight_ppm (const MfCore *core, uint32_t upstream);
 
--- a/libmangofork/life.c
+++ b/libmangofork/life.c
@@ -679,8 +679,9 @@
   else if (!extend_after_pause (step))
     {
       const MfUpstream *row = &step->core->board.upstreams[request->prefill_upstream];
-      uint64_t last_transfer_us
-          = row->transfer_at_us > call->started_us ? row->transfer_at_us : call->started_us;
+      uint64_t last_transfer_us = row->transfer_progress_us > call->started_us
+                                      ? row->transfer_progress_us
+                                      : call->started_us;
       uint64_t stalled_us = last_transfer_us + transfer_timeout_us (step->core, request);
 
       if (now_us (step) < stalled_us)
--- a/libmangofork/member_link.c
+++ b/libmangofork/member_link.c
@@ -287,7 +287,7 @@
   pending_flush (core, row);
   if (row->neighbour != MF_NONE)
     mf_news_offer_all (core, row->neighbour);
-  mf_digest_hurry (core);
+  mf_digest_schedule_urgent (core);
 }
 
 static uint64_t
--- a/libmangofork/naive.c
+++ b/libmangofork/naive.c
@@ -12,7 +12,7 @@
 
   if (row->n_members == 0)
     return MF_NONE;
-  return row->members[row->turn++ % row->n_members];
+  return row->members[row->next_member++ % row->n_members];
 }
 
 static MfPlaceResult
--- a/libmangofork/news.c
+++ b/libmangofork/news.c
@@ -198,7 +198,7 @@
   item->origin_us = origin_us;
   item->waiting = linked_neighbours (core) & ~known_by;
   if (kinds[news->kind].priority == 0 && item->waiting != 0)
-    mf_digest_hurry (core);
+    mf_digest_schedule_urgent (core);
   return true;
 }
 
--- a/libmangofork/place.c
+++ b/libmangofork/place.c
@@ -90,7 +90,7 @@
 static bool
 allows_suspect (const MfUpstream *row, const MfRequest *request)
 {
-  return !request->suspect || row->suspects == 0;
+  return !request->suspect || row->n_suspects == 0;
 }
 
 static bool
--- a/libmangofork/platform_read.c
+++ b/libmangofork/platform_read.c
@@ -22,12 +22,12 @@
 static uint64_t
 spacing_us (MfCore *core, const MfPlatformReads *reads)
 {
-  uint64_t spread_us = (mf_member_count (core) + 1) * MF_READ_SPREAD_US;
+  uint64_t spread_us = (mf_member_count (core) + 1) * MF_READ_INTERVAL_PER_INSTANCE_US;
 
   if (reads->is_reader)
     return core->board.options.platform_period_us;
-  if (spread_us < MF_READ_SPREAD_MIN_US)
-    spread_us = MF_READ_SPREAD_MIN_US;
+  if (spread_us < MF_READ_INTERVAL_MIN_US)
+    spread_us = MF_READ_INTERVAL_MIN_US;
   return jittered (core, spread_us);
 }
 
@@ -42,7 +42,7 @@
 void
 mf_platform_reads_done (MfCore *core, MfPlatformReads *reads, MfPlatformRead *read, uint64_t index)
 {
-  uint64_t began_us = read->read_us;
+  uint64_t began_us = read->started_us;
 
   read->reading = false;
   read->n_failures = 0;
@@ -55,7 +55,7 @@
 {
   uint32_t doublings = read->n_failures < 6 ? read->n_failures : 6;
   uint64_t retry_us = RETRY_MIN_US << doublings;
-  uint64_t spread_us = (mf_member_count (core) + 1) * MF_READ_SPREAD_US;
+  uint64_t spread_us = (mf_member_count (core) + 1) * MF_READ_INTERVAL_PER_INSTANCE_US;
 
   if (!read->reading)
     return;
@@ -70,13 +70,13 @@
 
 /* Reads that failed are tried again, ever more seldom. */
 void
-mf_platform_reads_lost (MfCore *core, MfPlatformReads *reads, const MfPlatformFailedEvent *lost)
+mf_platform_reads_failed (MfCore *core, MfPlatformReads *reads, const MfPlatformFailedEvent *failed)
 {
-  bool both = lost->text == lost->list;
+  bool both = failed->text == failed->list;
 
-  if (both || lost->text)
+  if (both || failed->text)
     read_lost (core, reads, &reads->text);
-  if (both || lost->list)
+  if (both || failed->list)
     read_lost (core, reads, &reads->list);
 }
 
@@ -90,7 +90,7 @@
   bool was_reader = reads->is_reader;
   uint64_t soon_us;
 
-  reads->role_us = core->board.now_us + ROLE_US;
+  reads->next_election_us = core->board.now_us + ROLE_US;
   if (core->board.list_index == 0)
     return;
   reads->is_reader = mf_member_rank (core, turn, options->data_centre) < MF_READERS_PER_DATA_CENTRE;
@@ -110,7 +110,7 @@
   MfAction action = { .type = type, .platform_index = reads->is_reader ? read->index : 0 };
 
   read->reading = true;
-  read->read_us = core->board.now_us;
+  read->started_us = core->board.now_us;
   mf_counter_add (&core->board.counters, MF_COUNTER_PLATFORM_CALLS, 1);
   mf_core_emit (core, &action);
 }
@@ -118,7 +118,7 @@
 static void
 read_tick (MfCore *core, MfPlatformReads *reads, MfPlatformRead *read, MfActionType type)
 {
-  if (read->reading && core->board.now_us >= read->read_us + READ_LIMIT_US)
+  if (read->reading && core->board.now_us >= read->started_us + READ_LIMIT_US)
     read_lost (core, reads, read);
   if (!read->reading && core->board.now_us >= read->next_us)
     read_start (core, reads, read, type);
@@ -129,9 +129,9 @@
 void
 mf_platform_reads_tick (MfCore *core, MfPlatformReads *reads)
 {
-  if (core->board.now_us >= reads->role_us)
+  if (core->board.now_us >= reads->next_election_us)
     elect (core, reads);
-  if (reads->want_text && core->board.config == NULL && !reads->text.reading
+  if (reads->text_needed && core->board.config == NULL && !reads->text.reading
       && reads->text.next_us == UINT64_MAX)
     reads->text.next_us = core->board.now_us;
   read_tick (core, reads, &reads->list, MF_ACTION_PLATFORM_READ_LIST);
--- a/libmangofork/queue.c
+++ b/libmangofork/queue.c
@@ -218,7 +218,7 @@
 static uint64_t
 expected_wait_us (const MfCore *core, uint32_t service, uint32_t n)
 {
-  return core->board.services.rows[service].drain_gap_us * n;
+  return core->board.services.rows[service].placement_gap_us * n;
 }
 
 /* Returns after what time a refused caller should retry: when the requests queued now are expected
@@ -406,15 +406,15 @@
 note_drain (MfCore *core, uint32_t service, bool others_wait)
 {
   MfServiceRow *row = &core->board.services.rows[service];
-  uint64_t gap_us = core->board.now_us - row->drain_last_us;
+  uint64_t gap_us = core->board.now_us - row->last_placement_us;
 
-  if (others_wait && row->drain_last_us > 0)
+  if (others_wait && row->last_placement_us > 0)
     {
       if (gap_us > DRAIN_GAP_MAX_US)
         gap_us = DRAIN_GAP_MAX_US;
-      row->drain_gap_us += ((int64_t)gap_us - (int64_t)row->drain_gap_us) / 16;
+      row->placement_gap_us += ((int64_t)gap_us - (int64_t)row->placement_gap_us) / 16;
     }
-  row->drain_last_us = core->board.now_us;
+  row->last_placement_us = core->board.now_us;
 }
 
 /* Returns the next request that can still meet its first-token target, or NULL. Requests before it
--- a/libmangofork/report.c
+++ b/libmangofork/report.c
@@ -356,10 +356,10 @@
 {
   const Points *points = data;
   json_object *object = json_object_new_object ();
-  uint64_t by_code[MF_CODE_SLOTS];
+  uint64_t by_code[MF_CODES_MAX];
   Ends ends = { .by_code = by_code, .list = json_object_new_object () };
 
-  for (uint32_t i = 0; i < MF_CODE_SLOTS; i++)
+  for (uint32_t i = 0; i < MF_CODES_MAX; i++)
     by_code[i] = point->by_code[i];
   mf_render_age (object, "age_s", points->core, point->end_us);
   mf_render_real (object, "length_s", (double)point->length_us / (double)MF_US_PER_S);
--- a/libmangofork/retry.c
+++ b/libmangofork/retry.c
@@ -24,9 +24,9 @@
 static void
 earn_by_time (MfBudget *budget, uint64_t now_us)
 {
-  uint64_t n_periods = (now_us - budget->earned_us) / RETRY_PERIOD_US;
+  uint64_t n_periods = (now_us - budget->refilled_us) / RETRY_PERIOD_US;
 
-  budget->earned_us += n_periods * RETRY_PERIOD_US;
+  budget->refilled_us += n_periods * RETRY_PERIOD_US;
   if (n_periods > RETRY_BURST_MILLI / TOKEN_MILLI)
     n_periods = RETRY_BURST_MILLI / TOKEN_MILLI;
   earn (budget, (uint32_t)n_periods * TOKEN_MILLI, RETRY_BURST_MILLI);
--- a/libmangofork/series.c
+++ b/libmangofork/series.c
@@ -68,7 +68,7 @@
   };
   for (uint32_t i = 0; i < MF_COUNTER_COUNT; i++)
     point->counters[i] = now->values[i] - ring->start.values[i];
-  for (uint32_t i = 0; i < MF_CODE_SLOTS; i++)
+  for (uint32_t i = 0; i < MF_CODES_MAX; i++)
     point->by_code[i] = (uint32_t)(now->by_code[i] - ring->start.by_code[i]);
   point_slots (core, point);
   ring->start = *now;
--- a/libmangofork/series.h
+++ b/libmangofork/series.h
@@ -9,7 +9,7 @@
   uint64_t end_us;
   uint64_t length_us;
   uint64_t counters[MF_COUNTER_COUNT]; /* growth */
-  uint32_t by_code[MF_CODE_SLOTS];     /* requests that ended with each code */
+  uint32_t by_code[MF_CODES_MAX];      /* requests that ended with each code */
   uint32_t queued;
   uint32_t in_flight;
   uint32_t debts;
--- a/libmangofork/service.c
+++ b/libmangofork/service.c
@@ -81,8 +81,8 @@
   qsort (known, n_known, sizeof *known, hash_row_compare);
   services->customers
       = grow (services->customers, n_known + config->n_customers + 1, sizeof *services->customers);
-  services->of_config_customer = grow (services->of_config_customer, config->n_customers + 1,
-                                       sizeof *services->of_config_customer);
+  services->config_customer_rows = grow (services->config_customer_rows, config->n_customers + 1,
+                                         sizeof *services->config_customer_rows);
   for (uint32_t i = 0; i < config->n_customers; i++)
     {
       HashRow want = { .hash = mf_hash_name (config->customers[i].name) };
@@ -94,7 +94,7 @@
       services->customers[row].config = config->customers[i];
       services->customers[row].in_config = true;
       services->customers[row].index_in_config = i;
-      services->of_config_customer[i] = row;
+      services->config_customer_rows[i] = row;
     }
   free (known);
 }
@@ -107,22 +107,22 @@
       services->pools[i].in_config = false;
       services->pools[i].n_members = 0;
     }
-  services->of_config_pool
-      = grow (services->of_config_pool, config->n_pools + 1, sizeof *services->of_config_pool);
+  services->config_pool_rows
+      = grow (services->config_pool_rows, config->n_pools + 1, sizeof *services->config_pool_rows);
   for (uint32_t i = 0; i < config->n_pools; i++)
     {
       uint32_t row = pool_row (services, config->pools[i].name);
 
       services->pools[row].role = config->pools[i].role;
       services->pools[row].in_config = true;
-      services->of_config_pool[i] = row;
+      services->config_pool_rows[i] = row;
     }
 }
 
 static uint32_t
 pool_row_of_config (const MfServices *services, uint32_t config_pool)
 {
-  return config_pool == MF_NONE ? MF_NONE : services->of_config_pool[config_pool];
+  return config_pool == MF_NONE ? MF_NONE : services->config_pool_rows[config_pool];
 }
 
 static void
@@ -133,13 +133,13 @@
       services->rows[i].in_config = false;
       services->rows[i].index_in_config = MF_NONE;
     }
-  services->of_config_service = grow (services->of_config_service, config->n_services + 1,
-                                      sizeof *services->of_config_service);
+  services->config_service_rows = grow (services->config_service_rows, config->n_services + 1,
+                                        sizeof *services->config_service_rows);
   for (uint32_t i = 0; i < config->n_services; i++)
-    services->of_config_service[i] = service_row (services, config->services[i].name);
+    services->config_service_rows[i] = service_row (services, config->services[i].name);
   for (uint32_t i = 0; i < config->n_services; i++)
     {
-      MfServiceRow *row = &services->rows[services->of_config_service[i]];
+      MfServiceRow *row = &services->rows[services->config_service_rows[i]];
 
       row->config = config->services[i];
       row->in_config = true;
@@ -148,7 +148,7 @@
       row->config.decode_pool = pool_row_of_config (services, config->services[i].decode_pool);
       row->config.plain_pool = pool_row_of_config (services, config->services[i].plain_pool);
       for (uint32_t j = 0; j < row->config.n_depends; j++)
-        row->config.depends[j] = services->of_config_service[config->services[i].depends[j]];
+        row->config.depends[j] = services->config_service_rows[config->services[i].depends[j]];
     }
 }
 
@@ -175,9 +175,9 @@
   free (services->rows);
   free (services->pools);
   free (services->customers);
-  free (services->of_config_service);
-  free (services->of_config_pool);
-  free (services->of_config_customer);
+  free (services->config_service_rows);
+  free (services->config_pool_rows);
+  free (services->config_customer_rows);
 }
 
 uint32_t
@@ -185,7 +185,7 @@
 {
   uint32_t found = mf_config_find_model (core->board.config, model);
 
-  return found == MF_NONE ? MF_NONE : core->board.services.of_config_service[found];
+  return found == MF_NONE ? MF_NONE : core->board.services.config_service_rows[found];
 }
 
 uint32_t
@@ -193,7 +193,7 @@
 {
   uint32_t found = mf_config_find_path (core->board.config, path);
 
-  return found == MF_NONE ? MF_NONE : core->board.services.of_config_service[found];
+  return found == MF_NONE ? MF_NONE : core->board.services.config_service_rows[found];
 }
 
 uint32_t
@@ -201,7 +201,7 @@
 {
   uint32_t found = mf_config_find_customer (core->board.config, digest);
 
-  return found == MF_NONE ? MF_NONE : core->board.services.of_config_customer[found];
+  return found == MF_NONE ? MF_NONE : core->board.services.config_customer_rows[found];
 }
 
 static bool
@@ -212,7 +212,8 @@
   if (pool == MF_NONE)
     return true;
   row = &core->board.services.pools[pool];
-  return row->n_usable > 0 || (row->down_us > 0 && core->board.now_us < row->down_us + grace_us);
+  return row->n_usable > 0
+         || (row->down_since_us > 0 && core->board.now_us < row->down_since_us + grace_us);
 }
 
 static bool
--- a/libmangofork/service.h
+++ b/libmangofork/service.h
@@ -9,7 +9,7 @@
 typedef struct
 {
   uint32_t tokens_milli;
-  uint64_t earned_us; /* up to when time has paid */
+  uint64_t refilled_us; /* up to when time has paid */
 } MfBudget;
 
 /* One service, over all texts that named it. Rows keep their index while the process lives. */
@@ -21,8 +21,8 @@
   uint32_t index_in_config; /* MF_NONE when the text in force does not have it */
   uint32_t output_tokens;   /* observed mean length of an answer; 0 before any */
   uint32_t n_in_flight;
-  uint64_t drain_gap_us; /* observed time between two placements while some wait */
-  uint64_t drain_last_us;
+  uint64_t placement_gap_us; /* observed time between two placements while some wait */
+  uint64_t last_placement_us;
   uint64_t answer_us; /* plain: usual time to the answer */
   MfBudget retry;
   MfBudget hedge;
@@ -38,19 +38,19 @@
   uint32_t n_members;
   uint32_t *active; /* of them, those this instance uses: a bounded subset */
   uint32_t n_active;
-  uint32_t n_usable;     /* active members that may be given work */
-  uint64_t down_us;      /* when the last usable one was lost; 0 while there is one */
-  uint32_t turn;         /* round robin */
-  uint64_t token_gap_us; /* usual gap, over its members */
-  uint64_t answer_us;    /* plain: recent mean time to the answer */
+  uint32_t n_usable;      /* active members that may be given work */
+  uint64_t down_since_us; /* when the last usable one was lost; 0 while there is one */
+  uint32_t next_member;   /* round robin */
+  uint64_t token_gap_us;  /* usual gap, over its members */
+  uint64_t answer_us;     /* plain: recent mean time to the answer */
   uint32_t n_answers;
-  bool narrowed;         /* plain: its window has met its limit once */
-  uint64_t base_us;      /* plain: the least that mean has been of late */
-  uint32_t n_own;        /* requests this instance keeps there */
-  uint32_t n_in_transit; /* of them, those on the way to a decode slot */
+  bool window_was_narrowed; /* plain: its window has met its limit once */
+  uint64_t base_answer_us;  /* plain: the least that mean has been of late */
+  uint32_t n_own_requests;  /* requests this instance keeps there */
+  uint32_t n_in_transit;    /* of them, those on the way to a decode slot */
   uint32_t window_milli;
-  uint64_t n_waits; /* KVs taken up, and how long they waited */
-  uint64_t sum_wait_us;
+  uint64_t n_kv_waits; /* KVs taken up, and how long they waited */
+  uint64_t sum_kv_wait_us;
 } MfPoolRow;
 
 typedef struct
@@ -73,9 +73,9 @@
   uint32_t n_pools;
   MfCustomerRow *customers;
   uint32_t n_customers;
-  uint32_t *of_config_service; /* rows of the text's services, pools and customers */
-  uint32_t *of_config_pool;
-  uint32_t *of_config_customer;
+  uint32_t *config_service_rows; /* rows of the text's services, pools and customers */
+  uint32_t *config_pool_rows;
+  uint32_t *config_customer_rows;
 } MfServices;
 
 /* Members of one pool that one instance uses and polls, at most. */
--- a/libmangofork/share.c
+++ b/libmangofork/share.c
@@ -223,7 +223,7 @@
     row->demand_rose_us = core->board.now_us;
   row->own_wanted = n_slots;
   if (row->n_sharers > 0 && n_slots > 2 * row->reported_wanted && n_slots > row->limit)
-    mf_digest_hurry (core);
+    mf_digest_schedule_urgent (core);
   limit_update (core, upstream);
 }
 
--- a/libmangofork/status.c
+++ b/libmangofork/status.c
@@ -141,7 +141,7 @@
   mf_render_real (object, "token_gap_ms", (double)upstream->token_gap_us / 1000);
   mf_render_real (object, "answer_ms", (double)upstream->answer_us / 1000);
   mf_render_number (object, "prefill_tokens_per_s", upstream->prefill_tokens_per_s);
-  mf_render_number (object, "suspects", upstream->suspects);
+  mf_render_number (object, "suspects", upstream->n_suspects);
   mf_render_hex (object, "incarnation", upstream->load.incarnation);
   mf_render_text (object, "model", upstream->load.model);
   mf_render_bool (object, "loading", upstream->load.loading);
--- a/libmangofork/upstream.c
+++ b/libmangofork/upstream.c
@@ -38,7 +38,7 @@
 bool
 mf_upstream_is_usable (const MfUpstream *upstream)
 {
-  return upstream->in_config && upstream->health <= MF_HEALTH_SLOW && !upstream->held;
+  return upstream->in_config && upstream->health <= MF_HEALTH_SLOW && !upstream->on_hold;
 }
 
 /* How many requests it holds at once, by its own word when it gave it. */
@@ -73,13 +73,13 @@
 static void
 note_change (MfUpstream *upstream, uint64_t now_us, int sign)
 {
-  upstream->own_changes_us[upstream->n_own_changes++ % MF_RECENT_MAX] = sign * (int64_t)now_us;
+  upstream->own_changes_us[upstream->n_own_changes++ % MF_OWN_CHANGES_MAX] = sign * (int64_t)now_us;
   upstream->own_since_report += sign;
 }
 
 /* Notes an own placement. */
 void
-mf_upstream_take (MfCore *core, uint32_t upstream, uint32_t pieces)
+mf_upstream_acquire_slot (MfCore *core, uint32_t upstream, uint32_t pieces)
 {
   MfUpstream *row = &core->board.upstreams[upstream];
 
@@ -90,7 +90,7 @@
 
 /* Notes the end of an own placement. */
 void
-mf_upstream_give (MfCore *core, uint32_t upstream, uint32_t pieces)
+mf_upstream_release_slot (MfCore *core, uint32_t upstream, uint32_t pieces)
 {
   MfUpstream *row = &core->board.upstreams[upstream];
 
@@ -105,12 +105,13 @@
 static int32_t
 changes_since (const MfUpstream *upstream, uint64_t measured_us)
 {
-  uint32_t n = upstream->n_own_changes < MF_RECENT_MAX ? upstream->n_own_changes : MF_RECENT_MAX;
+  uint32_t n
+      = upstream->n_own_changes < MF_OWN_CHANGES_MAX ? upstream->n_own_changes : MF_OWN_CHANGES_MAX;
   int32_t net = 0;
 
   for (uint32_t i = 1; i <= n; i++)
     {
-      int64_t at_us = upstream->own_changes_us[(upstream->n_own_changes - i) % MF_RECENT_MAX];
+      int64_t at_us = upstream->own_changes_us[(upstream->n_own_changes - i) % MF_OWN_CHANGES_MAX];
       int sign = at_us < 0 ? -1 : 1;
 
       if ((uint64_t)(at_us * sign) < measured_us)
@@ -177,9 +178,9 @@
         }
     }
   if (pool->n_usable > 0)
-    pool->down_us = 0;
-  else if (pool->down_us == 0)
-    pool->down_us = core->board.now_us;
+    pool->down_since_us = 0;
+  else if (pool->down_since_us == 0)
+    pool->down_since_us = core->board.now_us;
 }
 
 /* Brings the pools' subsets in line after a change of health. */
@@ -222,7 +223,7 @@
   mf_core_log (core, "upstream", row->config.name, mf_health_name (before), mf_health_name (health),
                mf_code_info (reason)->name);
   if (row->pool != MF_NONE)
-    mf_health_last_resort (core, row->pool);
+    mf_health_readmit_ejected (core, row->pool);
 }
 
 static void
@@ -252,7 +253,7 @@
   upstream->config = *config;
   upstream->in_config = true;
   upstream->index_in_config = index;
-  upstream->pool = core->board.services.of_config_pool[config->pool];
+  upstream->pool = core->board.services.config_pool_rows[config->pool];
   upstream->role = core->board.services.pools[upstream->pool].role;
   if (address_changed)
     {
--- a/libmangofork/upstream.h
+++ b/libmangofork/upstream.h
@@ -17,7 +17,7 @@
 } MfHealth;
 
 /* Own placements remembered for correcting aged reports. */
-#define MF_RECENT_MAX 64
+#define MF_OWN_CHANGES_MAX 64
 
 /* What this instance knows of one upstream. Rows are never moved to another index while the process
  * lives; a removed one is kept with in_config false until nothing refers to it. */
@@ -51,27 +51,27 @@
   uint32_t n_failures_in_row;
   uint32_t slow_start_ppm; /* share of full weight while it returns */
   uint64_t probe_at_us;
-  uint32_t pool;                         /* row of its pool; MF_NONE when not in the text */
-  uint32_t index_in_config;              /* MF_NONE when not in the text */
-  int64_t own_changes_us[MF_RECENT_MAX]; /* ring: times of own placements, negative for ends */
+  uint32_t pool;                              /* row of its pool; MF_NONE when not in the text */
+  uint32_t index_in_config;                   /* MF_NONE when not in the text */
+  int64_t own_changes_us[MF_OWN_CHANGES_MAX]; /* ring: times of own placements, negative for ends */
   uint32_t n_own_changes;
   uint64_t load_call_id; /* the poll in flight; 0 for none */
   uint64_t load_due_us;
-  struct MfCall *calls;    /* this instance's running calls on it */
-  uint64_t transfer_bytes; /* own KV now on its link */
-  uint32_t n_transfers;    /* own transfers on its link */
-  uint64_t transfer_at_us; /* when the first of them began, or the last one ended */
-  uint64_t window_us;      /* start of the window the next two count in */
+  struct MfCall *calls;          /* this instance's running calls on it */
+  uint64_t transfer_bytes;       /* own KV now on its link */
+  uint32_t n_transfers;          /* own transfers on its link */
+  uint64_t transfer_progress_us; /* when the first of them began, or the last one ended */
+  uint64_t window_start_us;      /* start of the window the next two count in */
   uint32_t n_window_calls;
   uint32_t n_window_failures;
-  bool held;              /* given no work, for an order; order.c */
+  bool on_hold;           /* given no work, for an order; order.c */
   uint64_t full_until_us; /* it refused for want of room: not asked before this */
-  bool silent;            /* ejected because its polls were not answered */
-  bool broke;             /* a call broke; whether it died is not known yet */
-  bool died;              /* its death is dealt with at the end of this step */
+  bool ejected_by_polls;  /* ejected because its polls were not answered */
+  bool call_failed;       /* a call broke; whether it died is not known yet */
+  bool death_pending;     /* its death is dealt with at the end of this step */
   bool watched;           /* health looks at it periodically */
   uint32_t n_ejections;
-  uint32_t suspects;   /* running suspected requests */
+  uint32_t n_suspects; /* running suspected requests */
   uint64_t fence_last; /* highest fencing number known for it */
 } MfUpstream;
 
@@ -95,8 +95,8 @@
 /* Tokens that wait to be prefilled there, as far as known. */
 uint64_t mf_upstream_prefill_queue (const MfUpstream *upstream);
 /* Notes an own placement and its end. */
-void mf_upstream_take (MfCore *core, uint32_t upstream, uint32_t pieces);
-void mf_upstream_give (MfCore *core, uint32_t upstream, uint32_t pieces);
+void mf_upstream_acquire_slot (MfCore *core, uint32_t upstream, uint32_t pieces);
+void mf_upstream_release_slot (MfCore *core, uint32_t upstream, uint32_t pieces);
 /* Brings pools' subsets in line after a change of health. */
 void mf_upstream_refresh_pools (MfCore *core);
 const char *mf_health_name (MfHealth health);
--- a/libmangofork/window.c
+++ b/libmangofork/window.c
@@ -32,7 +32,7 @@
 bool
 mf_window_allows (const MfPoolRow *pool)
 {
-  return pool->n_own * MILLI < pool->window_milli || pool->n_own == 0;
+  return pool->n_own_requests * MILLI < pool->window_milli || pool->n_own_requests == 0;
 }
 
 /* Counts one more request at the pool. A spare one was placed in a free slot beside the window, and
@@ -40,15 +40,15 @@
 void
 mf_window_acquire (MfPoolRow *pool, bool spare)
 {
-  pool->n_own++;
-  if (spare && pool->window_milli < pool->n_own * MILLI)
-    pool->window_milli = pool->n_own * MILLI;
+  pool->n_own_requests++;
+  if (spare && pool->window_milli < pool->n_own_requests * MILLI)
+    pool->window_milli = pool->n_own_requests * MILLI;
 }
 
 void
 mf_window_release (MfPoolRow *pool)
 {
-  pool->n_own--;
+  pool->n_own_requests--;
 }
 
 static void
@@ -63,7 +63,7 @@
 static void
 widen (MfPoolRow *pool, uint32_t by_milli)
 {
-  if ((pool->n_own + 1) * MILLI >= pool->window_milli)
+  if ((pool->n_own_requests + 1) * MILLI >= pool->window_milli)
     pool->window_milli += by_milli;
 }
 
@@ -72,8 +72,8 @@
 void
 mf_window_note_wait (MfPoolRow *pool, uint64_t wait_us)
 {
-  pool->n_waits++;
-  pool->sum_wait_us += wait_us;
+  pool->n_kv_waits++;
+  pool->sum_kv_wait_us += wait_us;
   if (wait_us > WAIT_HIGH_US)
     narrow (pool, pool->window_milli / WAIT_FALL_DIVISOR);
 }
@@ -102,14 +102,14 @@
   pool->answer_us = (uint64_t)((int64_t)pool->answer_us + step);
   if (++pool->n_answers < MEAN_DIVISOR)
     return;
-  if (pool->base_us == 0 || pool->answer_us < pool->base_us
-      || pool->n_own * IDLE_DIVISOR * MILLI < pool->window_milli)
-    pool->base_us = pool->answer_us;
-  if (pool->answer_us * 100 > pool->base_us * SLOWER_PERCENT)
+  if (pool->base_answer_us == 0 || pool->answer_us < pool->base_answer_us
+      || pool->n_own_requests * IDLE_DIVISOR * MILLI < pool->window_milli)
+    pool->base_answer_us = pool->answer_us;
+  if (pool->answer_us * 100 > pool->base_answer_us * SLOWER_PERCENT)
     {
       narrow (pool, pool->window_milli / PLAIN_FALL_DIVISOR);
-      pool->narrowed = true;
+      pool->window_was_narrowed = true;
     }
   else
-    widen (pool, pool->narrowed ? PLAIN_RISE_MILLI : INIT_RISE_MILLI);
+    widen (pool, pool->window_was_narrowed ? PLAIN_RISE_MILLI : INIT_RISE_MILLI);
 }
--- a/tests/test_confsync.c
+++ b/tests/test_confsync.c
@@ -203,7 +203,7 @@
   const uint64_t seconds = 100, period_s = 5, data_centres = 6;
   const uint64_t readers = MF_READERS_PER_DATA_CENTRE * data_centres;
   const uint64_t reads_per_s
-      = 2 * MF_US_PER_S / MF_READ_SPREAD_US; // NOLINT(misc-redundant-expression)
+      = 2 * MF_US_PER_S / MF_READ_INTERVAL_PER_INSTANCE_US; // NOLINT(misc-redundant-expression)
   const uint64_t budget = seconds * (2 * readers / period_s + reads_per_s);
 
   (void)state;
--- a/tests/test_order.c
+++ b/tests/test_order.c
@@ -149,7 +149,7 @@
   char name[MF_NAME_BYTES];
 
   snprintf (name, sizeof name, "d%u", at);
-  return core->board.upstreams[mf_upstream_find (core, mf_hash_name (name))].held;
+  return core->board.upstreams[mf_upstream_find (core, mf_hash_name (name))].on_hold;
 }
 
 /* Work leaves a held engine and comes back to one that is not. */
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -122,7 +122,7 @@
   if (phase == MF_PHASE_QUEUED)
     {
       fill_decode (fixture);
-      fixture->core->board.services.pools[1].n_own = 1;
+      fixture->core->board.services.pools[1].n_own_requests = 1;
     }
   request (fixture, phase <= MF_PHASE_RESUMING && phase != MF_PHASE_CLAIMING,
            phase == MF_PHASE_CLAIMING);
