--- a/libmangofork/code.c
+++ b/libmangofork/code.c
@@ -11,8 +11,8 @@
 #undef MF_CODE_ROW
 };
 
-/* Returns the place of a code in the table, for counters kept one a code. A code that is not in the
- * table has the place of MF_CODE_INTERNAL. */
+/* Returns the index of a code in the table, for counters by code. That of an unknown code is the
+ * index of MF_CODE_INTERNAL. */
 size_t
 mf_code_index (MfCode code)
 {
@@ -28,14 +28,13 @@
   return internal;
 }
 
-/* Returns the row of a code; never NULL. */
+/* Returns the row of a code, or that of MF_CODE_INTERNAL if the code is unknown. */
 const MfCodeInfo *
 mf_code_info (MfCode code)
 {
   return &code_table[mf_code_index (code)];
 }
 
-/* Returns how many rows the table has. */
 size_t
 mf_code_count (void)
 {
--- a/libmangofork/code.h
+++ b/libmangofork/code.h
@@ -3,12 +3,12 @@
 
 #include "types.h"
 
-/* The numbered result codes. Columns: identifier, number, HTTP status (0 when a caller never sees
- * it), outcome a refusal with this code claims unless the request's own history says otherwise,
- * short name, summary. docs/ERRORS.md holds the same table and a runbook line for each.
+/* The result codes. Columns: identifier, number, HTTP status (0 if callers never see the code),
+ * outcome that a refusal with this code states unless the request's history shows another one,
+ * short name, summary. docs/ERRORS.md has the same table with a runbook entry for each code.
  *
- * 1xxx the caller's request, 2xxx routing and capacity, 3xxx upstreams, 4xxx idempotent calls,
- * 5xxx settings and operators' text, 6xxx platform and peers, 7xxx this process. */
+ * 1xxx: request of the caller, 2xxx: routing and capacity, 3xxx: upstreams, 4xxx: idempotent calls,
+ * 5xxx: settings and operators' text, 6xxx: platform and peers, 7xxx: this process. */
 #define MF_CODE_TABLE(X)                                                                           \
   X (OK, 0, 200, RAN, "ok", "the request was answered")                                            \
   X (BAD_JSON, 1001, 400, NOT_RUN, "bad-json", "the body is not valid JSON")                       \
@@ -25,7 +25,7 @@
   X (TOO_LONG, 1012, 400, NOT_RUN, "too-long", "the prompt fits no engine")                        \
   X (BAD_HEADER, 1013, 400, NOT_RUN, "bad-header", "a header has a wrong value")                   \
   X (DEPARTED, 1014, 499, UNKNOWN, "departed", "the caller left before the end")                   \
-  X (QUEUE_FULL, 2001, 503, NOT_RUN, "queue-full", "no room would be free before the deadline")    \
+  X (QUEUE_FULL, 2001, 503, NOT_RUN, "queue-full", "no capacity is expected before the deadline")  \
   X (DEADLINE, 2002, 504, NOT_RUN, "deadline", "the deadline passed")                              \
   X (CUSTOMER_LIMIT, 2003, 429, NOT_RUN, "customer-limit", "the customer's own limit is reached")  \
   X (RETRY_BUDGET, 2004, 503, UNKNOWN, "retry-budget", "the retry budget is spent")                \
@@ -37,30 +37,30 @@
   X (UPSTREAM_DIED, 3002, 502, UNKNOWN, "upstream-died", "the upstream died before its answer")    \
   X (UPSTREAM_ERROR, 3003, 502, RAN, "upstream-error", "the upstream answered with an error")      \
   X (UPSTREAM_STALLED, 3004, 504, UNKNOWN, "upstream-stalled", "the upstream stopped answering")   \
-  X (POISON, 3005, 422, RAN, "poison", "this request has killed upstreams and is not run again")   \
+  X (POISON, 3005, 422, RAN, "poison", "this request has crashed upstreams and is not run again")  \
   X (ANSWER_TOO_LARGE, 3006, 502, RAN, "answer-too-large", "the upstream's answer is too large")   \
-  X (KEY_UNKNOWN, 4001, 409, UNKNOWN, "key-unknown", "what became of this key's call is unknown")  \
-  X (KEY_NO_QUORUM, 4002, 503, UNKNOWN, "key-no-quorum", "too few instances can vouch for a key")  \
+  X (KEY_UNKNOWN, 4001, 409, UNKNOWN, "key-unknown", "the outcome of this key's call is unknown")  \
+  X (KEY_NO_QUORUM, 4002, 503, UNKNOWN, "key-no-quorum", "too few instances answered for the key") \
   X (KEY_BODY_DIFFERS, 4003, 422, NOT_RUN, "key-body-differs",                                     \
      "the key was used with another body")                                                         \
   X (KEY_TOO_OLD, 4004, 409, UNKNOWN, "key-too-old", "the key is older than keys are kept")        \
   X (KEY_BAD, 4005, 400, NOT_RUN, "key-bad", "the key is empty or too long")                       \
   X (TEXT_SYNTAX, 5001, 0, NOT_RUN, "text-syntax", "the text is not JSON with comments")           \
-  X (TEXT_UNKNOWN_KEY, 5002, 0, NOT_RUN, "text-unknown-key", "the text has a key nobody reads")    \
+  X (TEXT_UNKNOWN_KEY, 5002, 0, NOT_RUN, "text-unknown-key", "the text has an unknown key")        \
   X (TEXT_TYPE, 5003, 0, NOT_RUN, "text-type", "a value has the wrong type or unit")               \
   X (TEXT_RANGE, 5004, 0, NOT_RUN, "text-range", "a value is out of range")                        \
   X (TEXT_DUPLICATE, 5005, 0, NOT_RUN, "text-duplicate", "a name is given twice")                  \
-  X (TEXT_MISSING, 5006, 0, NOT_RUN, "text-missing", "a needed key or dependency is missing")      \
+  X (TEXT_MISSING, 5006, 0, NOT_RUN, "text-missing", "a required key or dependency is missing")    \
   X (TEXT_CYCLE, 5007, 0, NOT_RUN, "text-cycle", "the dependencies form a cycle")                  \
   X (TEXT_TOO_LARGE, 5008, 0, NOT_RUN, "text-too-large", "the text exceeds one megabyte")          \
   X (FILE_READ, 5009, 0, NOT_RUN, "file-read", "a file could not be read")                         \
   X (PLATFORM_DOWN, 6001, 0, NOT_RUN, "platform-down", "the platform does not answer")             \
   X (PLATFORM_STALE, 6002, 0, NOT_RUN, "platform-stale", "the platform served an older revision")  \
   X (PEER_FRAME, 6003, 0, NOT_RUN, "peer-frame", "a frame from a peer was malformed")              \
-  X (PEER_AUTH, 6004, 0, NOT_RUN, "peer-auth", "a peer failed to prove its key")                   \
-  X (PEER_VERSION, 6005, 0, NOT_RUN, "peer-version", "a peer speaks no version known here")        \
+  X (PEER_AUTH, 6004, 0, NOT_RUN, "peer-auth", "a peer failed to authenticate")                    \
+  X (PEER_VERSION, 6005, 0, NOT_RUN, "peer-version", "no common protocol version with a peer")     \
   X (NO_MEMORY, 7001, 503, NOT_RUN, "no-memory", "memory ran out")                                 \
-  X (INTERNAL, 7002, 500, UNKNOWN, "internal", "a check of the program itself failed")             \
+  X (INTERNAL, 7002, 500, UNKNOWN, "internal", "an internal consistency check failed")             \
   X (LISTEN, 7003, 0, NOT_RUN, "listen", "an address could not be listened on")                    \
   X (USAGE, 7004, 0, NOT_RUN, "usage", "the command line is wrong")
 
@@ -81,7 +81,7 @@
   const char *summary;
 } MfCodeInfo;
 
-/* Called for each row; returning false ends the walk. */
+/* Called for each row; returns false to stop. */
 typedef bool (*MfCodeFunc) (const MfCodeInfo *info, void *data);
 
 const MfCodeInfo *mf_code_info (MfCode code);
--- a/libmangofork/counter.c
+++ b/libmangofork/counter.c
@@ -12,14 +12,13 @@
 #undef MF_COUNTER_HELP
 };
 
-/* Returns the name a counter is exported under. */
+/* Returns the name under which a counter is exported. */
 const char *
 mf_counter_name (MfCounter counter)
 {
   return names[counter];
 }
 
-/* Returns a counter's help text. */
 const char *
 mf_counter_help (MfCounter counter)
 {
