--- a/libmangofork/confsync.c
+++ b/libmangofork/confsync.c
@@ -7,16 +7,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* How long a fresh instance asks peers before it believes the platform. */
+/* A starting instance waits this long for peers' revisions before it accepts the platform's text,
+ * which may be stale. */
 #define PEERS_FIRST_TIMEOUT_US (1500 * MF_US_PER_MS)
-/* An ask that was not answered by then goes to another peer. */
+/* A request that is not answered within this time is sent to another peer. */
 #define REQUEST_TIMEOUT_US (700 * MF_US_PER_MS)
-/* Earlier texts kept, so that peers that hold them get only what changed. */
+/* Number of earlier texts that are kept, so that peers that have one of them are sent only the
+ * difference. */
 #define N_OLD_TEXTS 3
-/* A faulty revision is asked for again only after this. */
+/* A revision that was refused as faulty is not requested again for this long. */
 #define REFUSED_RETRY_US (60 * MF_US_PER_S)
 #define REFUSED_MAX 8
-/* Whole texts and lists handed to peers in one second. */
+/* Limit of full texts and lists that are sent to peers in one second. */
 #define FULL_SENDS_PER_S 8
 
 typedef struct
@@ -32,26 +34,27 @@
   uint64_t until_us;
 } Refused;
 
-/* A question to a peer. */
+/* A request for the text or the list, sent to one peer at a time. */
 typedef struct
 {
-  uint64_t timeout_at_us; /* 0 when none is out */
-  uint64_t last_peer;     /* hash of the slot asked last */
+  uint64_t timeout_at_us; /* 0 if no request is in flight */
+  uint64_t last_peer;     /* hash of the name of the peer last asked */
 } PeerRequest;
 
 struct MfConfsync
 {
   MfPlatformReads reads;
-  Text candidate; /* from the platform, while peers are asked first */
+  Text candidate; /* the platform's text, until the peers' revisions are known */
   Text old[N_OLD_TEXTS];
   uint32_t next_old;
   Refused refused[REFUSED_MAX];
   uint32_t next_refused;
-  uint64_t decide_by_us; /* when the platform is believed whatever the peers say; 0 before a list */
-  bool need_full_text;   /* the last difference did not fit: ask for the whole text */
+  uint64_t
+      decide_by_us; /* when the platform's text is accepted in any case; 0 until the first list */
+  bool need_full_text; /* the last difference did not apply: request the full text */
   PeerRequest text_request;
   PeerRequest list_request;
-  bool check_peers; /* something may have changed that asks wait for */
+  bool check_peers; /* a peer connected or sent a message: check what to request */
   uint64_t send_second;
   uint32_t n_sent;
 };
@@ -122,7 +125,8 @@
     *first = *fault;
 }
 
-/* Checks a text and puts it in force when it is sound and newer than the one in force. */
+/* Puts a text in force if it is newer than the one in force and has no faults. A revision with
+ * faults is refused. */
 static void
 offer_text (MfCore *core, uint64_t revision, const char *text, size_t text_bytes,
             const char *source)
@@ -155,7 +159,8 @@
   mf_digest_schedule_urgent (core);
 }
 
-/* Returns the linked neighbour to ask: one that has more than we do, another one than the last. */
+/* Returns the connected neighbour to send a request to: one with a newer text or list than ours,
+ * other than the one last asked if there is a choice. */
 static MfMemberRow *
 find_better_peer (const MfCore *core, const PeerRequest *request, bool for_list)
 {
@@ -207,7 +212,7 @@
   mf_core_wake_at (core, request->timeout_at_us);
 }
 
-/* Bounds what one second of asks can cost. */
+/* Limits the full texts and lists that are sent per second. */
 static bool
 may_send (MfCore *core)
 {
@@ -222,6 +227,8 @@
   return ++sync->n_sent <= FULL_SENDS_PER_S;
 }
 
+/* Sends the text in force to a peer with an older one: as a difference if its text is one of those
+ * kept, otherwise in full. */
 static void
 answer_config_request (MfCore *core, const MfPeerEvent *peer)
 {
@@ -252,6 +259,8 @@
     mf_member_send (core, peer->peer.name, &message);
 }
 
+/* Handles a text from a peer. If it is a difference that does not apply to our text, the full text
+ * is requested next. */
 static void
 handle_config (MfCore *core, const MfConfigMessage *message)
 {
@@ -279,6 +288,8 @@
   free (full_text);
 }
 
+/* Sends the list of instances to a peer with an older one. This instance is added to it, as it is
+ * no member of its own table. */
 static void
 answer_list_request (MfCore *core, const MfPeerEvent *peer)
 {
@@ -316,7 +327,7 @@
   free (listed);
 }
 
-/* Whether every neighbour has told its revision, so that waiting longer would teach nothing. */
+/* Returns whether every neighbour has reported its revision. */
 static bool
 all_peers_reported (const MfCore *core)
 {
@@ -330,6 +341,7 @@
   return !members->choose;
 }
 
+/* Returns the highest revision that a neighbour has and that was not refused here. */
 static uint64_t
 peers_revision (const MfCore *core)
 {
@@ -347,8 +359,9 @@
   return revision;
 }
 
-/* A fresh instance has no text. The platform may be stale, so peers are asked first; its text is
- * read when they have none, and taken when they could not be heard in time. */
+/* Chooses the text of an instance that has none since it started. The platform may be stale, so the
+ * peers have precedence: the platform's text is read if they have none, and put in force if they
+ * have none newer or did not report in time. */
 static void
 choose_first_text (MfCore *core)
 {
--- a/libmangofork/confsync.h
+++ b/libmangofork/confsync.h
@@ -3,24 +3,27 @@
 
 #include "core.h"
 
-/* Schedules this instance's reads of the platform. The fleet's budget of calls a second is
+/* Schedules this instance's reads of the platform. The fleet may make this many calls per second,
+ * whatever the number of its instances:
  *
- *   MF_READERS_PER_DATA_CENTRE x data centres x 2 / platform period + 2 / MF_READ_SPREAD
+ *   MF_READERS_PER_DATA_CENTRE x data centres x 2 / platform period
+ *   + 2 / MF_READ_INTERVAL_PER_INSTANCE_US
  *
- * whatever the number of instances: a few elected readers of each data centre watch, and all
- * others together read once a spread. */
+ * A few elected readers in each data centre watch the platform. All other instances together make
+ * one read of the text and one of the list per MF_READ_INTERVAL_PER_INSTANCE_US. */
 #define MF_READERS_PER_DATA_CENTRE 2
-/* Instances that are no readers read every so many times the number of instances. */
+/* An instance that is no reader reads after this time multiplied by the number of instances. */
 #define MF_READ_INTERVAL_PER_INSTANCE_US (2 * MF_US_PER_S)
+/* Lower bound of that interval. */
 #define MF_READ_INTERVAL_MIN_US (60 * MF_US_PER_S)
 
-/* One of the two things that are read. */
+/* Reads of the operators' text, or of the list of instances. */
 typedef struct
 {
   bool reading;
-  uint64_t started_us; /* when the read that is out began */
+  uint64_t started_us; /* when the running read was started */
   uint64_t next_us;
-  uint64_t index; /* the platform's own, of the last answer */
+  uint64_t index; /* that the platform gave with its last answer */
   uint32_t n_failures;
 } MfPlatformRead;
 
@@ -28,9 +31,9 @@
 {
   MfPlatformRead text;
   MfPlatformRead list;
-  bool text_needed; /* a text is needed, reader or not */
+  bool text_needed; /* read the text even if this instance is no reader */
   bool is_reader;
-  uint64_t next_election_us; /* when the election is looked at again */
+  uint64_t next_election_us; /* when the readers are elected again */
 } MfPlatformReads;
 
 void mf_platform_reads_init (MfCore *core, MfPlatformReads *reads);
--- a/libmangofork/digest.c
+++ b/libmangofork/digest.c
@@ -7,16 +7,18 @@
 
 #include <stdlib.h>
 
-/* Digests sent out of turn: so many at once, then one each refill. */
+/* Rate of urgent digests, which are sent before the period has passed: a burst of URGENT_BURST,
+ * then one each URGENT_REFILL_US, with at least URGENT_GAP_US between any two. */
 #define URGENT_BURST 5
 #define URGENT_REFILL_US (2 * MF_US_PER_S)
 #define URGENT_GAP_US (20 * MF_US_PER_MS)
-/* Upper bounds of encoded sizes. */
+/* Upper bounds of encoded sizes: of a digest without its lists, of one piece of gossip, of one
+ * share and of the packed burn figures. */
 #define FIXED_BYTES 64
 #define GOSSIP_BYTES 28
 #define SHARE_BYTES 16
 #define BURN_BYTES_MAX 1024
-/* All digests of one period together are at most this many times digest_bytes_max. */
+/* The digests of one period have together at most this many times digest_bytes_max. */
 #define PERIOD_DIGESTS_MAX 2
 
 struct MfDigests
@@ -24,13 +26,13 @@
   uint64_t sequence;
   uint64_t next_us;
   uint64_t last_us;
-  bool urgent;
-  uint32_t n_urgent_left; /* that may still be sent out of turn */
+  bool urgent;            /* send at the end of this step if the rate allows it */
+  uint32_t n_urgent_left; /* urgent digests that may be sent before the next refill */
   uint64_t refill_us;
 };
 
-/* Sends digests at the end of this step instead of at the next period, as often as the rate of
- * urgent digests allows. */
+/* Schedules digests for the end of this step instead of the next period, subject to the rate limit
+ * of urgent digests. */
 void
 mf_digest_schedule_urgent (MfCore *core)
 {
@@ -38,7 +40,8 @@
     core->board.digests->urgent = true;
 }
 
-/* Bytes that one digest may have, so that a period's digests together keep to their limit. */
+/* Returns how many bytes one digest may have, so that those of one period keep to their limit
+ * together. */
 static uint32_t
 digest_bytes_limit (const MfCore *core, uint32_t n_linked)
 {
@@ -62,6 +65,7 @@
   return n_linked;
 }
 
+/* Fills in what is specific to one neighbour, and sends the digest. */
 static void
 digest_send (MfCore *core, uint32_t neighbour, MfPeerMessage *message, uint32_t n_gossip_max)
 {
@@ -73,7 +77,7 @@
   mf_member_send_row (core, row, message);
 }
 
-/* What is the same in the digests to all neighbours. */
+/* Fills in what is the same in the digests to all neighbours. */
 static void
 digest_compose (MfCore *core, MfDigestMessage *digest, uint8_t *burn, uint32_t max_bytes)
 {
--- a/libmangofork/health.c
+++ b/libmangofork/health.c
@@ -10,30 +10,39 @@
 
 #define FULL_WEIGHT_PPM 1000000
 #define CHECK_PERIOD_US (100 * MF_US_PER_MS)
-/* Failed connections in a row that mean death, and polls without an answer that mean a stall. */
+/* An upstream is dead after this many failed connections in a row, and stalled after this many
+ * polls in a row without an answer. */
 #define DEAD_AFTER_FAILURES 2
 #define STALLED_AFTER_POLLS 3
-/* Calls of a window of which at least half failed are an error burst. */
+/* At least BURST_FAILURES_MIN failed calls within FAILURE_WINDOW_US are an error burst if at least
+ * half of the calls failed. An error burst ejects the upstream. */
 #define FAILURE_WINDOW_US (2 * MF_US_PER_S)
 #define BURST_FAILURES_MIN 5
-/* Gray: slower than its pool's median by these. */
+/* Gray failures. An upstream is slow from SLOW_PERCENT of its pool's median, and recovered at
+ * RECOVERED_PERCENT of it. */
 #define SLOW_PERCENT 160
 #define RECOVERED_PERCENT 130
-/* Rates of prefill engines and plain services are noisier than gaps between tokens. */
+/* Replaces SLOW_PERCENT for prefill engines and plain services, whose rates are noisier than gaps
+ * between tokens. */
 #define NOISY_SLOW_PERCENT 250
+/* An upstream is ejected from this percentage of its pool's median. */
 #define EJECT_PERCENT 400
+/* Share of new work of a slow upstream. */
 #define SLOW_WEIGHT_PPM 150000
+/* An upstream that exceeds the median by less than this is not slow, whatever the percentage. */
 #define SLOW_EXCESS_MIN_US (5 * MF_US_PER_MS)
-/* At most one in this many of a pool is ejected on suspicion. */
+/* At most one in this many upstreams of a pool is ejected. */
 #define EJECTED_DIVISOR 3
-/* A load report so much later than the last sign of leaving, and without it, means that the
- * upstream stays. One without reports is tried again after a while; its own reply says when it
- * still leaves. */
+/* A load report that is this much later than the last sign of leaving, and does not say that the
+ * upstream is leaving, means that it stays. */
 #define LEAVING_STALE_US (2 * MF_US_PER_S)
+/* An upstream without load reports is given work again this long after its last sign of leaving.
+ * If it is still leaving, its reply says so. */
 #define LEAVING_RETRY_US (30 * MF_US_PER_S)
 #define PROBE_FIRST_US (1 * MF_US_PER_S)
 #define PROBE_DOUBLINGS_MAX 4
-/* Return: weight rises by this at each look. */
+/* Slow start of an upstream that returns to use: its initial weight, and by how much the weight
+ * rises at each periodic check. */
 #define SLOW_START_PPM 100000
 #define SLOW_START_STEP_PPM 30000
 #define MEDIAN_MAX MF_POOL_ACTIVE_MAX
@@ -56,7 +65,8 @@
   return pool->n_usable > 1 && (n_out + 1) * EJECTED_DIVISOR <= pool->n_members + 1;
 }
 
-/* Takes an upstream out of use on suspicion, unless too many of its pool are out already. */
+/* Takes an upstream out of use that may have failed, unless too many of its pool are out of use
+ * already. */
 static void
 eject (MfCore *core, uint32_t upstream, MfCode reason)
 {
@@ -72,7 +82,8 @@
   mf_upstream_set_health (core, upstream, MF_HEALTH_EJECTED, reason);
 }
 
-/* Its process is gone. What follows for its calls is done at the end of the step. */
+/* Marks an upstream as dead because its process is gone. Its calls are ended at the end of the
+ * step. */
 static void
 declare_dead (MfCore *core, uint32_t upstream)
 {
@@ -91,6 +102,7 @@
   mf_news_note (core, MF_NEWS_UPSTREAM_DEAD, row->name_hash, row->load.incarnation);
 }
 
+/* Returns an upstream to use, with a slow start and without the measurements from before. */
 static void
 reinstate (MfCore *core, uint32_t upstream)
 {
@@ -110,6 +122,8 @@
   mf_upstream_set_health (core, upstream, MF_HEALTH_OK, MF_CODE_OK);
 }
 
+/* Returns the ejected upstreams of a pool to use if it has no usable upstream left. They were
+ * ejected on suspicion only, and a pool without upstreams serves nothing. */
 void
 mf_health_readmit_ejected (MfCore *core, uint32_t pool)
 {
@@ -128,6 +142,8 @@
     reinstate (core, ejected[i]);
 }
 
+/* Gives no new work to an upstream that says that it is leaving, and publishes that to the other
+ * instances. */
 static void
 note_leaving (MfCore *core, uint32_t upstream)
 {
@@ -141,7 +157,9 @@
   mf_news_note (core, MF_NEWS_UPSTREAM_LEAVING, row->name_hash, row->load.incarnation);
 }
 
-/* A poll of its load report has ended. */
+/* Reports the end of a poll for a load report. Polls that fail to connect show a death, polls that
+ * time out a stall. An answer returns a dead upstream to use, and one that was ejected because of
+ * its polls. */
 void
 mf_health_note_poll (MfCore *core, uint32_t upstream, const MfEvent *event)
 {
@@ -169,7 +187,7 @@
     }
 }
 
-/* A load report came. Another incarnation means that the one before has died. */
+/* Reports a load report. A new incarnation means that the previous one has died. */
 void
 mf_health_note_load (MfCore *core, uint32_t upstream, const MfLoadEvent *load)
 {
@@ -191,6 +209,7 @@
     reinstate (core, upstream);
 }
 
+/* Counts a call in the current failure window, and ejects the upstream on an error burst. */
 static void
 count_call (MfCore *core, uint32_t upstream, bool failed)
 {
@@ -209,7 +228,8 @@
     eject (core, upstream, MF_CODE_UPSTREAM_ERROR);
 }
 
-/* A call on it ended. */
+/* Reports the end of a call. After a call that broke off, the upstream is polled at once: if that
+ * connection fails too, the upstream is dead. */
 void
 mf_health_note_call (MfCore *core, uint32_t upstream, const MfEvent *event)
 {
@@ -240,13 +260,14 @@
     }
 }
 
-/* A call of this instance gave no sign of life for too long. */
+/* Reports that a call of this instance has made no progress for too long. */
 void
 mf_health_note_stall (MfCore *core, uint32_t upstream)
 {
   eject (core, upstream, MF_CODE_UPSTREAM_STALLED);
 }
 
+/* Updates a running mean, where a new sample weighs one in divisor. */
 static void
 update_mean (uint64_t *value, uint64_t sample, int divisor)
 {
@@ -256,7 +277,7 @@
     *value = (uint64_t)((int64_t)*value + ((int64_t)sample - (int64_t)*value) / divisor);
 }
 
-/* A time between two tokens of one of its streams. */
+/* Reports a time between two tokens of a stream. */
 void
 mf_health_note_gap (MfCore *core, uint32_t upstream, uint64_t gap_us)
 {
@@ -272,7 +293,8 @@
   return (uint64_t)((double)n * (double)MF_US_PER_S / (double)taken_us);
 }
 
-/* A prefill of so many tokens, those before it in the engine's queue among them. */
+/* Reports a prefill that took taken_us. n_tokens includes the tokens that were queued at the engine
+ * before it. */
 void
 mf_health_note_prefill (MfCore *core, uint32_t upstream, uint64_t n_tokens, uint64_t taken_us)
 {
@@ -284,7 +306,7 @@
     row->prefill_tokens_per_s = rate_per_s (row->prefill_sum_tokens, row->prefill_sum_us) + 1;
 }
 
-/* Its link carried a KV. */
+/* Reports that the upstream's link has transferred a KV. */
 void
 mf_health_note_transfer (MfCore *core, uint32_t upstream, uint64_t n_bytes, uint64_t taken_us)
 {
@@ -297,21 +319,21 @@
     row->link_bytes_per_s = rate_per_s (row->link_sum_bytes, row->link_sum_us);
 }
 
-/* Its link held a KV up past its life. */
+/* Reports that a KV did not get across the upstream's link before it expired. */
 void
 mf_health_note_transfer_stall (MfCore *core, uint32_t upstream)
 {
   eject (core, upstream, MF_CODE_UPSTREAM_STALLED);
 }
 
-/* Time to a plain answer. */
+/* Reports the time to the answer of a plain call. */
 void
 mf_health_note_answer (MfCore *core, uint32_t upstream, uint64_t answer_us)
 {
   update_mean (&core->board.upstreams[upstream].answer_us, answer_us, 16);
 }
 
-/* Share of full weight for new work. */
+/* Returns the upstream's share of full weight for new work, in parts per million. */
 uint32_t
 mf_health_weight_ppm (const MfCore *core, uint32_t upstream)
 {
@@ -322,7 +344,8 @@
   return row->slow_start_ppm;
 }
 
-/* What tells how fast the upstream is; lower is faster, 0 is not known. */
+/* Returns how slow the upstream is, 0 if unknown: microseconds between two tokens (decode), to the
+ * answer (plain), or for the prefill of 10,000 tokens. */
 static uint64_t
 slowness (const MfUpstream *row)
 {
@@ -342,6 +365,8 @@
   return x < y ? -1 : x > y;
 }
 
+/* Returns the lower median of the slowness of a pool's usable upstreams; 0 if fewer than three of
+ * them have one, which is too few to compare with. */
 static uint64_t
 pool_median (const MfCore *core, const MfPoolRow *pool)
 {
@@ -361,6 +386,8 @@
   return values[(n - 1) / 2];
 }
 
+/* Compares an upstream's slowness with its pool's median, and changes its health to slow, ejected
+ * or ok accordingly. */
 static void
 check_speed (MfCore *core, uint32_t upstream, uint64_t median)
 {
@@ -378,7 +405,8 @@
     mf_upstream_set_health (core, upstream, MF_HEALTH_OK, MF_CODE_OK);
 }
 
-/* Raises the weight of what returns, and lets what is out be tried again when its time has come. */
+/* Raises the weight of an upstream in slow start, and returns one that is out of use when it is due
+ * for a probe. */
 static void
 check_upstream (MfCore *core, uint32_t upstream)
 {
@@ -427,7 +455,7 @@
     }
 }
 
-/* Ends what ran on upstreams found dead in this step. */
+/* Ends the calls on upstreams that were found dead in this step. */
 static void
 handle_deaths (MfCore *core)
 {
--- a/libmangofork/order.c
+++ b/libmangofork/order.c
@@ -5,34 +5,40 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Time between two passes over the engines that differ from the desired state. */
 #define CHECK_PERIOD_US (250 * MF_US_PER_MS)
-/* A difference must last before anything is done about it, and this instance must have been the
- * issuer that long; longer where the engine does not check fencing numbers. */
+/* An order is sent only if the difference has lasted this long and this instance has been the
+ * issuer for this long. The second time is longer if the engine does not check fencing numbers, as
+ * it would accept an order of a former issuer too. */
 #define SETTLE_US MF_US_PER_S
 #define SETTLE_NO_FENCING_US (3 * MF_US_PER_S)
-/* A load report older than this is no read-back. */
+/* A load report older than this does not show the effect of the last order. */
 #define REPORT_AGE_MAX_US (2 * MF_US_PER_S)
 #define ORDER_TIMEOUT_US (30 * MF_US_PER_S)
+/* Time between two orders to an engine; it doubles with each order up to the maximum. */
 #define BACKOFF_MIN_US (10 * MF_US_PER_S)
 #define BACKOFF_MAX_US (600 * MF_US_PER_S)
-/* After another issuer's order was seen. */
+/* No order is sent for this long after that of another issuer was seen. */
 #define BACKOFF_OTHER_ISSUER_US (30 * MF_US_PER_S)
-/* The part of a pool that may be emptied or loading at once. */
+/* At most one in this many engines of a pool is emptied or loading at once, but at least one. */
 #define POOL_BUSY_DIVISOR 4
-/* What one load takes of the weight store. */
+/* Rate at which one load reads from the weight store. */
 #define LOAD_BYTES_PER_S (UINT64_C (250) * 1000 * 1000)
+/* Loads in the fleet at once. */
 #define LOADS_MAX 64
-/* The turns of upstreams that wait for an order are drawn anew so often, so that one that cannot
- * be brought to the desired state does not keep the others from theirs. */
+/* The order in which upstreams are selected changes after this time, so that an engine that cannot
+ * be brought to the desired state does not block the others. */
 #define SELECTION_EPOCH_MS (300 * UINT64_C (1000))
+/* Orders in flight from this instance. */
 #define CALLS_MAX 64
-/* An instance polls few upstreams for its own use. As issuer it looks after all of its upstreams:
- * so many are gone through at a time, and those without a recent report are polled. */
+/* An instance polls only the upstreams that it uses itself, but issues orders to others as well.
+ * Each period it checks the next STALE_POLL_ROWS rows, and polls the engines of which it is the
+ * issuer and that have not reported for STALE_POLL_AGE_US. */
 #define STALE_POLL_PERIOD_US (500 * MF_US_PER_MS)
 #define STALE_POLL_ROWS 16
 #define STALE_POLL_AGE_US (10 * MF_US_PER_S)
 
-/* What the text wants of an engine. */
+/* The state of an engine that the configuration asks for. An empty string means any. */
 typedef struct
 {
   MfRole role;
@@ -45,13 +51,13 @@
 {
   bool differs;
   MfOrderKind kind;
-  bool selected; /* its turn has come: work is kept off it when the order needs that */
-  bool backing_off;
+  bool selected;    /* may be ordered now; given no work if the order requires an empty engine */
+  bool backing_off; /* waits for next_order_us, and this wait has been counted */
   uint64_t differs_since_us;
   uint64_t selected_us;
-  uint64_t issuer_since_us; /* since when this instance is its issuer; 0 when it is not */
+  uint64_t issuer_since_us; /* 0 when this instance is not the issuer */
   uint64_t ordered_us;
-  uint64_t next_order_us; /* no order before */
+  uint64_t next_order_us; /* earliest time of the next order */
   uint64_t backoff_us;
   bool call_running;
 } OrderRow;
@@ -64,18 +70,18 @@
 
 struct MfOrders
 {
-  OrderRow *rows; /* one an upstream */
+  OrderRow *rows; /* indexed like the upstreams */
   uint32_t n_rows;
   uint32_t n_differ;
   uint64_t next_check_us;
   uint64_t next_stale_poll_us;
-  uint32_t stale_poll_row;
+  uint32_t stale_poll_row; /* the next one to check */
   OrderCall calls[CALLS_MAX];
   uint32_t n_calls;
 };
 
-/* Keeps work off an upstream that serves another model than its pool's, or that is being emptied
- * for an order. */
+/* Puts an upstream on hold while it serves another model than its pool, or is emptied for an
+ * order. An adapter is loaded without emptying the engine. */
 static void
 update_hold (MfCore *core, uint32_t upstream)
 {
@@ -107,15 +113,16 @@
   return desired;
 }
 
-/* Whether a report names something else than is wanted. An engine that reports no model or version
- * is not asked for one. */
+/* Returns whether an engine reports another name than is wanted. An engine that reports no model or
+ * version is never ordered to change it. */
 static bool
 name_differs (const char *wanted, const char *reported)
 {
   return wanted[0] != '\0' && reported[0] != '\0' && strcmp (wanted, reported) != 0;
 }
 
-/* Returns what an order would set, or NULL when the upstream is as desired or out of reach. */
+/* Returns the value that an order would set, and its kind; NULL if the engine is as desired or
+ * cannot be ordered. */
 static const char *
 difference (const MfCore *core, uint32_t upstream, MfOrderKind *kind)
 {
@@ -150,7 +157,7 @@
              : NULL;
 }
 
-/* Compares an upstream's last report with the text. */
+/* Compares an engine's last report with the configuration. */
 static void
 row_update (MfCore *core, uint32_t upstream)
 {
@@ -181,7 +188,8 @@
   update_hold (core, upstream);
 }
 
-/* How far the choice has gone: loads in the fleet, and upstreams of each pool not in service. */
+/* State of a selection: loads in the fleet, and for each pool the engines that are emptied or
+ * loading. */
 typedef struct
 {
   uint32_t n_loading;
@@ -201,7 +209,7 @@
          || selection->pool_busy[pool] < (pool_max > 1 ? pool_max : 1);
 }
 
-/* Returns the upstream whose turn is next, or MF_NONE. */
+/* Returns the next upstream to select, or MF_NONE. */
 static uint32_t
 selection_next (const MfCore *core, const Selection *selection, const bool *selected)
 {
@@ -227,6 +235,7 @@
   return best;
 }
 
+/* Returns how many loads the weight store allows at once. */
 static uint32_t
 loads_max (const MfConfig *config)
 {
@@ -248,9 +257,10 @@
   update_hold (core, upstream);
 }
 
-/* Gives turns to upstreams that differ. Every instance computes the same turns from the same
- * reports, so that all keep work off an upstream that is being emptied, a pool is never out of
- * service as a whole, and the fleet's loads together keep to the weight store's rate. */
+/* Selects the engines that may be ordered now from those that differ. Every instance computes the
+ * same selection from the same reports. Thus all of them give no work to an engine that is being
+ * emptied, a pool is never completely out of service, and the loads of the fleet together stay
+ * within the rate of the weight store. */
 static void
 select_upstreams (MfCore *core, Selection *selection, bool *selected)
 {
@@ -289,8 +299,8 @@
          && state->load.measured_us + REPORT_AGE_MAX_US > core->board.now_us;
 }
 
-/* Whether nothing would be lost: the others have had time to stop placing work on it, and the
- * engine itself says since then that it has none. */
+/* Returns whether an order would end no work: the other instances have had time to stop placing
+ * work on the engine, and the engine has reported since then that it has none. */
 static bool
 is_empty (const MfUpstream *state, const OrderRow *row)
 {
@@ -298,8 +308,8 @@
          && state->load.queued == 0 && state->own_slots == 0;
 }
 
-/* Whether an order may go out now. Only the side of a partition that has a majority orders, so that
- * two revisions of the text cannot make an engine flap. */
+/* Returns whether an order may be sent now. In a partition only the side with a majority sends
+ * orders, so that two revisions of the configuration cannot make an engine flap. */
 static bool
 may_order (const MfCore *core, const MfUpstream *state, const OrderRow *row)
 {
@@ -319,8 +329,8 @@
          || now_us > mf_member_paused_us (core) + SETTLE_NO_FENCING_US;
 }
 
-/* A number above every one known, and above those of earlier incarnations, whose clocks were
- * behind. */
+/* Returns a fencing number above every known one. It is taken from the clock, so that it is also
+ * above those of earlier incarnations. */
 static uint64_t
 next_fence (const MfCore *core, const MfUpstream *state)
 {
@@ -364,12 +374,12 @@
   orders->calls[orders->n_calls++]
       = (OrderCall){ .call_id = action.call.call_id, .upstream = upstream };
   mf_counter_add (&core->board.counters, MF_COUNTER_ORDERS, 1);
-  mf_core_log (core, "order", state->config.name, "", value, "differs from the text");
+  mf_core_log (core, "order", state->config.name, "", value, "differs from the configuration");
   mf_news_note (core, MF_NEWS_FENCE, state->name_hash, state->fence_last);
   mf_core_emit (core, &action);
 }
 
-/* Brings one chosen upstream closer to its desired state when this instance is its issuer. */
+/* Sends the next order to a selected engine if this instance is its issuer and the order is due. */
 static void
 row_reconcile (MfCore *core, uint32_t upstream)
 {
@@ -396,6 +406,7 @@
     order_send (core, upstream);
 }
 
+/* Selects engines and sends the orders that are due. */
 static void
 reconcile (MfCore *core)
 {
@@ -438,7 +449,7 @@
   orders->n_rows = n_rows;
 }
 
-/* An order's call has ended; what came of it is read from the next report. */
+/* Handles the end of an order's call. The effect of the order is read from the next report. */
 static void
 call_ended (MfOrders *orders, uint64_t call_id)
 {
@@ -463,7 +474,8 @@
     call_ended (orders, event->call.call_id);
 }
 
-/* Polls those of the next few upstreams that this instance is the issuer of and does not use. */
+/* Polls those of the next few engines that this instance is the issuer of and that have not
+ * reported lately. */
 static void
 poll_stale (MfCore *core)
 {
--- a/libmangofork/service.c
+++ b/libmangofork/service.c
@@ -5,9 +5,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Weight of one observation in a running mean: 1 in 16. */
-/* A pool without a usable upstream for so long is down, and requests for it are refused. */
+/* A pool without a usable upstream for this long is down, and requests for it are refused. */
 #define OUTAGE_GRACE_US (3 * MF_US_PER_S)
+/* The weight of one sample in a running mean is 1 in 2^4. */
 #define MEAN_SHIFT 4
 
 static void *
@@ -65,7 +65,8 @@
   return x < y ? -1 : x > y;
 }
 
-/* Finds the rows of the text's customers through a sorted index, as there may be thousands. */
+/* Brings the customers in line with the configuration. Their rows are found through a sorted index,
+ * as there may be thousands of customers. */
 static void
 apply_customers (MfServices *services, const MfConfig *config)
 {
@@ -224,8 +225,8 @@
          && pool_is_up (core, service->plain_pool, grace_us);
 }
 
-/* The dependencies are followed without recursion; the checked text has no cycle, and what is
- * visited twice costs only time. */
+/* Follows the dependencies without recursion. A checked configuration has no cycle; a service that
+ * is visited twice costs only time. */
 static bool
 dependencies_are_up (const MfCore *core, uint32_t service, uint64_t grace_us)
 {
@@ -256,6 +257,8 @@
   return dependencies_are_up (core, service, grace_us) ? MF_CODE_OK : MF_CODE_DEPENDENCY_DOWN;
 }
 
+/* Returns whether each pool that the service and its dependencies need has a usable upstream. Sets
+ * *missing to the code to refuse requests with if not. */
 bool
 mf_service_is_up (const MfCore *core, uint32_t service, MfCode *missing)
 {
@@ -263,6 +266,9 @@
   return *missing == MF_CODE_OK;
 }
 
+/* Returns the same as mf_service_is_up, but counts a pool as up until OUTAGE_GRACE_US after it lost
+ * its last upstream. A request that is queued here is served sooner after a short outage than one
+ * that its caller sends again. */
 bool
 mf_service_may_wait (const MfCore *core, uint32_t service, MfCode *missing)
 {
@@ -270,6 +276,8 @@
   return *missing == MF_CODE_OK;
 }
 
+/* Returns the output length to plan for: the mean of the answers, or the configured length before
+ * the first one. */
 uint32_t
 mf_service_output_tokens (const MfServiceRow *service)
 {
@@ -278,7 +286,7 @@
   return service->config.expected_tokens > 0 ? service->config.expected_tokens : 200;
 }
 
-/* Corrects the planned output length by one whole answer. */
+/* Adds a complete answer to the mean output length. */
 void
 mf_service_note_output (MfServiceRow *service, uint32_t n_tokens)
 {
--- a/libmangofork/upstream.c
+++ b/libmangofork/upstream.c
@@ -10,11 +10,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Polls of load reports running at once, and the least time between two. */
+/* Limit of running polls for load reports, and least time between two starts. */
 #define POLLS_MAX 64
 #define POLL_GAP_MIN_US (3 * MF_US_PER_MS)
 #define POLL_TIMEOUT_US (400 * MF_US_PER_MS)
-/* Time between polls of an upstream that takes no work. */
+/* Time between polls of an upstream that is given no work. */
 #define POLL_UNUSABLE_PERIOD_US (500 * MF_US_PER_MS)
 
 uint64_t
@@ -34,22 +34,23 @@
   return health < MF_HEALTH_COUNT ? names[health] : "none";
 }
 
-/* Whether the upstream may be given new work at all. */
+/* Returns whether the upstream may be given new work. */
 bool
 mf_upstream_is_usable (const MfUpstream *upstream)
 {
   return upstream->in_config && upstream->health <= MF_HEALTH_SLOW && !upstream->on_hold;
 }
 
-/* How many requests it holds at once, by its own word when it gave it. */
+/* Returns the number of slots: that of the last load report, or the configured one before the
+ * first. */
 uint32_t
 mf_upstream_slots (const MfUpstream *upstream)
 {
   return upstream->load.slots_total > 0 ? upstream->load.slots_total : upstream->config.slots;
 }
 
-/* The slots in use as far as known: the aged report, corrected by this instance's own placements
- * and ends since it was true. */
+/* Returns an estimate of the slots in use: that of the last load report, corrected by this
+ * instance's own placements and ends since it was measured. */
 uint32_t
 mf_upstream_slots_used (const MfUpstream *upstream)
 {
@@ -58,8 +59,8 @@
   return used > (int64_t)upstream->own_slots ? (uint32_t)used : upstream->own_slots;
 }
 
-/* Tokens that wait to be prefilled there: what the report says, corrected by this instance's own
- * prefills since. */
+/* Returns an estimate of the tokens that wait for prefill: that of the last load report, corrected
+ * by this instance's own prefills since. */
 uint64_t
 mf_upstream_prefill_queue (const MfUpstream *upstream)
 {
@@ -77,7 +78,7 @@
   upstream->own_since_report += sign;
 }
 
-/* Notes an own placement. */
+/* Counts a placement by this instance. */
 void
 mf_upstream_acquire_slot (MfCore *core, uint32_t upstream, uint32_t pieces)
 {
@@ -88,7 +89,7 @@
   note_change (row, core->board.now_us, 1);
 }
 
-/* Notes the end of an own placement. */
+/* Counts the end of a placement by this instance. */
 void
 mf_upstream_release_slot (MfCore *core, uint32_t upstream, uint32_t pieces)
 {
@@ -101,7 +102,7 @@
   mf_queue_schedule_pass (core);
 }
 
-/* Counts the own changes that a report true at measured_us cannot have seen. */
+/* Returns the own placements less ends that a report measured at measured_us cannot include. */
 static int32_t
 changes_since (const MfUpstream *upstream, uint64_t measured_us)
 {
@@ -136,8 +137,8 @@
   return x < y ? -1 : x > y;
 }
 
-/* Orders the members by rendezvous hash with this instance's slot, so that instances of a large
- * fleet use different subsets and a change moves few. */
+/* Sorts the members of a pool by a rendezvous hash of this instance's name and theirs, so that the
+ * instances of a large fleet use different subsets and a change of members affects few of them. */
 static void
 rank_members (MfCore *core, MfPoolRow *pool)
 {
@@ -158,8 +159,8 @@
   free (ranked);
 }
 
-/* Fills the subset in use with the first usable members; when too few are usable, with the others
- * as well, so that they are polled and may return. */
+/* Fills the active subset with the first usable members, and then with unusable ones, which are
+ * polled so that they can return to use. */
 static void
 fill_active (MfCore *core, MfPoolRow *pool)
 {
@@ -183,7 +184,7 @@
     pool->down_since_us = core->board.now_us;
 }
 
-/* Brings the pools' subsets in line after a change of health. */
+/* Updates the active subsets of all pools after a change of health. */
 void
 mf_upstream_refresh_pools (MfCore *core)
 {
@@ -191,6 +192,7 @@
     fill_active (core, &core->board.services.pools[i]);
 }
 
+/* Returns how many slots the members that may be active have together. */
 static uint32_t
 pool_slots (const MfCore *core, uint32_t pool)
 {
@@ -202,7 +204,7 @@
   return n;
 }
 
-/* Changes an upstream's health, with a log line when it is another. */
+/* Sets the health of an upstream. A change is logged. */
 void
 mf_upstream_set_health (MfCore *core, uint32_t upstream, MfHealth health, MfCode reason)
 {
@@ -264,8 +266,8 @@
   add_member (&core->board.services.pools[upstream->pool], row);
 }
 
-/* Brings the table in line with the text now in force. Known names keep their rows, found through a
- * sorted index. */
+/* Brings the table in line with the configuration in force. Upstreams keep their rows by name; the
+ * rows are found through a sorted index. */
 void
 mf_upstream_apply_config (MfCore *core)
 {
@@ -306,8 +308,8 @@
   mf_upstream_refresh_pools (core);
 }
 
-/* Another instance learnt that this incarnation of it is leaving; 0 where it has none. News of an
- * incarnation that has been replaced says nothing. */
+/* Applies the report of another instance that an incarnation of the upstream is leaving; the
+ * incarnation is 0 if the upstream has none. Reports about a replaced incarnation are ignored. */
 void
 mf_upstream_note_leaving (MfCore *core, uint32_t upstream, uint64_t incarnation)
 {
@@ -321,8 +323,9 @@
   mf_upstream_set_health (core, upstream, MF_HEALTH_LEAVING, MF_CODE_NO_UPSTREAM);
 }
 
-/* Another instance saw this incarnation die. That alone takes nothing out of use: it makes this
- * instance look at once. */
+/* Applies the report of another instance that an incarnation of the upstream died. The report alone
+ * takes nothing out of use, so that gossip cannot empty a pool; this instance polls the upstream at
+ * once. */
 void
 mf_upstream_note_dead (MfCore *core, uint32_t upstream, uint64_t incarnation)
 {
@@ -345,7 +348,7 @@
   uint64_t next_us;
 };
 
-/* Asks for a load report, unless one has been asked for already. */
+/* Starts a poll for a load report, unless one is running already. */
 void
 mf_upstream_poll (MfCore *core, uint32_t upstream)
 {
@@ -391,7 +394,7 @@
     }
 }
 
-/* Takes in a load report. One that is older than the one held is dropped. */
+/* Stores a load report. A report older than the stored one is dropped. */
 static void
 handle_load (MfCore *core, const MfLoadEvent *load)
 {
@@ -420,7 +423,8 @@
     handle_poll_end (core, event);
 }
 
-/* The next upstream in use that is due for a poll; MF_NONE when a whole round found none. */
+/* Returns the next active upstream that is due for a poll, or MF_NONE if none is. Counts the active
+ * upstreams that are polled. */
 static uint32_t
 next_to_poll (MfCore *core, uint32_t *n_active)
 {
@@ -449,7 +453,7 @@
   return MF_NONE;
 }
 
-/* Spreads the polls evenly over the period. */
+/* Starts the polls that are due, spread evenly over the period. */
 static void
 upstream_tick (MfCore *core)
 {
--- a/libmangofork/upstream.h
+++ b/libmangofork/upstream.h
@@ -5,103 +5,94 @@
 
 typedef struct MfCore MfCore;
 
-/* Whether an upstream is given work. */
+/* Decides whether an upstream is given work. */
 typedef enum
 {
   MF_HEALTH_OK,
-  MF_HEALTH_SLOW,    /* gray: a smaller share */
-  MF_HEALTH_EJECTED, /* none until its probe succeeds */
+  MF_HEALTH_SLOW,    /* gray failure: given a smaller share of the work */
+  MF_HEALTH_EJECTED, /* given no work until its probe is due */
   MF_HEALTH_DEAD,
   MF_HEALTH_LEAVING,
   MF_HEALTH_COUNT,
 } MfHealth;
 
-/* Own placements remembered for correcting aged reports. */
+/* Number of own placements and ends that are kept to correct outdated load reports. */
 #define MF_OWN_CHANGES_MAX 64
 
-/* What this instance knows of one upstream. Rows are never moved to another index while the process
- * lives; a removed one is kept with in_config false until nothing refers to it. */
+/* What this instance knows about one upstream. Rows keep their index for the life of the process.
+ * The row of an upstream that was removed from the configuration stays, with in_config false. */
 typedef struct
 {
   MfUpstreamConfig config;
   uint64_t name_hash; /* mf_hash_name of config.name */
   bool in_config;
-  MfRole role; /* in force: its pool's, or what its load report says */
+  MfRole role; /* that of its pool, or of a later load report */
   MfHealth health;
   MfCode health_reason;
   uint64_t health_since_us;
-  uint64_t leaving_at_us; /* last sign that it is leaving */
-  MfLoadEvent load;       /* the last report */
-  uint64_t load_at_us;    /* when it was received; 0 for never */
+  uint64_t leaving_at_us; /* time of the last sign that it is leaving */
+  MfLoadEvent load;       /* last load report */
+  uint64_t load_at_us;    /* when that was received; 0 for never */
   bool load_asked;
-  uint32_t own_slots; /* in use by this instance's calls */
+  uint32_t own_slots; /* slots in use by calls of this instance */
   uint32_t own_pieces;
-  int32_t own_since_report;       /* net own placements the last report cannot have seen */
-  uint64_t own_prefill_tokens;    /* prompt tokens of own prefills that have not ended */
+  int32_t own_since_report;    /* own placements less ends that the last report does not include */
+  uint64_t own_prefill_tokens; /* prompt tokens of own running prefills */
   uint64_t own_prefill_at_report; /* own_prefill_tokens when the last report came */
-  uint64_t prefill_tokens_per_s;  /* observed */
-  uint64_t prefill_sum_tokens;    /* decaying sums that the rate comes from */
+  uint64_t prefill_tokens_per_s;  /* measured rate */
+  uint64_t prefill_sum_tokens;    /* decaying sums from which the rate is computed */
   uint64_t prefill_sum_us;
   uint64_t link_sum_bytes;
   uint64_t link_sum_us;
-  uint64_t kv_life_us;       /* observed time its prefills' KV lives */
-  uint64_t token_gap_us;     /* observed between tokens */
-  uint64_t answer_us;        /* plain: observed time to the whole answer */
-  uint64_t link_bytes_per_s; /* observed, from its transfers */
+  uint64_t kv_life_us;       /* measured time until a KV of its prefills expires */
+  uint64_t token_gap_us;     /* mean gap between tokens */
+  uint64_t answer_us;        /* plain services: mean time to the complete answer */
+  uint64_t link_bytes_per_s; /* measured rate of its transfers */
   uint32_t n_failures_in_row;
-  uint32_t slow_start_ppm; /* share of full weight while it returns */
+  uint32_t slow_start_ppm; /* share of full weight in slow start, in parts per million */
   uint64_t probe_at_us;
-  uint32_t pool;                              /* row of its pool; MF_NONE when not in the text */
-  uint32_t index_in_config;                   /* MF_NONE when not in the text */
-  int64_t own_changes_us[MF_OWN_CHANGES_MAX]; /* ring: times of own placements, negative for ends */
+  uint32_t pool;                              /* row of its pool */
+  uint32_t index_in_config;                   /* MF_NONE when not in the configuration in force */
+  int64_t own_changes_us[MF_OWN_CHANGES_MAX]; /* ring of placement times; negative for ends */
   uint32_t n_own_changes;
-  uint64_t load_call_id; /* the poll in flight; 0 for none */
+  uint64_t load_call_id; /* of the poll in flight; 0 for none */
   uint64_t load_due_us;
-  struct MfCall *calls;          /* this instance's running calls on it */
-  uint64_t transfer_bytes;       /* own KV now on its link */
-  uint32_t n_transfers;          /* own transfers on its link */
-  uint64_t transfer_progress_us; /* when the first of them began, or the last one ended */
-  uint64_t window_start_us;      /* start of the window the next two count in */
+  struct MfCall *calls;          /* running calls of this instance */
+  uint64_t transfer_bytes;       /* KV of this instance that its link transfers now */
+  uint32_t n_transfers;          /* transfers of this instance on its link */
+  uint64_t transfer_progress_us; /* when the first of them started, or the last one ended */
+  uint64_t window_start_us;      /* start of the window of the next two counters */
   uint32_t n_window_calls;
   uint32_t n_window_failures;
-  bool on_hold;           /* given no work, for an order; order.c */
-  uint64_t full_until_us; /* it refused for want of room: not asked before this */
-  bool ejected_by_polls;  /* ejected because its polls were not answered */
-  bool call_failed;       /* a call broke; whether it died is not known yet */
-  bool death_pending;     /* its death is dealt with at the end of this step */
-  bool watched;           /* health looks at it periodically */
+  bool on_hold;           /* given no work because of an order; set by order.c */
+  uint64_t full_until_us; /* it refused a call for lack of capacity; given no work until then */
+  bool ejected_by_polls;  /* ejected because its polls timed out */
+  bool call_failed;       /* a call broke off; a poll will tell if the upstream died */
+  bool death_pending;     /* it died; handled at the end of this step */
+  bool watched;           /* checked periodically by health.c */
   uint32_t n_ejections;
-  uint32_t n_suspects; /* running suspected requests */
+  uint32_t n_suspects; /* running suspect requests */
   uint64_t fence_last; /* highest fencing number known for it */
 } MfUpstream;
 
 uint64_t mf_hash_name (const char *name);
 
-/* Brings the table in line with the text now in force. */
 void mf_upstream_apply_config (MfCore *core);
-/* After rows were added; upstream_index.c. */
 void mf_upstream_index_build (MfCore *core);
-/* Returns the row of that name's hash, or MF_NONE. */
 uint32_t mf_upstream_find (const MfCore *core, uint64_t name_hash);
-/* What another instance learnt. Never empties a pool by hearsay alone. */
+/* These apply a report of another instance. */
 void mf_upstream_note_leaving (MfCore *core, uint32_t upstream, uint64_t incarnation);
 void mf_upstream_note_dead (MfCore *core, uint32_t upstream, uint64_t incarnation);
 
-/* Whether the row may be given new work at all. */
 bool mf_upstream_is_usable (const MfUpstream *upstream);
-/* The slots in use as far as known: the aged report corrected by own placements since. */
 uint32_t mf_upstream_slots_used (const MfUpstream *upstream);
 uint32_t mf_upstream_slots (const MfUpstream *upstream);
-/* Tokens that wait to be prefilled there, as far as known. */
 uint64_t mf_upstream_prefill_queue (const MfUpstream *upstream);
-/* Notes an own placement and its end. */
 void mf_upstream_acquire_slot (MfCore *core, uint32_t upstream, uint32_t pieces);
 void mf_upstream_release_slot (MfCore *core, uint32_t upstream, uint32_t pieces);
-/* Brings pools' subsets in line after a change of health. */
 void mf_upstream_refresh_pools (MfCore *core);
 const char *mf_health_name (MfHealth health);
 void mf_upstream_set_health (MfCore *core, uint32_t upstream, MfHealth health, MfCode reason);
-/* Asks for a load report at once. */
 void mf_upstream_poll (MfCore *core, uint32_t upstream);
 
 #endif
--- a/libmangofork/upstream_index.c
+++ b/libmangofork/upstream_index.c
@@ -3,7 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Rebuilds the index from names' hashes to rows: a table at most half full, probed in turn. */
+/* Rebuilds the index from name hashes to rows, to be called after rows were added. It is a hash
+ * table with linear probing that is at most half full. */
 void
 mf_upstream_index_build (MfCore *core)
 {
@@ -30,7 +31,7 @@
   board->upstream_index_mask = size - 1;
 }
 
-/* Returns the row of that name's hash, or MF_NONE. */
+/* Returns the row of the upstream with this name hash, or MF_NONE. */
 uint32_t
 mf_upstream_find (const MfCore *core, uint64_t name_hash)
 {
--- a/tests/test_confsync.c
+++ b/tests/test_confsync.c
@@ -11,7 +11,7 @@
 
 #include <cmocka.h>
 
-/* Longest time from the first acceptance until a text is in force everywhere. */
+/* A text is in force everywhere within this time after the first instance accepted it. */
 #define IN_FORCE_US (2 * MF_US_PER_S)
 
 static FakeCores *
@@ -69,7 +69,7 @@
   return n;
 }
 
-/* Runs until one slot has a revision. */
+/* Runs until the revision is in force at one instance, for at most two minutes. */
 static void
 run_until_first (FakeCores *cores, uint32_t n_slots, uint64_t revision)
 {
@@ -98,6 +98,8 @@
     }
 }
 
+/* A starting instance whose platform serves a stale text never puts that one in force, as its peers
+ * have a newer one. */
 static void
 test_fresh_instance_trusts_peers_before_a_stale_platform (void **state)
 {
@@ -119,6 +121,8 @@
   fake_cores_free (cores);
 }
 
+/* The text in force stays when the platform fails at some instances and serves an older revision at
+ * the others; an instance that starts meanwhile gets the text from its peers. */
 static void
 test_platform_down_or_reverting_changes_nothing (void **state)
 {
@@ -143,6 +147,7 @@
   fake_cores_free (cores);
 }
 
+/* A faulty revision is refused and not read again and again; the next one is accepted. */
 static void
 test_poisoned_revision_is_refused (void **state)
 {
@@ -165,7 +170,8 @@
   fake_cores_free (cores);
 }
 
-/* One side of a partition has read a newer text; when it heals the higher revision is in force. */
+/* Only one side of a partition reads a newer text. After the partition has healed, the highest
+ * revision is in force on both sides. */
 static void
 test_partition_heals_to_the_highest_revision (void **state)
 {
@@ -195,7 +201,7 @@
   fake_cores_free (cores);
 }
 
-/* The calls of a fleet in a minute stay under the budget, which does not name the fleet's size. */
+/* A fleet's calls to the platform stay within the budget, which does not depend on its size. */
 static void
 test_platform_calls_keep_to_the_budget (void **state)
 {
@@ -229,7 +235,8 @@
     }
 }
 
-/* A data centre that restarts at once reads the list once an instance, and the text hardly. */
+/* When all instances of a data centre restart at once, each reads the list once, and few read the
+ * text. */
 static void
 test_restart_of_a_data_centre_makes_no_storm (void **state)
 {
@@ -250,6 +257,7 @@
   fake_cores_free (cores);
 }
 
+/* A change of a large text is sent between instances as a difference. */
 static void
 test_large_text_travels_as_a_difference (void **state)
 {
@@ -275,6 +283,7 @@
   fake_cores_free (cores);
 }
 
+/* A difference between any two texts rebuilds the second, and is refused if its hash is wrong. */
 static void
 test_difference_rebuilds_the_text (void **state)
 {
--- a/tests/test_health.c
+++ b/tests/test_health.c
@@ -17,7 +17,8 @@
   return mf_upstream_find (core, mf_hash_name (name));
 }
 
-/* All of a pool dies but one that was only suspected: it is used again. */
+/* An upstream that was ejected on suspicion is used again if all others of its pool are dead or
+ * leaving. Otherwise suspicion alone would take a pool out of service. */
 static void
 test_suspicion_never_empties_a_pool (void **state)
 {
@@ -41,7 +42,8 @@
   free (text);
 }
 
-/* A pool that lost its last upstream a moment ago is waited for; one that stays down is not. */
+/* Requests for a pool that has just lost its last upstream are queued; those for a pool that stays
+ * down are refused. */
 static void
 test_short_outage_is_waited_for (void **state)
 {
--- a/tests/test_order.c
+++ b/tests/test_order.c
@@ -17,17 +17,17 @@
 #define LAG_US (50 * MF_US_PER_MS)
 #define LOAD_US (3 * MF_US_PER_S)
 
-/* An engine that loads versions, as the order controller sees it. */
+/* An engine that loads versions on orders. */
 typedef struct
 {
   char version[MF_NAME_BYTES];
   char next_version[MF_NAME_BYTES];
-  uint64_t load_end_us; /* when the load in progress ends; 0 for none */
+  uint64_t load_end_us; /* when the running load ends; 0 for none */
   uint64_t fence_seen;
   uint32_t n_used;
   uint32_t n_orders;
   uint32_t n_refused;
-  uint32_t n_busy_orders; /* made while work was on it */
+  uint32_t n_busy_orders; /* received while it had work */
   uint64_t fences[64];
 } Engine;
 
@@ -44,10 +44,10 @@
   Engine engines[ENGINES_MAX];
   uint32_t n_engines;
   bool checks_fencing;
-  bool paused[N_SLOTS]; /* slots that are paused: they are told nothing */
+  bool paused[N_SLOTS]; /* instances that are paused and get no reports */
   Reply replies[64];
   uint32_t n_replies;
-  uint32_t n_loading_max; /* most engines loading at once */
+  uint32_t n_loading_max; /* highest number of engines loading at once */
 } Fleet;
 
 static void
@@ -152,7 +152,8 @@
   return core->board.upstreams[mf_upstream_find (core, mf_hash_name (name))].on_hold;
 }
 
-/* Work leaves a held engine and comes back to one that is not. */
+/* Ends a load that is due. A busy engine loses its work step by step while it is on hold or
+ * loading, and gets new work afterwards. */
 static void
 engine_step (Fleet *fleet, uint32_t at, bool busy)
 {
@@ -226,8 +227,8 @@
   fake_cores_free (fleet.cores);
 }
 
-/* A new version reaches every engine by one order each, a few at a time, none while work is on
- * it. */
+/* A new version is rolled out with one order per engine, to at most two engines at once, and to
+ * none that has work. */
 static void
 test_rollout_empties_few_engines_at_a_time (void **state)
 {
@@ -247,6 +248,7 @@
     }
 }
 
+/* Fencing numbers increase from order to order, also after all instances have restarted. */
 static void
 test_fences_rise_over_incarnations (void **state)
 {
@@ -270,8 +272,8 @@
   fake_cores_free (fleet.cores);
 }
 
-/* The issuer is paused before its order; another takes over, and the issuer, when it wakes, finds
- * the order made. */
+/* An issuer is paused before it sends its order, and another instance sends it. After the pause the
+ * former issuer does not send it again. Each instance is paused once, as any may be the issuer. */
 static void
 test_paused_issuer_orders_nothing_twice (void **state)
 {
@@ -296,8 +298,8 @@
     }
 }
 
-/* Two sides of a partition want different versions: only the majority orders, so that nothing
- * flaps. */
+/* The two sides of a partition have revisions that ask for different versions. Only the majority
+ * sends orders; otherwise the engines would load the two versions in alternation. */
 static void
 test_partition_does_not_make_engines_flap (void **state)
 {
