--- a/libmangofork/confsync.c
+++ b/libmangofork/confsync.c
@@ -38,7 +38,7 @@
 typedef struct
 {
   uint64_t timeout_at_us; /* 0 if no request is in flight */
-  uint64_t last_peer;     /* hash of the name of the peer last asked */
+  uint64_t last_peer;     /* name hash of the peer that the last one was sent to */
 } PeerRequest;
 
 struct MfConfsync
@@ -49,9 +49,8 @@
   uint32_t next_old;
   Refused refused[REFUSED_MAX];
   uint32_t next_refused;
-  uint64_t
-      decide_by_us; /* when the platform's text is accepted in any case; 0 until the first list */
-  bool need_full_text; /* the last difference did not apply: request the full text */
+  uint64_t decide_by_us; /* the platform's text is accepted from then on; 0 before a list */
+  bool need_full_text;   /* the last difference did not apply: request the full text */
   PeerRequest text_request;
   PeerRequest list_request;
   bool check_peers; /* a peer connected or sent a message: check what to request */
@@ -160,7 +159,7 @@
 }
 
 /* Returns the connected neighbour to send a request to: one with a newer text or list than ours,
- * other than the one last asked if there is a choice. */
+ * other than that of the last request if there is a choice. */
 static MfMemberRow *
 find_better_peer (const MfCore *core, const PeerRequest *request, bool for_list)
 {
--- a/libmangofork/confsync.h
+++ b/libmangofork/confsync.h
@@ -9,8 +9,9 @@
  *   MF_READERS_PER_DATA_CENTRE x data centres x 2 / platform period
  *   + 2 / MF_READ_INTERVAL_PER_INSTANCE_US
  *
- * A few elected readers in each data centre watch the platform. All other instances together make
- * one read of the text and one of the list per MF_READ_INTERVAL_PER_INSTANCE_US. */
+ * with both times in seconds. A few elected readers in each data centre watch the platform. All
+ * other instances together make one read of the text and one of the list per
+ * MF_READ_INTERVAL_PER_INSTANCE_US. */
 #define MF_READERS_PER_DATA_CENTRE 2
 /* An instance that is no reader reads after this time multiplied by the number of instances. */
 #define MF_READ_INTERVAL_PER_INSTANCE_US (2 * MF_US_PER_S)
--- a/libmangofork/health.c
+++ b/libmangofork/health.c
@@ -29,7 +29,8 @@
 #define EJECT_PERCENT 400
 /* Share of new work of a slow upstream. */
 #define SLOW_WEIGHT_PPM 150000
-/* An upstream that exceeds the median by less than this is not slow, whatever the percentage. */
+/* An upstream whose slowness exceeds the median by less than this is not slow, whatever the
+ * percentage. */
 #define SLOW_EXCESS_MIN_US (5 * MF_US_PER_MS)
 /* At most one in this many upstreams of a pool is ejected. */
 #define EJECTED_DIVISOR 3
@@ -39,6 +40,8 @@
 /* An upstream without load reports is given work again this long after its last sign of leaving.
  * If it is still leaving, its reply says so. */
 #define LEAVING_RETRY_US (30 * MF_US_PER_S)
+/* An upstream that was ejected or is dead is due for a probe after this time, which doubles with
+ * each ejection up to PROBE_DOUBLINGS_MAX times. */
 #define PROBE_FIRST_US (1 * MF_US_PER_S)
 #define PROBE_DOUBLINGS_MAX 4
 /* Slow start of an upstream that returns to use: its initial weight, and by how much the weight
@@ -228,8 +231,8 @@
     eject (core, upstream, MF_CODE_UPSTREAM_ERROR);
 }
 
-/* Reports the end of a call. After a call that broke off, the upstream is polled at once: if that
- * connection fails too, the upstream is dead. */
+/* Reports the end of a call. After a failure other than a time-out, the upstream is polled at once;
+ * if it cannot be connected to, it is dead. */
 void
 mf_health_note_call (MfCore *core, uint32_t upstream, const MfEvent *event)
 {
--- a/libmangofork/order.c
+++ b/libmangofork/order.c
@@ -18,7 +18,7 @@
 /* Time between two orders to an engine; it doubles with each order up to the maximum. */
 #define BACKOFF_MIN_US (10 * MF_US_PER_S)
 #define BACKOFF_MAX_US (600 * MF_US_PER_S)
-/* No order is sent for this long after that of another issuer was seen. */
+/* After an order of another issuer was seen, none is sent for this long. */
 #define BACKOFF_OTHER_ISSUER_US (30 * MF_US_PER_S)
 /* At most one in this many engines of a pool is emptied or loading at once, but at least one. */
 #define POOL_BUSY_DIVISOR 4
--- a/libmangofork/upstream.h
+++ b/libmangofork/upstream.h
@@ -67,7 +67,7 @@
   bool on_hold;           /* given no work because of an order; set by order.c */
   uint64_t full_until_us; /* it refused a call for lack of capacity; given no work until then */
   bool ejected_by_polls;  /* ejected because its polls timed out */
-  bool call_failed;       /* a call broke off; a poll will tell if the upstream died */
+  bool call_failed;       /* a call failed; a poll will show whether the upstream died */
   bool death_pending;     /* it died; handled at the end of this step */
   bool watched;           /* checked periodically by health.c */
   uint32_t n_ejections;
