--- a/libmangofork/health.c
+++ b/libmangofork/health.c
@@ -9,37 +9,49 @@
 #include <stdlib.h>
 
 #define FULL_WEIGHT_PPM 1000000
-#define LOOK_PERIOD_US (100 * MF_US_PER_MS)
-/* Failed connections in a row that mean death, and polls without an answer that mean a stall. */
+#define CHECK_PERIOD_US (100 * MF_US_PER_MS)
+/* An upstream is dead after this many failed connections in a row, and stalled after this many
+ * polls in a row without an answer. */
 #define DEAD_AFTER_FAILURES 2
 #define STALLED_AFTER_POLLS 3
-/* Calls of a window of which at least half failed are an error burst. */
-#define WINDOW_US (2 * MF_US_PER_S)
+/* At least BURST_FAILURES_MIN failed calls within FAILURE_WINDOW_US are an error burst if at least
+ * half of the calls failed. An error burst ejects the upstream. */
+#define FAILURE_WINDOW_US (2 * MF_US_PER_S)
 #define BURST_FAILURES_MIN 5
-/* Gray: slower than its pool's median by these. */
+/* Gray failures. An upstream is slow from SLOW_PERCENT of its pool's median, and recovered at
+ * RECOVERED_PERCENT of it. */
 #define SLOW_PERCENT 160
-#define SLOW_BACK_PERCENT 130
-/* Rates of prefill engines and plain services are noisier than gaps between tokens. */
+#define RECOVERED_PERCENT 130
+/* Replaces SLOW_PERCENT for prefill engines and plain services, whose rates are noisier than gaps
+ * between tokens. */
 #define NOISY_SLOW_PERCENT 250
-#define GRAY_PERCENT 400
+/* An upstream is ejected from this percentage of its pool's median. */
+#define EJECT_PERCENT 400
+/* Share of new work of a slow upstream. */
 #define SLOW_WEIGHT_PPM 150000
-#define GRAY_FLOOR_US (5 * MF_US_PER_MS)
-/* At most one in this many of a pool is ejected on suspicion. */
+/* An upstream whose slowness exceeds the median by less than this is not slow, whatever the
+ * percentage. */
+#define SLOW_EXCESS_MIN_US (5 * MF_US_PER_MS)
+/* At most one in this many upstreams of a pool is ejected. */
 #define EJECTED_DIVISOR 3
-/* A load report so much later than the last sign of leaving, and without it, means that the
- * upstream stays. One without reports is tried again after a while; its own reply says when it
- * still leaves. */
+/* A load report that is this much later than the last sign of leaving, and does not say that the
+ * upstream is leaving, means that it stays. */
 #define LEAVING_STALE_US (2 * MF_US_PER_S)
-#define LEAVING_TRIAL_US (30 * MF_US_PER_S)
+/* An upstream without load reports is given work again this long after its last sign of leaving.
+ * If it is still leaving, its reply says so. */
+#define LEAVING_RETRY_US (30 * MF_US_PER_S)
+/* An upstream that was ejected or is dead is due for a probe after this time, which doubles with
+ * each ejection up to PROBE_DOUBLINGS_MAX times. */
 #define PROBE_FIRST_US (1 * MF_US_PER_S)
 #define PROBE_DOUBLINGS_MAX 4
-/* Return: weight rises by this at each look. */
+/* Slow start of an upstream that returns to use: its initial weight, and by how much the weight
+ * rises at each periodic check. */
 #define SLOW_START_PPM 100000
 #define SLOW_START_STEP_PPM 30000
 #define MEDIAN_MAX MF_POOL_ACTIVE_MAX
 
 static void
-watch (MfUpstream *row)
+start_watching (MfUpstream *row)
 {
   row->watched = true;
 }
@@ -56,7 +68,8 @@
   return pool->n_usable > 1 && (n_out + 1) * EJECTED_DIVISOR <= pool->n_members + 1;
 }
 
-/* Takes an upstream out of use on suspicion, unless too many of its pool are out already. */
+/* Takes an upstream out of use that may have failed, unless too many of its pool are out of use
+ * already. */
 static void
 eject (MfCore *core, uint32_t upstream, MfCode reason)
 {
@@ -68,11 +81,12 @@
     return;
   row->n_ejections++;
   row->probe_at_us = core->board.now_us + (PROBE_FIRST_US << doublings);
-  watch (row);
+  start_watching (row);
   mf_upstream_set_health (core, upstream, MF_HEALTH_EJECTED, reason);
 }
 
-/* Its process is gone. What follows for its calls is done at the end of the step. */
+/* Marks an upstream as dead because its process is gone. Its calls are ended at the end of the
+ * step. */
 static void
 declare_dead (MfCore *core, uint32_t upstream)
 {
@@ -84,15 +98,16 @@
     return;
   row->n_ejections++;
   row->probe_at_us = core->board.now_us + (PROBE_FIRST_US << doublings);
-  row->died = true;
+  row->death_pending = true;
   core->board.health->n_died++;
-  watch (row);
+  start_watching (row);
   mf_upstream_set_health (core, upstream, MF_HEALTH_DEAD, MF_CODE_UPSTREAM_DIED);
   mf_gossip_publish (core, MF_GOSSIP_UPSTREAM_DEAD, row->name_hash, row->load.incarnation);
 }
 
+/* Returns an upstream to use, with a slow start and without the measurements from before. */
 static void
-bring_back (MfCore *core, uint32_t upstream)
+reinstate (MfCore *core, uint32_t upstream)
 {
   MfUpstream *row = &core->board.upstreams[upstream];
 
@@ -100,21 +115,23 @@
   row->n_failures_in_row = 0;
   row->n_window_failures = 0;
   row->n_window_calls = 0;
-  row->silent = false;
+  row->ejected_by_polls = false;
   row->token_gap_us = 0;
   row->answer_us = 0;
   row->prefill_sum_tokens = 0;
   row->prefill_sum_us = 0;
   row->prefill_tokens_per_s = 0;
-  watch (row);
+  start_watching (row);
   mf_upstream_set_health (core, upstream, MF_HEALTH_OK, MF_CODE_OK);
 }
 
+/* Returns the ejected upstreams of a pool to use if it has no usable upstream left. They were
+ * ejected on suspicion only, and a pool without upstreams serves nothing. */
 void
-mf_health_last_resort (MfCore *core, uint32_t pool)
+mf_health_readmit_ejected (MfCore *core, uint32_t pool)
 {
   const MfPoolRow *row = &core->board.services.pools[pool];
-  uint32_t suspected[MF_POOL_ACTIVE_MAX];
+  uint32_t ejected[MF_POOL_ACTIVE_MAX];
   uint32_t n = 0;
 
   if (row->n_usable > 0)
@@ -122,26 +139,30 @@
   for (uint32_t i = 0; i < row->n_active; i++)
     {
       if (core->board.upstreams[row->active[i]].health == MF_HEALTH_EJECTED)
-        suspected[n++] = row->active[i];
+        ejected[n++] = row->active[i];
     }
   for (uint32_t i = 0; i < n; i++)
-    bring_back (core, suspected[i]);
+    reinstate (core, ejected[i]);
 }
 
+/* Gives no new work to an upstream that says that it is leaving, and publishes that to the other
+ * instances. */
 static void
 note_leaving (MfCore *core, uint32_t upstream)
 {
   MfUpstream *row = &core->board.upstreams[upstream];
 
   row->leaving_at_us = core->board.now_us;
-  watch (row);
+  start_watching (row);
   if (row->health == MF_HEALTH_LEAVING)
     return;
   mf_upstream_set_health (core, upstream, MF_HEALTH_LEAVING, MF_CODE_NO_UPSTREAM);
   mf_gossip_publish (core, MF_GOSSIP_UPSTREAM_LEAVING, row->name_hash, row->load.incarnation);
 }
 
-/* A poll of its load report has ended. */
+/* Reports the end of a poll for a load report. Polls that fail to connect show a death, polls that
+ * time out a stall. An answer returns a dead upstream to use, and one that was ejected because of
+ * its polls. */
 void
 mf_health_note_poll (MfCore *core, uint32_t upstream, const MfEvent *event)
 {
@@ -150,24 +171,26 @@
   if (event->type == MF_EVENT_CALL_DONE && event->call.status < 300)
     {
       row->n_failures_in_row = 0;
-      if (row->broke)
+      if (row->call_failed)
         mf_suspect_upstream_alive (core, upstream);
-      row->broke = false;
-      if (row->health == MF_HEALTH_DEAD || (row->health == MF_HEALTH_EJECTED && row->silent))
-        bring_back (core, upstream);
+      row->call_failed = false;
+      if (row->health == MF_HEALTH_DEAD
+          || (row->health == MF_HEALTH_EJECTED && row->ejected_by_polls))
+        reinstate (core, upstream);
       return;
     }
   row->n_failures_in_row++;
-  if (event->call.connect_failed && (row->broke || row->n_failures_in_row >= DEAD_AFTER_FAILURES))
+  if (event->call.connect_failed
+      && (row->call_failed || row->n_failures_in_row >= DEAD_AFTER_FAILURES))
     declare_dead (core, upstream);
   else if (event->call.timed_out && row->n_failures_in_row >= STALLED_AFTER_POLLS)
     {
       eject (core, upstream, MF_CODE_UPSTREAM_STALLED);
-      row->silent = row->health == MF_HEALTH_EJECTED;
+      row->ejected_by_polls = row->health == MF_HEALTH_EJECTED;
     }
 }
 
-/* A load report came. Another incarnation means that the one before has died. */
+/* Reports a load report. A new incarnation means that the previous one has died. */
 void
 mf_health_note_load (MfCore *core, uint32_t upstream, const MfLoadEvent *load)
 {
@@ -175,28 +198,29 @@
 
   if (row->load_at_us != 0 && load->incarnation != row->load.incarnation)
     {
-      row->died = true;
+      row->death_pending = true;
       core->board.health->n_died++;
       mf_gossip_publish (core, MF_GOSSIP_UPSTREAM_DEAD, row->name_hash, row->load.incarnation);
       mf_cancel_upstream_restarted (core, upstream);
       if (row->health == MF_HEALTH_LEAVING && !load->leaving)
-        bring_back (core, upstream);
+        reinstate (core, upstream);
     }
   if (load->leaving)
     note_leaving (core, upstream);
   else if (row->health == MF_HEALTH_LEAVING
            && load->measured_us >= row->leaving_at_us + LEAVING_STALE_US)
-    bring_back (core, upstream);
+    reinstate (core, upstream);
 }
 
+/* Counts a call in the current failure window, and ejects the upstream on an error burst. */
 static void
-note_window (MfCore *core, uint32_t upstream, bool failed)
+count_call (MfCore *core, uint32_t upstream, bool failed)
 {
   MfUpstream *row = &core->board.upstreams[upstream];
 
-  if (core->board.now_us - row->window_us > WINDOW_US)
+  if (core->board.now_us - row->window_start_us > FAILURE_WINDOW_US)
     {
-      row->window_us = core->board.now_us;
+      row->window_start_us = core->board.now_us;
       row->n_window_calls = 0;
       row->n_window_failures = 0;
     }
@@ -207,7 +231,8 @@
     eject (core, upstream, MF_CODE_UPSTREAM_ERROR);
 }
 
-/* A call on it ended. */
+/* Reports the end of a call. After a failure other than a time-out, the upstream is polled at once;
+ * if it cannot be connected to, it is dead. */
 void
 mf_health_note_call (MfCore *core, uint32_t upstream, const MfEvent *event)
 {
@@ -225,28 +250,29 @@
   if (!failed)
     {
       row->n_failures_in_row = 0;
-      note_window (core, upstream, call->status >= 500);
+      count_call (core, upstream, call->status >= 500);
       return;
     }
-  note_window (core, upstream, true);
+  count_call (core, upstream, true);
   if (call->connect_failed && ++row->n_failures_in_row >= DEAD_AFTER_FAILURES)
     declare_dead (core, upstream);
   else if (!call->timed_out)
     {
-      row->broke = true;
+      row->call_failed = true;
       mf_upstream_poll (core, upstream);
     }
 }
 
-/* A call of this instance gave no sign of life for too long. */
+/* Reports that a call of this instance has made no progress for too long. */
 void
 mf_health_note_stall (MfCore *core, uint32_t upstream)
 {
   eject (core, upstream, MF_CODE_UPSTREAM_STALLED);
 }
 
+/* Updates a running mean, where a new sample weighs one in divisor. */
 static void
-mean (uint64_t *value, uint64_t sample, int divisor)
+update_mean (uint64_t *value, uint64_t sample, int divisor)
 {
   if (*value == 0)
     *value = sample;
@@ -254,14 +280,14 @@
     *value = (uint64_t)((int64_t)*value + ((int64_t)sample - (int64_t)*value) / divisor);
 }
 
-/* A time between two tokens of one of its streams. */
+/* Reports a time between two tokens of a stream. */
 void
 mf_health_note_gap (MfCore *core, uint32_t upstream, uint64_t gap_us)
 {
   MfUpstream *row = &core->board.upstreams[upstream];
 
-  mean (&row->token_gap_us, gap_us, 64);
-  mean (&core->board.services.pools[row->pool].token_gap_us, gap_us, 256);
+  update_mean (&row->token_gap_us, gap_us, 64);
+  update_mean (&core->board.services.pools[row->pool].token_gap_us, gap_us, 256);
 }
 
 static uint64_t
@@ -270,7 +296,8 @@
   return (uint64_t)((double)n * (double)MF_US_PER_S / (double)taken_us);
 }
 
-/* A prefill of so many tokens, those before it in the engine's queue among them. */
+/* Reports a prefill that took taken_us. n_tokens includes the tokens that were queued at the engine
+ * before it. */
 void
 mf_health_note_prefill (MfCore *core, uint32_t upstream, uint64_t n_tokens, uint64_t taken_us)
 {
@@ -282,34 +309,34 @@
     row->prefill_tokens_per_s = rate_per_s (row->prefill_sum_tokens, row->prefill_sum_us) + 1;
 }
 
-/* Its link carried a KV. */
+/* Reports that the upstream's link has transferred a KV. */
 void
 mf_health_note_transfer (MfCore *core, uint32_t upstream, uint64_t n_bytes, uint64_t taken_us)
 {
   MfUpstream *row = &core->board.upstreams[upstream];
 
-  row->transfer_at_us = core->board.now_us;
+  row->transfer_progress_us = core->board.now_us;
   row->link_sum_bytes += n_bytes - row->link_sum_bytes / 16;
   row->link_sum_us += taken_us - row->link_sum_us / 16;
   if (row->link_sum_us > 0 && row->link_sum_bytes > 0)
     row->link_bytes_per_s = rate_per_s (row->link_sum_bytes, row->link_sum_us);
 }
 
-/* Its link held a KV up past its life. */
+/* Reports that a KV did not get across the upstream's link before it expired. */
 void
 mf_health_note_transfer_stall (MfCore *core, uint32_t upstream)
 {
   eject (core, upstream, MF_CODE_UPSTREAM_STALLED);
 }
 
-/* Time to a plain answer. */
+/* Reports the time to the answer of a plain call. */
 void
 mf_health_note_answer (MfCore *core, uint32_t upstream, uint64_t answer_us)
 {
-  mean (&core->board.upstreams[upstream].answer_us, answer_us, 16);
+  update_mean (&core->board.upstreams[upstream].answer_us, answer_us, 16);
 }
 
-/* Share of full weight for new work. */
+/* Returns the upstream's share of full weight for new work, in parts per million. */
 uint32_t
 mf_health_weight_ppm (const MfCore *core, uint32_t upstream)
 {
@@ -320,7 +347,8 @@
   return row->slow_start_ppm;
 }
 
-/* What tells how fast the upstream is; lower is faster, 0 is not known. */
+/* Returns how slow the upstream is, 0 if unknown: microseconds between two tokens (decode), to the
+ * answer (plain), or for the prefill of 10,000 tokens. */
 static uint64_t
 slowness (const MfUpstream *row)
 {
@@ -340,6 +368,8 @@
   return x < y ? -1 : x > y;
 }
 
+/* Returns the lower median of the slowness of a pool's usable upstreams; 0 if fewer than three of
+ * them have one, which is too few to compare with. */
 static uint64_t
 pool_median (const MfCore *core, const MfPoolRow *pool)
 {
@@ -359,26 +389,29 @@
   return values[(n - 1) / 2];
 }
 
+/* Compares an upstream's slowness with its pool's median, and changes its health to slow, ejected
+ * or ok accordingly. */
 static void
-judge_speed (MfCore *core, uint32_t upstream, uint64_t median)
+check_speed (MfCore *core, uint32_t upstream, uint64_t median)
 {
   MfUpstream *row = &core->board.upstreams[upstream];
   uint64_t percent = slowness (row) * 100 / median;
 
-  if (slowness (row) == 0 || slowness (row) < median + GRAY_FLOOR_US)
+  if (slowness (row) == 0 || slowness (row) < median + SLOW_EXCESS_MIN_US)
     percent = 100;
-  if (row->health <= MF_HEALTH_SLOW && percent >= GRAY_PERCENT)
+  if (row->health <= MF_HEALTH_SLOW && percent >= EJECT_PERCENT)
     eject (core, upstream, MF_CODE_UPSTREAM_STALLED);
   else if (row->health == MF_HEALTH_OK
            && percent >= (row->role == MF_ROLE_DECODE ? SLOW_PERCENT : NOISY_SLOW_PERCENT))
     mf_upstream_set_health (core, upstream, MF_HEALTH_SLOW, MF_CODE_UPSTREAM_STALLED);
-  else if (row->health == MF_HEALTH_SLOW && percent <= SLOW_BACK_PERCENT)
+  else if (row->health == MF_HEALTH_SLOW && percent <= RECOVERED_PERCENT)
     mf_upstream_set_health (core, upstream, MF_HEALTH_OK, MF_CODE_OK);
 }
 
-/* Raises the weight of what returns, and lets what is out be tried again when its time has come. */
+/* Raises the weight of an upstream in slow start, and returns one that is out of use when it is due
+ * for a probe. */
 static void
-look_at (MfCore *core, uint32_t upstream)
+check_upstream (MfCore *core, uint32_t upstream)
 {
   MfUpstream *row = &core->board.upstreams[upstream];
   bool polled = row->role != MF_ROLE_PLAIN;
@@ -394,15 +427,15 @@
     }
   else if (row->health == MF_HEALTH_LEAVING)
     {
-      if (!polled && core->board.now_us >= row->leaving_at_us + LEAVING_TRIAL_US)
-        bring_back (core, upstream);
+      if (!polled && core->board.now_us >= row->leaving_at_us + LEAVING_RETRY_US)
+        reinstate (core, upstream);
     }
   else if (core->board.now_us >= row->probe_at_us && (!polled || row->health == MF_HEALTH_EJECTED))
-    bring_back (core, upstream);
+    reinstate (core, upstream);
 }
 
 static void
-look (MfCore *core)
+check_all (MfCore *core)
 {
   MfServices *services = &core->board.services;
 
@@ -418,26 +451,26 @@
       for (uint32_t j = 0; j < n_active; j++)
         {
           if (core->board.upstreams[active[j]].watched)
-            look_at (core, active[j]);
+            check_upstream (core, active[j]);
           if (median > 0)
-            judge_speed (core, active[j], median);
+            check_speed (core, active[j], median);
         }
     }
 }
 
-/* Ends what ran on upstreams found dead in this step. */
+/* Ends the calls on upstreams that were found dead in this step. */
 static void
-settle_deaths (MfCore *core)
+handle_deaths (MfCore *core)
 {
   core->board.health->n_died = 0;
   for (uint32_t i = 0; i < core->board.n_upstreams; i++)
     {
       MfUpstream *row = &core->board.upstreams[i];
 
-      if (!row->died)
+      if (!row->death_pending)
         continue;
-      row->died = false;
-      row->broke = false;
+      row->death_pending = false;
+      row->call_failed = false;
       mf_prefix_clear (core, i);
       mf_request_upstream_died (core, i);
       mf_suspect_upstream_died (core, i);
@@ -450,13 +483,13 @@
   MfHealthState *health = core->board.health;
 
   if (health->n_died > 0)
-    settle_deaths (core);
-  if (core->board.now_us >= health->look_us)
+    handle_deaths (core);
+  if (core->board.now_us >= health->next_check_us)
     {
-      health->look_us = core->board.now_us + LOOK_PERIOD_US;
-      look (core);
+      health->next_check_us = core->board.now_us + CHECK_PERIOD_US;
+      check_all (core);
     }
-  mf_core_wake_at (core, health->look_us);
+  mf_core_wake_at (core, health->next_check_us);
 }
 
 static bool
--- a/libmangofork/member_link.c
+++ b/libmangofork/member_link.c
@@ -292,7 +292,7 @@
   pending_flush (core, row);
   if (row->neighbour != MF_NONE)
     mf_gossip_queue_all (core, row->neighbour);
-  mf_digest_hurry (core);
+  mf_digest_schedule_urgent (core);
 }
 
 static uint64_t
--- a/libmangofork/service.c
+++ b/libmangofork/service.c
@@ -5,9 +5,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Weight of one observation in a running mean: 1 in 16. */
-/* A pool without a usable upstream for so long is down, and requests for it are refused. */
+/* A pool without a usable upstream for this long is down, and requests for it are refused. */
 #define OUTAGE_GRACE_US (3 * MF_US_PER_S)
+/* The weight of one sample in a running mean is 1 in 2^4. */
 #define MEAN_SHIFT 4
 
 static void *
@@ -65,7 +65,8 @@
   return x < y ? -1 : x > y;
 }
 
-/* Finds the rows of the text's customers through a sorted index, as there may be thousands. */
+/* Brings the customers in line with the configuration. Their rows are found through a sorted index,
+ * as there may be thousands of customers. */
 static void
 apply_customers (MfServices *services, const MfConfig *config)
 {
@@ -81,8 +82,8 @@
   qsort (known, n_known, sizeof *known, hash_row_compare);
   services->customers
       = grow (services->customers, n_known + config->n_customers + 1, sizeof *services->customers);
-  services->of_config_customer = grow (services->of_config_customer, config->n_customers + 1,
-                                       sizeof *services->of_config_customer);
+  services->config_customer_rows = grow (services->config_customer_rows, config->n_customers + 1,
+                                         sizeof *services->config_customer_rows);
   for (uint32_t i = 0; i < config->n_customers; i++)
     {
       HashRow want = { .hash = mf_hash_name (config->customers[i].name) };
@@ -94,7 +95,7 @@
       services->customers[row].config = config->customers[i];
       services->customers[row].in_config = true;
       services->customers[row].index_in_config = i;
-      services->of_config_customer[i] = row;
+      services->config_customer_rows[i] = row;
     }
   free (known);
 }
@@ -107,22 +108,22 @@
       services->pools[i].in_config = false;
       services->pools[i].n_members = 0;
     }
-  services->of_config_pool
-      = grow (services->of_config_pool, config->n_pools + 1, sizeof *services->of_config_pool);
+  services->config_pool_rows
+      = grow (services->config_pool_rows, config->n_pools + 1, sizeof *services->config_pool_rows);
   for (uint32_t i = 0; i < config->n_pools; i++)
     {
       uint32_t row = pool_row (services, config->pools[i].name);
 
       services->pools[row].role = config->pools[i].role;
       services->pools[row].in_config = true;
-      services->of_config_pool[i] = row;
+      services->config_pool_rows[i] = row;
     }
 }
 
 static uint32_t
-pool_of (const MfServices *services, uint32_t config_pool)
+pool_row_of_config (const MfServices *services, uint32_t config_pool)
 {
-  return config_pool == MF_NONE ? MF_NONE : services->of_config_pool[config_pool];
+  return config_pool == MF_NONE ? MF_NONE : services->config_pool_rows[config_pool];
 }
 
 static void
@@ -133,22 +134,22 @@
       services->rows[i].in_config = false;
       services->rows[i].index_in_config = MF_NONE;
     }
-  services->of_config_service = grow (services->of_config_service, config->n_services + 1,
-                                      sizeof *services->of_config_service);
+  services->config_service_rows = grow (services->config_service_rows, config->n_services + 1,
+                                        sizeof *services->config_service_rows);
   for (uint32_t i = 0; i < config->n_services; i++)
-    services->of_config_service[i] = service_row (services, config->services[i].name);
+    services->config_service_rows[i] = service_row (services, config->services[i].name);
   for (uint32_t i = 0; i < config->n_services; i++)
     {
-      MfServiceRow *row = &services->rows[services->of_config_service[i]];
+      MfServiceRow *row = &services->rows[services->config_service_rows[i]];
 
       row->config = config->services[i];
       row->in_config = true;
       row->index_in_config = i;
-      row->config.prefill_pool = pool_of (services, config->services[i].prefill_pool);
-      row->config.decode_pool = pool_of (services, config->services[i].decode_pool);
-      row->config.plain_pool = pool_of (services, config->services[i].plain_pool);
+      row->config.prefill_pool = pool_row_of_config (services, config->services[i].prefill_pool);
+      row->config.decode_pool = pool_row_of_config (services, config->services[i].decode_pool);
+      row->config.plain_pool = pool_row_of_config (services, config->services[i].plain_pool);
       for (uint32_t j = 0; j < row->config.n_depends; j++)
-        row->config.depends[j] = services->of_config_service[config->services[i].depends[j]];
+        row->config.depends[j] = services->config_service_rows[config->services[i].depends[j]];
     }
 }
 
@@ -175,9 +176,9 @@
   free (services->rows);
   free (services->pools);
   free (services->customers);
-  free (services->of_config_service);
-  free (services->of_config_pool);
-  free (services->of_config_customer);
+  free (services->config_service_rows);
+  free (services->config_pool_rows);
+  free (services->config_customer_rows);
 }
 
 uint32_t
@@ -185,7 +186,7 @@
 {
   uint32_t found = mf_config_find_model (core->board.config, model);
 
-  return found == MF_NONE ? MF_NONE : core->board.services.of_config_service[found];
+  return found == MF_NONE ? MF_NONE : core->board.services.config_service_rows[found];
 }
 
 uint32_t
@@ -193,7 +194,7 @@
 {
   uint32_t found = mf_config_find_path (core->board.config, path);
 
-  return found == MF_NONE ? MF_NONE : core->board.services.of_config_service[found];
+  return found == MF_NONE ? MF_NONE : core->board.services.config_service_rows[found];
 }
 
 uint32_t
@@ -201,7 +202,7 @@
 {
   uint32_t found = mf_config_find_customer (core->board.config, digest);
 
-  return found == MF_NONE ? MF_NONE : core->board.services.of_config_customer[found];
+  return found == MF_NONE ? MF_NONE : core->board.services.config_customer_rows[found];
 }
 
 static bool
@@ -212,7 +213,8 @@
   if (pool == MF_NONE)
     return true;
   row = &core->board.services.pools[pool];
-  return row->n_usable > 0 || (row->down_us > 0 && core->board.now_us < row->down_us + grace_us);
+  return row->n_usable > 0
+         || (row->down_since_us > 0 && core->board.now_us < row->down_since_us + grace_us);
 }
 
 static bool
@@ -223,8 +225,8 @@
          && pool_is_up (core, service->plain_pool, grace_us);
 }
 
-/* The dependencies are followed without recursion; the checked text has no cycle, and what is
- * visited twice costs only time. */
+/* Follows the dependencies without recursion. A checked configuration has no cycle; a service that
+ * is visited twice costs only time. */
 static bool
 dependencies_are_up (const MfCore *core, uint32_t service, uint64_t grace_us)
 {
@@ -255,6 +257,8 @@
   return dependencies_are_up (core, service, grace_us) ? MF_CODE_OK : MF_CODE_DEPENDENCY_DOWN;
 }
 
+/* Returns whether each pool that the service and its dependencies need has a usable upstream. Sets
+ * *missing to the code to refuse requests with if not. */
 bool
 mf_service_is_up (const MfCore *core, uint32_t service, MfCode *missing)
 {
@@ -262,6 +266,9 @@
   return *missing == MF_CODE_OK;
 }
 
+/* Returns the same as mf_service_is_up, but counts a pool as up until OUTAGE_GRACE_US after it lost
+ * its last upstream. A request that is queued here is served sooner after a short outage than one
+ * that its caller sends again. */
 bool
 mf_service_may_wait (const MfCore *core, uint32_t service, MfCode *missing)
 {
@@ -269,6 +276,8 @@
   return *missing == MF_CODE_OK;
 }
 
+/* Returns the output length to plan for: the mean of the answers, or the configured length before
+ * the first one. */
 uint32_t
 mf_service_output_tokens (const MfServiceRow *service)
 {
@@ -277,7 +286,7 @@
   return service->config.expected_tokens > 0 ? service->config.expected_tokens : 200;
 }
 
-/* Corrects the planned output length by one whole answer. */
+/* Adds a complete answer to the mean output length. */
 void
 mf_service_note_output (MfServiceRow *service, uint32_t n_tokens)
 {
--- a/libmangofork/upstream.c
+++ b/libmangofork/upstream.c
@@ -10,12 +10,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Polls of load reports running at once, and the least time between two. */
+/* Limit of running polls for load reports, and least time between two starts. */
 #define POLLS_MAX 64
 #define POLL_GAP_MIN_US (3 * MF_US_PER_MS)
 #define POLL_TIMEOUT_US (400 * MF_US_PER_MS)
-/* Time between polls of an upstream that takes no work. */
-#define POLL_DOWN_US (500 * MF_US_PER_MS)
+/* Time between polls of an upstream that is given no work. */
+#define POLL_UNUSABLE_PERIOD_US (500 * MF_US_PER_MS)
 
 uint64_t
 mf_hash_name (const char *name)
@@ -34,22 +34,23 @@
   return health < MF_HEALTH_COUNT ? names[health] : "none";
 }
 
-/* Whether the upstream may be given new work at all. */
+/* Returns whether the upstream may be given new work. */
 bool
 mf_upstream_is_usable (const MfUpstream *upstream)
 {
-  return upstream->in_config && upstream->health <= MF_HEALTH_SLOW && !upstream->held;
+  return upstream->in_config && upstream->health <= MF_HEALTH_SLOW && !upstream->on_hold;
 }
 
-/* How many requests it holds at once, by its own word when it gave it. */
+/* Returns the number of slots: that of the last load report, or the configured one before the
+ * first. */
 uint32_t
 mf_upstream_slots (const MfUpstream *upstream)
 {
   return upstream->load.slots_total > 0 ? upstream->load.slots_total : upstream->config.slots;
 }
 
-/* The slots in use as far as known: the aged report, corrected by this instance's own placements
- * and ends since it was true. */
+/* Returns an estimate of the slots in use: that of the last load report, corrected by this
+ * instance's own placements and ends since it was measured. */
 uint32_t
 mf_upstream_slots_used (const MfUpstream *upstream)
 {
@@ -58,8 +59,8 @@
   return used > (int64_t)upstream->own_slots ? (uint32_t)used : upstream->own_slots;
 }
 
-/* Tokens that wait to be prefilled there: what the report says, corrected by this instance's own
- * prefills since. */
+/* Returns an estimate of the tokens that wait for prefill: that of the last load report, corrected
+ * by this instance's own prefills since. */
 uint64_t
 mf_upstream_prefill_queue (const MfUpstream *upstream)
 {
@@ -73,13 +74,13 @@
 static void
 note_change (MfUpstream *upstream, uint64_t now_us, int sign)
 {
-  upstream->own_changes_us[upstream->n_own_changes++ % MF_RECENT_MAX] = sign * (int64_t)now_us;
+  upstream->own_changes_us[upstream->n_own_changes++ % MF_OWN_CHANGES_MAX] = sign * (int64_t)now_us;
   upstream->own_since_report += sign;
 }
 
-/* Notes an own placement. */
+/* Counts a placement by this instance. */
 void
-mf_upstream_take (MfCore *core, uint32_t upstream, uint32_t pieces)
+mf_upstream_acquire_slot (MfCore *core, uint32_t upstream, uint32_t pieces)
 {
   MfUpstream *row = &core->board.upstreams[upstream];
 
@@ -88,9 +89,9 @@
   note_change (row, core->board.now_us, 1);
 }
 
-/* Notes the end of an own placement. */
+/* Counts the end of a placement by this instance. */
 void
-mf_upstream_give (MfCore *core, uint32_t upstream, uint32_t pieces)
+mf_upstream_release_slot (MfCore *core, uint32_t upstream, uint32_t pieces)
 {
   MfUpstream *row = &core->board.upstreams[upstream];
 
@@ -101,16 +102,17 @@
   mf_queue_schedule_pass (core);
 }
 
-/* Counts the own changes that a report true at measured_us cannot have seen. */
+/* Returns the own placements less ends that a report measured at measured_us cannot include. */
 static int32_t
 changes_since (const MfUpstream *upstream, uint64_t measured_us)
 {
-  uint32_t n = upstream->n_own_changes < MF_RECENT_MAX ? upstream->n_own_changes : MF_RECENT_MAX;
+  uint32_t n
+      = upstream->n_own_changes < MF_OWN_CHANGES_MAX ? upstream->n_own_changes : MF_OWN_CHANGES_MAX;
   int32_t net = 0;
 
   for (uint32_t i = 1; i <= n; i++)
     {
-      int64_t at_us = upstream->own_changes_us[(upstream->n_own_changes - i) % MF_RECENT_MAX];
+      int64_t at_us = upstream->own_changes_us[(upstream->n_own_changes - i) % MF_OWN_CHANGES_MAX];
       int sign = at_us < 0 ? -1 : 1;
 
       if ((uint64_t)(at_us * sign) < measured_us)
@@ -135,8 +137,8 @@
   return x < y ? -1 : x > y;
 }
 
-/* Orders the members by rendezvous hash with this instance's slot, so that instances of a large
- * fleet use different subsets and a change moves few. */
+/* Sorts the members of a pool by a rendezvous hash of this instance's name and theirs, so that the
+ * instances of a large fleet use different subsets and a change of members affects few of them. */
 static void
 rank_members (MfCore *core, MfPoolRow *pool)
 {
@@ -157,8 +159,8 @@
   free (ranked);
 }
 
-/* Fills the subset in use with the first usable members; when too few are usable, with the others
- * as well, so that they are polled and may return. */
+/* Fills the active subset with the first usable members, and then with unusable ones, which are
+ * polled so that they can return to use. */
 static void
 fill_active (MfCore *core, MfPoolRow *pool)
 {
@@ -177,12 +179,12 @@
         }
     }
   if (pool->n_usable > 0)
-    pool->down_us = 0;
-  else if (pool->down_us == 0)
-    pool->down_us = core->board.now_us;
+    pool->down_since_us = 0;
+  else if (pool->down_since_us == 0)
+    pool->down_since_us = core->board.now_us;
 }
 
-/* Brings the pools' subsets in line after a change of health. */
+/* Updates the active subsets of all pools after a change of health. */
 void
 mf_upstream_refresh_pools (MfCore *core)
 {
@@ -190,6 +192,7 @@
     fill_active (core, &core->board.services.pools[i]);
 }
 
+/* Returns how many slots the members that may be active have together. */
 static uint32_t
 pool_slots (const MfCore *core, uint32_t pool)
 {
@@ -201,7 +204,7 @@
   return n;
 }
 
-/* Changes an upstream's health, with a log line when it is another. */
+/* Sets the health of an upstream. A change is logged. */
 void
 mf_upstream_set_health (MfCore *core, uint32_t upstream, MfHealth health, MfCode reason)
 {
@@ -222,7 +225,7 @@
   mf_core_log (core, "upstream", row->config.name, mf_health_name (before), mf_health_name (health),
                mf_code_info (reason)->name);
   if (row->pool != MF_NONE)
-    mf_health_last_resort (core, row->pool);
+    mf_health_readmit_ejected (core, row->pool);
 }
 
 static void
@@ -244,17 +247,17 @@
 }
 
 static void
-apply_one (MfCore *core, uint32_t row, const MfUpstreamConfig *config, uint32_t index)
+apply_upstream (MfCore *core, uint32_t row, const MfUpstreamConfig *config, uint32_t index)
 {
   MfUpstream *upstream = &core->board.upstreams[row];
-  bool moved = strcmp (upstream->config.address, config->address) != 0;
+  bool address_changed = strcmp (upstream->config.address, config->address) != 0;
 
   upstream->config = *config;
   upstream->in_config = true;
   upstream->index_in_config = index;
-  upstream->pool = core->board.services.of_config_pool[config->pool];
+  upstream->pool = core->board.services.config_pool_rows[config->pool];
   upstream->role = core->board.services.pools[upstream->pool].role;
-  if (moved)
+  if (address_changed)
     {
       upstream->health = MF_HEALTH_OK;
       upstream->load = (MfLoadEvent){ .role = upstream->role };
@@ -263,8 +266,8 @@
   add_member (&core->board.services.pools[upstream->pool], row);
 }
 
-/* Brings the table in line with the text now in force. Known names keep their rows, found through a
- * sorted index. */
+/* Brings the table in line with the configuration in force. Upstreams keep their rows by name; the
+ * rows are found through a sorted index. */
 void
 mf_upstream_apply_config (MfCore *core)
 {
@@ -292,7 +295,7 @@
 
       if (found == NULL)
         rows[row] = (MfUpstream){ .name_hash = want.weight, .slow_start_ppm = 1000000 };
-      apply_one (core, row, &config->upstreams[i], i);
+      apply_upstream (core, row, &config->upstreams[i], i);
     }
   free (known);
   mf_upstream_index_build (core);
@@ -305,8 +308,8 @@
   mf_upstream_refresh_pools (core);
 }
 
-/* Another instance learnt that this incarnation of it is leaving; 0 where it has none. News of an
- * incarnation that has been replaced says nothing. */
+/* Applies the report of another instance that an incarnation of the upstream is leaving; the
+ * incarnation is 0 if the upstream has none. Reports about a replaced incarnation are ignored. */
 void
 mf_upstream_note_leaving (MfCore *core, uint32_t upstream, uint64_t incarnation)
 {
@@ -320,8 +323,9 @@
   mf_upstream_set_health (core, upstream, MF_HEALTH_LEAVING, MF_CODE_NO_UPSTREAM);
 }
 
-/* Another instance saw this incarnation die. That alone takes nothing out of use: it makes this
- * instance look at once. */
+/* Applies the report of another instance that an incarnation of the upstream died. The report alone
+ * takes nothing out of use, so that gossip cannot empty a pool; this instance polls the upstream at
+ * once. */
 void
 mf_upstream_note_dead (MfCore *core, uint32_t upstream, uint64_t incarnation)
 {
@@ -344,7 +348,7 @@
   uint64_t next_us;
 };
 
-/* Asks for a load report, unless one has been asked for already. */
+/* Starts a poll for a load report, unless one is running already. */
 void
 mf_upstream_poll (MfCore *core, uint32_t upstream)
 {
@@ -364,9 +368,9 @@
     return;
   action.call.call_id = mf_core_next_call_id (core);
   row->load_call_id = action.call.call_id;
-  row->load_due_us
-      = core->board.now_us
-        + (row->health <= MF_HEALTH_SLOW ? core->board.options.load_period_us / 2 : POLL_DOWN_US);
+  row->load_due_us = core->board.now_us
+                     + (row->health <= MF_HEALTH_SLOW ? core->board.options.load_period_us / 2
+                                                      : POLL_UNUSABLE_PERIOD_US);
   polls->running[polls->n_running].call_id = action.call.call_id;
   polls->running[polls->n_running++].upstream = upstream;
   mf_core_emit (core, &action);
@@ -390,7 +394,7 @@
     }
 }
 
-/* Takes in a load report. One that is older than the one held is dropped. */
+/* Stores a load report. A report older than the stored one is dropped. */
 static void
 handle_load (MfCore *core, const MfLoadEvent *load)
 {
@@ -419,7 +423,8 @@
     handle_poll_end (core, event);
 }
 
-/* The next upstream in use that is due for a poll; MF_NONE when a whole round found none. */
+/* Returns the next active upstream that is due for a poll, or MF_NONE if none is. Counts the active
+ * upstreams that are polled. */
 static uint32_t
 next_to_poll (MfCore *core, uint32_t *n_active)
 {
@@ -448,7 +453,7 @@
   return MF_NONE;
 }
 
-/* Spreads the polls evenly over the period. */
+/* Starts the polls that are due, spread evenly over the period. */
 static void
 upstream_tick (MfCore *core)
 {
