--- a/libmangofork/clock.c
+++ b/libmangofork/clock.c
@@ -23,7 +23,7 @@
 /* Returns a monotonic clock that also counts the time for which the machine was suspended, in
  * microseconds. */
 uint64_t
-mf_clock_awake_us (void)
+mf_clock_boottime_us (void)
 {
   return clock_read_us (CLOCK_BOOTTIME);
 }
--- a/libmangofork/clock.h
+++ b/libmangofork/clock.h
@@ -4,7 +4,7 @@
 #include <stdint.h>
 
 uint64_t mf_clock_now_us (void);
-uint64_t mf_clock_awake_us (void);
+uint64_t mf_clock_boottime_us (void);
 uint64_t mf_clock_wall_ms (void);
 
 #endif
--- a/libmangofork/frame.c
+++ b/libmangofork/frame.c
@@ -23,13 +23,13 @@
 
   switch (field->kind)
     {
-    case MF_FIELD_BOOL:
+    case MF_FRAME_FIELD_BOOL:
       return *(const bool *)at;
-    case MF_FIELD_U16:
+    case MF_FRAME_FIELD_U16:
       memcpy (&u16, at, sizeof u16);
       return u16;
-    case MF_FIELD_U32:
-    case MF_FIELD_ENUM:
+    case MF_FRAME_FIELD_U32:
+    case MF_FRAME_FIELD_ENUM:
       memcpy (&u32, at, sizeof u32);
       return u32;
     default:
@@ -43,7 +43,7 @@
 {
   uint32_t count;
 
-  memcpy (&count, base + field->count, sizeof count);
+  memcpy (&count, base + field->count_offset, sizeof count);
   return count;
 }
 
@@ -70,19 +70,19 @@
 {
   switch (field->kind)
     {
-    case MF_FIELD_DIGEST:
+    case MF_FRAME_FIELD_DIGEST:
       return digest_is_zero (base + field->offset);
-    case MF_FIELD_NAME:
+    case MF_FRAME_FIELD_NAME:
       return base[field->offset] == '\0';
-    case MF_FIELD_STRING:
+    case MF_FRAME_FIELD_STRING:
       return pointer_get (field, base) == NULL;
-    case MF_FIELD_STRUCT:
-      return field_is_default (&field->items->fields[0], base + field->offset)
-             && field_is_default (&field->items->fields[1], base + field->offset);
-    case MF_FIELD_BYTES:
-    case MF_FIELD_LIST:
+    case MF_FRAME_FIELD_STRUCT:
+      return field_is_default (&field->item_table->fields[0], base + field->offset)
+             && field_is_default (&field->item_table->fields[1], base + field->offset);
+    case MF_FRAME_FIELD_BYTES:
+    case MF_FRAME_FIELD_LIST:
       return pointer_get (field, base) == NULL || count_get (field, base) == 0;
-    case MF_FIELD_ARRAY:
+    case MF_FRAME_FIELD_ARRAY:
       return count_get (field, base) == 0;
     default:
       return number_get (field, base) == 0;
@@ -110,7 +110,7 @@
 {
   msgpack_pack_array (packer, count);
   for (uint32_t i = 0; i < count; i++)
-    pack_items (packer, field->items, items + i * field->items->bytes);
+    pack_items (packer, field->item_table, items + i * field->item_table->struct_bytes);
 }
 
 static void
@@ -120,31 +120,31 @@
 
   switch (field->kind)
     {
-    case MF_FIELD_BOOL:
+    case MF_FRAME_FIELD_BOOL:
       if (*(const bool *)at)
         msgpack_pack_true (packer);
       else
         msgpack_pack_false (packer);
       break;
-    case MF_FIELD_DIGEST:
+    case MF_FRAME_FIELD_DIGEST:
       pack_bytes (packer, at, MF_DIGEST_BYTES);
       break;
-    case MF_FIELD_NAME:
+    case MF_FRAME_FIELD_NAME:
       pack_string (packer, (const char *)at);
       break;
-    case MF_FIELD_STRING:
+    case MF_FRAME_FIELD_STRING:
       pack_string (packer, pointer_get (field, base));
       break;
-    case MF_FIELD_BYTES:
+    case MF_FRAME_FIELD_BYTES:
       pack_bytes (packer, pointer_get (field, base), count_get (field, base));
       break;
-    case MF_FIELD_STRUCT:
-      pack_items (packer, field->items, at);
+    case MF_FRAME_FIELD_STRUCT:
+      pack_items (packer, field->item_table, at);
       break;
-    case MF_FIELD_ARRAY:
+    case MF_FRAME_FIELD_ARRAY:
       pack_array (packer, field, at, count_get (field, base));
       break;
-    case MF_FIELD_LIST:
+    case MF_FRAME_FIELD_LIST:
       pack_array (packer, field, pointer_get (field, base), count_get (field, base));
       break;
     default:
@@ -188,7 +188,7 @@
     {
       const MfFrameField *field = &table->fields[i];
 
-      if (field->kind == MF_FIELD_ARRAY && count_get (field, base) > field->max)
+      if (field->kind == MF_FRAME_FIELD_ARRAY && count_get (field, base) > field->max)
         return false;
     }
   return true;
@@ -266,13 +266,13 @@
   u16 = (uint16_t)value;
   switch (field->kind)
     {
-    case MF_FIELD_U16:
+    case MF_FRAME_FIELD_U16:
       memcpy (at, &u16, sizeof u16);
       return value <= UINT16_MAX;
-    case MF_FIELD_ENUM:
+    case MF_FRAME_FIELD_ENUM:
       memcpy (at, &u32, sizeof u32);
       return value < field->max;
-    case MF_FIELD_U32:
+    case MF_FRAME_FIELD_U32:
       memcpy (at, &u32, sizeof u32);
       return value <= UINT32_MAX;
     default:
@@ -316,7 +316,7 @@
   if (copy == NULL)
     return false;
   memcpy (base + field->offset, &copy, sizeof copy);
-  memcpy (base + field->count, &object->via.bin.size, sizeof (uint32_t));
+  memcpy (base + field->count_offset, &object->via.bin.size, sizeof (uint32_t));
   return true;
 }
 
@@ -330,11 +330,11 @@
   if (object->type != MSGPACK_OBJECT_ARRAY)
     return false;
   count = object->via.array.size;
-  if (field->kind == MF_FIELD_ARRAY && count > field->max)
+  if (field->kind == MF_FRAME_FIELD_ARRAY && count > field->max)
     return false;
-  if (field->kind == MF_FIELD_LIST)
+  if (field->kind == MF_FRAME_FIELD_LIST)
     {
-      size_t n_bytes = (size_t)count * field->items->bytes;
+      size_t n_bytes = (size_t)count * field->item_table->struct_bytes;
 
       items = msgpack_zone_malloc (zone, n_bytes + 1);
       if (items == NULL)
@@ -344,11 +344,11 @@
     }
   for (uint32_t i = 0; i < count; i++)
     {
-      if (!unpack_items (&object->via.array.ptr[i], field->items, items + i * field->items->bytes,
-                         zone))
+      if (!unpack_items (&object->via.array.ptr[i], field->item_table,
+                         items + i * field->item_table->struct_bytes, zone))
         return false;
     }
-  memcpy (base + field->count, &count, sizeof count);
+  memcpy (base + field->count_offset, &count, sizeof count);
   return true;
 }
 
@@ -360,26 +360,26 @@
 
   switch (field->kind)
     {
-    case MF_FIELD_BOOL:
+    case MF_FRAME_FIELD_BOOL:
       if (object->type != MSGPACK_OBJECT_BOOLEAN)
         return false;
       *(bool *)at = object->via.boolean;
       return true;
-    case MF_FIELD_DIGEST:
+    case MF_FRAME_FIELD_DIGEST:
       if (object->type != MSGPACK_OBJECT_BIN || object->via.bin.size != MF_DIGEST_BYTES)
         return false;
       memcpy (at, object->via.bin.ptr, MF_DIGEST_BYTES);
       return true;
-    case MF_FIELD_NAME:
+    case MF_FRAME_FIELD_NAME:
       return unpack_name (object, field, at);
-    case MF_FIELD_STRING:
+    case MF_FRAME_FIELD_STRING:
       return unpack_string (object, at, zone);
-    case MF_FIELD_BYTES:
+    case MF_FRAME_FIELD_BYTES:
       return unpack_bytes (object, field, base, zone);
-    case MF_FIELD_STRUCT:
-      return unpack_items (object, field->items, at, zone);
-    case MF_FIELD_ARRAY:
-    case MF_FIELD_LIST:
+    case MF_FRAME_FIELD_STRUCT:
+      return unpack_items (object, field->item_table, at, zone);
+    case MF_FRAME_FIELD_ARRAY:
+    case MF_FRAME_FIELD_LIST:
       return unpack_array (object, field, base, zone);
     default:
       return unpack_number (object, field, at);
@@ -472,7 +472,7 @@
   size_t offset = 0;
 
   memset (frame, 0, sizeof *frame);
-  if (payload_bytes > MF_FRAME_BYTES_MAX || !mf_frame_is_sound (payload, payload_bytes))
+  if (payload_bytes > MF_FRAME_BYTES_MAX || !mf_frame_is_well_formed (payload, payload_bytes))
     {
       mf_error_set (error, MF_CODE_PEER_FRAME, "a frame is not one whole value");
       return false;
--- a/libmangofork/frame_check.c
+++ b/libmangofork/frame_check.c
@@ -16,21 +16,21 @@
 /* How the first byte of a value says what follows it. */
 typedef struct
 {
-  size_t head_bytes; /* the first byte and the length or number after it */
+  size_t header_bytes; /* the first byte and the length or number after it */
   uint64_t n_body_bytes;
   uint64_t n_values; /* inside a container */
-} ValueHead;
+} ValueHeader;
 
 /* Reads the head of the value at payload. Returns false when it is cut or of no known type. */
 static bool
-head_read (const uint8_t *payload, size_t n_bytes, ValueHead *head)
+header_read (const uint8_t *payload, size_t n_bytes, ValueHeader *header)
 {
   /* Bytes after the first from 0xc0 on; where a length stands there, its width. */
-  static const uint8_t fixed[0x20] = {
+  static const uint8_t fixed_body_bytes[0x20] = {
     [0x0a] = 4, [0x0b] = 8, [0x0c] = 1, [0x0d] = 2, [0x0e] = 4, [0x0f] = 8, [0x10] = 1,  [0x11] = 2,
     [0x12] = 4, [0x13] = 8, [0x14] = 2, [0x15] = 3, [0x16] = 5, [0x17] = 9, [0x18] = 17,
   };
-  static const uint8_t width[0x20] = {
+  static const uint8_t length_bytes[0x20] = {
     [0x04] = 1, [0x05] = 2, [0x06] = 4, [0x07] = 1, [0x08] = 2, [0x09] = 4, [0x19] = 1,
     [0x1a] = 2, [0x1b] = 4, [0x1c] = 2, [0x1d] = 4, [0x1e] = 2, [0x1f] = 4,
   };
@@ -38,45 +38,45 @@
   uint8_t low = first - 0xc0;
   uint64_t length;
 
-  *head = (ValueHead){ .head_bytes = 1 };
+  *header = (ValueHeader){ .header_bytes = 1 };
   if (first < 0x80 || first >= 0xe0 || first == 0xc0 || first == 0xc2 || first == 0xc3)
     return true;
   if (first < 0xa0)
     {
-      head->n_values = (uint64_t)(first & 0x0f) * (first < 0x90 ? 2 : 1);
+      header->n_values = (uint64_t)(first & 0x0f) * (first < 0x90 ? 2 : 1);
       return true;
     }
   if (first < 0xc0)
     {
-      head->n_body_bytes = first & 0x1f;
+      header->n_body_bytes = first & 0x1f;
       return true;
     }
   if (first == 0xc1)
     return false;
-  head->n_body_bytes = fixed[low];
-  if (width[low] == 0)
+  header->n_body_bytes = fixed_body_bytes[low];
+  if (length_bytes[low] == 0)
     return true;
-  head->head_bytes += width[low];
-  if (head->head_bytes > n_bytes)
+  header->header_bytes += length_bytes[low];
+  if (header->header_bytes > n_bytes)
     return false;
-  length = big_endian (payload + 1, width[low]);
+  length = big_endian (payload + 1, length_bytes[low]);
   if (first >= 0xdc)
-    head->n_values = length * (first >= 0xde ? 2 : 1);
+    header->n_values = length * (first >= 0xde ? 2 : 1);
   else
-    head->n_body_bytes = length + (first >= 0xc7 && first <= 0xc9);
+    header->n_body_bytes = length + (first >= 0xc7 && first <= 0xc9);
   return true;
 }
 
 /* Whether a payload is one value whose containers hold no more values than there are bytes left. */
 bool
-mf_frame_is_sound (const uint8_t *payload, size_t payload_bytes)
+mf_frame_is_well_formed (const uint8_t *payload, size_t payload_bytes)
 {
   uint64_t left[DEPTH_MAX + 1] = { 1 };
   size_t depth = 0, at = 0;
 
   for (;;)
     {
-      ValueHead head;
+      ValueHeader header;
 
       while (left[depth] == 0)
         {
@@ -84,17 +84,17 @@
             return at == payload_bytes;
           depth--;
         }
-      if (at >= payload_bytes || !head_read (payload + at, payload_bytes - at, &head))
+      if (at >= payload_bytes || !header_read (payload + at, payload_bytes - at, &header))
         return false;
       left[depth]--;
-      at += head.head_bytes;
-      if (head.n_body_bytes > payload_bytes - at || head.n_values > payload_bytes - at)
+      at += header.header_bytes;
+      if (header.n_body_bytes > payload_bytes - at || header.n_values > payload_bytes - at)
         return false;
-      at += head.n_body_bytes;
-      if (head.n_values == 0)
+      at += header.n_body_bytes;
+      if (header.n_values == 0)
         continue;
       if (depth == DEPTH_MAX)
         return false;
-      left[++depth] = head.n_values;
+      left[++depth] = header.n_values;
     }
 }
--- a/libmangofork/logger.c
+++ b/libmangofork/logger.c
@@ -101,7 +101,7 @@
 }
 
 void
-mf_logger_note (MfLogger *logger, const MfLogAction *log)
+mf_logger_log (MfLogger *logger, const MfLogAction *log)
 {
   MfBuffer line = { 0 };
 
--- a/libmangofork/logger.h
+++ b/libmangofork/logger.h
@@ -11,6 +11,6 @@
 /* Accepts NULL. */
 void mf_logger_free (MfLogger *logger);
 /* One change of state. */
-void mf_logger_note (MfLogger *logger, const MfLogAction *log);
+void mf_logger_log (MfLogger *logger, const MfLogAction *log);
 
 #endif
--- a/libmangofork/peer_auth.c
+++ b/libmangofork/peer_auth.c
@@ -13,7 +13,7 @@
 #define STREAM_HEADER_BYTES crypto_secretstream_xchacha20poly1305_HEADERBYTES
 #define PROOF_BYTES MF_DIGEST_BYTES
 /* What follows a hello, or stands alone in the last payload: the header of a stream, a proof. */
-#define TAIL_BYTES (STREAM_HEADER_BYTES + PROOF_BYTES)
+#define TRAILER_BYTES (STREAM_HEADER_BYTES + PROOF_BYTES)
 
 /* Members of a hello, in their order. A later version may add more at the end. */
 typedef enum
@@ -27,14 +27,14 @@
   HELLO_EXPECTED,
   HELLO_NONCE,
   HELLO_KEY_IDS, /* initiator: all it accepts, best first; responder: the one it chose */
-  HELLO_MEMBERS,
+  HELLO_MEMBER_COUNT,
 } HelloMember;
 
 typedef struct
 {
   uint32_t version_min;
   uint32_t version_max;
-  MfInstanceId owner;
+  MfInstanceId instance;
   char address[MF_ADDRESS_BYTES];
   char expected[MF_NAME_BYTES];
   uint8_t nonce[crypto_scalarmult_BYTES];
@@ -76,20 +76,20 @@
 
 /* Finds the key of an id among those accepted. */
 static bool
-key_of_id (const MfPeerKeys *keys, const uint8_t id[KEY_ID_BYTES], uint8_t key[MF_PEER_KEY_BYTES])
+key_find (const MfPeerKeys *keys, const uint8_t id[KEY_ID_BYTES], uint8_t key[MF_PEER_KEY_BYTES])
 {
-  uint8_t own[KEY_ID_BYTES];
+  uint8_t own_id[KEY_ID_BYTES];
 
-  key_id (keys->key, own);
-  if (memcmp (own, id, KEY_ID_BYTES) == 0)
+  key_id (keys->key, own_id);
+  if (memcmp (own_id, id, KEY_ID_BYTES) == 0)
     {
       memcpy (key, keys->key, MF_PEER_KEY_BYTES);
       return true;
     }
   if (!keys->has_old_key)
     return false;
-  key_id (keys->old_key, own);
-  if (memcmp (own, id, KEY_ID_BYTES) != 0)
+  key_id (keys->old_key, own_id);
+  if (memcmp (own_id, id, KEY_ID_BYTES) != 0)
     return false;
   memcpy (key, keys->old_key, MF_PEER_KEY_BYTES);
   return true;
@@ -115,12 +115,12 @@
 
   msgpack_sbuffer_init (&buffer);
   msgpack_packer_init (&packer, &buffer, msgpack_sbuffer_write);
-  msgpack_pack_array (&packer, HELLO_MEMBERS);
+  msgpack_pack_array (&packer, HELLO_MEMBER_COUNT);
   pack_text (&packer, MAGIC);
   msgpack_pack_uint32 (&packer, hello->version_min);
   msgpack_pack_uint32 (&packer, hello->version_max);
-  pack_text (&packer, hello->owner.name);
-  msgpack_pack_uint64 (&packer, hello->owner.incarnation);
+  pack_text (&packer, hello->instance.name);
+  msgpack_pack_uint64 (&packer, hello->instance.incarnation);
   pack_text (&packer, hello->address);
   pack_text (&packer, hello->expected);
   pack_bytes (&packer, hello->nonce, sizeof hello->nonce);
@@ -184,12 +184,12 @@
   uint64_t version_max = 0;
   char magic[sizeof MAGIC];
 
-  if (object->type != MSGPACK_OBJECT_ARRAY || object->via.array.size < HELLO_MEMBERS
+  if (object->type != MSGPACK_OBJECT_ARRAY || object->via.array.size < HELLO_MEMBER_COUNT
       || !read_text (&members[HELLO_MAGIC], magic, sizeof magic) || strcmp (magic, MAGIC) != 0
       || !read_number (&members[HELLO_VERSION_MIN], UINT32_MAX, &version_min)
       || !read_number (&members[HELLO_VERSION_MAX], UINT32_MAX, &version_max)
-      || !read_text (&members[HELLO_NAME], hello->owner.name, sizeof hello->owner.name)
-      || !read_number (&members[HELLO_INCARNATION], UINT64_MAX, &hello->owner.incarnation)
+      || !read_text (&members[HELLO_NAME], hello->instance.name, sizeof hello->instance.name)
+      || !read_number (&members[HELLO_INCARNATION], UINT64_MAX, &hello->instance.incarnation)
       || !read_text (&members[HELLO_ADDRESS], hello->address, sizeof hello->address)
       || !read_text (&members[HELLO_EXPECTED], hello->expected, sizeof hello->expected)
       || !read_bytes (&members[HELLO_NONCE], hello->nonce, sizeof hello->nonce)
@@ -197,7 +197,7 @@
     return false;
   hello->version_min = (uint32_t)version_min;
   hello->version_max = (uint32_t)version_max;
-  return hello->owner.name[0] != '\0';
+  return hello->instance.name[0] != '\0';
 }
 
 static bool
@@ -205,37 +205,37 @@
 {
   msgpack_unpacked unpacked;
   size_t at = 0;
-  bool good;
+  bool ok;
 
   *hello = (Hello){ 0 };
   msgpack_unpacked_init (&unpacked);
-  good = data_bytes <= MF_PEER_HELLO_BYTES_MAX
-         && msgpack_unpack_next (&unpacked, (const char *)data, data_bytes, &at)
-                == MSGPACK_UNPACK_SUCCESS
-         && at == data_bytes && hello_read (&unpacked.data, hello);
+  ok = data_bytes <= MF_PEER_HANDSHAKE_BYTES_MAX
+       && msgpack_unpack_next (&unpacked, (const char *)data, data_bytes, &at)
+              == MSGPACK_UNPACK_SUCCESS
+       && at == data_bytes && hello_read (&unpacked.data, hello);
   msgpack_unpacked_destroy (&unpacked);
-  return good ? true : auth_error (error, "the hello is malformed");
+  return ok ? true : auth_error (error, "the hello is malformed");
 }
 
 /* Fills in what both sides say of themselves, and makes the nonce. */
 static void
-hello_make (MfPeerAuth *auth, const MfPeerLinkOptions *self, const char *expected, Hello *hello)
+hello_init (MfPeerAuth *auth, const MfPeerLinkOptions *options, const char *expected, Hello *hello)
 {
   randombytes_buf (auth->secret, sizeof auth->secret);
   crypto_scalarmult_base (auth->nonce, auth->secret);
   *hello = (Hello){
     .version_min = VERSION_MIN,
     .version_max = VERSION_MAX,
-    .owner = self->self,
+    .instance = options->self,
   };
-  mf_name_set (hello->address, sizeof hello->address, self->address);
+  mf_name_set (hello->address, sizeof hello->address, options->address);
   mf_name_set (hello->expected, sizeof hello->expected, expected);
   memcpy (hello->nonce, auth->nonce, sizeof hello->nonce);
 }
 
 /* Checks what the other side says of itself. */
 static bool
-hello_check (MfPeerAuth *auth, const MfPeerLinkOptions *self, const Hello *hello, MfError *error)
+hello_check (MfPeerAuth *auth, const MfPeerLinkOptions *options, const Hello *hello, MfError *error)
 {
   uint32_t highest = hello->version_max < VERSION_MAX ? hello->version_max : VERSION_MAX;
 
@@ -245,12 +245,12 @@
                     hello->version_min, hello->version_max);
       return false;
     }
-  if (strcmp (hello->owner.name, self->self.name) == 0)
+  if (strcmp (hello->instance.name, options->self.name) == 0)
     return auth_error (error, "the peer has this instance's own name");
-  if (hello->expected[0] != '\0' && strcmp (hello->expected, self->self.name) != 0)
+  if (hello->expected[0] != '\0' && strcmp (hello->expected, options->self.name) != 0)
     return auth_error (error, "the peer means another instance");
   auth->version = highest;
-  auth->peer = hello->owner;
+  auth->peer = hello->instance;
   memcpy (auth->peer_address, hello->address, sizeof auth->peer_address);
   memcpy (auth->peer_nonce, hello->nonce, sizeof auth->peer_nonce);
   return true;
@@ -267,7 +267,7 @@
 
 /* Derives the key of one direction from the secret, the transcript and the ephemeral keys. */
 static bool
-stream_key (const MfPeerAuth *auth, bool from_initiator, uint8_t key[MF_DIGEST_BYTES])
+stream_key_derive (const MfPeerAuth *auth, bool from_initiator, uint8_t key[MF_DIGEST_BYTES])
 {
   uint8_t shared[crypto_scalarmult_BYTES];
 
@@ -281,7 +281,7 @@
 }
 
 static void
-proof_make (const MfPeerAuth *auth, bool by_initiator, const uint8_t *stream, uint8_t *proof)
+proof_compute (const MfPeerAuth *auth, bool by_initiator, const uint8_t *stream, uint8_t *proof)
 {
   key_hash (auth->key, by_initiator ? "mangofork peer initiator" : "mangofork peer responder",
             auth->transcript_digest, MF_DIGEST_BYTES, stream, STREAM_HEADER_BYTES, proof,
@@ -290,17 +290,17 @@
 
 /* Opens the own stream and adds its header and the proof to a payload. */
 static bool
-push_open (MfPeerAuth *auth, MfBuffer *payload, MfError *error)
+send_stream_open (MfPeerAuth *auth, MfBuffer *payload, MfError *error)
 {
   uint8_t key[MF_DIGEST_BYTES];
   uint8_t stream[STREAM_HEADER_BYTES];
   uint8_t proof[PROOF_BYTES];
 
-  if (!stream_key (auth, auth->initiator, key)
+  if (!stream_key_derive (auth, auth->initiator, key)
       || crypto_secretstream_xchacha20poly1305_init_push (&auth->push, stream, key) != 0)
     return auth_error (error, "the own stream cannot be opened");
   sodium_memzero (key, sizeof key);
-  proof_make (auth, auth->initiator, stream, proof);
+  proof_compute (auth, auth->initiator, stream, proof);
   mf_buffer_add (payload, stream, sizeof stream);
   mf_buffer_add (payload, proof, sizeof proof);
   return payload->failed ? auth_error (error, "no memory for the proof") : true;
@@ -308,32 +308,32 @@
 
 /* Checks the other side's proof and opens its stream. tail holds the header and the proof. */
 static bool
-pull_open (MfPeerAuth *auth, const uint8_t *tail, MfError *error)
+receive_stream_open (MfPeerAuth *auth, const uint8_t *trailer, MfError *error)
 {
   uint8_t key[MF_DIGEST_BYTES];
-  uint8_t wanted[PROOF_BYTES];
+  uint8_t expected[PROOF_BYTES];
 
-  proof_make (auth, !auth->initiator, tail, wanted);
-  if (sodium_memcmp (wanted, tail + STREAM_HEADER_BYTES, PROOF_BYTES) != 0)
+  proof_compute (auth, !auth->initiator, trailer, expected);
+  if (sodium_memcmp (expected, trailer + STREAM_HEADER_BYTES, PROOF_BYTES) != 0)
     return auth_error (error, "the peer did not prove its key");
-  if (!stream_key (auth, !auth->initiator, key)
-      || crypto_secretstream_xchacha20poly1305_init_pull (&auth->pull, tail, key) != 0)
+  if (!stream_key_derive (auth, !auth->initiator, key)
+      || crypto_secretstream_xchacha20poly1305_init_pull (&auth->pull, trailer, key) != 0)
     return auth_error (error, "the peer's stream cannot be opened");
   sodium_memzero (key, sizeof key);
   return true;
 }
 
 bool
-mf_peer_auth_begin (MfPeerAuth *auth, const MfPeerLinkOptions *self, const char *expected,
+mf_peer_auth_begin (MfPeerAuth *auth, const MfPeerLinkOptions *options, const char *expected,
                     MfBuffer *payload, MfError *error)
 {
   Hello hello;
 
   *auth = (MfPeerAuth){ .initiator = true };
-  hello_make (auth, self, expected, &hello);
-  key_id (self->keys.key, hello.key_ids[hello.n_key_ids++]);
-  if (self->keys.has_old_key)
-    key_id (self->keys.old_key, hello.key_ids[hello.n_key_ids++]);
+  hello_init (auth, options, expected, &hello);
+  key_id (options->keys.key, hello.key_ids[hello.n_key_ids++]);
+  if (options->keys.has_old_key)
+    key_id (options->keys.old_key, hello.key_ids[hello.n_key_ids++]);
   hello_pack (&hello, payload);
   if (payload->failed)
     return auth_error (error, "no memory for the hello");
@@ -344,14 +344,14 @@
 
 /* Takes the first key that the initiator names and this side accepts. */
 static bool
-key_choose (MfPeerAuth *auth, const MfPeerKeys *keys, const Hello *theirs, Hello *own)
+key_choose (MfPeerAuth *auth, const MfPeerKeys *keys, const Hello *peer_hello, Hello *own_hello)
 {
-  for (uint32_t i = 0; i < theirs->n_key_ids; i++)
+  for (uint32_t i = 0; i < peer_hello->n_key_ids; i++)
     {
-      if (key_of_id (keys, theirs->key_ids[i], auth->key))
+      if (key_find (keys, peer_hello->key_ids[i], auth->key))
         {
-          memcpy (own->key_ids[0], theirs->key_ids[i], KEY_ID_BYTES);
-          own->n_key_ids = 1;
+          memcpy (own_hello->key_ids[0], peer_hello->key_ids[i], KEY_ID_BYTES);
+          own_hello->n_key_ids = 1;
           return true;
         }
     }
@@ -359,54 +359,55 @@
 }
 
 bool
-mf_peer_auth_respond (MfPeerAuth *auth, const MfPeerLinkOptions *self, const uint8_t *hello,
+mf_peer_auth_respond (MfPeerAuth *auth, const MfPeerLinkOptions *options, const uint8_t *hello,
                       size_t hello_bytes, MfBuffer *payload, MfError *error)
 {
-  Hello theirs;
-  Hello own;
+  Hello peer_hello;
+  Hello own_hello;
 
   *auth = (MfPeerAuth){ 0 };
-  if (!hello_unpack (hello, hello_bytes, &theirs, error)
-      || !hello_check (auth, self, &theirs, error))
+  if (!hello_unpack (hello, hello_bytes, &peer_hello, error)
+      || !hello_check (auth, options, &peer_hello, error))
     return false;
-  hello_make (auth, self, theirs.owner.name, &own);
-  if (!key_choose (auth, &self->keys, &theirs, &own))
+  hello_init (auth, options, peer_hello.instance.name, &own_hello);
+  if (!key_choose (auth, &options->keys, &peer_hello, &own_hello))
     return auth_error (error, "the peer accepts none of the keys held here");
-  hello_pack (&own, payload);
+  hello_pack (&own_hello, payload);
   crypto_generichash_init (&auth->transcript, NULL, 0, MF_DIGEST_BYTES);
   transcript_add (auth, hello, hello_bytes);
   transcript_add (auth, mf_buffer_data (payload), mf_buffer_bytes (payload));
   crypto_generichash_final (&auth->transcript, auth->transcript_digest, MF_DIGEST_BYTES);
-  return push_open (auth, payload, error);
+  return send_stream_open (auth, payload, error);
 }
 
 bool
-mf_peer_auth_confirm (MfPeerAuth *auth, const MfPeerLinkOptions *self, const char *expected,
+mf_peer_auth_confirm (MfPeerAuth *auth, const MfPeerLinkOptions *options, const char *expected,
                       const uint8_t *answer, size_t answer_bytes, MfBuffer *payload, MfError *error)
 {
-  size_t hello_bytes = answer_bytes - TAIL_BYTES;
-  Hello theirs;
+  size_t hello_bytes = answer_bytes - TRAILER_BYTES;
+  Hello peer_hello;
 
-  if (answer_bytes <= TAIL_BYTES)
+  if (answer_bytes <= TRAILER_BYTES)
     return auth_error (error, "the answer is too short");
-  if (!hello_unpack (answer, hello_bytes, &theirs, error)
-      || !hello_check (auth, self, &theirs, error))
+  if (!hello_unpack (answer, hello_bytes, &peer_hello, error)
+      || !hello_check (auth, options, &peer_hello, error))
     return false;
-  if (expected[0] != '\0' && strcmp (theirs.owner.name, expected) != 0)
+  if (expected[0] != '\0' && strcmp (peer_hello.instance.name, expected) != 0)
     return auth_error (error, "another instance answered");
-  if (theirs.n_key_ids != 1 || !key_of_id (&self->keys, theirs.key_ids[0], auth->key))
+  if (peer_hello.n_key_ids != 1 || !key_find (&options->keys, peer_hello.key_ids[0], auth->key))
     return auth_error (error, "the peer chose a key that is not held here");
   transcript_add (auth, answer, hello_bytes);
   crypto_generichash_final (&auth->transcript, auth->transcript_digest, MF_DIGEST_BYTES);
-  return pull_open (auth, answer + hello_bytes, error) && push_open (auth, payload, error);
+  return receive_stream_open (auth, answer + hello_bytes, error)
+         && send_stream_open (auth, payload, error);
 }
 
 bool
 mf_peer_auth_finish (MfPeerAuth *auth, const uint8_t *proof, size_t proof_bytes, MfError *error)
 {
-  if (proof_bytes != TAIL_BYTES)
+  if (proof_bytes != TRAILER_BYTES)
     return auth_error (error, "the proof has a wrong length");
-  return pull_open (auth, proof, error);
+  return receive_stream_open (auth, proof, error);
 }
 
 /* Reads one secret from a file of hexadecimal digits. */
--- a/libmangofork/peer_auth.h
+++ b/libmangofork/peer_auth.h
@@ -8,7 +8,7 @@
 #include <sodium.h>
 
 /* Longest payload of a handshake frame. */
-#define MF_PEER_HELLO_BYTES_MAX 1024
+#define MF_PEER_HANDSHAKE_BYTES_MAX 1024
 
 /* One side of the handshake of a link, without its socket. The initiator sends its hello; the
  * responder answers with its own and a proof over both; the initiator closes with its proof. Each
@@ -31,13 +31,13 @@
 } MfPeerAuth;
 
 /* The initiator's first payload. expected is the slot it means to reach. */
-bool mf_peer_auth_begin (MfPeerAuth *auth, const MfPeerLinkOptions *self, const char *expected,
+bool mf_peer_auth_begin (MfPeerAuth *auth, const MfPeerLinkOptions *options, const char *expected,
                          MfBuffer *payload, MfError *error);
 /* The responder takes the initiator's hello and makes its answer. */
-bool mf_peer_auth_respond (MfPeerAuth *auth, const MfPeerLinkOptions *self, const uint8_t *hello,
+bool mf_peer_auth_respond (MfPeerAuth *auth, const MfPeerLinkOptions *options, const uint8_t *hello,
                            size_t hello_bytes, MfBuffer *payload, MfError *error);
 /* The initiator checks the answer and makes its proof. The link is then authenticated. */
-bool mf_peer_auth_confirm (MfPeerAuth *auth, const MfPeerLinkOptions *self, const char *expected,
+bool mf_peer_auth_confirm (MfPeerAuth *auth, const MfPeerLinkOptions *options, const char *expected,
                            const uint8_t *answer, size_t answer_bytes, MfBuffer *payload,
                            MfError *error);
 /* The responder checks the proof. The link is then authenticated. */
--- a/libmangofork/peer_link.c
+++ b/libmangofork/peer_link.c
@@ -17,17 +17,17 @@
 #include <utlist.h>
 
 /* A handshake must be over by then. */
-#define HANDSHAKE_LIMIT_S 3.0
+#define HANDSHAKE_TIMEOUT_S 3.0
 /* Links that are not yet authenticated, and links in all. */
 #define HALF_OPEN_MAX 64
 #define LINKS_MAX 1024
 /* Unsent bytes of a link; a peer that takes them more slowly loses it. */
 #define UNSENT_BYTES_MAX ((size_t)2 * MF_FRAME_BYTES_MAX)
 /* Sent bytes may stay unacknowledged this long. */
-#define UNACKED_LIMIT_MS 10000
-#define READ_BYTES 65536
+#define UNACKED_TIMEOUT_MS 10000
+#define READ_BUFFER_BYTES 65536
 #define LENGTH_BYTES 4
-#define SEAL_BYTES crypto_secretstream_xchacha20poly1305_ABYTES
+#define CIPHER_OVERHEAD_BYTES crypto_secretstream_xchacha20poly1305_ABYTES
 
 typedef enum
 {
@@ -46,14 +46,14 @@
   uint32_t id;
   int fd;
   LinkState state;
-  bool failed; /* closes as soon as the loop runs */
+  bool failing; /* closes as soon as the loop runs */
   MfPeerAuth auth;
   char expected[MF_NAME_BYTES];
   MfBuffer in;
   MfBuffer out;
   ev_io read;
   ev_io write;
-  ev_timer limit;
+  ev_timer timeout;
   Link *prev;
   Link *next;
   UT_hash_handle hh; /* by id, while up */
@@ -93,7 +93,7 @@
   link->state = LINK_CLOSED;
   ev_io_stop (links->loop, &link->read);
   ev_io_stop (links->loop, &link->write);
-  ev_timer_stop (links->loop, &link->limit);
+  ev_timer_stop (links->loop, &link->timeout);
   if (link->fd >= 0)
     close (link->fd);
   DL_DELETE (links->open, link);
@@ -113,7 +113,7 @@
 
 /* Closes a link and tells the core. */
 static void
-link_lose (Link *link)
+link_fail (Link *link)
 {
   MfEvent event = { .type = MF_EVENT_PEER_DOWN };
   LinkState state = link->state;
@@ -135,12 +135,12 @@
 
 /* Has a link closed from the loop, where the core may be told. */
 static void
-link_fail_later (Link *link)
+link_fail_deferred (Link *link)
 {
-  link->failed = true;
-  ev_timer_stop (link->links->loop, &link->limit);
-  ev_timer_set (&link->limit, 0, 0);
-  ev_timer_start (link->links->loop, &link->limit);
+  link->failing = true;
+  ev_timer_stop (link->links->loop, &link->timeout);
+  ev_timer_set (&link->timeout, 0, 0);
+  ev_timer_start (link->links->loop, &link->timeout);
 }
 
 /* Writes what the socket takes now and watches for room when some is left. */
@@ -161,7 +161,7 @@
         }
       if (n < 0)
         {
-          link_fail_later (link);
+          link_fail_deferred (link);
           return;
         }
       link->links->stats.bytes_out += (uint64_t)n;
@@ -176,13 +176,13 @@
 {
   uint32_t length = htonl ((uint32_t)payload_bytes);
 
-  if (link->failed)
+  if (link->failing)
     return;
   mf_buffer_add (&link->out, &length, sizeof length);
   mf_buffer_add (&link->out, payload, payload_bytes);
   if (link->out.failed || mf_buffer_bytes (&link->out) > UNSENT_BYTES_MAX)
     {
-      link_fail_later (link);
+      link_fail_deferred (link);
       return;
     }
   link_flush (link);
@@ -197,7 +197,7 @@
 /* Of two links between the same processes both sides keep the one that the instance with the lower
  * name began, and of two begun by the same one the later. Returns whether the new one is kept. */
 static bool
-link_outranks (const Link *link, const Link *other)
+link_is_preferred (const Link *link, const Link *other)
 {
   const char *self = link->links->options.self.name;
   bool lower_self = strcmp (self, link->auth.peer.name) < 0;
@@ -221,12 +221,12 @@
       if (other == link || other->state != LINK_UP
           || strcmp (other->auth.peer.name, link->auth.peer.name) != 0)
         continue;
-      if (!link_outranks (link, other))
+      if (!link_is_preferred (link, other))
         {
           link_close (link);
           return;
         }
-      link_lose (other);
+      link_fail (other);
       next = links->open;
       if (link->state == LINK_CLOSED)
         return;
@@ -234,30 +234,30 @@
   links->n_half_open--;
   link->state = LINK_UP;
   HASH_ADD (hh, links->up, id, sizeof link->id, link);
-  ev_timer_stop (links->loop, &link->limit);
+  ev_timer_stop (links->loop, &link->timeout);
   link_emit (link, MF_EVENT_PEER_UP, NULL);
 }
 
 /* Takes one payload of the handshake. Returns false when the link must end. */
 static bool
-handshake_take (Link *link, const uint8_t *payload, size_t payload_bytes)
+handshake_handle (Link *link, const uint8_t *payload, size_t payload_bytes)
 {
   const MfPeerLinkOptions *options = &link->links->options;
   MfBuffer answer = { 0 };
   MfError error = { 0 };
-  bool good;
+  bool ok;
 
   if (link->state == LINK_PROOF)
-    good = mf_peer_auth_finish (&link->auth, payload, payload_bytes, &error);
+    ok = mf_peer_auth_finish (&link->auth, payload, payload_bytes, &error);
   else if (link->auth.initiator)
-    good = mf_peer_auth_confirm (&link->auth, options, link->expected, payload, payload_bytes,
-                                 &answer, &error);
+    ok = mf_peer_auth_confirm (&link->auth, options, link->expected, payload, payload_bytes,
+                               &answer, &error);
   else
-    good = mf_peer_auth_respond (&link->auth, options, payload, payload_bytes, &answer, &error);
-  if (good && mf_buffer_bytes (&answer) > 0)
+    ok = mf_peer_auth_respond (&link->auth, options, payload, payload_bytes, &answer, &error);
+  if (ok && mf_buffer_bytes (&answer) > 0)
     payload_send (link, &answer);
   mf_buffer_clear (&answer);
-  if (!good)
+  if (!ok)
     return false;
   if (link->state == LINK_HELLO && !link->auth.initiator)
     link->state = LINK_PROOF;
@@ -269,7 +269,7 @@
 /* Takes one sealed frame. Returns false when the link must end: a broken seal means that the bytes
  * are not the peer's. A message that cannot be read is dropped and counted. */
 static bool
-message_take (Link *link, const uint8_t *sealed, size_t sealed_bytes)
+message_handle (Link *link, const uint8_t *ciphertext, size_t ciphertext_bytes)
 {
   MfPeerLinkStats *stats = &link->links->stats;
   uint8_t *payload;
@@ -277,14 +277,16 @@
   unsigned char tag = 0;
   MfFrame frame = { 0 };
   MfError error = { 0 };
-  bool good;
-
-  payload = sealed_bytes < SEAL_BYTES ? NULL : malloc (sealed_bytes - SEAL_BYTES + 1);
-  good = payload != NULL
-         && crypto_secretstream_xchacha20poly1305_pull (&link->auth.pull, payload, &payload_bytes,
-                                                        &tag, sealed, sealed_bytes, NULL, 0)
-                == 0;
-  if (!good)
+  bool ok;
+
+  payload = ciphertext_bytes < CIPHER_OVERHEAD_BYTES
+                ? NULL
+                : malloc (ciphertext_bytes - CIPHER_OVERHEAD_BYTES + 1);
+  ok = payload != NULL
+       && crypto_secretstream_xchacha20poly1305_pull (&link->auth.pull, payload, &payload_bytes,
+                                                      &tag, ciphertext, ciphertext_bytes, NULL, 0)
+              == 0;
+  if (!ok)
     stats->frames_bad++;
   else if (!mf_frame_decode (payload, (size_t)payload_bytes, &frame, &error))
     stats->frames_bad++;
@@ -295,18 +297,18 @@
       mf_frame_clear (&frame);
     }
   free (payload);
-  return good;
+  return ok;
 }
 
 /* Takes the frames that have arrived whole. Returns false when the link must end. */
 static bool
-frames_take (Link *link)
+frames_handle (Link *link)
 {
   while (link->state != LINK_CLOSED && mf_buffer_bytes (&link->in) >= LENGTH_BYTES)
     {
       const uint8_t *data = (const uint8_t *)mf_buffer_data (&link->in);
-      size_t max
-          = link->state == LINK_UP ? MF_FRAME_BYTES_MAX + SEAL_BYTES : MF_PEER_HELLO_BYTES_MAX;
+      size_t max = link->state == LINK_UP ? MF_FRAME_BYTES_MAX + CIPHER_OVERHEAD_BYTES
+                                          : MF_PEER_HANDSHAKE_BYTES_MAX;
       uint32_t length;
 
       memcpy (&length, data, sizeof length);
@@ -318,8 +320,8 @@
         }
       if (mf_buffer_bytes (&link->in) < LENGTH_BYTES + (size_t)length)
         return true;
-      if (!(link->state == LINK_UP ? message_take (link, data + LENGTH_BYTES, length)
-                                   : handshake_take (link, data + LENGTH_BYTES, length)))
+      if (!(link->state == LINK_UP ? message_handle (link, data + LENGTH_BYTES, length)
+                                   : handshake_handle (link, data + LENGTH_BYTES, length)))
         return false;
       mf_buffer_take (&link->in, LENGTH_BYTES + (size_t)length);
     }
@@ -327,10 +329,10 @@
 }
 
 static void
-link_readable (struct ev_loop *loop, ev_io *watcher, int events)
+on_readable (struct ev_loop *loop, ev_io *watcher, int events)
 {
   Link *link = watcher->data;
-  char data[READ_BYTES];
+  char data[READ_BUFFER_BYTES];
   ssize_t n = recv (link->fd, data, sizeof data, MSG_DONTWAIT);
 
   (void)loop;
@@ -339,16 +341,16 @@
     return;
   if (n > 0)
     mf_buffer_add (&link->in, data, (size_t)n);
-  if (n <= 0 || link->in.failed || !frames_take (link))
-    link_lose (link);
+  if (n <= 0 || link->in.failed || !frames_handle (link))
+    link_fail (link);
 }
 
 static void
-link_writable (struct ev_loop *loop, ev_io *watcher, int events)
+on_writable (struct ev_loop *loop, ev_io *watcher, int events)
 {
   Link *link = watcher->data;
-  int fault = 0;
-  socklen_t fault_bytes = sizeof fault;
+  int socket_error = 0;
+  socklen_t socket_error_bytes = sizeof socket_error;
   MfBuffer hello = { 0 };
   MfError error = { 0 };
 
@@ -359,12 +361,12 @@
       link_flush (link);
       return;
     }
-  getsockopt (link->fd, SOL_SOCKET, SO_ERROR, &fault, &fault_bytes);
-  if (fault != 0
+  getsockopt (link->fd, SOL_SOCKET, SO_ERROR, &socket_error, &socket_error_bytes);
+  if (socket_error != 0
       || !mf_peer_auth_begin (&link->auth, &link->links->options, link->expected, &hello, &error))
     {
       mf_buffer_clear (&hello);
-      link_lose (link);
+      link_fail (link);
       return;
     }
   link->state = LINK_HELLO;
@@ -374,11 +376,11 @@
 }
 
 static void
-link_limit (struct ev_loop *loop, ev_timer *watcher, int events)
+on_timeout (struct ev_loop *loop, ev_timer *watcher, int events)
 {
   (void)loop;
   (void)events;
-  link_lose (watcher->data);
+  link_fail (watcher->data);
 }
 
 /* Makes a link; a descriptor below 0 makes one that fails as soon as the loop runs. */
@@ -387,7 +389,7 @@
 {
   Link *link = calloc (1, sizeof *link);
   int one = 1;
-  unsigned unacked_ms = UNACKED_LIMIT_MS;
+  unsigned unacked_ms = UNACKED_TIMEOUT_MS;
 
   if (link == NULL)
     {
@@ -401,13 +403,13 @@
   link->id = ++links->last_id;
   link->fd = fd;
   link->state = state;
-  ev_io_init (&link->read, link_readable, fd, EV_READ);
+  ev_io_init (&link->read, on_readable, fd, EV_READ);
   link->read.data = link;
-  ev_io_init (&link->write, link_writable, fd, EV_WRITE);
+  ev_io_init (&link->write, on_writable, fd, EV_WRITE);
   link->write.data = link;
-  ev_timer_init (&link->limit, link_limit, fd < 0 ? 0 : HANDSHAKE_LIMIT_S, 0);
-  link->limit.data = link;
-  ev_timer_start (links->loop, &link->limit);
+  ev_timer_init (&link->timeout, on_timeout, fd < 0 ? 0 : HANDSHAKE_TIMEOUT_S, 0);
+  link->timeout.data = link;
+  ev_timer_start (links->loop, &link->timeout);
   DL_APPEND (links->open, link);
   links->n_open++;
   links->n_half_open++;
@@ -415,7 +417,7 @@
 }
 
 static void
-links_accept (struct ev_loop *loop, ev_io *watcher, int events)
+on_accept (struct ev_loop *loop, ev_io *watcher, int events)
 {
   MfPeerLinks *links = watcher->data;
   int fd = accept4 (links->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
@@ -478,7 +480,7 @@
   links->options.address = links->address;
   links->on_event = on_event;
   links->data = data;
-  ev_io_init (&links->accept, links_accept, links->fd, EV_READ);
+  ev_io_init (&links->accept, on_accept, links->fd, EV_READ);
   links->accept.data = links;
   ev_io_start (loop, &links->accept);
   ev_prepare_init (&links->reap, links_reap);
@@ -562,22 +564,22 @@
   MfError error = { 0 };
   size_t frame_bytes = 0;
   uint8_t *frame;
-  uint8_t *sealed;
+  uint8_t *ciphertext;
 
   if (link == NULL)
     return;
   frame = mf_frame_encode (message, &frame_bytes, &error);
-  sealed = frame == NULL ? NULL : malloc (frame_bytes + SEAL_BYTES);
-  if (sealed != NULL)
+  ciphertext = frame == NULL ? NULL : malloc (frame_bytes + CIPHER_OVERHEAD_BYTES);
+  if (ciphertext != NULL)
     {
-      unsigned long long sealed_bytes = 0;
+      unsigned long long ciphertext_bytes = 0;
 
-      crypto_secretstream_xchacha20poly1305_push (&link->auth.push, sealed, &sealed_bytes,
+      crypto_secretstream_xchacha20poly1305_push (&link->auth.push, ciphertext, &ciphertext_bytes,
                                                   frame + LENGTH_BYTES, frame_bytes - LENGTH_BYTES,
                                                   NULL, 0, 0);
       links->stats.frames_out++;
-      frame_send (link, sealed, (size_t)sealed_bytes);
+      frame_send (link, ciphertext, (size_t)ciphertext_bytes);
     }
-  free (sealed);
+  free (ciphertext);
   free (frame);
 }
--- a/libmangofork/platform.c
+++ b/libmangofork/platform.c
@@ -13,8 +13,8 @@
 #include <strings.h>
 
 /* Seconds a waiting read asks the platform to wait, and what is added for its answer. */
-#define WAIT_S 50
-#define ANSWER_S 10
+#define BLOCKING_WAIT_S 50
+#define ANSWER_TIMEOUT_S 10
 #define CONNECT_TIMEOUT_MS 3000
 /* A text of one megabyte is a third longer in base64. */
 #define ANSWER_BYTES_MAX (2 * (size_t)MF_TEXT_BYTES_MAX)
@@ -37,19 +37,19 @@
   CURL *easy; /* NULL when none is under way */
   struct curl_slist *headers;
   MfBuffer body;
-  uint64_t index; /* of the answer */
-  bool failed;    /* it could not even be started */
+  uint64_t index;    /* of the answer */
+  bool start_failed; /* it could not even be started */
 } Read;
 
 struct MfPlatform
 {
   const MfSettings *settings;
-  const MfPlatformTable *table;
+  const MfPlatformBackend *backend;
   void (*on_event) (const MfEvent *event, void *data);
   void *data;
   MfMulti *multi;
   Read reads[READ_COUNT];
-  uint64_t n_calls;
+  uint64_t n_reads;
 };
 
 static void
@@ -61,7 +61,7 @@
 }
 
 static void
-emit_lost (MfPlatform *platform, ReadKind kind)
+emit_failed (MfPlatform *platform, ReadKind kind)
 {
   MfEvent event = {
     .type = MF_EVENT_PLATFORM_FAILED,
@@ -84,7 +84,7 @@
   read->easy = NULL;
   read->headers = NULL;
   read->index = 0;
-  read->failed = false;
+  read->start_failed = false;
 }
 
 static size_t
@@ -105,9 +105,9 @@
 }
 
 static size_t
-on_body (char *data, size_t size, size_t n, void *user)
+on_body (char *data, size_t size, size_t n, void *userdata)
 {
-  Read *read = user;
+  Read *read = userdata;
 
   mf_buffer_add (&read->body, data, size * n);
   return read->body.failed || mf_buffer_bytes (&read->body) > ANSWER_BYTES_MAX ? 0 : size * n;
@@ -115,7 +115,7 @@
 
 /* Reads the token anew for each call, so that it can be changed without a restart. */
 static bool
-add_token (Read *read)
+token_header_add (Read *read)
 {
   const char *path = read->platform->settings->platform_token_file;
   char header[TOKEN_BYTES + 32] = "X-Consul-Token: ";
@@ -135,25 +135,26 @@
 }
 
 static bool
-read_begin (Read *read, uint64_t index)
+read_submit (Read *read, uint64_t index)
 {
   const MfPlatform *platform = read->platform;
-  const MfPlatformTable *table = platform->table;
+  const MfPlatformBackend *backend = platform->backend;
   char path[PATH_BYTES];
   char url[PATH_BYTES + MF_ADDRESS_BYTES + 8];
   bool ok = read->kind == READ_TEXT
-                ? table->text_path (platform->settings, index, path, PATH_BYTES)
-                : table->list_path (platform->settings, index, path, PATH_BYTES);
+                ? backend->text_path (platform->settings, index, path, PATH_BYTES)
+                : backend->list_path (platform->settings, index, path, PATH_BYTES);
 
   read->easy = curl_easy_init ();
-  if (!ok || read->easy == NULL || !add_token (read))
+  if (!ok || read->easy == NULL || !token_header_add (read))
     return false;
   snprintf (url, sizeof url, "http://%s%s", platform->settings->platform, path);
   mf_multi_set_common (read->easy);
   curl_easy_setopt (read->easy, CURLOPT_URL, url);
   curl_easy_setopt (read->easy, CURLOPT_HTTPHEADER, read->headers);
   curl_easy_setopt (read->easy, CURLOPT_CONNECTTIMEOUT_MS, (long)CONNECT_TIMEOUT_MS);
-  curl_easy_setopt (read->easy, CURLOPT_TIMEOUT, (long)(index == 0 ? ANSWER_S : WAIT_S + ANSWER_S));
+  curl_easy_setopt (read->easy, CURLOPT_TIMEOUT,
+                    (long)(index == 0 ? ANSWER_TIMEOUT_S : BLOCKING_WAIT_S + ANSWER_TIMEOUT_S));
   curl_easy_setopt (read->easy, CURLOPT_HEADERFUNCTION, on_header);
   curl_easy_setopt (read->easy, CURLOPT_HEADERDATA, read);
   curl_easy_setopt (read->easy, CURLOPT_WRITEFUNCTION, on_body);
@@ -168,17 +169,17 @@
   Read *read = &platform->reads[kind];
 
   read_stop (read);
-  platform->n_calls++;
-  if (read_begin (read, index))
+  platform->n_reads++;
+  if (read_submit (read, index))
     return;
   read_stop (read);
-  read->failed = true;
+  read->start_failed = true;
   mf_multi_wake (platform->multi);
 }
 
 /* Parses a whole answer and hands it on. Returns false when it makes no sense. */
 static bool
-deliver (Read *read)
+answer_deliver (Read *read)
 {
   MfPlatform *platform = read->platform;
   const char *body = mf_buffer_data (&read->body);
@@ -190,9 +191,11 @@
   bool ok;
 
   if (read->kind == READ_TEXT)
-    ok = platform->table->parse_text (body, body_bytes, read->index, &event.text, &memory, &error);
+    ok = platform->backend->parse_text (body, body_bytes, read->index, &event.text, &memory,
+                                        &error);
   else
-    ok = platform->table->parse_list (body, body_bytes, read->index, &event.list, &memory, &error);
+    ok = platform->backend->parse_list (body, body_bytes, read->index, &event.list, &memory,
+                                        &error);
   read_stop (read);
   if (ok)
     emit (platform, &event);
@@ -211,10 +214,10 @@
   curl_easy_getinfo (easy, CURLINFO_PRIVATE, (char **)&read);
   curl_easy_getinfo (easy, CURLINFO_RESPONSE_CODE, &status);
   kind = read->kind;
-  if (result == CURLE_OK && status == 200 && deliver (read))
+  if (result == CURLE_OK && status == 200 && answer_deliver (read))
     return;
   read_stop (read);
-  emit_lost (platform, kind);
+  emit_failed (platform, kind);
 }
 
 static void
@@ -224,10 +227,10 @@
 
   for (ReadKind kind = 0; kind < READ_COUNT; kind++)
     {
-      if (!platform->reads[kind].failed)
+      if (!platform->reads[kind].start_failed)
         continue;
-      platform->reads[kind].failed = false;
-      emit_lost (platform, kind);
+      platform->reads[kind].start_failed = false;
+      emit_failed (platform, kind);
     }
 }
 
@@ -244,7 +247,7 @@
       return NULL;
     }
   platform->settings = settings;
-  platform->table = &mf_platform_consul;
+  platform->backend = &mf_platform_consul;
   platform->on_event = on_event;
   platform->data = data;
   platform->multi = mf_multi_new (loop, &hooks, platform, error);
@@ -283,9 +286,9 @@
 }
 
 uint64_t
-mf_platform_calls (const MfPlatform *platform)
+mf_platform_n_reads (const MfPlatform *platform)
 {
-  return platform->n_calls;
+  return platform->n_reads;
 }
 
 static bool
@@ -296,7 +299,8 @@
   if (index == 0)
     n = snprintf (path, path_bytes, "%s%s", base, name);
   else
-    n = snprintf (path, path_bytes, "%s%s?index=%" PRIu64 "&wait=%ds", base, name, index, WAIT_S);
+    n = snprintf (path, path_bytes, "%s%s?index=%" PRIu64 "&wait=%ds", base, name, index,
+                  BLOCKING_WAIT_S);
   return n > 0 && (size_t)n < path_bytes;
 }
 
@@ -381,7 +385,7 @@
 }
 
 static bool
-read_listed (json_object *row, MfListedInstance *listed)
+parse_listed (json_object *row, MfListedInstance *listed)
 {
   json_object *service = json_object_object_get (row, "Service");
   json_object *meta = json_object_object_get (service, "Meta");
@@ -411,14 +415,14 @@
   *list = (MfPlatformListEvent){ .index = index, .listed = listed };
   for (size_t i = 0; listed != NULL && i < n_rows; i++)
     {
-      if (read_listed (json_object_array_get_idx (rows, i), &listed[list->n_listed]))
+      if (parse_listed (json_object_array_get_idx (rows, i), &listed[list->n_listed]))
         list->n_listed++;
     }
   json_object_put (rows);
   return rows != NULL && listed != NULL;
 }
 
-const MfPlatformTable mf_platform_consul = {
+const MfPlatformBackend mf_platform_consul = {
   .name = "consul",
   .text_path = consul_text_path,
   .list_path = consul_list_path,
--- a/libmangofork/platform.h
+++ b/libmangofork/platform.h
@@ -21,9 +21,9 @@
                       MfPlatformTextEvent *text, void **memory, MfError *error);
   bool (*parse_list) (const char *body, size_t body_bytes, uint64_t index,
                       MfPlatformListEvent *list, void **memory, MfError *error);
-} MfPlatformTable;
+} MfPlatformBackend;
 
-extern const MfPlatformTable mf_platform_consul;
+extern const MfPlatformBackend mf_platform_consul;
 
 /* on_event gets MF_EVENT_PLATFORM_TEXT, MF_EVENT_PLATFORM_LIST and MF_EVENT_PLATFORM_FAILED, never
  * from within a read function. */
@@ -35,6 +35,6 @@
 void mf_platform_read_text (MfPlatform *platform, uint64_t index);
 void mf_platform_read_list (MfPlatform *platform, uint64_t index);
 /* Reads begun so far; a waiting one counts once. */
-uint64_t mf_platform_calls (const MfPlatform *platform);
+uint64_t mf_platform_n_reads (const MfPlatform *platform);
 
 #endif
--- a/libmangofork/platform_read.c
+++ b/libmangofork/platform_read.c
@@ -3,24 +3,24 @@
 #include "member.h"
 
 /* Starts of many instances at once are spread over this. */
-#define START_SPREAD_US (500 * MF_US_PER_MS)
-#define ROLE_US MF_US_PER_S
+#define START_JITTER_US (500 * MF_US_PER_MS)
+#define ELECTION_PERIOD_US MF_US_PER_S
 /* The readers change so often, so that no instance carries the cost for long. */
-#define READER_TURN_MS (600 * UINT64_C (1000))
+#define READER_TERM_MS (600 * UINT64_C (1000))
 /* A read that has not ended by then never will. */
-#define READ_LIMIT_US (600 * MF_US_PER_S)
+#define READ_TIMEOUT_US (600 * MF_US_PER_S)
 #define RETRY_MIN_US MF_US_PER_S
 #define RETRY_MAX_US (60 * MF_US_PER_S)
 
 static uint64_t
-jittered (MfCore *core, uint64_t delay_us)
+add_jitter (MfCore *core, uint64_t delay_us)
 {
   return delay_us * 3 / 4 + mf_core_random_below (core, delay_us / 2 + 1);
 }
 
 /* How long after a read the next one may begin. */
 static uint64_t
-spacing_us (MfCore *core, const MfPlatformReads *reads)
+read_interval_us (MfCore *core, const MfPlatformReads *reads)
 {
   uint64_t spread_us = (mf_member_count (core) + 1) * MF_READ_SPREAD_US;
 
@@ -28,13 +28,13 @@
     return core->board.options.platform_period_us;
   if (spread_us < MF_READ_SPREAD_MIN_US)
     spread_us = MF_READ_SPREAD_MIN_US;
-  return jittered (core, spread_us);
+  return add_jitter (core, spread_us);
 }
 
 void
 mf_platform_reads_init (MfCore *core, MfPlatformReads *reads)
 {
-  reads->list.next_us = core->board.now_us + mf_core_random_below (core, START_SPREAD_US);
+  reads->list.next_us = core->board.now_us + mf_core_random_below (core, START_JITTER_US);
   reads->text.next_us = UINT64_MAX;
 }
 
@@ -42,16 +42,16 @@
 void
 mf_platform_reads_done (MfCore *core, MfPlatformReads *reads, MfPlatformRead *read, uint64_t index)
 {
-  uint64_t began_us = read->read_us;
+  uint64_t started_us = read->read_us;
 
   read->reading = false;
   read->n_failures = 0;
   read->index = index;
-  read->next_us = began_us + spacing_us (core, reads);
+  read->next_us = started_us + read_interval_us (core, reads);
 }
 
 static void
-read_lost (MfCore *core, MfPlatformReads *reads, MfPlatformRead *read)
+read_failed (MfCore *core, MfPlatformReads *reads, MfPlatformRead *read)
 {
   uint32_t doublings = read->n_failures < 6 ? read->n_failures : 6;
   uint64_t retry_us = RETRY_MIN_US << doublings;
@@ -65,42 +65,42 @@
     retry_us = RETRY_MAX_US;
   if (!reads->is_reader && core->board.config != NULL)
     retry_us = spread_us;
-  read->next_us = core->board.now_us + jittered (core, retry_us);
+  read->next_us = core->board.now_us + add_jitter (core, retry_us);
 }
 
 /* Reads that failed are tried again, ever more seldom. */
 void
-mf_platform_reads_lost (MfCore *core, MfPlatformReads *reads, const MfPlatformFailedEvent *lost)
+mf_platform_reads_lost (MfCore *core, MfPlatformReads *reads, const MfPlatformFailedEvent *failed)
 {
-  bool both = lost->text == lost->list;
+  bool both = failed->text == failed->list;
 
-  if (both || lost->text)
-    read_lost (core, reads, &reads->text);
-  if (both || lost->list)
-    read_lost (core, reads, &reads->list);
+  if (both || failed->text)
+    read_failed (core, reads, &reads->text);
+  if (both || failed->list)
+    read_failed (core, reads, &reads->list);
 }
 
 /* Elects the readers: the same few live instances of a data centre in everyone's eyes, others
  * after each turn. */
 static void
-elect (MfCore *core, MfPlatformReads *reads)
+elect_readers (MfCore *core, MfPlatformReads *reads)
 {
   const MfOptions *options = &core->board.options;
-  uint64_t turn = core->board.wall_ms / READER_TURN_MS;
+  uint64_t term = core->board.wall_ms / READER_TERM_MS;
   bool was_reader = reads->is_reader;
-  uint64_t soon_us;
+  uint64_t first_read_us;
 
-  reads->role_us = core->board.now_us + ROLE_US;
+  reads->role_us = core->board.now_us + ELECTION_PERIOD_US;
   if (core->board.list_index == 0)
     return;
-  reads->is_reader = mf_member_rank (core, turn, options->data_centre) < MF_READERS_PER_DATA_CENTRE;
+  reads->is_reader = mf_member_rank (core, term, options->data_centre) < MF_READERS_PER_DATA_CENTRE;
   if (was_reader || !reads->is_reader)
     return;
-  soon_us = core->board.now_us + mf_core_random_below (core, ROLE_US);
-  if (reads->list.next_us > soon_us)
-    reads->list.next_us = soon_us;
-  if (core->board.config != NULL && reads->text.next_us > soon_us)
-    reads->text.next_us = soon_us;
+  first_read_us = core->board.now_us + mf_core_random_below (core, ELECTION_PERIOD_US);
+  if (reads->list.next_us > first_read_us)
+    reads->list.next_us = first_read_us;
+  if (core->board.config != NULL && reads->text.next_us > first_read_us)
+    reads->text.next_us = first_read_us;
 }
 
 /* Readers watch; others ask for what there is now. */
@@ -118,8 +118,8 @@
 static void
 read_tick (MfCore *core, MfPlatformReads *reads, MfPlatformRead *read, MfActionType type)
 {
-  if (read->reading && core->board.now_us >= read->read_us + READ_LIMIT_US)
-    read_lost (core, reads, read);
+  if (read->reading && core->board.now_us >= read->read_us + READ_TIMEOUT_US)
+    read_failed (core, reads, read);
   if (!read->reading && core->board.now_us >= read->next_us)
     read_start (core, reads, read, type);
   if (!read->reading)
@@ -130,7 +130,7 @@
 mf_platform_reads_tick (MfCore *core, MfPlatformReads *reads)
 {
   if (core->board.now_us >= reads->role_us)
-    elect (core, reads);
+    elect_readers (core, reads);
   if (reads->want_text && core->board.config == NULL && !reads->text.reading
       && reads->text.next_us == UINT64_MAX)
     reads->text.next_us = core->board.now_us;
--- a/libmangofork/relay/relay.c
+++ b/libmangofork/relay/relay.c
@@ -288,7 +288,7 @@
 uint64_t
 mf_relay_read_delay_us (MfRelay *relay, MfFeedRole role)
 {
-  return mf_feed_freshness_read_delay_us (&relay->freshness, role, mf_clock_awake_us (),
+  return mf_feed_freshness_read_delay_us (&relay->freshness, role, mf_clock_boottime_us (),
                                           mf_jobs_random (&relay->jobs));
 }
 
@@ -325,7 +325,7 @@
   uint64_t now_us = mf_clock_now_us ();
   MfRelayMessage *message = &relay->jobs.message;
 
-  feed->sent_us = mf_clock_awake_us ();
+  feed->sent_us = mf_clock_boottime_us ();
   feed->as_of_us = feed->sent_us - mf_feed_answer_age_us (took_us, wait_us);
   feed->keep_us = relay->keep_until_us > now_us ? relay->keep_until_us - now_us : 0;
   mf_feed_freshness_advance (&relay->freshness, feed->as_of_us);
@@ -345,7 +345,7 @@
   MfRelay *relay = data;
   uint64_t now_us = mf_clock_now_us ();
   uint64_t as_of_us
-      = mf_feed_freshness_as_of_us (&relay->freshness, peer, feed, mf_clock_awake_us ());
+      = mf_feed_freshness_as_of_us (&relay->freshness, peer, feed, mf_clock_boottime_us ());
 
   if (relay->source == NULL)
     return;
@@ -492,7 +492,7 @@
   if (relay->drain_begun_us > 0)
     drain_step (relay);
   else
-    mf_jobs_tick_leadership (&relay->jobs, now_us, mf_clock_awake_us ());
+    mf_jobs_tick_leadership (&relay->jobs, now_us, mf_clock_boottime_us ());
 }
 
 static void
--- a/libmangofork/relay/relay_message.c
+++ b/libmangofork/relay/relay_message.c
@@ -505,7 +505,7 @@
   bool good;
 
   /* The library allocates as much as the header of a container claims. */
-  if (!mf_frame_is_sound ((const uint8_t *)payload, payload_bytes))
+  if (!mf_frame_is_well_formed ((const uint8_t *)payload, payload_bytes))
     return false;
   msgpack_unpacked_init (&unpacked);
   good = msgpack_unpack_next (&unpacked, payload, payload_bytes, &at) == MSGPACK_UNPACK_SUCCESS
--- a/libmangofork/server.c
+++ b/libmangofork/server.c
@@ -21,23 +21,23 @@
   struct ev_loop *loop;
   MfCore *core;
   MfLogger *logger;
-  MfHttpIn *in;
-  MfHttpOut *out;
+  MfHttpIn *http_in;
+  MfHttpOut *http_out;
   MfPlatform *platform;
   MfPeerLinks *links; /* NULL when no key is set */
   MfAdmin *admin;
   ev_signal terminate;
   ev_signal interrupt;
-  ev_signal hang_up;
+  ev_signal hangup;
   ev_timer tick;
-  ev_prepare before_wait;
-  ev_prepare before_end;
-  uint64_t tick_us; /* when the armed tick is due */
-  bool ending;      /* the core is done; callers may still be taking their answers */
-  uint64_t end_us;  /* when the process ends whatever is left */
-  uint64_t *failed; /* calls that could not start, to be reported after the step */
-  size_t n_failed;
-  size_t failed_size;
+  ev_prepare tick_prepare;
+  ev_prepare exit_prepare;
+  uint64_t tick_due_us;      /* when the armed tick is due */
+  bool core_done;            /* the core is done; callers may still be taking their answers */
+  uint64_t exit_deadline_us; /* when the process ends whatever is left */
+  uint64_t *failed_calls;    /* calls that could not start, to be reported after the step */
+  size_t n_failed_calls;
+  size_t failed_calls_max;
 };
 
 static void
@@ -55,13 +55,14 @@
   MfEvent copy = *event;
 
   core_step (server, &copy);
-  for (size_t i = 0; i < server->n_failed; i++)
+  for (size_t i = 0; i < server->n_failed_calls; i++)
     {
-      MfEvent failed = { .type = MF_EVENT_CALL_FAILED, .call = { .call_id = server->failed[i] } };
+      MfEvent failed
+          = { .type = MF_EVENT_CALL_FAILED, .call = { .call_id = server->failed_calls[i] } };
 
       core_step (server, &failed);
     }
-  server->n_failed = 0;
+  server->n_failed_calls = 0;
 }
 
 static void
@@ -72,40 +73,40 @@
 
 /* Remembers a call that could not start, until the core may be stepped again. */
 static void
-call_fail (MfServer *server, uint64_t call_id)
+call_queue_failure (MfServer *server, uint64_t call_id)
 {
-  if (server->n_failed == server->failed_size)
+  if (server->n_failed_calls == server->failed_calls_max)
     {
-      size_t size = server->failed_size == 0 ? 64 : server->failed_size * 2;
-      uint64_t *failed = realloc (server->failed, size * sizeof *failed);
+      size_t size = server->failed_calls_max == 0 ? 64 : server->failed_calls_max * 2;
+      uint64_t *failed = realloc (server->failed_calls, size * sizeof *failed);
 
       if (failed == NULL)
         abort ();
-      server->failed = failed;
-      server->failed_size = size;
+      server->failed_calls = failed;
+      server->failed_calls_max = size;
     }
-  server->failed[server->n_failed++] = call_id;
+  server->failed_calls[server->n_failed_calls++] = call_id;
 }
 
 static void
 call_start (MfServer *server, const MfCallAction *call)
 {
   MfCallMaterial material = { 0 };
-  bool feeds = call->kind == MF_CALL_DECODE || call->kind == MF_CALL_RESUME;
+  bool provides_answer = call->kind == MF_CALL_DECODE || call->kind == MF_CALL_RESUME;
 
-  if (call->request_id != 0 && !mf_http_in_material (server->in, call->request_id, &material)
-      && (feeds || call->kind == MF_CALL_PREFILL || call->kind == MF_CALL_PLAIN))
+  if (call->request_id != 0 && !mf_http_in_material (server->http_in, call->request_id, &material)
+      && (provides_answer || call->kind == MF_CALL_PREFILL || call->kind == MF_CALL_PLAIN))
     {
-      call_fail (server, call->call_id);
+      call_queue_failure (server, call->call_id);
       return;
     }
-  mf_http_out_start (server->out, call, &material);
-  if (feeds)
-    mf_http_in_fed_by (server->in, call->request_id, call->call_id);
+  mf_http_out_start (server->http_out, call, &material);
+  if (provides_answer)
+    mf_http_in_fed_by (server->http_in, call->request_id, call->call_id);
 }
 
 static void
-peer_act (MfServer *server, const MfAction *action)
+peer_action_run (MfServer *server, const MfAction *action)
 {
   const MfPeerAction *peer = &action->peer;
 
@@ -128,16 +129,16 @@
       call_start (server, &action->call);
       break;
     case MF_ACTION_CALL_ABORT:
-      mf_http_out_abort (server->out, action->call_id);
+      mf_http_out_abort (server->http_out, action->call_id);
       break;
     case MF_ACTION_KV_HANDLE_DROP:
-      mf_http_out_forget (server->out, action->call_id);
+      mf_http_out_forget (server->http_out, action->call_id);
       break;
     case MF_ACTION_ANSWER_TOKENS:
     case MF_ACTION_ANSWER_END:
     case MF_ACTION_ANSWER_PLAIN:
     case MF_ACTION_ANSWER_REFUSE:
-      mf_http_in_answer (server->in, action);
+      mf_http_in_answer (server->http_in, action);
       break;
     case MF_ACTION_PLATFORM_READ_TEXT:
       mf_platform_read_text (server->platform, action->platform_index);
@@ -146,16 +147,16 @@
       mf_platform_read_list (server->platform, action->platform_index);
       break;
     case MF_ACTION_LOG:
-      mf_logger_note (server->logger, &action->log);
+      mf_logger_log (server->logger, &action->log);
       break;
     case MF_ACTION_EXIT:
-      server->ending = true;
+      server->core_done = true;
       break;
     case MF_ACTION_PEER_OPEN:
     case MF_ACTION_PEER_CLOSE:
     case MF_ACTION_PEER_SEND:
       if (server->links != NULL)
-        peer_act (server, action);
+        peer_action_run (server, action);
       break;
     case MF_ACTION_READY: /* the core keeps it on the board */
     case MF_ACTION_COUNT:
@@ -168,7 +169,7 @@
 {
   MfServer *server = data;
 
-  mf_http_out_hold (server->out, call_id, hold);
+  mf_http_out_hold (server->http_out, call_id, hold);
 }
 
 static const MfConfig *
@@ -188,42 +189,43 @@
 }
 
 static void
-tick_due (struct ev_loop *loop, ev_timer *watcher, int events)
+on_tick (struct ev_loop *loop, ev_timer *watcher, int events)
 {
   MfServer *server = watcher->data;
   const MfEvent event = { .type = MF_EVENT_TICK };
 
   (void)loop;
   (void)events;
-  server->tick_us = UINT64_MAX;
+  server->tick_due_us = UINT64_MAX;
   server_step (server, &event);
 }
 
 /* Ends the loop once the core is done and every caller has taken the last byte of its answer, or
  * the time for shutting down is over. */
 static void
-end_when_taken (struct ev_loop *loop, ev_prepare *watcher, int events)
+on_prepare_exit (struct ev_loop *loop, ev_prepare *watcher, int events)
 {
   const MfServer *server = watcher->data;
 
   (void)events;
-  if (server->ending
-      && (mf_http_in_count (server->in) == 0 || mf_clock_now_us () >= server->end_us))
+  if (server->core_done
+      && (mf_http_in_count (server->http_in) == 0
+          || mf_clock_now_us () >= server->exit_deadline_us))
     ev_break (loop, EVBREAK_ALL);
 }
 
 /* Before the loop waits, the tick is set to when the core next wants it. */
 static void
-tick_arm (struct ev_loop *loop, ev_prepare *watcher, int events)
+on_prepare_tick (struct ev_loop *loop, ev_prepare *watcher, int events)
 {
   MfServer *server = watcher->data;
   uint64_t due_us = mf_core_next_us (server->core);
   uint64_t now_us = mf_clock_now_us ();
 
   (void)events;
-  if (due_us == server->tick_us)
+  if (due_us == server->tick_due_us)
     return;
-  server->tick_us = due_us;
+  server->tick_due_us = due_us;
   ev_timer_stop (loop, &server->tick);
   if (due_us == UINT64_MAX)
     return;
@@ -234,21 +236,21 @@
 }
 
 static void
-shutdown_asked (struct ev_loop *loop, ev_signal *watcher, int events)
+on_shutdown_signal (struct ev_loop *loop, ev_signal *watcher, int events)
 {
   const MfEvent event = { .type = MF_EVENT_SHUTDOWN };
   MfServer *server = watcher->data;
 
   (void)loop;
   (void)events;
-  if (server->end_us == 0)
-    server->end_us = mf_clock_now_us () + server->settings.options.drain_limit_us;
+  if (server->exit_deadline_us == 0)
+    server->exit_deadline_us = mf_clock_now_us () + server->settings.options.drain_limit_us;
   server_step (server, &event);
 }
 
 /* Reads the key files again, so that keys are changed without a restart. */
 static void
-keys_asked (struct ev_loop *loop, ev_signal *watcher, int events)
+on_reload_signal (struct ev_loop *loop, ev_signal *watcher, int events)
 {
   MfServer *server = watcher->data;
   MfPeerKeys keys;
@@ -267,7 +269,7 @@
       log.to = "unchanged";
       log.reason = error.text;
     }
-  mf_logger_note (server->logger, &log);
+  mf_logger_log (server->logger, &log);
 }
 
 /* Counters that the adapters keep are shown with the core's own. */
@@ -288,30 +290,30 @@
 }
 
 static void
-server_watch (MfServer *server)
+watchers_start (MfServer *server)
 {
-  ev_signal_init (&server->hang_up, keys_asked, SIGHUP);
-  server->hang_up.data = server;
-  ev_signal_start (server->loop, &server->hang_up);
-  ev_signal_init (&server->terminate, shutdown_asked, SIGTERM);
+  ev_signal_init (&server->hangup, on_reload_signal, SIGHUP);
+  server->hangup.data = server;
+  ev_signal_start (server->loop, &server->hangup);
+  ev_signal_init (&server->terminate, on_shutdown_signal, SIGTERM);
   server->terminate.data = server;
   ev_signal_start (server->loop, &server->terminate);
-  ev_signal_init (&server->interrupt, shutdown_asked, SIGINT);
+  ev_signal_init (&server->interrupt, on_shutdown_signal, SIGINT);
   server->interrupt.data = server;
   ev_signal_start (server->loop, &server->interrupt);
-  ev_init (&server->tick, tick_due);
+  ev_init (&server->tick, on_tick);
   server->tick.data = server;
-  server->tick_us = UINT64_MAX;
-  ev_prepare_init (&server->before_wait, tick_arm);
-  server->before_wait.data = server;
-  ev_prepare_start (server->loop, &server->before_wait);
-  ev_prepare_init (&server->before_end, end_when_taken);
-  server->before_end.data = server;
-  ev_prepare_start (server->loop, &server->before_end);
+  server->tick_due_us = UINT64_MAX;
+  ev_prepare_init (&server->tick_prepare, on_prepare_tick);
+  server->tick_prepare.data = server;
+  ev_prepare_start (server->loop, &server->tick_prepare);
+  ev_prepare_init (&server->exit_prepare, on_prepare_exit);
+  server->exit_prepare.data = server;
+  ev_prepare_start (server->loop, &server->exit_prepare);
 }
 
 static bool
-callers_open (MfServer *server, MfError *error)
+http_in_open (MfServer *server, MfError *error)
 {
   const MfSettings *settings = &server->settings;
   const MfHttpInOptions options = {
@@ -330,12 +332,12 @@
     .on_refused = on_refused,
   };
 
-  server->in = mf_http_in_new (server->loop, &options, &hooks, server, error);
-  return server->in != NULL;
+  server->http_in = mf_http_in_new (server->loop, &options, &hooks, server, error);
+  return server->http_in != NULL;
 }
 
 static bool
-upstreams_open (MfServer *server, MfError *error)
+http_out_open (MfServer *server, MfError *error)
 {
   const MfHttpOutHooks hooks = {
     .self = server->settings.options.self,
@@ -343,8 +345,8 @@
     .on_event = on_event,
   };
 
-  server->out = mf_http_out_new (server->loop, &hooks, server, error);
-  if (server->out == NULL)
+  server->http_out = mf_http_out_new (server->loop, &hooks, server, error);
+  if (server->http_out == NULL)
     return false;
   server->platform = mf_platform_new (server->loop, &server->settings, on_event, server, error);
   return server->platform != NULL;
@@ -369,7 +371,7 @@
 
   if (settings->peer_key_file[0] == '\0')
     {
-      mf_logger_note (server->logger, &alone);
+      mf_logger_log (server->logger, &alone);
       return true;
     }
   if (!mf_peer_keys_read (settings->peer_key_file, settings->peer_key_old_file, &options.keys,
@@ -410,7 +412,7 @@
 
 /* Connections of callers and to upstreams may be many more than the usual soft limit. */
 static void
-descriptors_raise (void)
+descriptor_limit_raise (void)
 {
   struct rlimit limit;
 
@@ -432,19 +434,19 @@
       return NULL;
     }
   signal (SIGPIPE, SIG_IGN);
-  descriptors_raise ();
+  descriptor_limit_raise ();
   server->settings = *settings;
   server->loop = ev_loop_new (EVFLAG_AUTO);
   server->logger = mf_logger_new (settings->log_level, settings->options.self.name, error);
   if (server->loop == NULL || server->logger == NULL || !core_open (server, error)
-      || !upstreams_open (server, error) || !peers_open (server, error)
-      || !admin_open (server, error) || !callers_open (server, error))
+      || !http_out_open (server, error) || !peers_open (server, error)
+      || !admin_open (server, error) || !http_in_open (server, error))
     {
       mf_error_set (error, MF_CODE_INTERNAL, "the event loop could not be made");
       mf_server_free (server);
       return NULL;
     }
-  server_watch (server);
+  watchers_start (server);
   return server;
 }
 
@@ -462,10 +464,10 @@
 {
   if (server == NULL)
     return;
-  mf_http_in_free (server->in);
+  mf_http_in_free (server->http_in);
   mf_admin_free (server->admin);
   mf_peer_links_free (server->links);
-  mf_http_out_free (server->out);
+  mf_http_out_free (server->http_out);
   mf_platform_free (server->platform);
   mf_core_free (server->core);
   mf_logger_free (server->logger);
@@ -473,12 +475,12 @@
     {
       ev_signal_stop (server->loop, &server->terminate);
       ev_signal_stop (server->loop, &server->interrupt);
-      ev_signal_stop (server->loop, &server->hang_up);
+      ev_signal_stop (server->loop, &server->hangup);
       ev_timer_stop (server->loop, &server->tick);
-      ev_prepare_stop (server->loop, &server->before_wait);
-      ev_prepare_stop (server->loop, &server->before_end);
+      ev_prepare_stop (server->loop, &server->tick_prepare);
+      ev_prepare_stop (server->loop, &server->exit_prepare);
       ev_loop_destroy (server->loop);
     }
-  free (server->failed);
+  free (server->failed_calls);
   free (server);
 }
--- a/tests/test_frame.c
+++ b/tests/test_frame.c
@@ -109,7 +109,7 @@
 
 /* Encoding is a function of the content, so equal bytes mean that nothing was lost. */
 static void
-test_every_message_comes_back (void **state)
+test_every_message_round_trips (void **state)
 {
   (void)state;
   assert_int_equal (MF_ARRAY_LEN (messages), MF_PEER_MESSAGE_COUNT);
@@ -132,7 +132,7 @@
 }
 
 static void
-test_fields_stand_in_frame_memory (void **state)
+test_decoded_message_does_not_borrow_the_payload (void **state)
 {
   size_t n_bytes;
   uint8_t *bytes = encode (&messages[MF_PEER_ADMITTED], &n_bytes);
@@ -222,7 +222,7 @@
 }
 
 static void
-test_promised_counts_allocate_nothing (void **state)
+test_oversized_counts_and_deep_nesting_are_refused (void **state)
 {
   static const uint8_t huge[] = { 0xdd, 0xff, 0xff, 0xff, 0xff };
   uint8_t deep[64];
@@ -238,13 +238,13 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_every_message_comes_back),
-    cmocka_unit_test (test_fields_stand_in_frame_memory),
+    cmocka_unit_test (test_every_message_round_trips),
+    cmocka_unit_test (test_decoded_message_does_not_borrow_the_payload),
     cmocka_unit_test (test_truncation_at_each_byte_is_an_error),
     cmocka_unit_test (test_bit_flips_are_survived),
     cmocka_unit_test (test_unknown_fields_are_skipped),
     cmocka_unit_test (test_values_of_a_wrong_type_are_refused),
-    cmocka_unit_test (test_promised_counts_allocate_nothing),
+    cmocka_unit_test (test_oversized_counts_and_deep_nesting_are_refused),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_peer_link.c
+++ b/tests/test_peer_link.c
@@ -133,7 +133,7 @@
 }
 
 static bool
-both_heard (void *data)
+both_received (void *data)
 {
   const Fixture *fixture = data;
 
@@ -165,13 +165,13 @@
 }
 
 static bool
-second_heard (void *data)
+second_received (void *data)
 {
   return ((Fixture *)data)->nodes[1].n_messages > 0;
 }
 
 static void
-say (Node *node, uint64_t value)
+send_value (Node *node, uint64_t value)
 {
   const MfPeerMessage message = { .type = MF_PEER_CONFIG_REQUEST, .known_revision = value };
 
@@ -179,7 +179,7 @@
 }
 
 static void
-test_two_meet_and_talk (void **state)
+test_two_instances_connect_and_exchange_messages (void **state)
 {
   Fixture *fixture = *state;
   Node *a = &fixture->nodes[0];
@@ -187,9 +187,9 @@
 
   mf_peer_links_open (a->links, "b", b->address);
   assert_true (loop_pump (fixture->loop, both_up, fixture));
-  say (a, 41);
-  say (b, 42);
-  assert_true (loop_pump (fixture->loop, both_heard, fixture));
+  send_value (a, 41);
+  send_value (b, 42);
+  assert_true (loop_pump (fixture->loop, both_received, fixture));
   assert_int_equal (b->last_value, 41);
   assert_int_equal (a->last_value, 42);
   mf_peer_links_close (a->links, a->last_link);
@@ -210,9 +210,9 @@
   assert_true (loop_pump (fixture->loop, both_up, fixture));
   loop_spin (fixture->loop, 20);
   assert_int_equal (a->n_up - (a->last_down.link_id != 0 ? a->n_down : 0), 1);
-  say (a, 1);
-  say (b, 2);
-  assert_true (loop_pump (fixture->loop, both_heard, fixture));
+  send_value (a, 1);
+  send_value (b, 2);
+  assert_true (loop_pump (fixture->loop, both_received, fixture));
 }
 
 static void
@@ -300,11 +300,11 @@
 
 /* Goes through the handshake with b by hand and returns the socket; keeps both payloads sent. */
 static int
-link_by_hand (Fixture *fixture, MfPeerAuth *auth, MfBuffer *hello, MfBuffer *proof)
+handshake_manually (Fixture *fixture, MfPeerAuth *auth, MfBuffer *hello, MfBuffer *proof)
 {
   const MfPeerLinkOptions self = options_of ("z");
   int fd = loop_connect (mf_peer_links_port (fixture->nodes[1].links));
-  uint8_t answer[MF_PEER_HELLO_BYTES_MAX];
+  uint8_t answer[MF_PEER_HANDSHAKE_BYTES_MAX];
   size_t answer_bytes;
   MfError error = { 0 };
 
@@ -323,8 +323,8 @@
   MfPeerAuth auth;
   MfBuffer hello = { 0 };
   MfBuffer proof = { 0 };
-  uint8_t answer[MF_PEER_HELLO_BYTES_MAX];
-  int fd = link_by_hand (fixture, &auth, &hello, &proof);
+  uint8_t answer[MF_PEER_HANDSHAKE_BYTES_MAX];
+  int fd = handshake_manually (fixture, &auth, &hello, &proof);
   int again = loop_connect (mf_peer_links_port (fixture->nodes[1].links));
 
   assert_true (loop_pump (fixture->loop, second_up, fixture));
@@ -341,20 +341,20 @@
 
 /* Seals a payload as the peer would and sends it, with one bit turned over when asked. */
 static void
-seal_and_send (int fd, MfPeerAuth *auth, const void *payload, size_t payload_bytes, bool damage)
+encrypt_and_send (int fd, MfPeerAuth *auth, const void *payload, size_t payload_bytes, bool damage)
 {
-  uint8_t sealed[1024];
-  unsigned long long sealed_bytes = 0;
+  uint8_t ciphertext[1024];
+  unsigned long long ciphertext_bytes = 0;
 
-  crypto_secretstream_xchacha20poly1305_push (&auth->push, sealed, &sealed_bytes, payload,
+  crypto_secretstream_xchacha20poly1305_push (&auth->push, ciphertext, &ciphertext_bytes, payload,
                                               payload_bytes, NULL, 0, 0);
   if (damage)
-    sealed[sealed_bytes / 2] ^= 1;
-  frame_write (fd, sealed, (size_t)sealed_bytes);
+    ciphertext[ciphertext_bytes / 2] ^= 1;
+  frame_write (fd, ciphertext, (size_t)ciphertext_bytes);
 }
 
 static void
-test_unreadable_message_is_dropped_and_a_broken_seal_ends_the_link (void **state)
+test_unreadable_message_is_dropped_and_failed_decryption_closes_the_link (void **state)
 {
   Fixture *fixture = *state;
   const MfPeerMessage message = { .type = MF_PEER_CONFIG_REQUEST, .known_revision = 5 };
@@ -364,14 +364,14 @@
   MfError error = { 0 };
   size_t frame_bytes = 0;
   uint8_t *frame = mf_frame_encode (&message, &frame_bytes, &error);
-  int fd = link_by_hand (fixture, &auth, &hello, &proof);
+  int fd = handshake_manually (fixture, &auth, &hello, &proof);
 
-  seal_and_send (fd, &auth, "garbage", 7, false);
+  encrypt_and_send (fd, &auth, "garbage", 7, false);
   assert_true (loop_pump (fixture->loop, second_bad, fixture));
-  seal_and_send (fd, &auth, frame + LENGTH_BYTES, frame_bytes - LENGTH_BYTES, false);
-  assert_true (loop_pump (fixture->loop, second_heard, fixture));
+  encrypt_and_send (fd, &auth, frame + LENGTH_BYTES, frame_bytes - LENGTH_BYTES, false);
+  assert_true (loop_pump (fixture->loop, second_received, fixture));
   assert_int_equal (fixture->nodes[1].n_down, 0);
-  seal_and_send (fd, &auth, frame + LENGTH_BYTES, frame_bytes - LENGTH_BYTES, true);
+  encrypt_and_send (fd, &auth, frame + LENGTH_BYTES, frame_bytes - LENGTH_BYTES, true);
   assert_true (loop_pump (fixture->loop, second_down, fixture));
   assert_int_equal (fixture->nodes[1].n_messages, 1);
   assert_int_equal (mf_peer_links_stats (fixture->nodes[1].links)->frames_bad, 2);
@@ -408,7 +408,7 @@
   const MfPeerLinkOptions self = options_of ("z");
   const MfPeerLinkOptions other = options_of ("b");
   MfPeerAuth auth;
-  MfPeerAuth answering;
+  MfPeerAuth responder;
   MfBuffer hello = { 0 };
   MfBuffer answer = { 0 };
   MfError error = { 0 };
@@ -418,7 +418,7 @@
   assert_true (mf_peer_auth_begin (&auth, &self, "b", &hello, &error));
   hello.memory[version_at] = 9;
   hello.memory[version_at + 1] = 9;
-  assert_false (mf_peer_auth_respond (&answering, &other, (const uint8_t *)mf_buffer_data (&hello),
+  assert_false (mf_peer_auth_respond (&responder, &other, (const uint8_t *)mf_buffer_data (&hello),
                                       mf_buffer_bytes (&hello), &answer, &error));
   assert_int_equal (error.code, MF_CODE_PEER_VERSION);
   mf_buffer_clear (&hello);
@@ -432,14 +432,14 @@
   const MfPeerLinkOptions self = options_of ("z");
   const MfPeerLinkOptions other = options_of ("b");
   MfPeerAuth auth;
-  MfPeerAuth answering;
+  MfPeerAuth responder;
   MfBuffer hello = { 0 };
   MfBuffer answer = { 0 };
   MfError error = { 0 };
 
   (void)state;
   assert_true (mf_peer_auth_begin (&auth, &self, "b", &hello, &error));
-  assert_true (mf_peer_auth_respond (&answering, &other, (const uint8_t *)mf_buffer_data (&hello),
+  assert_true (mf_peer_auth_respond (&responder, &other, (const uint8_t *)mf_buffer_data (&hello),
                                      mf_buffer_bytes (&hello), &answer, &error));
   for (size_t i = 0; i < mf_buffer_bytes (&answer); i++)
     {
@@ -499,7 +499,8 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test_setup_teardown (test_two_meet_and_talk, setup, teardown),
+    cmocka_unit_test_setup_teardown (test_two_instances_connect_and_exchange_messages, setup,
+                                     teardown),
     cmocka_unit_test_setup_teardown (test_open_from_both_sides_leaves_one_link, setup, teardown),
     cmocka_unit_test_setup_teardown (test_wrong_key_is_refused, setup, teardown),
     cmocka_unit_test_setup_teardown (test_old_key_is_accepted_while_keys_change, setup, teardown),
@@ -507,7 +508,7 @@
     cmocka_unit_test_setup_teardown (test_nobody_at_the_address, setup, teardown),
     cmocka_unit_test_setup_teardown (test_replayed_handshake_is_refused, setup, teardown),
     cmocka_unit_test_setup_teardown (
-        test_unreadable_message_is_dropped_and_a_broken_seal_ends_the_link, setup, teardown),
+        test_unreadable_message_is_dropped_and_failed_decryption_closes_the_link, setup, teardown),
     cmocka_unit_test_setup_teardown (test_garbage_and_oversize_frames, setup, teardown),
     cmocka_unit_test (test_unknown_version_is_refused),
     cmocka_unit_test (test_any_change_to_the_answer_is_noticed),
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -12,8 +12,8 @@
 #include <string.h>
 #include <unistd.h>
 
-#define TURN_S 0.01
-#define TURNS_MAX 3000
+#define POLL_INTERVAL_S 0.01
+#define POLLS_MAX 3000
 #define EVENTS_MAX 16
 
 typedef struct
@@ -29,36 +29,37 @@
   char text[32];
   MfListedInstance listed[4];
   uint32_t n_listed;
-  MfPlatformFailedEvent lost;
-} Rig;
+  MfPlatformFailedEvent last_failure;
+} Fixture;
 
 static void
 on_event (const MfEvent *event, void *data)
 {
-  Rig *rig = data;
+  Fixture *fixture = data;
 
-  assert_true (rig->n_events < EVENTS_MAX);
-  rig->types[rig->n_events++] = event->type;
+  assert_true (fixture->n_events < EVENTS_MAX);
+  fixture->types[fixture->n_events++] = event->type;
   if (event->type == MF_EVENT_PLATFORM_TEXT)
     {
-      rig->revision = event->text.revision;
-      rig->text_bytes = event->text.text_bytes;
-      snprintf (rig->text, sizeof rig->text, "%.*s", (int)event->text.text_bytes, event->text.text);
+      fixture->revision = event->text.revision;
+      fixture->text_bytes = event->text.text_bytes;
+      snprintf (fixture->text, sizeof fixture->text, "%.*s", (int)event->text.text_bytes,
+                event->text.text);
     }
   else if (event->type == MF_EVENT_PLATFORM_LIST)
     {
-      rig->revision = event->list.index;
-      rig->n_listed = event->list.n_listed;
-      memcpy (rig->listed, event->list.listed, rig->n_listed * sizeof rig->listed[0]);
+      fixture->revision = event->list.index;
+      fixture->n_listed = event->list.n_listed;
+      memcpy (fixture->listed, event->list.listed, fixture->n_listed * sizeof fixture->listed[0]);
     }
   else
-    rig->lost = event->platform_failed;
+    fixture->last_failure = event->platform_failed;
 }
 
 static int
-rig_setup (void **state)
+setup (void **state)
 {
-  Rig *rig = calloc (1, sizeof *rig);
+  Fixture *fixture = calloc (1, sizeof *fixture);
   json_object *settings = json_tokener_parse (
       "{\"token\":\"secret\",\"address\":\"127.0.0.1:0\",\"instances\":["
       "{\"name\":\"entry-1\",\"address\":\"127.0.0.1:1\",\"data_centre\":\"a\"},"
@@ -66,38 +67,39 @@
   MfError error = { 0 };
   int fd;
 
-  rig->loop = ev_loop_new (0);
-  rig->fake = fake_platform_new (rig->loop, settings);
+  fixture->loop = ev_loop_new (0);
+  fixture->fake = fake_platform_new (fixture->loop, settings);
   json_object_put (settings);
-  snprintf (rig->settings.platform, sizeof rig->settings.platform, "127.0.0.1:%u",
-            fake_platform_port (rig->fake));
-  mf_name_set (rig->settings.platform_text_key, MF_ADDRESS_BYTES, "mangofork/text");
-  mf_name_set (rig->settings.platform_service, MF_ADDRESS_BYTES, "mangofork");
-  mf_name_set (rig->settings.platform_token_file, sizeof rig->settings.platform_token_file,
+  snprintf (fixture->settings.platform, sizeof fixture->settings.platform, "127.0.0.1:%u",
+            fake_platform_port (fixture->fake));
+  mf_name_set (fixture->settings.platform_text_key, MF_ADDRESS_BYTES, "mangofork/text");
+  mf_name_set (fixture->settings.platform_service, MF_ADDRESS_BYTES, "mangofork");
+  mf_name_set (fixture->settings.platform_token_file, sizeof fixture->settings.platform_token_file,
                "/tmp/mangofork-test-token-XXXXXX");
-  fd = mkstemp (rig->settings.platform_token_file);
+  fd = mkstemp (fixture->settings.platform_token_file);
   assert_int_equal (write (fd, "secret\n", 7), 7);
   close (fd);
-  rig->platform = mf_platform_new (rig->loop, &rig->settings, on_event, rig, &error);
-  *state = rig;
-  return rig->platform == NULL;
+  fixture->platform
+      = mf_platform_new (fixture->loop, &fixture->settings, on_event, fixture, &error);
+  *state = fixture;
+  return fixture->platform == NULL;
 }
 
 static int
-rig_teardown (void **state)
+teardown (void **state)
 {
-  Rig *rig = *state;
+  Fixture *fixture = *state;
 
-  unlink (rig->settings.platform_token_file);
-  mf_platform_free (rig->platform);
-  fake_platform_free (rig->fake);
-  ev_loop_destroy (rig->loop);
-  free (rig);
+  unlink (fixture->settings.platform_token_file);
+  mf_platform_free (fixture->platform);
+  fake_platform_free (fixture->fake);
+  ev_loop_destroy (fixture->loop);
+  free (fixture);
   return 0;
 }
 
 static void
-on_turn (struct ev_loop *loop, ev_timer *timer, int events)
+on_poll (struct ev_loop *loop, ev_timer *timer, int events)
 {
   (void)loop;
   (void)timer;
@@ -106,23 +108,23 @@
 
 /* Runs the loop until so many events have come; the timer only keeps it turning. */
 static void
-run_until (Rig *rig, uint32_t n_events)
+run_until (Fixture *fixture, uint32_t n_events)
 {
-  ev_timer turn;
-  int n_turns = 0;
+  ev_timer poll;
+  int n_polls = 0;
 
-  ev_timer_init (&turn, on_turn, TURN_S, TURN_S);
-  ev_timer_start (rig->loop, &turn);
-  while (rig->n_events < n_events && n_turns++ < TURNS_MAX)
-    ev_run (rig->loop, EVRUN_ONCE);
-  ev_timer_stop (rig->loop, &turn);
-  assert_int_equal (rig->n_events, n_events);
+  ev_timer_init (&poll, on_poll, POLL_INTERVAL_S, POLL_INTERVAL_S);
+  ev_timer_start (fixture->loop, &poll);
+  while (fixture->n_events < n_events && n_polls++ < POLLS_MAX)
+    ev_run (fixture->loop, EVRUN_ONCE);
+  ev_timer_stop (fixture->loop, &poll);
+  assert_int_equal (fixture->n_events, n_events);
 }
 
 static uint64_t
-fake_calls (const Rig *rig, const char *what)
+fake_count (const Fixture *fixture, const char *what)
 {
-  json_object *ledger = fake_platform_ledger (rig->fake);
+  json_object *ledger = fake_platform_ledger (fixture->fake);
   uint64_t n = fake_setting (ledger, what, 0);
 
   json_object_put (ledger);
@@ -130,145 +132,145 @@
 }
 
 static void
-wait_until_watched (Rig *rig)
+wait_for_blocking_read (Fixture *fixture)
 {
-  for (int i = 0; i < TURNS_MAX && fake_calls (rig, "waiting") == 0; i++)
+  for (int i = 0; i < POLLS_MAX && fake_count (fixture, "waiting") == 0; i++)
     {
-      ev_run (rig->loop, EVRUN_NOWAIT);
-      ev_sleep (TURN_S / 10);
+      ev_run (fixture->loop, EVRUN_NOWAIT);
+      ev_sleep (POLL_INTERVAL_S / 10);
     }
-  assert_int_equal (fake_calls (rig, "waiting"), 1);
+  assert_int_equal (fake_count (fixture, "waiting"), 1);
 }
 
 static void
 test_text_is_read_and_watched (void **state)
 {
-  Rig *rig = *state;
+  Fixture *fixture = *state;
   uint64_t first;
 
-  fake_platform_set_text (rig->fake, "{ \"one\": 1 }");
-  mf_platform_read_text (rig->platform, 0);
-  assert_int_equal (rig->n_events, 0);
-  run_until (rig, 1);
-  assert_string_equal (rig->text, "{ \"one\": 1 }");
-  first = rig->revision;
-  mf_platform_read_text (rig->platform, first);
-  wait_until_watched (rig);
-  fake_platform_set_text (rig->fake, "two");
-  run_until (rig, 2);
-  assert_string_equal (rig->text, "two");
-  assert_true (rig->revision > first);
-  assert_int_equal (fake_calls (rig, "calls"), 2);
-  assert_int_equal (mf_platform_calls (rig->platform), 2);
+  fake_platform_set_text (fixture->fake, "{ \"one\": 1 }");
+  mf_platform_read_text (fixture->platform, 0);
+  assert_int_equal (fixture->n_events, 0);
+  run_until (fixture, 1);
+  assert_string_equal (fixture->text, "{ \"one\": 1 }");
+  first = fixture->revision;
+  mf_platform_read_text (fixture->platform, first);
+  wait_for_blocking_read (fixture);
+  fake_platform_set_text (fixture->fake, "two");
+  run_until (fixture, 2);
+  assert_string_equal (fixture->text, "two");
+  assert_true (fixture->revision > first);
+  assert_int_equal (fake_count (fixture, "calls"), 2);
+  assert_int_equal (mf_platform_n_reads (fixture->platform), 2);
 }
 
 static void
 test_text_of_a_megabyte (void **state)
 {
-  Rig *rig = *state;
+  Fixture *fixture = *state;
   size_t n = MF_TEXT_BYTES_MAX;
   char *text = calloc (1, n + 1);
 
   memset (text, 'x', n);
-  fake_platform_set_text (rig->fake, text);
+  fake_platform_set_text (fixture->fake, text);
   free (text);
-  mf_platform_read_text (rig->platform, 0);
-  run_until (rig, 1);
-  assert_int_equal (rig->types[0], MF_EVENT_PLATFORM_TEXT);
-  assert_int_equal (rig->text_bytes, MF_TEXT_BYTES_MAX);
+  mf_platform_read_text (fixture->platform, 0);
+  run_until (fixture, 1);
+  assert_int_equal (fixture->types[0], MF_EVENT_PLATFORM_TEXT);
+  assert_int_equal (fixture->text_bytes, MF_TEXT_BYTES_MAX);
 }
 
 static void
 test_list_of_instances (void **state)
 {
-  Rig *rig = *state;
+  Fixture *fixture = *state;
 
-  mf_platform_read_list (rig->platform, 0);
-  run_until (rig, 1);
-  assert_int_equal (rig->n_listed, 2);
-  assert_string_equal (rig->listed[0].name, "entry-1");
-  assert_string_equal (rig->listed[0].address, "127.0.0.1:1");
-  assert_string_equal (rig->listed[1].data_centre, "b");
-  assert_false (rig->listed[0].leaving);
-  assert_true (rig->listed[1].leaving);
+  mf_platform_read_list (fixture->platform, 0);
+  run_until (fixture, 1);
+  assert_int_equal (fixture->n_listed, 2);
+  assert_string_equal (fixture->listed[0].name, "entry-1");
+  assert_string_equal (fixture->listed[0].address, "127.0.0.1:1");
+  assert_string_equal (fixture->listed[1].data_centre, "b");
+  assert_false (fixture->listed[0].leaving);
+  assert_true (fixture->listed[1].leaving);
 }
 
 /* What the platform serves after a revert shows its lower revision: the core refuses it. */
 static void
 test_reverted_text_shows_its_lower_revision (void **state)
 {
-  Rig *rig = *state;
+  Fixture *fixture = *state;
   uint64_t last;
 
-  fake_platform_set_text (rig->fake, "one");
-  fake_platform_set_text (rig->fake, "two");
-  mf_platform_read_text (rig->platform, 0);
-  run_until (rig, 1);
-  last = rig->revision;
-  mf_platform_read_text (rig->platform, last);
-  wait_until_watched (rig);
-  fake_platform_fault (rig->fake, "revert", 1);
-  run_until (rig, 2);
-  assert_string_equal (rig->text, "one");
-  assert_true (rig->revision < last);
+  fake_platform_set_text (fixture->fake, "one");
+  fake_platform_set_text (fixture->fake, "two");
+  mf_platform_read_text (fixture->platform, 0);
+  run_until (fixture, 1);
+  last = fixture->revision;
+  mf_platform_read_text (fixture->platform, last);
+  wait_for_blocking_read (fixture);
+  fake_platform_fault (fixture->fake, "revert", 1);
+  run_until (fixture, 2);
+  assert_string_equal (fixture->text, "one");
+  assert_true (fixture->revision < last);
 }
 
 static void
-assert_lost (Rig *rig, uint32_t n_events)
+assert_text_read_fails (Fixture *fixture, uint32_t n_events)
 {
-  mf_platform_read_text (rig->platform, 0);
-  run_until (rig, n_events);
-  assert_int_equal (rig->types[n_events - 1], MF_EVENT_PLATFORM_FAILED);
-  assert_true (rig->lost.text);
-  assert_false (rig->lost.list);
+  mf_platform_read_text (fixture->platform, 0);
+  run_until (fixture, n_events);
+  assert_int_equal (fixture->types[n_events - 1], MF_EVENT_PLATFORM_FAILED);
+  assert_true (fixture->last_failure.text);
+  assert_false (fixture->last_failure.list);
 }
 
 static void
-test_reads_that_fail_are_said_to (void **state)
+test_failed_reads_are_reported (void **state)
 {
-  Rig *rig = *state;
+  Fixture *fixture = *state;
 
-  assert_lost (rig, 1); /* no such key */
-  fake_platform_set_text (rig->fake, "one");
-  fake_platform_fault (rig->fake, "garbled", 1);
-  assert_lost (rig, 2);
-  fake_platform_fault (rig->fake, "garbled", 0);
-  assert_int_equal (truncate (rig->settings.platform_token_file, 3), 0);
-  assert_lost (rig, 3); /* a wrong token */
-  unlink (rig->settings.platform_token_file);
-  assert_lost (rig, 4);
-  rig->settings.platform_token_file[0] = '\0';
-  fake_platform_fault (rig->fake, "down", 0);
-  assert_lost (rig, 5);
-  assert_int_equal (fake_calls (rig, "forbidden"), 1);
+  assert_text_read_fails (fixture, 1); /* no such key */
+  fake_platform_set_text (fixture->fake, "one");
+  fake_platform_fault (fixture->fake, "garbled", 1);
+  assert_text_read_fails (fixture, 2);
+  fake_platform_fault (fixture->fake, "garbled", 0);
+  assert_int_equal (truncate (fixture->settings.platform_token_file, 3), 0);
+  assert_text_read_fails (fixture, 3); /* a wrong token */
+  unlink (fixture->settings.platform_token_file);
+  assert_text_read_fails (fixture, 4);
+  fixture->settings.platform_token_file[0] = '\0';
+  fake_platform_fault (fixture->fake, "down", 0);
+  assert_text_read_fails (fixture, 5);
+  assert_int_equal (fake_count (fixture, "forbidden"), 1);
 }
 
 static void
-test_platform_lost_in_a_watch (void **state)
+test_platform_down_during_a_blocking_read (void **state)
 {
-  Rig *rig = *state;
+  Fixture *fixture = *state;
 
-  fake_platform_set_text (rig->fake, "one");
-  mf_platform_read_text (rig->platform, 0);
-  run_until (rig, 1);
-  mf_platform_read_text (rig->platform, rig->revision);
-  wait_until_watched (rig);
-  fake_platform_fault (rig->fake, "down", 0);
-  run_until (rig, 2);
-  assert_int_equal (rig->types[1], MF_EVENT_PLATFORM_FAILED);
+  fake_platform_set_text (fixture->fake, "one");
+  mf_platform_read_text (fixture->platform, 0);
+  run_until (fixture, 1);
+  mf_platform_read_text (fixture->platform, fixture->revision);
+  wait_for_blocking_read (fixture);
+  fake_platform_fault (fixture->fake, "down", 0);
+  run_until (fixture, 2);
+  assert_int_equal (fixture->types[1], MF_EVENT_PLATFORM_FAILED);
 }
 
 int
 main (void)
 {
-#define RIG_TEST(name) cmocka_unit_test_setup_teardown (name, rig_setup, rig_teardown)
+#define FIXTURE_TEST(name) cmocka_unit_test_setup_teardown (name, setup, teardown)
   const struct CMUnitTest tests[] = {
-    RIG_TEST (test_text_is_read_and_watched),
-    RIG_TEST (test_text_of_a_megabyte),
-    RIG_TEST (test_list_of_instances),
-    RIG_TEST (test_reverted_text_shows_its_lower_revision),
-    RIG_TEST (test_reads_that_fail_are_said_to),
-    RIG_TEST (test_platform_lost_in_a_watch),
+    FIXTURE_TEST (test_text_is_read_and_watched),
+    FIXTURE_TEST (test_text_of_a_megabyte),
+    FIXTURE_TEST (test_list_of_instances),
+    FIXTURE_TEST (test_reverted_text_shows_its_lower_revision),
+    FIXTURE_TEST (test_failed_reads_are_reported),
+    FIXTURE_TEST (test_platform_down_during_a_blocking_read),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -436,7 +436,7 @@
   message.kind = MF_RELAY_MESSAGE_FEED;
   message.feed = *feed;
   message.feed.to_revision = to_revision;
-  message.feed.sent_us = mf_clock_awake_us ();
+  message.feed.sent_us = mf_clock_boottime_us ();
   message.feed.as_of_us = message.feed.sent_us;
   mf_peers_send_local (peer_fixture->peers[0], &message);
 }
