--- a/libmangofork/clock.c
+++ b/libmangofork/clock.c
@@ -13,22 +13,21 @@
   return (uint64_t)now.tv_sec * MF_US_PER_S + (uint64_t)now.tv_nsec / 1000;
 }
 
-/* Returns the monotonic clock, in microseconds. */
+/* Returns the monotonic clock, in microseconds. It stands still while the machine is suspended. */
 uint64_t
 mf_clock_now_us (void)
 {
   return clock_read_us (CLOCK_MONOTONIC);
 }
 
-/* Returns a monotonic clock that also counts the time for which the machine was suspended, in
- * microseconds. */
+/* Returns a monotonic clock that also runs while the machine is suspended, in microseconds. */
 uint64_t
 mf_clock_boottime_us (void)
 {
   return clock_read_us (CLOCK_BOOTTIME);
 }
 
-/* Returns the wall clock, in milliseconds since 1970. It may jump. */
+/* Returns the wall clock, in milliseconds since 1970. It may be set forwards or backwards. */
 uint64_t
 mf_clock_wall_ms (void)
 {
--- a/libmangofork/error.c
+++ b/libmangofork/error.c
@@ -18,7 +18,7 @@
   vsnprintf (error->text, sizeof error->text, format, args);
 }
 
-/* Records a fault that has no place in a text. Keeps the first fault when there is one. */
+/* Sets an error without a position in a text. Keeps an error that is already set. */
 void
 mf_error_set (MfError *error, MfCode code, const char *format, ...)
 {
@@ -29,7 +29,7 @@
   va_end (args);
 }
 
-/* Records a fault at a line and column of a text. Keeps the first fault when there is one. */
+/* Sets an error at a line and column of a text. Keeps an error that is already set. */
 void
 mf_error_set_at (MfError *error, MfCode code, uint32_t line, uint32_t column, const char *format,
                  ...)
@@ -41,7 +41,6 @@
   va_end (args);
 }
 
-/* Returns whether a fault has been recorded. */
 bool
 mf_error_is_set (const MfError *error)
 {
--- a/libmangofork/error.h
+++ b/libmangofork/error.h
@@ -5,8 +5,9 @@
 
 #define MF_ERROR_TEXT_BYTES 256
 
-/* Why a call failed. The caller owns it and passes it down; the callee fills it once, and the first
- * fault stays. Line and column count from 1 and are 0 when no text is at fault. */
+/* Why a call failed. The caller owns it and passes it to the function that may fail, which sets it.
+ * Only the first error is kept. Line and column count from 1 and are 0 when the error has no
+ * position in a text. */
 typedef struct
 {
   MfCode code;
--- a/libmangofork/frame.c
+++ b/libmangofork/frame.c
@@ -5,14 +5,14 @@
 #include <msgpack.h>
 #include <string.h>
 
-/* Keys of the outermost map. */
+/* Keys of the top-level map. */
 #define KEY_VERSION 0
 #define KEY_TYPE 1
 #define KEY_BODY 2
 
 static void pack_items (msgpack_packer *packer, const MfFrameTable *table, const uint8_t *item);
 
-/* Reads an unsigned number of any width from a struct. */
+/* Reads an unsigned number of any width from the struct at base. */
 static uint64_t
 number_get (const MfFrameField *field, const uint8_t *base)
 {
@@ -64,7 +64,8 @@
   return memcmp (digest, zero, sizeof zero) == 0;
 }
 
-/* Whether a field holds what a reader assumes when it is left out. */
+/* Returns whether a field has its default value, which the decoder assumes for an absent field. The
+ * only nested struct is MfInstanceId, with two fields. */
 static bool
 field_is_default (const MfFrameField *field, const uint8_t *base)
 {
@@ -153,7 +154,7 @@
     }
 }
 
-/* A nested struct is an array of its fields in order; later versions append. */
+/* Encodes a nested struct as an array of its fields. Later versions append fields at the end. */
 static void
 pack_items (msgpack_packer *packer, const MfFrameTable *table, const uint8_t *item)
 {
@@ -162,7 +163,8 @@
     pack_field (packer, &table->fields[i], item);
 }
 
-/* The message's own fields are a map from number to value, without those at their default. */
+/* Encodes the fields of a message as a map from field number to value, without those at their
+ * default. */
 static void
 pack_body (msgpack_packer *packer, const MfFrameTable *table, const uint8_t *base)
 {
@@ -180,7 +182,7 @@
     }
 }
 
-/* Whether the message's arrays keep to their limits. */
+/* Returns whether the arrays of a message are within their limits. */
 static bool
 counts_fit (const MfFrameTable *table, const uint8_t *base)
 {
@@ -194,8 +196,8 @@
   return true;
 }
 
-/* Encodes a message as msgpack after a 4-byte big-endian length. Returns a buffer owned by the
- * caller, or NULL when memory ran out or the message is too large. */
+/* Encodes a message as msgpack after a 4-byte big-endian length. Returns a buffer of *frame_bytes
+ * owned by the caller, or NULL with error set when memory runs out or the message is too large. */
 uint8_t *
 mf_frame_encode (const MfPeerMessage *message, size_t *frame_bytes, MfError *error)
 {
@@ -208,7 +210,7 @@
 
   if (!counts_fit (table, base))
     {
-      mf_error_set (error, MF_CODE_PEER_FRAME, "a message has too many items");
+      mf_error_set (error, MF_CODE_PEER_FRAME, "message has more items than an array may hold");
       return NULL;
     }
   msgpack_sbuffer_init (&buffer);
@@ -224,7 +226,7 @@
   payload_bytes = buffer.size - MF_FRAME_LENGTH_BYTES;
   if (buffer.data == NULL || payload_bytes > MF_FRAME_BYTES_MAX)
     {
-      mf_error_set (error, MF_CODE_PEER_FRAME, "a message of %zu bytes is too large",
+      mf_error_set (error, MF_CODE_PEER_FRAME, "message of %zu bytes is too large for a frame",
                     payload_bytes);
       msgpack_sbuffer_destroy (&buffer);
       return NULL;
@@ -238,7 +240,7 @@
 static bool unpack_items (const msgpack_object *object, const MfFrameTable *table, uint8_t *item,
                           msgpack_zone *zone);
 
-/* Copies bytes into the frame's memory and closes them with NUL. */
+/* Copies bytes into the memory of the frame and terminates them with NUL. */
 static char *
 zone_copy (msgpack_zone *zone, const char *bytes, size_t n_bytes)
 {
@@ -386,7 +388,8 @@
     }
 }
 
-/* Items may be longer than known here, of a later version, but not shorter. */
+/* Decodes a nested struct. It may have additional fields of a later version, but none may be
+ * missing. */
 static bool
 unpack_items (const msgpack_object *object, const MfFrameTable *table, uint8_t *item,
               msgpack_zone *zone)
@@ -401,7 +404,7 @@
   return true;
 }
 
-/* Returns the value of a number key, or NULL. */
+/* Returns the value of a numeric key, or NULL. */
 static const msgpack_object *
 map_find (const msgpack_object *map, uint64_t key)
 {
@@ -443,27 +446,27 @@
   if (version == NULL || type == NULL || version->type != MSGPACK_OBJECT_POSITIVE_INTEGER
       || type->type != MSGPACK_OBJECT_POSITIVE_INTEGER || version->via.u64 == 0)
     {
-      mf_error_set (error, MF_CODE_PEER_FRAME, "a frame has no version or type");
+      mf_error_set (error, MF_CODE_PEER_FRAME, "frame has no version or type");
       return false;
     }
   if (type->via.u64 >= MF_PEER_MESSAGE_COUNT)
     {
-      mf_error_set (error, MF_CODE_PEER_VERSION, "a frame has a type not known here");
+      mf_error_set (error, MF_CODE_PEER_VERSION, "frame has an unknown message type");
       return false;
     }
   message->type = (MfPeerMessageType)type->via.u64;
   if (!unpack_body (map_find (root, KEY_BODY), mf_frame_table (message->type),
                     (uint8_t *)&message->digest, zone))
     {
-      mf_error_set (error, MF_CODE_PEER_FRAME, "a frame has a field of a wrong type");
+      mf_error_set (error, MF_CODE_PEER_FRAME, "frame has a field with an invalid value");
       return false;
     }
   return true;
 }
 
-/* Decodes the payload of one frame, without its length. Unknown fields are skipped, so that two
- * releases can talk. Returns false with error set when it is malformed. The caller frees frame with
- * mf_frame_clear. */
+/* Decodes the payload of one frame, without its length. Unknown fields are ignored, so that
+ * different releases can exchange messages. Returns false with error set when the payload is
+ * malformed. The caller frees frame with mf_frame_clear. */
 bool
 mf_frame_decode (const uint8_t *payload, size_t payload_bytes, MfFrame *frame, MfError *error)
 {
@@ -474,7 +477,8 @@
   memset (frame, 0, sizeof *frame);
   if (payload_bytes > MF_FRAME_BYTES_MAX || !mf_frame_is_well_formed (payload, payload_bytes))
     {
-      mf_error_set (error, MF_CODE_PEER_FRAME, "a frame is not one whole value");
+      mf_error_set (error, MF_CODE_PEER_FRAME,
+                    "frame is too large or not exactly one well-formed msgpack value");
       return false;
     }
   zone = msgpack_zone_new (MSGPACK_ZONE_CHUNK_SIZE);
@@ -486,14 +490,14 @@
   frame->memory = zone;
   if (msgpack_unpack ((const char *)payload, payload_bytes, &offset, zone, &root)
       != MSGPACK_UNPACK_SUCCESS)
-    mf_error_set (error, MF_CODE_PEER_FRAME, "a frame is not msgpack");
+    mf_error_set (error, MF_CODE_PEER_FRAME, "frame is not valid msgpack");
   else if (unpack_message (&root, &frame->message, zone, error))
     return true;
   mf_frame_clear (frame);
   return false;
 }
 
-/* Frees what the frame's message points to. */
+/* Frees the memory that the message refers to. */
 void
 mf_frame_clear (MfFrame *frame)
 {
--- a/libmangofork/frame_check.c
+++ b/libmangofork/frame_check.c
@@ -1,6 +1,6 @@
 #include "frame_table.h"
 
-/* Containers inside containers; the messages need five. */
+/* Maximum nesting of containers. The messages need 5. */
 #define DEPTH_MAX 8
 
 static uint64_t
@@ -13,19 +13,21 @@
   return value;
 }
 
-/* How the first byte of a value says what follows it. */
+/* The header of a msgpack value: its first byte and the length or count after it. */
 typedef struct
 {
-  size_t header_bytes; /* the first byte and the length or number after it */
-  uint64_t n_body_bytes;
-  uint64_t n_values; /* inside a container */
+  size_t header_bytes;
+  uint64_t n_body_bytes; /* after the header */
+  uint64_t n_values;     /* in a container; a map has two for each entry */
 } ValueHeader;
 
-/* Reads the head of the value at payload. Returns false when it is cut or of no known type. */
+/* Reads the header of the value at payload. Returns false when it is truncated or of an unknown
+ * type. */
 static bool
 header_read (const uint8_t *payload, size_t n_bytes, ValueHeader *header)
 {
-  /* Bytes after the first from 0xc0 on; where a length stands there, its width. */
+  /* By the first byte less 0xc0: the size of a body of fixed size, or else the width of the length
+   * field. */
   static const uint8_t fixed_body_bytes[0x20] = {
     [0x0a] = 4, [0x0b] = 8, [0x0c] = 1, [0x0d] = 2, [0x0e] = 4, [0x0f] = 8, [0x10] = 1,  [0x11] = 2,
     [0x12] = 4, [0x13] = 8, [0x14] = 2, [0x15] = 3, [0x16] = 5, [0x17] = 9, [0x18] = 17,
@@ -67,11 +69,13 @@
   return true;
 }
 
-/* Whether a payload is one value whose containers hold no more values than there are bytes left. */
+/* Returns whether a payload is exactly one msgpack value in which no length and no item count is
+ * larger than the number of bytes left. msgpack-c allocates as much as the header of a container
+ * announces, so it is given only payloads that pass this check. */
 bool
 mf_frame_is_well_formed (const uint8_t *payload, size_t payload_bytes)
 {
-  uint64_t left[DEPTH_MAX + 1] = { 1 };
+  uint64_t left[DEPTH_MAX + 1] = { 1 }; /* values left to read at each depth */
   size_t depth = 0, at = 0;
 
   for (;;)
--- a/libmangofork/frame_table.c
+++ b/libmangofork/frame_table.c
@@ -154,7 +154,6 @@
 };
 TABLE (list, MfListMessage);
 
-/* The members of the message's union all start at the same place. */
 static const MfFrameTable *const message_tables[MF_PEER_MESSAGE_COUNT] = {
   [MF_PEER_DIGEST] = &digest_table,
   [MF_PEER_CONFIG_REQUEST] = &request_table,
@@ -169,6 +168,8 @@
   [MF_PEER_LIST] = &list_table,
 };
 
+/* Returns the encoding of the messages of a type. Offsets count from the digest member of
+ * MfPeerMessage: all members of its union start there. */
 const MfFrameTable *
 mf_frame_table (MfPeerMessageType type)
 {
--- a/libmangofork/frame_table.h
+++ b/libmangofork/frame_table.h
@@ -3,7 +3,7 @@
 
 #include "peer.h"
 
-/* How the messages between instances are written, for frame.c. */
+/* Description of the encoding of each message between instances, used by frame.c. */
 
 typedef enum
 {
@@ -11,22 +11,22 @@
   MF_FRAME_FIELD_U16,
   MF_FRAME_FIELD_U32,
   MF_FRAME_FIELD_U64,
-  MF_FRAME_FIELD_ENUM,   /* an int below max */
-  MF_FRAME_FIELD_DIGEST, /* MF_DIGEST_BYTES */
+  MF_FRAME_FIELD_ENUM,   /* 4 bytes, below max */
+  MF_FRAME_FIELD_DIGEST, /* uint8_t[MF_DIGEST_BYTES] */
   MF_FRAME_FIELD_NAME,   /* char[max] */
   MF_FRAME_FIELD_STRING, /* char *, NUL-terminated, or NULL */
-  MF_FRAME_FIELD_BYTES,  /* pointer, with its uint32_t length at count */
-  MF_FRAME_FIELD_STRUCT, /* one value of type items */
-  MF_FRAME_FIELD_ARRAY,  /* an array of at most max items, their uint32_t number at count */
-  MF_FRAME_FIELD_LIST,   /* a pointer to items, their uint32_t number at count */
+  MF_FRAME_FIELD_BYTES,  /* pointer; the uint32_t length is at count_offset */
+  MF_FRAME_FIELD_STRUCT, /* one struct described by item_table */
+  MF_FRAME_FIELD_ARRAY,  /* array of at most max structs; the uint32_t number is at count_offset */
+  MF_FRAME_FIELD_LIST,   /* pointer to structs; the uint32_t number is at count_offset */
 } MfFrameFieldKind;
 
 typedef struct MfFrameTable MfFrameTable;
 
-/* Where a value stands in its struct and how it is written. */
+/* The position of one field in its struct and how it is encoded. */
 typedef struct
 {
-  uint8_t key;
+  uint8_t key; /* number in the map of a message */
   MfFrameFieldKind kind;
   size_t offset;
   size_t count_offset;
@@ -38,15 +38,11 @@
 {
   const MfFrameField *fields;
   uint32_t n_fields;
-  size_t struct_bytes; /* of one struct */
+  size_t struct_bytes;
 };
 
-/* How a message of that type is written. Every member of the message's union starts where the
- * digest does. */
 const MfFrameTable *mf_frame_table (MfPeerMessageType type);
-/* Whether a payload is one value whose containers hold no more values than there are bytes left;
- * frame_check.c. The library allocates what a container's head promises, so it only sees payloads
- * that pass. */
+/* frame_check.c */
 bool mf_frame_is_well_formed (const uint8_t *payload, size_t payload_bytes);
 
 #endif
--- a/libmangofork/logger.c
+++ b/libmangofork/logger.c
@@ -19,7 +19,7 @@
   char line[LINE_BYTES];
 };
 
-/* Puts the time and the level before the keys of the message. */
+/* Formats a line: time, level and the pairs of the message. */
 static const char *
 layout_format (const log4c_layout_t *layout, const log4c_logging_event_t *event)
 {
@@ -52,6 +52,7 @@
   .append = appender_append,
 };
 
+/* level is a priority of log4c: "error", "warn", "notice", "info", "debug" or "trace". */
 MfLogger *
 mf_logger_new (const char *level, const char *instance, MfError *error)
 {
@@ -59,7 +60,7 @@
 
   if (logger == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the log");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the logger");
       return NULL;
     }
   mf_name_set (logger->instance, sizeof logger->instance, instance);
@@ -76,6 +77,7 @@
   return logger;
 }
 
+/* Accepts NULL. */
 void
 mf_logger_free (MfLogger *logger)
 {
@@ -87,7 +89,7 @@
   free (logger);
 }
 
-/* Adds one key and its value in quotes. */
+/* Adds a key and its value in quotes; nothing for an empty value. */
 static void
 key_add (MfBuffer *line, const char *key, const char *value)
 {
@@ -100,6 +102,7 @@
   mf_buffer_add_text (line, "\"");
 }
 
+/* Logs a change of state. */
 void
 mf_logger_log (MfLogger *logger, const MfLogAction *log)
 {
--- a/libmangofork/peer_auth.c
+++ b/libmangofork/peer_auth.c
@@ -12,10 +12,11 @@
 #define KEY_IDS_MAX 2
 #define STREAM_HEADER_BYTES crypto_secretstream_xchacha20poly1305_HEADERBYTES
 #define PROOF_BYTES MF_DIGEST_BYTES
-/* What follows a hello, or stands alone in the last payload: the header of a stream, a proof. */
+/* Header of the sender's stream and proof: they follow the responder's hello, and are the whole of
+ * the initiator's second payload. */
 #define TRAILER_BYTES (STREAM_HEADER_BYTES + PROOF_BYTES)
 
-/* Members of a hello, in their order. A later version may add more at the end. */
+/* Members of a hello, an array, in this order. Later versions may append members. */
 typedef enum
 {
   HELLO_MAGIC,
@@ -26,7 +27,7 @@
   HELLO_ADDRESS,
   HELLO_EXPECTED,
   HELLO_NONCE,
-  HELLO_KEY_IDS, /* initiator: all it accepts, best first; responder: the one it chose */
+  HELLO_KEY_IDS, /* initiator: all that it accepts, preferred first; responder: the one it chose */
   HELLO_MEMBER_COUNT,
 } HelloMember;
 
@@ -36,7 +37,7 @@
   uint32_t version_max;
   MfInstanceId instance;
   char address[MF_ADDRESS_BYTES];
-  char expected[MF_NAME_BYTES];
+  char expected[MF_NAME_BYTES]; /* name of the receiver; "" accepts any */
   uint8_t nonce[crypto_scalarmult_BYTES];
   uint8_t key_ids[KEY_IDS_MAX][KEY_ID_BYTES];
   uint32_t n_key_ids;
@@ -49,7 +50,7 @@
   return false;
 }
 
-/* A keyed hash of a label and up to two parts. */
+/* Computes a keyed hash of a label and two parts. */
 static void
 key_hash (const uint8_t key[MF_PEER_KEY_BYTES], const char *label, const void *first,
           size_t first_bytes, const void *second, size_t second_bytes, uint8_t *hash,
@@ -64,7 +65,7 @@
   crypto_generichash_final (&state, hash, hash_bytes);
 }
 
-/* Names a key without giving it away. */
+/* Computes the public identifier of a key, which does not reveal the key. */
 static void
 key_id (const uint8_t key[MF_PEER_KEY_BYTES], uint8_t id[KEY_ID_BYTES])
 {
@@ -74,7 +75,7 @@
   memcpy (id, hash, KEY_ID_BYTES);
 }
 
-/* Finds the key of an id among those accepted. */
+/* Finds the accepted key with this id. */
 static bool
 key_find (const MfPeerKeys *keys, const uint8_t id[KEY_ID_BYTES], uint8_t key[MF_PEER_KEY_BYTES])
 {
@@ -217,7 +218,7 @@
   return ok ? true : auth_error (error, "the hello is malformed");
 }
 
-/* Fills in what both sides say of themselves, and makes the nonce. */
+/* Fills in the members that are the same for both sides, and generates the ephemeral key pair. */
 static void
 hello_init (MfPeerAuth *auth, const MfPeerLinkOptions *options, const char *expected, Hello *hello)
 {
@@ -233,7 +234,7 @@
   memcpy (hello->nonce, auth->nonce, sizeof hello->nonce);
 }
 
-/* Checks what the other side says of itself. */
+/* Checks the version and the names in the peer's hello, and copies its members. */
 static bool
 hello_check (MfPeerAuth *auth, const MfPeerLinkOptions *options, const Hello *hello, MfError *error)
 {
@@ -241,14 +242,15 @@
 
   if (highest < VERSION_MIN || highest < hello->version_min)
     {
-      mf_error_set (error, MF_CODE_PEER_VERSION, "the peer speaks versions %u to %u",
-                    hello->version_min, hello->version_max);
+      mf_error_set (error, MF_CODE_PEER_VERSION,
+                    "no common protocol version: the peer supports %u to %u", hello->version_min,
+                    hello->version_max);
       return false;
     }
   if (strcmp (hello->instance.name, options->self.name) == 0)
-    return auth_error (error, "the peer has this instance's own name");
+    return auth_error (error, "the peer has the same name as this instance");
   if (hello->expected[0] != '\0' && strcmp (hello->expected, options->self.name) != 0)
-    return auth_error (error, "the peer means another instance");
+    return auth_error (error, "the peer expects another instance at this address");
   auth->version = highest;
   auth->peer = hello->instance;
   memcpy (auth->peer_address, hello->address, sizeof auth->peer_address);
@@ -265,7 +267,8 @@
   crypto_generichash_update (&auth->transcript, data, data_bytes);
 }
 
-/* Derives the key of one direction from the secret, the transcript and the ephemeral keys. */
+/* Derives the key of the stream in one direction from the pre-shared key, the transcript and the
+ * shared secret of the ephemeral keys. */
 static bool
 stream_key_derive (const MfPeerAuth *auth, bool from_initiator, uint8_t key[MF_DIGEST_BYTES])
 {
@@ -288,7 +291,7 @@
             PROOF_BYTES);
 }
 
-/* Opens the own stream and adds its header and the proof to a payload. */
+/* Opens the outgoing stream and appends its header and the proof to a payload. */
 static bool
 send_stream_open (MfPeerAuth *auth, MfBuffer *payload, MfError *error)
 {
@@ -298,7 +301,7 @@
 
   if (!stream_key_derive (auth, auth->initiator, key)
       || crypto_secretstream_xchacha20poly1305_init_push (&auth->push, stream, key) != 0)
-    return auth_error (error, "the own stream cannot be opened");
+    return auth_error (error, "cannot open the outgoing stream");
   sodium_memzero (key, sizeof key);
   proof_compute (auth, auth->initiator, stream, proof);
   mf_buffer_add (payload, stream, sizeof stream);
@@ -306,7 +309,7 @@
   return payload->failed ? auth_error (error, "no memory for the proof") : true;
 }
 
-/* Checks the other side's proof and opens its stream. tail holds the header and the proof. */
+/* Checks the peer's proof and opens the incoming stream. trailer holds its header and the proof. */
 static bool
 receive_stream_open (MfPeerAuth *auth, const uint8_t *trailer, MfError *error)
 {
@@ -315,14 +318,16 @@
 
   proof_compute (auth, !auth->initiator, trailer, expected);
   if (sodium_memcmp (expected, trailer + STREAM_HEADER_BYTES, PROOF_BYTES) != 0)
-    return auth_error (error, "the peer did not prove its key");
+    return auth_error (error, "the peer's proof is not valid");
   if (!stream_key_derive (auth, !auth->initiator, key)
       || crypto_secretstream_xchacha20poly1305_init_pull (&auth->pull, trailer, key) != 0)
-    return auth_error (error, "the peer's stream cannot be opened");
+    return auth_error (error, "cannot open the incoming stream");
   sodium_memzero (key, sizeof key);
   return true;
 }
 
+/* Starts a handshake as the initiator and writes the first payload. expected is the name of the
+ * instance to reach. */
 bool
 mf_peer_auth_begin (MfPeerAuth *auth, const MfPeerLinkOptions *options, const char *expected,
                     MfBuffer *payload, MfError *error)
@@ -342,7 +347,7 @@
   return true;
 }
 
-/* Takes the first key that the initiator names and this side accepts. */
+/* Chooses the first key offered by the initiator that this side accepts. */
 static bool
 key_choose (MfPeerAuth *auth, const MfPeerKeys *keys, const Hello *peer_hello, Hello *own_hello)
 {
@@ -358,6 +363,7 @@
   return false;
 }
 
+/* Checks the initiator's hello and writes the response: the responder's hello and proof. */
 bool
 mf_peer_auth_respond (MfPeerAuth *auth, const MfPeerLinkOptions *options, const uint8_t *hello,
                       size_t hello_bytes, MfBuffer *payload, MfError *error)
@@ -371,7 +377,7 @@
     return false;
   hello_init (auth, options, peer_hello.instance.name, &own_hello);
   if (!key_choose (auth, &options->keys, &peer_hello, &own_hello))
-    return auth_error (error, "the peer accepts none of the keys held here");
+    return auth_error (error, "no key in common with the peer");
   hello_pack (&own_hello, payload);
   crypto_generichash_init (&auth->transcript, NULL, 0, MF_DIGEST_BYTES);
   transcript_add (auth, hello, hello_bytes);
@@ -380,6 +386,7 @@
   return send_stream_open (auth, payload, error);
 }
 
+/* Checks the response and writes the initiator's proof. The link is then authenticated. */
 bool
 mf_peer_auth_confirm (MfPeerAuth *auth, const MfPeerLinkOptions *options, const char *expected,
                       const uint8_t *answer, size_t answer_bytes, MfBuffer *payload, MfError *error)
@@ -388,29 +395,30 @@
   Hello peer_hello;
 
   if (answer_bytes <= TRAILER_BYTES)
-    return auth_error (error, "the answer is too short");
+    return auth_error (error, "the response to the hello is too short");
   if (!hello_unpack (answer, hello_bytes, &peer_hello, error)
       || !hello_check (auth, options, &peer_hello, error))
     return false;
   if (expected[0] != '\0' && strcmp (peer_hello.instance.name, expected) != 0)
-    return auth_error (error, "another instance answered");
+    return auth_error (error, "another instance than the expected one responded");
   if (peer_hello.n_key_ids != 1 || !key_find (&options->keys, peer_hello.key_ids[0], auth->key))
-    return auth_error (error, "the peer chose a key that is not held here");
+    return auth_error (error, "the peer chose an unknown key");
   transcript_add (auth, answer, hello_bytes);
   crypto_generichash_final (&auth->transcript, auth->transcript_digest, MF_DIGEST_BYTES);
   return receive_stream_open (auth, answer + hello_bytes, error)
          && send_stream_open (auth, payload, error);
 }
 
+/* Checks the initiator's proof. The link is then authenticated. */
 bool
 mf_peer_auth_finish (MfPeerAuth *auth, const uint8_t *proof, size_t proof_bytes, MfError *error)
 {
   if (proof_bytes != TRAILER_BYTES)
-    return auth_error (error, "the proof has a wrong length");
+    return auth_error (error, "the proof has the wrong length");
   return receive_stream_open (auth, proof, error);
 }
 
-/* Reads one secret from a file of hexadecimal digits. */
+/* Reads one key from a file of hexadecimal digits. */
 static bool
 key_read (const char *path, uint8_t key[MF_PEER_KEY_BYTES], MfError *error)
 {
@@ -425,10 +433,12 @@
       && sodium_hex2bin (key, MF_PEER_KEY_BYTES, text, n, NULL, &n_bytes, NULL) == 0
       && n_bytes == MF_PEER_KEY_BYTES)
     return true;
-  mf_error_set (error, MF_CODE_FILE_READ, "%s does not hold a key of 64 hexadecimal digits", path);
+  mf_error_set (error, MF_CODE_FILE_READ,
+                "%s cannot be read or is not a key of 64 hexadecimal digits", path);
   return false;
 }
 
+/* Reads the key files. old_path may be "". */
 bool
 mf_peer_keys_read (const char *path, const char *old_path, MfPeerKeys *keys, MfError *error)
 {
--- a/libmangofork/peer_auth.h
+++ b/libmangofork/peer_auth.h
@@ -7,40 +7,36 @@
 
 #include <sodium.h>
 
-/* Longest payload of a handshake frame. */
+/* Maximum payload of a handshake frame. */
 #define MF_PEER_HANDSHAKE_BYTES_MAX 1024
 
-/* One side of the handshake of a link, without its socket. The initiator sends its hello; the
- * responder answers with its own and a proof over both; the initiator closes with its proof. Each
- * proof and the keys that follow from the handshake take in both nonces, slot names, incarnations
- * and addresses, so that nothing of it can be replayed or moved to another link. */
+/* One side of the handshake of a link, without its socket. The initiator sends a hello, the
+ * responder a hello and a proof, and the initiator a proof. The proofs and the keys of both streams
+ * are derived from a transcript of the two hellos, which hold the nonces, names, incarnations and
+ * addresses of both sides: no part of a handshake can be replayed or used on another link. */
 typedef struct
 {
   bool initiator;
-  uint32_t version; /* agreed */
+  uint32_t version; /* the highest that both sides support */
   MfInstanceId peer;
   char peer_address[MF_ADDRESS_BYTES];
-  uint8_t secret[crypto_scalarmult_SCALARBYTES];
-  uint8_t nonce[crypto_scalarmult_BYTES]; /* also the ephemeral public key */
+  uint8_t secret[crypto_scalarmult_SCALARBYTES]; /* ephemeral private key */
+  uint8_t nonce[crypto_scalarmult_BYTES];        /* ephemeral public key */
   uint8_t peer_nonce[crypto_scalarmult_BYTES];
-  uint8_t key[MF_PEER_KEY_BYTES];
-  crypto_generichash_state transcript;
+  uint8_t key[MF_PEER_KEY_BYTES];      /* the pre-shared key that the responder chose */
+  crypto_generichash_state transcript; /* of both hellos */
   uint8_t transcript_digest[MF_DIGEST_BYTES];
-  crypto_secretstream_xchacha20poly1305_state push;
-  crypto_secretstream_xchacha20poly1305_state pull;
+  crypto_secretstream_xchacha20poly1305_state push; /* outgoing stream */
+  crypto_secretstream_xchacha20poly1305_state pull; /* incoming stream */
 } MfPeerAuth;
 
-/* The initiator's first payload. expected is the slot it means to reach. */
 bool mf_peer_auth_begin (MfPeerAuth *auth, const MfPeerLinkOptions *options, const char *expected,
                          MfBuffer *payload, MfError *error);
-/* The responder takes the initiator's hello and makes its answer. */
 bool mf_peer_auth_respond (MfPeerAuth *auth, const MfPeerLinkOptions *options, const uint8_t *hello,
                            size_t hello_bytes, MfBuffer *payload, MfError *error);
-/* The initiator checks the answer and makes its proof. The link is then authenticated. */
 bool mf_peer_auth_confirm (MfPeerAuth *auth, const MfPeerLinkOptions *options, const char *expected,
                            const uint8_t *answer, size_t answer_bytes, MfBuffer *payload,
                            MfError *error);
-/* The responder checks the proof. The link is then authenticated. */
 bool mf_peer_auth_finish (MfPeerAuth *auth, const uint8_t *proof, size_t proof_bytes,
                           MfError *error);
 
--- a/libmangofork/peer_link.c
+++ b/libmangofork/peer_link.c
@@ -16,14 +16,14 @@
 #include <unistd.h>
 #include <utlist.h>
 
-/* A handshake must be over by then. */
+/* For the connection and the handshake together. */
 #define HANDSHAKE_TIMEOUT_S 3.0
-/* Links that are not yet authenticated, and links in all. */
+/* Maximum numbers of links that are not authenticated yet, and of all links. */
 #define HALF_OPEN_MAX 64
 #define LINKS_MAX 1024
-/* Unsent bytes of a link; a peer that takes them more slowly loses it. */
+/* A link with more unsent bytes is closed: the peer reads too slowly. */
 #define UNSENT_BYTES_MAX ((size_t)2 * MF_FRAME_BYTES_MAX)
-/* Sent bytes may stay unacknowledged this long. */
+/* TCP_USER_TIMEOUT: a connection fails when sent data is not acknowledged for this long. */
 #define UNACKED_TIMEOUT_MS 10000
 #define READ_BUFFER_BYTES 65536
 #define LENGTH_BYTES 4
@@ -32,8 +32,8 @@
 typedef enum
 {
   LINK_CONNECTING,
-  LINK_HELLO, /* waits for the other side's hello */
-  LINK_PROOF, /* responder: waits for the initiator's proof */
+  LINK_HELLO, /* waiting for the peer's hello */
+  LINK_PROOF, /* responder: waiting for the initiator's proof */
   LINK_UP,
   LINK_CLOSED,
 } LinkState;
@@ -46,14 +46,14 @@
   uint32_t id;
   int fd;
   LinkState state;
-  bool failing; /* closes as soon as the loop runs */
+  bool failing; /* will be closed by on_timeout */
   MfPeerAuth auth;
-  char expected[MF_NAME_BYTES];
+  char expected[MF_NAME_BYTES]; /* initiator: name of the instance to reach; else "" */
   MfBuffer in;
   MfBuffer out;
   ev_io read;
   ev_io write;
-  ev_timer timeout;
+  ev_timer timeout; /* of the handshake; at once for a link that is failing */
   Link *prev;
   Link *next;
   UT_hash_handle hh; /* by id, while up */
@@ -69,16 +69,16 @@
   int fd;
   ev_io accept;
   ev_prepare reap;
-  Link *open;
-  Link *up;
-  Link *closed; /* to be freed once no function of theirs runs */
+  Link *open;   /* all but the closed ones */
+  Link *up;     /* by id */
+  Link *closed; /* freed by links_reap */
   uint32_t n_open;
   uint32_t n_half_open;
   uint32_t last_id;
   MfPeerLinkStats stats;
 };
 
-/* Takes a link out of use; the memory is freed later. */
+/* Closes a link without an event. links_reap frees it later: a function of it may be running. */
 static void
 link_close (Link *link)
 {
@@ -111,7 +111,7 @@
   link->links->on_event (&event, link->links->data);
 }
 
-/* Closes a link and tells the core. */
+/* Closes a link and emits MF_EVENT_PEER_DOWN if it was authenticated or opened by this side. */
 static void
 link_fail (Link *link)
 {
@@ -133,7 +133,8 @@
   link->links->on_event (&event, link->links->data);
 }
 
-/* Has a link closed from the loop, where the core may be told. */
+/* Schedules the closing of a link in the event loop, since on_event must not be called from a
+ * public function. */
 static void
 link_fail_deferred (Link *link)
 {
@@ -143,7 +144,7 @@
   ev_timer_start (link->links->loop, &link->timeout);
 }
 
-/* Writes what the socket takes now and watches for room when some is left. */
+/* Sends as much as the socket accepts and waits until it is writable if data is left. */
 static void
 link_flush (Link *link)
 {
@@ -170,7 +171,7 @@
   ev_io_stop (link->links->loop, &link->write);
 }
 
-/* Sends one frame: its length and its payload. */
+/* Queues the length and the payload of one frame and sends as much as possible. */
 static void
 frame_send (Link *link, const void *payload, size_t payload_bytes)
 {
@@ -194,8 +195,9 @@
   frame_send (link, mf_buffer_data (payload), mf_buffer_bytes (payload));
 }
 
-/* Of two links between the same processes both sides keep the one that the instance with the lower
- * name began, and of two begun by the same one the later. Returns whether the new one is kept. */
+/* Returns whether a new link to an instance replaces another one. A newer incarnation replaces an
+ * older one. Of two links between the same processes both sides keep the one that the instance with
+ * the lower name initiated, or the later one if both have the same initiator. */
 static bool
 link_is_preferred (const Link *link, const Link *other)
 {
@@ -207,7 +209,7 @@
   return link->auth.initiator == other->auth.initiator || link->auth.initiator == lower_self;
 }
 
-/* The other side has proved itself. */
+/* Marks a link as authenticated, unless another link to the same instance is preferred. */
 static void
 link_up (Link *link)
 {
@@ -227,7 +229,7 @@
           return;
         }
       link_fail (other);
-      next = links->open;
+      next = links->open; /* the event may have closed any link */
       if (link->state == LINK_CLOSED)
         return;
     }
@@ -238,7 +240,7 @@
   link_emit (link, MF_EVENT_PEER_UP, NULL);
 }
 
-/* Takes one payload of the handshake. Returns false when the link must end. */
+/* Handles one payload of the handshake. Returns false when the link must be closed. */
 static bool
 handshake_handle (Link *link, const uint8_t *payload, size_t payload_bytes)
 {
@@ -266,8 +268,9 @@
   return true;
 }
 
-/* Takes one sealed frame. Returns false when the link must end: a broken seal means that the bytes
- * are not the peer's. A message that cannot be read is dropped and counted. */
+/* Decrypts and handles one frame. Returns false when the link must be closed: a frame that fails
+ * authentication did not come from the peer. A message that cannot be decoded is dropped and
+ * counted. */
 static bool
 message_handle (Link *link, const uint8_t *ciphertext, size_t ciphertext_bytes)
 {
@@ -300,7 +303,7 @@
   return ok;
 }
 
-/* Takes the frames that have arrived whole. Returns false when the link must end. */
+/* Handles the completely received frames. Returns false when the link must be closed. */
 static bool
 frames_handle (Link *link)
 {
@@ -375,6 +378,7 @@
   mf_buffer_clear (&hello);
 }
 
+/* Closes a link whose handshake took too long or whose closing was deferred. */
 static void
 on_timeout (struct ev_loop *loop, ev_timer *watcher, int events)
 {
@@ -383,7 +387,7 @@
   link_fail (watcher->data);
 }
 
-/* Makes a link; a descriptor below 0 makes one that fails as soon as the loop runs. */
+/* Creates a link. With a negative descriptor it fails in the next iteration of the event loop. */
 static Link *
 link_new (MfPeerLinks *links, int fd, LinkState state)
 {
@@ -437,7 +441,7 @@
     ev_io_start (loop, &link->read);
 }
 
-/* Frees links that closed, now that none of their functions runs. */
+/* Frees the closed links. Runs before the loop waits, when no function of a link is running. */
 static void
 links_reap (struct ev_loop *loop, ev_prepare *watcher, int events)
 {
@@ -457,6 +461,10 @@
   }
 }
 
+/* Starts to listen for other instances. Returns NULL with error set. on_event gets
+ * MF_EVENT_PEER_UP, MF_EVENT_PEER_DOWN and MF_EVENT_PEER_MESSAGE without clocks, never from within
+ * a function of this module, and may call any of them but mf_peer_links_free. A failed
+ * mf_peer_links_open is reported as MF_EVENT_PEER_DOWN with link_id 0 and the expected name. */
 MfPeerLinks *
 mf_peer_links_new (struct ev_loop *loop, const MfPeerLinkOptions *options,
                    void (*on_event) (const MfEvent *event, void *data), void *data, MfError *error)
@@ -489,6 +497,7 @@
   return links;
 }
 
+/* Accepts NULL. */
 void
 mf_peer_links_free (MfPeerLinks *links)
 {
@@ -510,6 +519,7 @@
   return mf_socket_port (links->fd);
 }
 
+/* Replaces the keys for handshakes to come. Established links stay. */
 void
 mf_peer_links_set_keys (MfPeerLinks *links, const MfPeerKeys *keys)
 {
@@ -522,7 +532,7 @@
   return &links->stats;
 }
 
-/* Connects to a peer; the outcome is reported as an event. */
+/* Connects to the instance with this name. The result is reported as an event. */
 void
 mf_peer_links_open (MfPeerLinks *links, const char *name, const char *address)
 {
@@ -556,7 +566,7 @@
     link_close (link);
 }
 
-/* Seals a message and sends it. Messages to links that are gone are passed over. */
+/* Encrypts and sends a message. Does nothing if the link is closed. */
 void
 mf_peer_links_send (MfPeerLinks *links, uint32_t link_id, const MfPeerMessage *message)
 {
--- a/libmangofork/platform.c
+++ b/libmangofork/platform.c
@@ -12,11 +12,11 @@
 #include <string.h>
 #include <strings.h>
 
-/* Seconds a waiting read asks the platform to wait, and what is added for its answer. */
+/* Longest time that a blocking read lets the platform wait, and time allowed for the response. */
 #define BLOCKING_WAIT_S 50
 #define ANSWER_TIMEOUT_S 10
 #define CONNECT_TIMEOUT_MS 3000
-/* A text of one megabyte is a third longer in base64. */
+/* Base64 makes a text of MF_TEXT_BYTES_MAX longer by a third. */
 #define ANSWER_BYTES_MAX (2 * (size_t)MF_TEXT_BYTES_MAX)
 #define PATH_BYTES 256
 #define TOKEN_BYTES 256
@@ -29,16 +29,16 @@
   READ_COUNT,
 } ReadKind;
 
-/* One read; there is at most one of each kind. */
+/* One read. There is at most one of each kind at a time. */
 typedef struct
 {
   MfPlatform *platform;
   ReadKind kind;
-  CURL *easy; /* NULL when none is under way */
+  CURL *easy; /* NULL when no read is in progress */
   struct curl_slist *headers;
   MfBuffer body;
-  uint64_t index;    /* of the answer */
-  bool start_failed; /* it could not even be started */
+  uint64_t index;    /* of the response */
+  bool start_failed; /* to be reported from the event loop */
 } Read;
 
 struct MfPlatform
@@ -113,7 +113,8 @@
   return read->body.failed || mf_buffer_bytes (&read->body) > ANSWER_BYTES_MAX ? 0 : size * n;
 }
 
-/* Reads the token anew for each call, so that it can be changed without a restart. */
+/* Adds the header with the access token. The token file is read for each request, so that it can be
+ * changed without a restart. */
 static bool
 token_header_add (Read *read)
 {
@@ -163,6 +164,7 @@
   return mf_multi_add (platform->multi, read->easy);
 }
 
+/* Starts a read. A failure is reported later, from the event loop. */
 static void
 read_start (MfPlatform *platform, ReadKind kind, uint64_t index)
 {
@@ -177,7 +179,7 @@
   mf_multi_wake (platform->multi);
 }
 
-/* Parses a whole answer and hands it on. Returns false when it makes no sense. */
+/* Parses a complete response and emits its event. Returns false when it is malformed. */
 static bool
 answer_deliver (Read *read)
 {
@@ -220,6 +222,7 @@
   emit_failed (platform, kind);
 }
 
+/* Reports the reads that could not be started. */
 static void
 on_settle (void *data)
 {
@@ -234,6 +237,8 @@
     }
 }
 
+/* Returns NULL with error set. on_event gets MF_EVENT_PLATFORM_TEXT, MF_EVENT_PLATFORM_LIST and
+ * MF_EVENT_PLATFORM_FAILED, never from within a function of this module. settings is borrowed. */
 MfPlatform *
 mf_platform_new (struct ev_loop *loop, const MfSettings *settings,
                  void (*on_event) (const MfEvent *event, void *data), void *data, MfError *error)
@@ -243,7 +248,7 @@
 
   if (platform == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the platform's reader");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the platform client");
       return NULL;
     }
   platform->settings = settings;
@@ -273,18 +278,21 @@
   free (platform);
 }
 
+/* Starts a read of the operators' text and cancels one that is in progress. */
 void
 mf_platform_read_text (MfPlatform *platform, uint64_t index)
 {
   read_start (platform, READ_TEXT, index);
 }
 
+/* Starts a read of the list of instances and cancels one that is in progress. */
 void
 mf_platform_read_list (MfPlatform *platform, uint64_t index)
 {
   read_start (platform, READ_LIST, index);
 }
 
+/* Returns the number of reads started so far. A blocking read counts once. */
 uint64_t
 mf_platform_n_reads (const MfPlatform *platform)
 {
@@ -316,7 +324,7 @@
   return consul_path ("/v1/health/service/", settings->platform_service, index, path, path_bytes);
 }
 
-/* Parses a JSON array. Returns NULL with error set when the body is anything else. */
+/* Parses a JSON array. Returns NULL with error set when the body is not one. */
 static json_object *
 parse_array (const char *body, size_t body_bytes, MfError *error)
 {
@@ -329,7 +337,7 @@
   if (json_object_is_type (array, json_type_array))
     return array;
   json_object_put (array);
-  mf_error_set (error, MF_CODE_PLATFORM_DOWN, "the platform's answer is not a JSON array");
+  mf_error_set (error, MF_CODE_PLATFORM_DOWN, "the platform's response is not a JSON array");
   return NULL;
 }
 
@@ -341,7 +349,7 @@
   return json_object_is_type (value, json_type_string) ? json_object_get_string (value) : "";
 }
 
-/* A key's value is base64, and ModifyIndex rises each time it is written. */
+/* The value of a key is in base64. ModifyIndex increases with each write and is the revision. */
 static bool
 consul_parse_text (const char *body, size_t body_bytes, uint64_t index, MfPlatformTextEvent *text,
                    void **memory, MfError *error)
@@ -361,7 +369,8 @@
                              sodium_base64_VARIANT_ORIGINAL)
               == 0;
   if (!ok)
-    mf_error_set (error, MF_CODE_PLATFORM_DOWN, "the platform's answer holds no value");
+    mf_error_set (error, MF_CODE_PLATFORM_DOWN,
+                  "the platform's response has no valid Value and ModifyIndex");
   text->text = *memory;
   text->text_bytes = n;
   json_object_put (rows);
@@ -402,7 +411,7 @@
          && listed->name[0] != '\0';
 }
 
-/* Rows that make no sense are left out. */
+/* Rows without a valid name, address or data centre are skipped. */
 static bool
 consul_parse_list (const char *body, size_t body_bytes, uint64_t index, MfPlatformListEvent *list,
                    void **memory, MfError *error)
--- a/libmangofork/platform_read.c
+++ b/libmangofork/platform_read.c
@@ -2,23 +2,25 @@
 
 #include "member.h"
 
-/* Starts of many instances at once are spread over this. */
+/* The first read is delayed by a random time below this, as many instances may start at once. */
 #define START_JITTER_US (500 * MF_US_PER_MS)
+/* The election is repeated at this interval, as instances fail and recover. */
 #define ELECTION_PERIOD_US MF_US_PER_S
-/* The readers change so often, so that no instance carries the cost for long. */
+/* Other readers are elected at this interval, so that no instance bears their load for long. */
 #define READER_TERM_MS (600 * UINT64_C (1000))
-/* A read that has not ended by then never will. */
+/* A read without a result after this time counts as failed. */
 #define READ_TIMEOUT_US (600 * MF_US_PER_S)
 #define RETRY_MIN_US MF_US_PER_S
 #define RETRY_MAX_US (60 * MF_US_PER_S)
 
+/* Returns a random time within a quarter of delay_us. */
 static uint64_t
 add_jitter (MfCore *core, uint64_t delay_us)
 {
   return delay_us * 3 / 4 + mf_core_random_below (core, delay_us / 2 + 1);
 }
 
-/* How long after a read the next one may begin. */
+/* Returns the time from the start of a read to the start of the next one. */
 static uint64_t
 read_interval_us (MfCore *core, const MfPlatformReads *reads)
 {
@@ -38,7 +40,7 @@
   reads->text.next_us = UINT64_MAX;
 }
 
-/* A read has been answered. */
+/* Handles the response to a read, and schedules the next one. */
 void
 mf_platform_reads_done (MfCore *core, MfPlatformReads *reads, MfPlatformRead *read, uint64_t index)
 {
@@ -50,6 +52,8 @@
   read->next_us = started_us + read_interval_us (core, reads);
 }
 
+/* Schedules the retry of a failed read, with exponential backoff. An instance that has a
+ * configuration and is not a reader waits for its usual interval instead. */
 static void
 read_failed (MfCore *core, MfPlatformReads *reads, MfPlatformRead *read)
 {
@@ -68,7 +72,7 @@
   read->next_us = core->board.now_us + add_jitter (core, retry_us);
 }
 
-/* Reads that failed are tried again, ever more seldom. */
+/* Handles failed reads. */
 void
 mf_platform_reads_lost (MfCore *core, MfPlatformReads *reads, const MfPlatformFailedEvent *failed)
 {
@@ -80,8 +84,8 @@
     read_failed (core, reads, &reads->list);
 }
 
-/* Elects the readers: the same few live instances of a data centre in everyone's eyes, others
- * after each turn. */
+/* Elects the readers of the data centre. All instances compute the same ranking of the live ones
+ * from the term, so that they agree on the readers. A new one reads within ELECTION_PERIOD_US. */
 static void
 elect_readers (MfCore *core, MfPlatformReads *reads)
 {
@@ -103,7 +107,7 @@
     reads->text.next_us = first_read_us;
 }
 
-/* Readers watch; others ask for what there is now. */
+/* Starts a read: blocking for a reader, of the current state for others. */
 static void
 read_start (MfCore *core, const MfPlatformReads *reads, MfPlatformRead *read, MfActionType type)
 {
--- a/libmangofork/server.c
+++ b/libmangofork/server.c
@@ -24,7 +24,7 @@
   MfHttpIn *http_in;
   MfHttpOut *http_out;
   MfPlatform *platform;
-  MfPeerLinks *links; /* NULL when no key is set */
+  MfPeerLinks *links; /* NULL when no key file is set */
   MfAdmin *admin;
   ev_signal terminate;
   ev_signal interrupt;
@@ -32,14 +32,15 @@
   ev_timer tick;
   ev_prepare tick_prepare;
   ev_prepare exit_prepare;
-  uint64_t tick_due_us;      /* when the armed tick is due */
-  bool core_done;            /* the core is done; callers may still be taking their answers */
-  uint64_t exit_deadline_us; /* when the process ends whatever is left */
-  uint64_t *failed_calls;    /* calls that could not start, to be reported after the step */
+  uint64_t tick_due_us;      /* time for which tick is armed; UINT64_MAX when it is not */
+  bool core_done;            /* the core has asked to exit; responses may still be unsent */
+  uint64_t exit_deadline_us; /* end of the drain, complete or not; 0 before a shutdown signal */
+  uint64_t *failed_calls;    /* ids of calls that could not be started */
   size_t n_failed_calls;
-  size_t failed_calls_max;
+  size_t failed_calls_max; /* allocated size of failed_calls */
 };
 
+/* Sets the clocks of an event and passes it to the core. */
 static void
 core_step (MfServer *server, MfEvent *event)
 {
@@ -48,7 +49,8 @@
   mf_core_step (server->core, event);
 }
 
-/* Gives the core an event, and then the failures that its actions met at once. */
+/* Passes an event to the core, and then an MF_EVENT_CALL_FAILED for each call that could not be
+ * started. These wait for the end of the step: the core must not be called from its own actions. */
 static void
 server_step (MfServer *server, const MfEvent *event)
 {
@@ -71,7 +73,7 @@
   server_step (data, event);
 }
 
-/* Remembers a call that could not start, until the core may be stepped again. */
+/* Records a call that could not be started. server_step reports it to the core. */
 static void
 call_queue_failure (MfServer *server, uint64_t call_id)
 {
@@ -88,6 +90,7 @@
   server->failed_calls[server->n_failed_calls++] = call_id;
 }
 
+/* Starts a call to an upstream. A call that needs the caller's request fails when it is gone. */
 static void
 call_start (MfServer *server, const MfCallAction *call)
 {
@@ -158,7 +161,7 @@
       if (server->links != NULL)
         peer_action_run (server, action);
       break;
-    case MF_ACTION_READY: /* the core keeps it on the board */
+    case MF_ACTION_READY: /* readiness is read from the board */
     case MF_ACTION_COUNT:
       break;
     }
@@ -200,8 +203,8 @@
   server_step (server, &event);
 }
 
-/* Ends the loop once the core is done and every caller has taken the last byte of its answer, or
- * the time for shutting down is over. */
+/* Ends the loop once the core has asked to exit and every response has been sent completely, or the
+ * drain limit is reached. */
 static void
 on_prepare_exit (struct ev_loop *loop, ev_prepare *watcher, int events)
 {
@@ -214,7 +217,7 @@
     ev_break (loop, EVBREAK_ALL);
 }
 
-/* Before the loop waits, the tick is set to when the core next wants it. */
+/* Arms the tick for the time at which the core next needs one, each time before the loop waits. */
 static void
 on_prepare_tick (struct ev_loop *loop, ev_prepare *watcher, int events)
 {
@@ -235,6 +238,7 @@
   ev_timer_start (loop, &server->tick);
 }
 
+/* Starts the drain. The limit counts from the first signal. */
 static void
 on_shutdown_signal (struct ev_loop *loop, ev_signal *watcher, int events)
 {
@@ -248,7 +252,8 @@
   server_step (server, &event);
 }
 
-/* Reads the key files again, so that keys are changed without a restart. */
+/* Reloads the key files, so that keys can be changed without a restart. Unreadable files leave the
+ * keys unchanged. */
 static void
 on_reload_signal (struct ev_loop *loop, ev_signal *watcher, int events)
 {
@@ -272,7 +277,7 @@
   mf_logger_log (server->logger, &log);
 }
 
-/* Counters that the adapters keep are shown with the core's own. */
+/* Copies the counters of the peer links to those of the core, with which they are published. */
 static void
 counters_refresh (void *data)
 {
@@ -352,7 +357,7 @@
   return server->platform != NULL;
 }
 
-/* Without a key file there are no links, and this instance stands alone. */
+/* Opens the peer listener. Without a key file there are no links to other instances. */
 static bool
 peers_open (MfServer *server, MfError *error)
 {
@@ -366,7 +371,7 @@
     .subject = "peer",
     .name = settings->options.self.name,
     .to = "alone",
-    .reason = "no key file is set, so there are no links",
+    .reason = "no peers.key_file is set: no links to other instances",
   };
 
   if (settings->peer_key_file[0] == '\0')
@@ -410,7 +415,8 @@
   return server->core != NULL;
 }
 
-/* Connections of callers and to upstreams may be many more than the usual soft limit. */
+/* Raises the soft limit of open files to the hard limit: there may be more connections of callers
+ * and to upstreams than the usual soft limit allows. */
 static void
 descriptor_limit_raise (void)
 {
@@ -422,6 +428,7 @@
   setrlimit (RLIMIT_NOFILE, &limit);
 }
 
+/* Opens every address of the settings and sets the incarnation. Returns NULL with error set. */
 MfServer *
 mf_server_new (const MfSettings *settings, MfError *error)
 {
@@ -442,7 +449,7 @@
       || !http_out_open (server, error) || !peers_open (server, error)
       || !admin_open (server, error) || !http_in_open (server, error))
     {
-      mf_error_set (error, MF_CODE_INTERNAL, "the event loop could not be made");
+      mf_error_set (error, MF_CODE_INTERNAL, "cannot create the event loop");
       mf_server_free (server);
       return NULL;
     }
@@ -450,6 +457,7 @@
   return server;
 }
 
+/* Runs until SIGTERM or SIGINT has been received and the drain is over. */
 void
 mf_server_run (MfServer *server)
 {
@@ -459,6 +467,7 @@
   ev_run (server->loop, 0);
 }
 
+/* Accepts NULL. */
 void
 mf_server_free (MfServer *server)
 {
--- a/libmangofork/settings.c
+++ b/libmangofork/settings.c
@@ -81,7 +81,7 @@
 };
 static const MfFieldTable settings_table = { settings_fields, MF_ARRAY_LEN (settings_fields) };
 
-/* Fills settings with the documented defaults. */
+/* Sets the documented defaults. */
 static void
 settings_default (MfSettings *settings)
 {
@@ -112,6 +112,8 @@
   return false;
 }
 
+/* Parses and checks the settings. Reports every fault to on_fault and returns false when there is
+ * any. */
 bool
 mf_settings_parse (const char *text, size_t text_bytes, MfSettings *settings, MfFaultFunc on_fault,
                    void *data)
--- a/libmangofork/socket.c
+++ b/libmangofork/socket.c
@@ -10,7 +10,7 @@
 
 #define LISTEN_BACKLOG 1024
 
-/* Splits an address at its last colon and drops the brackets of an IPv6 host. */
+/* Splits an address at its last colon and removes the brackets of an IPv6 host. */
 static bool
 address_split (const char *address, char host[MF_ADDRESS_BYTES], uint16_t *port)
 {
@@ -38,6 +38,7 @@
   return true;
 }
 
+/* Parses "10.0.0.1:80" or "[::1]:80". Only numeric addresses are accepted; no name is resolved. */
 bool
 mf_socket_parse (const char *address, struct sockaddr_storage *parsed, socklen_t *parsed_bytes,
                  MfError *error)
@@ -77,10 +78,12 @@
     return -1;
   fd = socket (parsed->ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, IPPROTO_TCP);
   if (fd < 0)
-    mf_error_set (error, MF_CODE_LISTEN, "no socket for %s: %s", address, strerror (errno));
+    mf_error_set (error, MF_CODE_LISTEN, "cannot create a socket for %s: %s", address,
+                  strerror (errno));
   return fd;
 }
 
+/* Returns a listening, non-blocking socket, or -1 with error set. */
 int
 mf_socket_listen (const char *address, MfError *error)
 {
@@ -99,6 +102,7 @@
   return -1;
 }
 
+/* Starts to connect. Returns a non-blocking socket, or -1 with error set. */
 int
 mf_socket_connect (const char *address, MfError *error)
 {
@@ -117,6 +121,7 @@
   return -1;
 }
 
+/* Returns the port that a socket is bound to; 0 when it is not bound. */
 uint16_t
 mf_socket_port (int fd)
 {
--- a/tests/fuzz/frame.c
+++ b/tests/fuzz/frame.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What decodes is encoded to bytes that decode to the same bytes again. */
+/* A payload that decodes is encoded to bytes that survive another round trip unchanged. */
 int
 fuzz_frame (const uint8_t *data, size_t n_bytes)
 {
--- a/tests/fuzz/fuzz.h
+++ b/tests/fuzz/fuzz.h
@@ -4,7 +4,8 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Each takes any bytes and aborts when a promise about them is broken. */
+/* Fuzz targets: each takes arbitrary bytes, and aborts when a property of the decoder does not
+ * hold. */
 int fuzz_frame (const uint8_t *data, size_t n_bytes);
 int fuzz_text (const uint8_t *data, size_t n_bytes);
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t n_bytes);
--- a/tests/fuzz/text.c
+++ b/tests/fuzz/text.c
@@ -13,7 +13,7 @@
   ++*n_faults;
 }
 
-/* A text is either sound or has a fault that is told. */
+/* A text is either accepted, or refused with at least one reported fault. */
 int
 fuzz_text (const uint8_t *data, size_t n_bytes)
 {
--- a/tests/test_frame.c
+++ b/tests/test_frame.c
@@ -82,7 +82,8 @@
     .list = { .index = 10, .listed = listed, .n_listed = MF_ARRAY_LEN (listed) } },
 };
 
-/* Decodes from a heap block of exactly the payload's size, so that a read past it is seen. */
+/* Decodes a copy on the heap of exactly the payload's size, so that AddressSanitizer detects reads
+ * past its end. */
 static bool
 decode (const uint8_t *payload, size_t n_bytes, MfFrame *frame)
 {
@@ -107,7 +108,7 @@
   return bytes;
 }
 
-/* Encoding is a function of the content, so equal bytes mean that nothing was lost. */
+/* Encoding is deterministic: equal bytes mean that decoding lost nothing. */
 static void
 test_every_message_round_trips (void **state)
 {
@@ -164,7 +165,7 @@
     }
 }
 
-/* Any result is right as long as nothing is read or written out of place. */
+/* A damaged frame may or may not decode, but memory must not be accessed out of bounds. */
 static void
 test_bit_flips_are_survived (void **state)
 {
@@ -192,7 +193,7 @@
 static void
 test_unknown_fields_are_skipped (void **state)
 {
-  /* {0: 2, 1: CONFIG_ASK, 2: {0: 7, 99: ["new"]}, "x": nil}: of a later version */
+  /* of a later version: {0: 2, 1: MF_PEER_CONFIG_REQUEST, 2: {0: 7, 99: ["new"]}, "x": nil} */
   static const uint8_t later[]
       = { 0x84, 0,    2,   1,   MF_PEER_CONFIG_REQUEST, 2, 0x82, 0, 7, 99, 0x91, 0xa3, 'n', 'e',
           'w',  0xa1, 'x', 0xc0 };
@@ -208,7 +209,7 @@
   assert_int_equal (error.code, MF_CODE_PEER_VERSION);
 }
 
-/* Found by the fuzz target: a number where a truth value is due was read as one. */
+/* Guards against a number being decoded as the value of a boolean field. Found by fuzzing. */
 static void
 test_values_of_a_wrong_type_are_refused (void **state)
 {
@@ -221,6 +222,7 @@
   assert_false (decode (number_is_bool, sizeof number_is_bool, &frame));
 }
 
+/* msgpack-c would allocate memory for the announced number of items. */
 static void
 test_oversized_counts_and_deep_nesting_are_refused (void **state)
 {
--- a/tests/test_fuzz.c
+++ b/tests/test_fuzz.c
@@ -10,7 +10,7 @@
 
 #include <cmocka.h>
 
-/* A short run of the fuzz targets from a fixed seed; scripts/fuzz runs them for longer. */
+/* A short run of the fuzz targets with a fixed seed. scripts/fuzz runs them for longer. */
 #define ROUNDS 3000
 #define SEED 11
 
@@ -23,7 +23,7 @@
   return *random >> 33;
 }
 
-/* Changes, doubles or cuts out a few bytes. */
+/* Applies up to three random changes: replaces or flips a byte, removes or duplicates a range. */
 static size_t
 mutate (uint8_t *data, size_t n_bytes, size_t n_bytes_max, uint64_t *random)
 {
--- a/tests/test_peer_link.c
+++ b/tests/test_peer_link.c
@@ -20,7 +20,7 @@
 #define KEY_OLD 2
 #define LENGTH_BYTES 4
 
-/* One instance, as far as its links go. */
+/* The peer links of one instance, and the events that it got. */
 typedef struct
 {
   MfPeerLinks *links;
@@ -271,7 +271,7 @@
   loop_send (fd, payload, payload_bytes);
 }
 
-/* Reads one frame and returns the bytes of its payload. */
+/* Reads one frame and returns the size of its payload; 0 when the connection is closed. */
 static size_t
 frame_read (Fixture *fixture, int fd, uint8_t *payload, size_t max)
 {
@@ -298,7 +298,7 @@
   return length;
 }
 
-/* Goes through the handshake with b by hand and returns the socket; keeps both payloads sent. */
+/* Performs the handshake with b as the initiator. Returns the socket and both payloads sent. */
 static int
 handshake_manually (Fixture *fixture, MfPeerAuth *auth, MfBuffer *hello, MfBuffer *proof)
 {
@@ -339,7 +339,7 @@
   close (again);
 }
 
-/* Seals a payload as the peer would and sends it, with one bit turned over when asked. */
+/* Encrypts and sends a payload; with damage, one bit of the ciphertext is flipped. */
 static void
 encrypt_and_send (int fd, MfPeerAuth *auth, const void *payload, size_t payload_bytes, bool damage)
 {
@@ -425,7 +425,7 @@
   mf_buffer_clear (&answer);
 }
 
-/* Every byte of the answer is covered by the proof: turning any over is noticed. */
+/* The proof covers every byte of the response. */
 static void
 test_any_change_to_the_answer_is_noticed (void **state)
 {
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -106,7 +106,7 @@
   (void)events;
 }
 
-/* Runs the loop until so many events have come; the timer only keeps it turning. */
+/* Runs the loop until there have been n_events in all. The timer limits how long ev_run blocks. */
 static void
 run_until (Fixture *fixture, uint32_t n_events)
 {
@@ -195,7 +195,7 @@
   assert_true (fixture->listed[1].leaving);
 }
 
-/* What the platform serves after a revert shows its lower revision: the core refuses it. */
+/* The event after a revert has the lower revision, by which the core refuses the text. */
 static void
 test_reverted_text_shows_its_lower_revision (void **state)
 {
@@ -230,15 +230,15 @@
 {
   Fixture *fixture = *state;
 
-  assert_text_read_fails (fixture, 1); /* no such key */
+  assert_text_read_fails (fixture, 1); /* the key does not exist */
   fake_platform_set_text (fixture->fake, "one");
   fake_platform_fault (fixture->fake, "garbled", 1);
   assert_text_read_fails (fixture, 2);
   fake_platform_fault (fixture->fake, "garbled", 0);
   assert_int_equal (truncate (fixture->settings.platform_token_file, 3), 0);
-  assert_text_read_fails (fixture, 3); /* a wrong token */
+  assert_text_read_fails (fixture, 3); /* wrong token */
   unlink (fixture->settings.platform_token_file);
-  assert_text_read_fails (fixture, 4);
+  assert_text_read_fails (fixture, 4); /* no token file: no request is sent */
   fixture->settings.platform_token_file[0] = '\0';
   fake_platform_fault (fixture->fake, "down", 0);
   assert_text_read_fails (fixture, 5);
