--- a/libmangofork/platform_read.c
+++ b/libmangofork/platform_read.c
@@ -24,13 +24,13 @@
 static uint64_t
 read_interval_us (MfCore *core, const MfPlatformReads *reads)
 {
-  uint64_t spread_us = (mf_member_count (core) + 1) * MF_READ_SPREAD_US;
+  uint64_t interval_us = (mf_member_count (core) + 1) * MF_READ_SPREAD_US;
 
   if (reads->is_reader)
     return core->board.options.platform_period_us;
-  if (spread_us < MF_READ_SPREAD_MIN_US)
-    spread_us = MF_READ_SPREAD_MIN_US;
-  return add_jitter (core, spread_us);
+  if (interval_us < MF_READ_SPREAD_MIN_US)
+    interval_us = MF_READ_SPREAD_MIN_US;
+  return add_jitter (core, interval_us);
 }
 
 void
@@ -59,7 +59,7 @@
 {
   uint32_t doublings = read->n_failures < 6 ? read->n_failures : 6;
   uint64_t retry_us = RETRY_MIN_US << doublings;
-  uint64_t spread_us = (mf_member_count (core) + 1) * MF_READ_SPREAD_US;
+  uint64_t interval_us = (mf_member_count (core) + 1) * MF_READ_SPREAD_US;
 
   if (!read->reading)
     return;
@@ -68,7 +68,7 @@
   if (retry_us > RETRY_MAX_US)
     retry_us = RETRY_MAX_US;
   if (!reads->is_reader && core->board.config != NULL)
-    retry_us = spread_us;
+    retry_us = interval_us;
   read->next_us = core->board.now_us + add_jitter (core, retry_us);
 }
 
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -25,7 +25,7 @@
   return n_faults;
 }
 
-#define NEEDED                                                                                     \
+#define REQUIRED_SETTINGS                                                                          \
   "\"name\": \"e1\", \"data_centre\": \"a\", \"listen\": \"127.0.0.1:1\", "                        \
   "\"admin\": \"127.0.0.1:2\", \"peer\": \"[::1]:3\", \"platform\": { \"address\": "               \
   "\"127.0.0.1:4\" }"
@@ -36,7 +36,7 @@
   MfSettings settings;
 
   (void)state;
-  assert_int_equal (faults_of ("{ " NEEDED " }", &settings), 0);
+  assert_int_equal (faults_of ("{ " REQUIRED_SETTINGS " }", &settings), 0);
   assert_string_equal (settings.options.self.name, "e1");
   assert_string_equal (settings.options.address, "[::1]:3");
   assert_string_equal (settings.platform_text_key, "mangofork/text");
@@ -68,12 +68,16 @@
 
   (void)state;
   assert_int_equal (faults_of ("{}", &settings), 6);
-  assert_int_equal (
-      faults_of ("{ " NEEDED ", \"limits\": { \"body_bytes_max\": 1, \"x\": 2 } }", &settings), 2);
-  assert_int_equal (
-      faults_of ("{ " NEEDED ", \"drain\": { \"grace_ms\": 9, \"limit_ms\": 8 } }", &settings), 1);
-  assert_int_equal (faults_of ("{ " NEEDED ", \"log_level\": \"loud\" }", &settings), 1);
-  assert_int_equal (faults_of ("{ " NEEDED ", \"load_period_s\": 1 }", &settings), 1);
+  assert_int_equal (faults_of ("{ " REQUIRED_SETTINGS
+                               ", \"limits\": { \"body_bytes_max\": 1, \"x\": 2 } }",
+                               &settings),
+                    2);
+  assert_int_equal (faults_of ("{ " REQUIRED_SETTINGS
+                               ", \"drain\": { \"grace_ms\": 9, \"limit_ms\": 8 } }",
+                               &settings),
+                    1);
+  assert_int_equal (faults_of ("{ " REQUIRED_SETTINGS ", \"log_level\": \"loud\" }", &settings), 1);
+  assert_int_equal (faults_of ("{ " REQUIRED_SETTINGS ", \"load_period_s\": 1 }", &settings), 1);
 }
 
 int
