--- a/libmangofork/platform.c
+++ b/libmangofork/platform.c
@@ -12,11 +12,11 @@
 #include <string.h>
 #include <strings.h>
 
-/* Seconds a waiting read asks the platform to wait, and what is added for its answer. */
-#define WAIT_S 50
-#define ANSWER_S 10
+/* Longest time that a blocking read lets the platform wait, and time allowed for the response. */
+#define BLOCKING_WAIT_S 50
+#define ANSWER_TIMEOUT_S 10
 #define CONNECT_TIMEOUT_MS 3000
-/* A text of one megabyte is a third longer in base64. */
+/* Base64 makes a text of MF_TEXT_BYTES_MAX longer by a third. */
 #define ANSWER_BYTES_MAX (2 * (size_t)MF_TEXT_BYTES_MAX)
 #define PATH_BYTES 256
 #define TOKEN_BYTES 256
@@ -29,27 +29,27 @@
   READ_COUNT,
 } ReadKind;
 
-/* One read; there is at most one of each kind. */
+/* One read. There is at most one of each kind at a time. */
 typedef struct
 {
   MfPlatform *platform;
   ReadKind kind;
-  CURL *easy; /* NULL when none is under way */
+  CURL *easy; /* NULL when no read is in progress */
   struct curl_slist *headers;
   MfBuffer body;
-  uint64_t index; /* of the answer */
-  bool failed;    /* it could not even be started */
+  uint64_t index;    /* of the response */
+  bool start_failed; /* to be reported from the event loop */
 } Read;
 
 struct MfPlatform
 {
   const MfSettings *settings;
-  const MfPlatformTable *table;
+  const MfPlatformBackend *backend;
   void (*on_event) (const MfEvent *event, void *data);
   void *data;
   MfMulti *multi;
   Read reads[READ_COUNT];
-  uint64_t n_calls;
+  uint64_t n_reads;
 };
 
 static void
@@ -61,7 +61,7 @@
 }
 
 static void
-emit_lost (MfPlatform *platform, ReadKind kind)
+emit_failed (MfPlatform *platform, ReadKind kind)
 {
   MfEvent event = {
     .type = MF_EVENT_PLATFORM_FAILED,
@@ -84,7 +84,7 @@
   read->easy = NULL;
   read->headers = NULL;
   read->index = 0;
-  read->failed = false;
+  read->start_failed = false;
 }
 
 static size_t
@@ -105,17 +105,18 @@
 }
 
 static size_t
-on_body (char *data, size_t size, size_t n, void *user)
+on_body (char *data, size_t size, size_t n, void *userdata)
 {
-  Read *read = user;
+  Read *read = userdata;
 
   mf_buffer_add (&read->body, data, size * n);
   return read->body.failed || mf_buffer_bytes (&read->body) > ANSWER_BYTES_MAX ? 0 : size * n;
 }
 
-/* Reads the token anew for each call, so that it can be changed without a restart. */
+/* Adds the header with the access token. The token file is read for each request, so that it can be
+ * changed without a restart. */
 static bool
-add_token (Read *read)
+token_header_add (Read *read)
 {
   const char *path = read->platform->settings->platform_token_file;
   char header[TOKEN_BYTES + 32] = "X-Consul-Token: ";
@@ -135,25 +136,26 @@
 }
 
 static bool
-read_begin (Read *read, uint64_t index)
+read_submit (Read *read, uint64_t index)
 {
   const MfPlatform *platform = read->platform;
-  const MfPlatformTable *table = platform->table;
+  const MfPlatformBackend *backend = platform->backend;
   char path[PATH_BYTES];
   char url[PATH_BYTES + MF_ADDRESS_BYTES + 8];
   bool ok = read->kind == READ_TEXT
-                ? table->text_path (platform->settings, index, path, PATH_BYTES)
-                : table->list_path (platform->settings, index, path, PATH_BYTES);
+                ? backend->text_path (platform->settings, index, path, PATH_BYTES)
+                : backend->list_path (platform->settings, index, path, PATH_BYTES);
 
   read->easy = curl_easy_init ();
-  if (!ok || read->easy == NULL || !add_token (read))
+  if (!ok || read->easy == NULL || !token_header_add (read))
     return false;
   snprintf (url, sizeof url, "http://%s%s", platform->settings->platform, path);
   mf_multi_set_common (read->easy);
   curl_easy_setopt (read->easy, CURLOPT_URL, url);
   curl_easy_setopt (read->easy, CURLOPT_HTTPHEADER, read->headers);
   curl_easy_setopt (read->easy, CURLOPT_CONNECTTIMEOUT_MS, (long)CONNECT_TIMEOUT_MS);
-  curl_easy_setopt (read->easy, CURLOPT_TIMEOUT, (long)(index == 0 ? ANSWER_S : WAIT_S + ANSWER_S));
+  curl_easy_setopt (read->easy, CURLOPT_TIMEOUT,
+                    (long)(index == 0 ? ANSWER_TIMEOUT_S : BLOCKING_WAIT_S + ANSWER_TIMEOUT_S));
   curl_easy_setopt (read->easy, CURLOPT_HEADERFUNCTION, on_header);
   curl_easy_setopt (read->easy, CURLOPT_HEADERDATA, read);
   curl_easy_setopt (read->easy, CURLOPT_WRITEFUNCTION, on_body);
@@ -162,23 +164,24 @@
   return mf_multi_add (platform->multi, read->easy);
 }
 
+/* Starts a read. A failure is reported later, from the event loop. */
 static void
 read_start (MfPlatform *platform, ReadKind kind, uint64_t index)
 {
   Read *read = &platform->reads[kind];
 
   read_stop (read);
-  platform->n_calls++;
-  if (read_begin (read, index))
+  platform->n_reads++;
+  if (read_submit (read, index))
     return;
   read_stop (read);
-  read->failed = true;
+  read->start_failed = true;
   mf_multi_schedule_deferred (platform->multi);
 }
 
-/* Parses a whole answer and hands it on. Returns false when it makes no sense. */
+/* Parses a complete response and emits its event. Returns false when it is malformed. */
 static bool
-deliver (Read *read)
+answer_deliver (Read *read)
 {
   MfPlatform *platform = read->platform;
   const char *body = mf_buffer_data (&read->body);
@@ -190,9 +193,11 @@
   bool ok;
 
   if (read->kind == READ_TEXT)
-    ok = platform->table->parse_text (body, body_bytes, read->index, &event.text, &memory, &error);
+    ok = platform->backend->parse_text (body, body_bytes, read->index, &event.text, &memory,
+                                        &error);
   else
-    ok = platform->table->parse_list (body, body_bytes, read->index, &event.list, &memory, &error);
+    ok = platform->backend->parse_list (body, body_bytes, read->index, &event.list, &memory,
+                                        &error);
   read_stop (read);
   if (ok)
     emit (platform, &event);
@@ -211,12 +216,13 @@
   curl_easy_getinfo (easy, CURLINFO_PRIVATE, (char **)&read);
   curl_easy_getinfo (easy, CURLINFO_RESPONSE_CODE, &status);
   kind = read->kind;
-  if (result == CURLE_OK && status == 200 && deliver (read))
+  if (result == CURLE_OK && status == 200 && answer_deliver (read))
     return;
   read_stop (read);
-  emit_lost (platform, kind);
+  emit_failed (platform, kind);
 }
 
+/* Reports the reads that could not be started. */
 static void
 on_deferred (void *data)
 {
@@ -224,13 +230,15 @@
 
   for (ReadKind kind = 0; kind < READ_COUNT; kind++)
     {
-      if (!platform->reads[kind].failed)
+      if (!platform->reads[kind].start_failed)
         continue;
-      platform->reads[kind].failed = false;
-      emit_lost (platform, kind);
+      platform->reads[kind].start_failed = false;
+      emit_failed (platform, kind);
     }
 }
 
+/* Returns NULL with error set. on_event gets MF_EVENT_PLATFORM_TEXT, MF_EVENT_PLATFORM_LIST and
+ * MF_EVENT_PLATFORM_FAILED, never from within a function of this module. settings is borrowed. */
 MfPlatform *
 mf_platform_new (struct ev_loop *loop, const MfSettings *settings,
                  void (*on_event) (const MfEvent *event, void *data), void *data, MfError *error)
@@ -240,11 +248,11 @@
 
   if (platform == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the platform's reader");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the platform client");
       return NULL;
     }
   platform->settings = settings;
-  platform->table = &mf_platform_consul;
+  platform->backend = &mf_platform_consul;
   platform->on_event = on_event;
   platform->data = data;
   platform->multi = mf_multi_new (loop, &hooks, platform, error);
@@ -270,22 +278,25 @@
   free (platform);
 }
 
+/* Starts a read of the operators' text and cancels one that is in progress. */
 void
 mf_platform_read_text (MfPlatform *platform, uint64_t index)
 {
   read_start (platform, READ_TEXT, index);
 }
 
+/* Starts a read of the list of instances and cancels one that is in progress. */
 void
 mf_platform_read_list (MfPlatform *platform, uint64_t index)
 {
   read_start (platform, READ_LIST, index);
 }
 
+/* Returns the number of reads started so far. A blocking read counts once. */
 uint64_t
-mf_platform_calls (const MfPlatform *platform)
+mf_platform_n_reads (const MfPlatform *platform)
 {
-  return platform->n_calls;
+  return platform->n_reads;
 }
 
 static bool
@@ -296,7 +307,8 @@
   if (index == 0)
     n = snprintf (path, path_bytes, "%s%s", base, name);
   else
-    n = snprintf (path, path_bytes, "%s%s?index=%" PRIu64 "&wait=%ds", base, name, index, WAIT_S);
+    n = snprintf (path, path_bytes, "%s%s?index=%" PRIu64 "&wait=%ds", base, name, index,
+                  BLOCKING_WAIT_S);
   return n > 0 && (size_t)n < path_bytes;
 }
 
@@ -312,7 +324,7 @@
   return consul_path ("/v1/health/service/", settings->platform_service, index, path, path_bytes);
 }
 
-/* Parses a JSON array. Returns NULL with error set when the body is anything else. */
+/* Parses a JSON array. Returns NULL with error set when the body is not one. */
 static json_object *
 parse_array (const char *body, size_t body_bytes, MfError *error)
 {
@@ -325,7 +337,7 @@
   if (json_object_is_type (array, json_type_array))
     return array;
   json_object_put (array);
-  mf_error_set (error, MF_CODE_PLATFORM_DOWN, "the platform's answer is not a JSON array");
+  mf_error_set (error, MF_CODE_PLATFORM_DOWN, "the platform's response is not a JSON array");
   return NULL;
 }
 
@@ -337,7 +349,7 @@
   return json_object_is_type (value, json_type_string) ? json_object_get_string (value) : "";
 }
 
-/* A key's value is base64, and ModifyIndex rises each time it is written. */
+/* The value of a key is in base64. ModifyIndex increases with each write and is the revision. */
 static bool
 consul_parse_text (const char *body, size_t body_bytes, uint64_t index, MfPlatformTextEvent *text,
                    void **memory, MfError *error)
@@ -357,7 +369,8 @@
                              sodium_base64_VARIANT_ORIGINAL)
               == 0;
   if (!ok)
-    mf_error_set (error, MF_CODE_PLATFORM_DOWN, "the platform's answer holds no value");
+    mf_error_set (error, MF_CODE_PLATFORM_DOWN,
+                  "the platform's response has no valid Value and ModifyIndex");
   text->text = *memory;
   text->text_bytes = n;
   json_object_put (rows);
@@ -381,7 +394,7 @@
 }
 
 static bool
-read_listed (json_object *row, MfListedInstance *listed)
+parse_listed (json_object *row, MfListedInstance *listed)
 {
   json_object *service = json_object_object_get (row, "Service");
   json_object *meta = json_object_object_get (service, "Meta");
@@ -398,7 +411,7 @@
          && listed->name[0] != '\0';
 }
 
-/* Rows that make no sense are left out. */
+/* Rows without a valid name, address or data centre are skipped. */
 static bool
 consul_parse_list (const char *body, size_t body_bytes, uint64_t index, MfPlatformListEvent *list,
                    void **memory, MfError *error)
@@ -411,14 +424,14 @@
   *list = (MfPlatformListEvent){ .index = index, .listed = listed };
   for (size_t i = 0; listed != NULL && i < n_rows; i++)
     {
-      if (read_listed (json_object_array_get_idx (rows, i), &listed[list->n_listed]))
+      if (parse_listed (json_object_array_get_idx (rows, i), &listed[list->n_listed]))
         list->n_listed++;
     }
   json_object_put (rows);
   return rows != NULL && listed != NULL;
 }
 
-const MfPlatformTable mf_platform_consul = {
+const MfPlatformBackend mf_platform_consul = {
   .name = "consul",
   .text_path = consul_text_path,
   .list_path = consul_list_path,
