--- a/libmangofork/admin.c
+++ b/libmangofork/admin.c
@@ -22,7 +22,7 @@
 };
 
 /* Writes the body of a page and returns its status. rest is what follows the page's path. */
-typedef unsigned (*PageFunc) (const MfCore *core, const char *rest, MfBuffer *body);
+typedef unsigned (*PageFunc) (const MfCore *core, const char *argument, MfBuffer *body);
 
 typedef struct
 {
@@ -32,54 +32,54 @@
 } Page;
 
 static unsigned
-status_of (bool rendered)
+render_status (bool rendered)
 {
   return rendered ? MHD_HTTP_OK : MHD_HTTP_INTERNAL_SERVER_ERROR;
 }
 
 static unsigned
-write_metrics (const MfCore *core, const char *rest, MfBuffer *body)
+write_metrics (const MfCore *core, const char *argument, MfBuffer *body)
 {
-  (void)rest;
-  return status_of (mf_metrics_render (core, body));
+  (void)argument;
+  return render_status (mf_metrics_render (core, body));
 }
 
 static unsigned
-write_status (const MfCore *core, const char *rest, MfBuffer *body)
+write_status (const MfCore *core, const char *argument, MfBuffer *body)
 {
-  (void)rest;
-  return status_of (mf_status_render (core, body));
+  (void)argument;
+  return render_status (mf_status_render (core, body));
 }
 
 static unsigned
-write_report (const MfCore *core, const char *rest, MfBuffer *body)
+write_report (const MfCore *core, const char *argument, MfBuffer *body)
 {
-  (void)rest;
-  return status_of (mf_report_render (core, body));
+  (void)argument;
+  return render_status (mf_report_render (core, body));
 }
 
 static unsigned
-write_explain (const MfCore *core, const char *rest, MfBuffer *body)
+write_explain (const MfCore *core, const char *argument, MfBuffer *body)
 {
-  if (mf_explain_render (core, rest, body))
+  if (mf_explain_render (core, argument, body))
     return MHD_HTTP_OK;
   mf_buffer_add_text (body, "{\"error\":\"nothing is remembered of this request\"}");
   return MHD_HTTP_NOT_FOUND;
 }
 
 static unsigned
-write_health (const MfCore *core, const char *rest, MfBuffer *body)
+write_health (const MfCore *core, const char *argument, MfBuffer *body)
 {
   (void)core;
-  (void)rest;
+  (void)argument;
   mf_buffer_add_text (body, "ok\n");
   return MHD_HTTP_OK;
 }
 
 static unsigned
-write_readiness (const MfCore *core, const char *rest, MfBuffer *body)
+write_readiness (const MfCore *core, const char *argument, MfBuffer *body)
 {
-  (void)rest;
+  (void)argument;
   mf_buffer_add_text (body, core->board.ready ? "ready\n" : "not ready\n");
   return core->board.ready ? MHD_HTTP_OK : MHD_HTTP_SERVICE_UNAVAILABLE;
 }
@@ -109,8 +109,8 @@
 }
 
 static enum MHD_Result
-answer (struct MHD_Connection *connection, unsigned status, const char *content_type,
-        const MfBuffer *body)
+queue_response (struct MHD_Connection *connection, unsigned status, const char *content_type,
+                const MfBuffer *body)
 {
   struct MHD_Response *response = MHD_create_response_from_buffer (
       mf_buffer_bytes (body), (void *)mf_buffer_data (body), MHD_RESPMEM_MUST_COPY);
@@ -142,12 +142,12 @@
   if (strcmp (method, "GET") != 0 && strcmp (method, "HEAD") != 0)
     {
       mf_buffer_add_text (&body, "only GET is offered here\n");
-      result = answer (connection, MHD_HTTP_METHOD_NOT_ALLOWED, "text/plain", &body);
+      result = queue_response (connection, MHD_HTTP_METHOD_NOT_ALLOWED, "text/plain", &body);
     }
   else if (page == NULL)
     {
       mf_buffer_add_text (&body, "no such page\n");
-      result = answer (connection, MHD_HTTP_NOT_FOUND, "text/plain", &body);
+      result = queue_response (connection, MHD_HTTP_NOT_FOUND, "text/plain", &body);
     }
   else
     {
@@ -156,7 +156,7 @@
       if (admin->options.on_refresh != NULL)
         admin->options.on_refresh (admin->options.data);
       status = page->write (admin->core, url + strlen (page->path), &body);
-      result = answer (connection, status, page->content_type, &body);
+      result = queue_response (connection, status, page->content_type, &body);
     }
   mf_buffer_clear (&body);
   return result;
--- a/libmangofork/burn.c
+++ b/libmangofork/burn.c
@@ -10,20 +10,20 @@
 #include <xxhash.h>
 
 #define US_PER_MINUTE (60 * MF_US_PER_S)
-#define RINGS 4
-#define RING_SLOTS 13
+#define N_RINGS 4
+#define RING_BUCKETS 13
 /* Rows one instance keeps: customers, with room for services. Further ones are not counted. */
 #define ROWS_MAX 4096
 #define PEERS_MAX 128
 /* Rows of peers whose last counts are remembered. */
 #define BASELINES_MAX 65536
-#define PEER_LIFE_US (UINT64_C (24) * 60 * US_PER_MINUTE)
+#define PEER_MAX_AGE_US (UINT64_C (24) * 60 * US_PER_MINUTE)
 /* Unchanged rows sent again with each digest, in turn. */
-#define REPEATS 2
+#define ROWS_RESENT_PER_DIGEST 2
 #define PACK_VERSION 1
-#define ROW_NUMBERS (3 * MF_SLI_COUNT + 3)
-#define ROW_HEAD 3 /* kind, hash of the name, age */
-#define ROW_FIELDS (ROW_HEAD + ROW_NUMBERS)
+#define ROW_N_COUNTS (3 * MF_SLI_COUNT + 3)
+#define ROW_N_HEADER_FIELDS 3 /* kind, hash of the name, age */
+#define ROW_N_FIELDS (ROW_N_HEADER_FIELDS + ROW_N_COUNTS)
 
 typedef struct
 {
@@ -38,8 +38,8 @@
 
 typedef struct
 {
-  Bucket buckets[RINGS][RING_SLOTS];
-} Windows;
+  Bucket buckets[N_RINGS][RING_BUCKETS];
+} WindowCounts;
 
 typedef struct
 {
@@ -49,8 +49,8 @@
   MfBurnCounts counts; /* since the start */
   uint64_t first_us;   /* own first request counted; 0 for none */
   bool changed;        /* since it was last packed */
-  Windows own;
-  Windows *peers; /* NULL until a peer has told of it */
+  WindowCounts own_windows;
+  WindowCounts *peer_windows; /* NULL until a peer has told of it */
   UT_hash_handle hh;
 } Row;
 
@@ -69,15 +69,15 @@
   uint32_t n_rows;
   Row *table;
   uint32_t next_changed; /* where packing goes on */
-  uint32_t next_repeat;
+  uint32_t next_resent;
   Baseline *baselines;
   MfBurnPeer peers[PEERS_MAX];
   uint32_t n_peers;
   uint64_t started_us;
-  uint64_t missed;
+  uint64_t n_rows_missed;
 };
 
-static const uint64_t ring_widths_us[RINGS]
+static const uint64_t ring_widths_us[N_RINGS]
     = { 30 * MF_US_PER_S, 5 * US_PER_MINUTE, 30 * US_PER_MINUTE, 120 * US_PER_MINUTE };
 
 /* The ring a window is summed from and its length in buckets. */
@@ -85,7 +85,7 @@
 {
   const char *name;
   uint32_t ring;
-  uint32_t n;
+  uint32_t n_buckets;
 } windows[MF_WINDOW_COUNT] = {
   [MF_WINDOW_5M] = { "5m", 0, 10 }, [MF_WINDOW_30M] = { "30m", 1, 6 },
   [MF_WINDOW_1H] = { "1h", 1, 12 }, [MF_WINDOW_2H] = { "2h", 2, 4 },
@@ -120,7 +120,7 @@
 uint64_t
 mf_window_us (MfWindow window)
 {
-  return windows[window].n * ring_widths_us[windows[window].ring];
+  return windows[window].n_buckets * ring_widths_us[windows[window].ring];
 }
 
 MfBurn *
@@ -152,7 +152,7 @@
   HASH_CLEAR (hh, burn->table);
   for (uint32_t i = 0; i < burn->n_rows; i++)
     {
-      free (burn->rows[i]->peers);
+      free (burn->rows[i]->peer_windows);
       free (burn->rows[i]);
     }
   free (burn);
@@ -178,14 +178,14 @@
 }
 
 static void
-row_index (MfBurn *burn, Row *row)
+row_table_add (MfBurn *burn, Row *row)
 {
   HASH_ADD (hh, burn->table, key, sizeof row->key, row);
 }
 
 /* Finds or makes a row; NULL when there is no room. */
 static Row *
-row_need (MfBurn *burn, MfBurnKind kind, uint64_t name_hash)
+row_find_or_add (MfBurn *burn, MfBurnKind kind, uint64_t name_hash)
 {
   Row *row = row_find (burn, kind, name_hash);
 
@@ -197,7 +197,7 @@
   row->key = pair_key (kind, name_hash);
   row->kind = kind;
   row->name_hash = name_hash;
-  row_index (burn, row);
+  row_table_add (burn, row);
   burn->rows[burn->n_rows++] = row;
   return row;
 }
@@ -233,28 +233,28 @@
 }
 
 static void
-windows_add (Windows *dst, const MfBurnCounts *counts, uint64_t now_us)
+window_counts_add (WindowCounts *dst, const MfBurnCounts *counts, uint64_t now_us)
 {
-  for (uint32_t ring = 0; ring < RINGS; ring++)
+  for (uint32_t ring = 0; ring < N_RINGS; ring++)
     {
       uint32_t epoch = (uint32_t)(now_us / ring_widths_us[ring]);
 
-      bucket_add (&dst->buckets[ring][epoch % RING_SLOTS], epoch, counts);
+      bucket_add (&dst->buckets[ring][epoch % RING_BUCKETS], epoch, counts);
     }
 }
 
 /* Sums the running bucket and the n before it. */
 static void
-windows_sum (const Windows *src, MfWindow window, uint64_t now_us, MfBurnCounts *counts)
+window_counts_sum (const WindowCounts *src, MfWindow window, uint64_t now_us, MfBurnCounts *counts)
 {
   uint32_t ring = windows[window].ring;
   uint32_t epoch = (uint32_t)(now_us / ring_widths_us[ring]);
 
-  for (uint32_t i = 0; i < RING_SLOTS; i++)
+  for (uint32_t i = 0; i < RING_BUCKETS; i++)
     {
       const Bucket *bucket = &src->buckets[ring][i];
 
-      if (bucket->epoch > epoch || epoch - bucket->epoch > windows[window].n)
+      if (bucket->epoch > epoch || epoch - bucket->epoch > windows[window].n_buckets)
         continue;
       for (uint32_t sli = 0; sli < MF_SLI_COUNT; sli++)
         {
@@ -270,7 +270,7 @@
 
 /* Whether the code says that the caller's own request was at fault. */
 static bool
-code_is_callers (MfCode code)
+code_is_caller_error (MfCode code)
 {
   return code >= MF_CODE_BAD_JSON && code < MF_CODE_QUEUE_FULL;
 }
@@ -293,7 +293,7 @@
 
   if (sample->departed)
     counts->departed++;
-  if (sample->departed || code_is_callers (sample->code))
+  if (sample->departed || code_is_caller_error (sample->code))
     return;
   refused = !answered && sample->refused && sample->outcome == MF_OUTCOME_NOT_RUN;
   count_sli (counts, MF_SLI_REFUSALS, refused, service->objective_availability_ppm);
@@ -312,20 +312,20 @@
 }
 
 static void
-row_note (MfBurn *burn, MfBurnKind kind, const char *name, const MfBurnCounts *counts,
-          uint64_t now_us)
+row_record (MfBurn *burn, MfBurnKind kind, const char *name, const MfBurnCounts *counts,
+            uint64_t now_us)
 {
-  Row *row = row_need (burn, kind, mf_hash_name (name));
+  Row *row = row_find_or_add (burn, kind, mf_hash_name (name));
 
   if (row == NULL)
     {
-      burn->missed++;
+      burn->n_rows_missed++;
       return;
     }
   if (row->first_us == 0)
     row->first_us = now_us;
   counts_add (&row->counts, counts);
-  windows_add (&row->own, counts, now_us);
+  window_counts_add (&row->own_windows, counts, now_us);
   row->changed = true;
 }
 
@@ -338,9 +338,9 @@
   if (config == NULL || sample->service >= config->n_services)
     return;
   sample_count (&config->services[sample->service], sample, &counts);
-  row_note (burn, MF_BURN_SERVICE, config->services[sample->service].name, &counts, now_us);
+  row_record (burn, MF_BURN_SERVICE, config->services[sample->service].name, &counts, now_us);
   if (sample->customer < config->n_customers)
-    row_note (burn, MF_BURN_CUSTOMER, config->customers[sample->customer].name, &counts, now_us);
+    row_record (burn, MF_BURN_CUSTOMER, config->customers[sample->customer].name, &counts, now_us);
 }
 
 bool
@@ -365,9 +365,9 @@
       *counts = row->counts;
       return;
     }
-  windows_sum (&row->own, window, now_us, counts);
-  if (with_peers && row->peers != NULL)
-    windows_sum (row->peers, window, now_us, counts);
+  window_counts_sum (&row->own_windows, window, now_us, counts);
+  if (with_peers && row->peer_windows != NULL)
+    window_counts_sum (row->peer_windows, window, now_us, counts);
 }
 
 double
@@ -391,7 +391,7 @@
 uint64_t
 mf_burn_missed (const MfBurn *burn)
 {
-  return burn->missed;
+  return burn->n_rows_missed;
 }
 
 uint64_t
@@ -402,7 +402,7 @@
 
 /* The numbers of a row in the order they are packed. */
 static void
-counts_to_array (const MfBurnCounts *counts, uint64_t array[ROW_NUMBERS])
+counts_to_array (const MfBurnCounts *counts, uint64_t array[ROW_N_COUNTS])
 {
   uint32_t n = 0;
 
@@ -418,7 +418,7 @@
 }
 
 static void
-counts_from_array (MfBurnCounts *counts, const uint64_t array[ROW_NUMBERS])
+counts_from_array (MfBurnCounts *counts, const uint64_t array[ROW_N_COUNTS])
 {
   uint32_t n = 0;
 
@@ -438,11 +438,11 @@
 pack_row (msgpack_sbuffer *packed, const Row *row, uint64_t now_us, size_t max_bytes)
 {
   size_t start = packed->size;
-  uint64_t numbers[ROW_NUMBERS];
+  uint64_t numbers[ROW_N_COUNTS];
   msgpack_packer packer;
 
   msgpack_packer_init (&packer, packed, msgpack_sbuffer_write);
-  msgpack_pack_array (&packer, ROW_FIELDS);
+  msgpack_pack_array (&packer, ROW_N_FIELDS);
   msgpack_pack_uint32 (&packer, row->kind);
   msgpack_pack_uint64 (&packer, row->name_hash);
   msgpack_pack_uint64 (&packer, now_us - row->first_us);
@@ -484,9 +484,9 @@
   msgpack_pack_uint32 (&packer, PACK_VERSION);
   n_bytes = packed.size;
   pack_changed (burn, &packed, now_us, max_bytes);
-  for (uint32_t i = 0; i < REPEATS && packed.size < max_bytes; i++)
+  for (uint32_t i = 0; i < ROWS_RESENT_PER_DIGEST && packed.size < max_bytes; i++)
     {
-      const Row *row = burn->rows[burn->next_repeat++ % burn->n_rows];
+      const Row *row = burn->rows[burn->next_resent++ % burn->n_rows];
 
       if (row->first_us != 0)
         pack_row (&packed, row, now_us, max_bytes);
@@ -499,7 +499,7 @@
 }
 
 static MfBurnPeer *
-peer_need (MfBurn *burn, const MfInstanceId *owner, uint64_t now_us)
+peer_find_or_add (MfBurn *burn, const MfInstanceId *id, uint64_t now_us)
 {
   MfBurnPeer *free_peer = NULL;
 
@@ -507,15 +507,15 @@
     {
       MfBurnPeer *peer = &burn->peers[i];
 
-      if (strcmp (peer->owner.name, owner->name) == 0)
+      if (strcmp (peer->owner.name, id->name) == 0)
         return peer;
-      if (now_us - peer->last_us > PEER_LIFE_US)
+      if (now_us - peer->last_us > PEER_MAX_AGE_US)
         free_peer = peer;
     }
   if (burn->n_peers < PEERS_MAX)
     free_peer = &burn->peers[burn->n_peers++];
   if (free_peer != NULL)
-    *free_peer = (MfBurnPeer){ .owner = *owner, .first_us = now_us };
+    *free_peer = (MfBurnPeer){ .owner = *id, .first_us = now_us };
   return free_peer;
 }
 
@@ -529,7 +529,7 @@
 }
 
 static Baseline *
-baseline_need (MfBurn *burn, uint64_t key)
+baseline_find_or_add (MfBurn *burn, uint64_t key)
 {
   Baseline *baseline = baseline_find (burn, key);
 
@@ -547,7 +547,7 @@
 typedef struct
 {
   MfBurn *burn;
-  const MfInstanceId *owner;
+  const MfInstanceId *peer;
   uint64_t now_us;
 } Merge;
 
@@ -559,30 +559,30 @@
            const MfBurnCounts *counts)
 {
   MfBurn *burn = merge->burn;
-  Row *row = row_need (burn, kind, name_hash);
-  uint64_t key = pair_key (mf_hash_name (merge->owner->name), pair_key (kind, name_hash));
-  Baseline *baseline = baseline_need (burn, key);
-  uint64_t before[ROW_NUMBERS];
-  uint64_t after[ROW_NUMBERS];
-  MfBurnCounts grown;
+  Row *row = row_find_or_add (burn, kind, name_hash);
+  uint64_t key = pair_key (mf_hash_name (merge->peer->name), pair_key (kind, name_hash));
+  Baseline *baseline = baseline_find_or_add (burn, key);
+  uint64_t previous[ROW_N_COUNTS];
+  uint64_t current[ROW_N_COUNTS];
+  MfBurnCounts growth;
   bool known;
 
-  if (row != NULL && row->peers == NULL)
-    row->peers = calloc (1, sizeof *row->peers);
-  if (row == NULL || row->peers == NULL || baseline == NULL)
+  if (row != NULL && row->peer_windows == NULL)
+    row->peer_windows = calloc (1, sizeof *row->peer_windows);
+  if (row == NULL || row->peer_windows == NULL || baseline == NULL)
     {
-      burn->missed++;
+      burn->n_rows_missed++;
       return;
     }
-  known = baseline->incarnation == merge->owner->incarnation;
-  counts_to_array (known ? &baseline->counts : &(MfBurnCounts){ 0 }, before);
-  counts_to_array (counts, after);
-  for (size_t i = 0; i < MF_ARRAY_LEN (after); i++)
-    after[i] = after[i] > before[i] ? after[i] - before[i] : 0;
-  counts_from_array (&grown, after);
+  known = baseline->incarnation == merge->peer->incarnation;
+  counts_to_array (known ? &baseline->counts : &(MfBurnCounts){ 0 }, previous);
+  counts_to_array (counts, current);
+  for (size_t i = 0; i < MF_ARRAY_LEN (current); i++)
+    current[i] = current[i] > previous[i] ? current[i] - previous[i] : 0;
+  counts_from_array (&growth, current);
   if (known || merge->now_us - burn->started_us >= age_us)
-    windows_add (row->peers, &grown, merge->now_us);
-  baseline->incarnation = merge->owner->incarnation;
+    window_counts_add (row->peer_windows, &growth, merge->now_us);
+  baseline->incarnation = merge->peer->incarnation;
   baseline->counts = *counts;
 }
 
@@ -599,19 +599,19 @@
 static bool
 merge_packed (const Merge *merge, const msgpack_object *object)
 {
-  uint64_t numbers[ROW_FIELDS];
+  uint64_t numbers[ROW_N_FIELDS];
   MfBurnCounts counts;
 
-  if (object->type != MSGPACK_OBJECT_ARRAY || object->via.array.size < ROW_FIELDS)
+  if (object->type != MSGPACK_OBJECT_ARRAY || object->via.array.size < ROW_N_FIELDS)
     return false;
-  for (uint32_t i = 0; i < ROW_FIELDS; i++)
+  for (uint32_t i = 0; i < ROW_N_FIELDS; i++)
     {
       if (!number_read (&object->via.array.ptr[i], &numbers[i]))
         return false;
     }
   if (numbers[0] >= MF_BURN_KIND_COUNT)
     return true; /* of a later release */
-  counts_from_array (&counts, numbers + ROW_HEAD);
+  counts_from_array (&counts, numbers + ROW_N_HEADER_FIELDS);
   merge_row (merge, (MfBurnKind)numbers[0], numbers[1], numbers[2], &counts);
   return true;
 }
@@ -620,29 +620,29 @@
 mf_burn_merge (MfBurn *burn, const MfInstanceId *peer, const uint8_t *src, size_t src_bytes,
                uint64_t now_us)
 {
-  Merge merge = { .burn = burn, .owner = peer, .now_us = now_us };
+  Merge merge = { .burn = burn, .peer = peer, .now_us = now_us };
   msgpack_unpacked unpacked;
   uint64_t version = 0;
   MfBurnPeer *known;
-  size_t at = 0;
-  bool good;
+  size_t offset = 0;
+  bool is_valid;
 
   if (src_bytes == 0)
     return true;
   msgpack_unpacked_init (&unpacked);
-  good
-      = msgpack_unpack_next (&unpacked, (const char *)src, src_bytes, &at) == MSGPACK_UNPACK_SUCCESS
-        && number_read (&unpacked.data, &version) && version == PACK_VERSION;
-  known = good ? peer_need (burn, peer, now_us) : NULL;
+  is_valid = msgpack_unpack_next (&unpacked, (const char *)src, src_bytes, &offset)
+                 == MSGPACK_UNPACK_SUCCESS
+             && number_read (&unpacked.data, &version) && version == PACK_VERSION;
+  known = is_valid ? peer_find_or_add (burn, peer, now_us) : NULL;
   if (known != NULL)
     {
       known->owner.incarnation = peer->incarnation;
       known->last_us = now_us;
     }
-  while (good && known != NULL && at < src_bytes)
-    good = msgpack_unpack_next (&unpacked, (const char *)src, src_bytes, &at)
-               == MSGPACK_UNPACK_SUCCESS
-           && merge_packed (&merge, &unpacked.data);
+  while (is_valid && known != NULL && offset < src_bytes)
+    is_valid = msgpack_unpack_next (&unpacked, (const char *)src, src_bytes, &offset)
+                   == MSGPACK_UNPACK_SUCCESS
+               && merge_packed (&merge, &unpacked.data);
   msgpack_unpacked_destroy (&unpacked);
-  return good;
+  return is_valid;
 }
--- a/libmangofork/config.c
+++ b/libmangofork/config.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define WEIGHT_STORE_BYTES_PER_S (UINT64_C (1000) * 1000 * 1000)
+#define WEIGHT_STORE_DEFAULT_BYTES_PER_S (UINT64_C (1000) * 1000 * 1000)
 
 static void
 table_free (MfNameTable *table)
@@ -43,7 +43,7 @@
 }
 
 static bool
-config_keep_text (MfConfig *config, const char *text, size_t text_bytes)
+config_copy_text (MfConfig *config, const char *text, size_t text_bytes)
 {
   config->text = malloc (text_bytes + 1);
   if (config->text == NULL)
@@ -60,20 +60,20 @@
 {
   MfConfig *config = calloc (1, sizeof *config);
   MfJsonc *jsonc = mf_jsonc_new (text, text_bytes);
-  bool good = false;
+  bool is_valid = false;
 
   if (config != NULL && jsonc != NULL)
     {
       config->revision = revision;
       config->key_life_us = 900 * MF_US_PER_S;
-      config->weight_store_bytes_per_s = WEIGHT_STORE_BYTES_PER_S;
+      config->weight_store_bytes_per_s = WEIGHT_STORE_DEFAULT_BYTES_PER_S;
       if (mf_jsonc_root (jsonc) != NULL)
         mf_config_read (jsonc, config);
-      good = mf_jsonc_report (jsonc, on_fault, data) == 0
-             && config_keep_text (config, text, text_bytes);
+      is_valid = mf_jsonc_report (jsonc, on_fault, data) == 0
+                 && config_copy_text (config, text, text_bytes);
     }
   mf_jsonc_free (jsonc);
-  if (good)
+  if (is_valid)
     return config;
   mf_config_free (config);
   return NULL;
--- a/libmangofork/config_read.c
+++ b/libmangofork/config_read.c
@@ -16,13 +16,13 @@
 {
   MfJsonc *jsonc;
   MfConfig *config;
-  uint32_t upstreams_room;
-} Reading;
+  uint32_t upstreams_capacity;
+} ConfigReader;
 
-static const char *const kind_words[] = { "model", "plain", NULL };
-static const char *const class_words[] = { "read", "order", "summary", NULL };
-static const char *const role_words[] = { "prefill", "decode", "plain", NULL };
-static const char *const engine_words[] = { "openai", "plain", NULL };
+static const char *const kind_names[] = { "model", "plain", NULL };
+static const char *const class_names[] = { "read", "order", "summary", NULL };
+static const char *const role_names[] = { "prefill", "decode", "plain", NULL };
+static const char *const engine_names[] = { "openai", "plain", NULL };
 
 #define KIND_MODEL (1U << MF_SERVICE_MODEL)
 #define KIND_PLAIN (1U << MF_SERVICE_PLAIN)
@@ -57,12 +57,12 @@
   { .key = "kind",
     .type = MF_FIELD_CHOICE,
     .offset = offsetof (MfService, kind),
-    .choices = kind_words,
+    .choices = kind_names,
     .required = true },
   { .key = "class",
     .type = MF_FIELD_CHOICE,
     .offset = offsetof (MfService, class_),
-    .choices = class_words,
+    .choices = class_names,
     .required = true },
   { .key = "deadline_ms",
     .type = MF_FIELD_U64,
@@ -137,7 +137,7 @@
   { .key = "role",
     .type = MF_FIELD_CHOICE,
     .offset = offsetof (MfPool, role),
-    .choices = role_words,
+    .choices = role_names,
     .required = true },
   { .key = "upstreams", .type = MF_FIELD_OTHER, .required = true },
 };
@@ -222,7 +222,7 @@
 static const MfFieldTable idempotency_table
     = { idempotency_fields, MF_ARRAY_LEN (idempotency_fields) };
 
-static const MfField text_fields[] = {
+static const MfField config_fields[] = {
   { .key = "services", .type = MF_FIELD_OTHER, .required = true },
   { .key = "pools", .type = MF_FIELD_OTHER, .required = true },
   { .key = "customers", .type = MF_FIELD_OTHER },
@@ -237,11 +237,11 @@
     .max = UINT64_C (1) << 30,
     .scale = BYTES_PER_MB },
 };
-static const MfFieldTable text_table = { text_fields, MF_ARRAY_LEN (text_fields) };
+static const MfFieldTable config_table = { config_fields, MF_ARRAY_LEN (config_fields) };
 
 /* Adds a name; one that is given twice is a fault. Empty names are faults already. */
 static void
-name_add (const Reading *reading, MfNameTable *table, uint32_t index, const char *name,
+name_add (const ConfigReader *reader, MfNameTable *table, uint32_t index, const char *name,
           const char *path, const char *key)
 {
   char member[MF_PATH_BYTES];
@@ -249,73 +249,74 @@
   if (name[0] == '\0' || mf_name_table_add (table, index, name, strlen (name)))
     return;
   mf_path_member (member, path, key);
-  mf_jsonc_fault (reading->jsonc, member, MF_CODE_TEXT_DUPLICATE, "\"%s\" is given twice", name);
+  mf_jsonc_fault (reader->jsonc, member, MF_CODE_TEXT_DUPLICATE, "\"%s\" is given twice", name);
 }
 
 /* Returns the i-th element of an array when it is an object; anything else is a fault. */
 static json_object *
-element (const Reading *reading, json_object *array, const char *path, size_t i)
+read_element (const ConfigReader *reader, json_object *array, const char *path, size_t i)
 {
   json_object *object = json_object_array_get_idx (array, i);
 
   if (json_object_is_type (object, json_type_object))
     return object;
-  mf_jsonc_fault (reading->jsonc, path, MF_CODE_TEXT_TYPE, "not an object");
+  mf_jsonc_fault (reader->jsonc, path, MF_CODE_TEXT_TYPE, "not an object");
   return NULL;
 }
 
 /* Returns the index of the name at object[key], or MF_NONE with a fault. */
 static uint32_t
-reference (const Reading *reading, const MfNameTable *table, json_object *value, const char *path,
-           const char *what)
+read_reference (const ConfigReader *reader, const MfNameTable *table, json_object *value,
+                const char *path, const char *what)
 {
   uint32_t found;
 
   if (!json_object_is_type (value, json_type_string))
     {
-      mf_jsonc_fault (reading->jsonc, path, MF_CODE_TEXT_TYPE, "not the name of a %s", what);
+      mf_jsonc_fault (reader->jsonc, path, MF_CODE_TEXT_TYPE, "not the name of a %s", what);
       return MF_NONE;
     }
   found = mf_name_table_find (table, json_object_get_string (value),
                               (size_t)json_object_get_string_len (value));
   if (found == MF_NONE)
-    mf_jsonc_fault (reading->jsonc, path, MF_CODE_TEXT_MISSING, "there is no %s \"%s\"", what,
+    mf_jsonc_fault (reader->jsonc, path, MF_CODE_TEXT_MISSING, "there is no %s \"%s\"", what,
                     json_object_get_string (value));
   return found;
 }
 
 static void
-read_engine (const Reading *reading, json_object *object, const char *path, MfRole role,
+read_engine (const ConfigReader *reader, json_object *object, const char *path, MfRole role,
              MfUpstreamConfig *upstream)
 {
   char member[MF_PATH_BYTES];
   json_object *value;
-  const char *word = engine_words[role == MF_ROLE_PLAIN ? 1 : 0];
+  const char *engine = engine_names[role == MF_ROLE_PLAIN ? 1 : 0];
 
   if (json_object_object_get_ex (object, "engine", &value))
     {
-      const char *given = json_object_get_string (value);
+      const char *name = json_object_get_string (value);
       bool known = false;
 
-      for (uint32_t i = 0; given != NULL && engine_words[i] != NULL; i++)
-        known = known || strcmp (engine_words[i], given) == 0;
+      for (uint32_t i = 0; name != NULL && engine_names[i] != NULL; i++)
+        known = known || strcmp (engine_names[i], name) == 0;
       mf_path_member (member, path, "engine");
       if (!json_object_is_type (value, json_type_string))
-        mf_jsonc_fault (reading->jsonc, member, MF_CODE_TEXT_TYPE, "\"engine\" is not a string");
+        mf_jsonc_fault (reader->jsonc, member, MF_CODE_TEXT_TYPE, "\"engine\" is not a string");
       else if (!known)
-        mf_jsonc_fault (reading->jsonc, member, MF_CODE_TEXT_RANGE,
+        mf_jsonc_fault (reader->jsonc, member, MF_CODE_TEXT_RANGE,
                         "\"engine\" is not one of openai, plain");
       else
-        word = given;
+        engine = name;
     }
-  mf_name_set (upstream->engine, sizeof upstream->engine, word);
+  mf_name_set (upstream->engine, sizeof upstream->engine, engine);
 }
 
 static void
-read_upstreams (Reading *reading, json_object *pool_object, const char *pool_path, uint32_t pool)
+read_upstreams (ConfigReader *reader, json_object *pool_object, const char *pool_path,
+                uint32_t pool)
 {
-  MfConfig *config = reading->config;
-  json_object *array = mf_field_array (reading->jsonc, pool_path, pool_object, "upstreams", false);
+  MfConfig *config = reader->config;
+  json_object *array = mf_field_array (reader->jsonc, pool_path, pool_object, "upstreams", false);
   size_t n = array != NULL ? json_object_array_length (array) : 0;
 
   for (size_t i = 0; i < n; i++)
@@ -326,22 +327,22 @@
       json_object *object;
 
       mf_path_element (path, pool_path, "upstreams", i);
-      object = element (reading, array, path, i);
+      object = read_element (reader, array, path, i);
       if (object == NULL)
         continue;
       *upstream = (MfUpstreamConfig){ .pool = pool, .link_bytes_per_s = 1000 * BYTES_PER_MB };
-      mf_field_read (reading->jsonc, path, object, &upstream_table, 1U << role, upstream);
-      read_engine (reading, object, path, role, upstream);
-      name_add (reading, &config->index->upstreams, config->n_upstreams, upstream->name, path,
+      mf_field_read (reader->jsonc, path, object, &upstream_table, 1U << role, upstream);
+      read_engine (reader, object, path, role, upstream);
+      name_add (reader, &config->index->upstreams, config->n_upstreams, upstream->name, path,
                 "name");
       config->n_upstreams++;
     }
 }
 
 static void
-read_pools (Reading *reading, json_object *array)
+read_pools (ConfigReader *reader, json_object *array)
 {
-  MfConfig *config = reading->config;
+  MfConfig *config = reader->config;
 
   for (uint32_t i = 0; i < config->n_pools; i++)
     {
@@ -349,21 +350,21 @@
       json_object *object;
 
       mf_path_element (path, "", "pools", i);
-      object = element (reading, array, path, i);
+      object = read_element (reader, array, path, i);
       if (object == NULL)
         continue;
-      mf_field_read (reading->jsonc, path, object, &pool_table, 0, &config->pools[i]);
-      name_add (reading, &config->index->pools, i, config->pools[i].name, path, "name");
-      read_upstreams (reading, object, path, i);
+      mf_field_read (reader->jsonc, path, object, &pool_table, 0, &config->pools[i]);
+      name_add (reader, &config->index->pools, i, config->pools[i].name, path, "name");
+      read_upstreams (reader, object, path, i);
     }
 }
 
 /* Returns the pool a service names under key; it must have the role. */
 static uint32_t
-read_pool_reference (const Reading *reading, json_object *object, const char *path, const char *key,
-                     MfRole role)
+read_pool_reference (const ConfigReader *reader, json_object *object, const char *path,
+                     const char *key, MfRole role)
 {
-  const MfConfig *config = reading->config;
+  const MfConfig *config = reader->config;
   char member[MF_PATH_BYTES];
   json_object *value;
   uint32_t pool;
@@ -371,24 +372,24 @@
   if (!json_object_object_get_ex (object, key, &value))
     return MF_NONE;
   mf_path_member (member, path, key);
-  pool = reference (reading, &config->index->pools, value, member, "pool");
+  pool = read_reference (reader, &config->index->pools, value, member, "pool");
   if (pool != MF_NONE && config->pools[pool].role != role)
-    mf_jsonc_fault (reading->jsonc, member, MF_CODE_TEXT_TYPE, "the pool \"%s\" has the role %s",
+    mf_jsonc_fault (reader->jsonc, member, MF_CODE_TEXT_TYPE, "the pool \"%s\" has the role %s",
                     config->pools[pool].name, mf_role_name (config->pools[pool].role));
   return pool;
 }
 
 static void
-read_service (const Reading *reading, json_object *object, const char *path, uint32_t i)
+read_service (const ConfigReader *reader, json_object *object, const char *path, uint32_t i)
 {
-  MfConfig *config = reading->config;
+  MfConfig *config = reader->config;
   MfService *service = &config->services[i];
   json_object *kind = NULL;
   bool plain;
 
   json_object_object_get_ex (object, "kind", &kind);
   plain = kind != NULL && json_object_is_type (kind, json_type_string)
-          && strcmp (json_object_get_string (kind), kind_words[MF_SERVICE_PLAIN]) == 0;
+          && strcmp (json_object_get_string (kind), kind_names[MF_SERVICE_PLAIN]) == 0;
   *service = (MfService){
     .prefill_pool = MF_NONE,
     .decode_pool = MF_NONE,
@@ -401,45 +402,45 @@
     .objective_tbt_ppm = 950000,
     .objective_availability_ppm = 999000,
   };
-  mf_field_read (reading->jsonc, path, object, &service_table, plain ? KIND_PLAIN : KIND_MODEL,
+  mf_field_read (reader->jsonc, path, object, &service_table, plain ? KIND_PLAIN : KIND_MODEL,
                  service);
-  name_add (reading, &config->index->services, i, service->name, path, "name");
-  name_add (reading, &config->index->models, i, service->model, path, "model");
-  name_add (reading, &config->index->paths, i, service->path, path, "path");
+  name_add (reader, &config->index->services, i, service->name, path, "name");
+  name_add (reader, &config->index->models, i, service->model, path, "model");
+  name_add (reader, &config->index->paths, i, service->path, path, "path");
   if (service->path[0] != '\0' && service->path[0] != '/')
     {
       char member[MF_PATH_BYTES];
 
       mf_path_member (member, path, "path");
-      mf_jsonc_fault (reading->jsonc, member, MF_CODE_TEXT_RANGE, "\"path\" begins with no \"/\"");
+      mf_jsonc_fault (reader->jsonc, member, MF_CODE_TEXT_RANGE, "\"path\" begins with no \"/\"");
     }
   service->prefill_pool
-      = read_pool_reference (reading, object, path, "prefill_pool", MF_ROLE_PREFILL);
-  service->decode_pool = read_pool_reference (reading, object, path, "decode_pool", MF_ROLE_DECODE);
-  service->plain_pool = read_pool_reference (reading, object, path, "pool", MF_ROLE_PLAIN);
+      = read_pool_reference (reader, object, path, "prefill_pool", MF_ROLE_PREFILL);
+  service->decode_pool = read_pool_reference (reader, object, path, "decode_pool", MF_ROLE_DECODE);
+  service->plain_pool = read_pool_reference (reader, object, path, "pool", MF_ROLE_PLAIN);
 }
 
 static void
-read_services (const Reading *reading, json_object *array)
+read_services (const ConfigReader *reader, json_object *array)
 {
-  for (uint32_t i = 0; i < reading->config->n_services; i++)
+  for (uint32_t i = 0; i < reader->config->n_services; i++)
     {
       char path[MF_PATH_BYTES];
       json_object *object;
 
       mf_path_element (path, "", "services", i);
-      object = element (reading, array, path, i);
+      object = read_element (reader, array, path, i);
       if (object != NULL)
-        read_service (reading, object, path, i);
+        read_service (reader, object, path, i);
     }
 }
 
 static void
-read_depends (const Reading *reading, json_object *services)
+read_depends (const ConfigReader *reader, json_object *services)
 {
-  for (uint32_t i = 0; i < reading->config->n_services; i++)
+  for (uint32_t i = 0; i < reader->config->n_services; i++)
     {
-      MfService *service = &reading->config->services[i];
+      MfService *service = &reader->config->services[i];
       json_object *object = json_object_array_get_idx (services, i);
       json_object *array;
       char path[MF_PATH_BYTES];
@@ -449,19 +450,19 @@
       mf_path_element (path, "", "services", i);
       if (!json_object_is_type (object, json_type_object))
         continue;
-      array = mf_field_array (reading->jsonc, path, object, "depends_on", false);
+      array = mf_field_array (reader->jsonc, path, object, "depends_on", false);
       n = array != NULL ? json_object_array_length (array) : 0;
       mf_path_member (member, path, "depends_on");
       if (n > MF_SERVICE_DEPENDS_MAX)
-        mf_jsonc_fault (reading->jsonc, member, MF_CODE_TEXT_RANGE, "more than %d dependencies",
+        mf_jsonc_fault (reader->jsonc, member, MF_CODE_TEXT_RANGE, "more than %d dependencies",
                         MF_SERVICE_DEPENDS_MAX);
       for (size_t k = 0; k < n && k < MF_SERVICE_DEPENDS_MAX; k++)
         {
           uint32_t target;
 
           mf_path_element (member, path, "depends_on", k);
-          target = reference (reading, &reading->config->index->services,
-                              json_object_array_get_idx (array, k), member, "service");
+          target = read_reference (reader, &reader->config->index->services,
+                                   json_object_array_get_idx (array, k), member, "service");
           if (target != MF_NONE)
             service->depends[service->n_depends++] = target;
         }
@@ -471,17 +472,17 @@
 typedef enum
 {
   VISIT_NEW,
-  VISIT_OPEN,
+  VISIT_IN_PROGRESS,
   VISIT_DONE,
 } Visit;
 
 /* Walks the dependencies of one service; one that leads back into the walk closes a cycle. */
 static void
-check_cycle (const Reading *reading, uint32_t i, uint8_t *visits)
+check_cycle (const ConfigReader *reader, uint32_t i, uint8_t *visits)
 {
-  const MfService *service = &reading->config->services[i];
+  const MfService *service = &reader->config->services[i];
 
-  visits[i] = VISIT_OPEN;
+  visits[i] = VISIT_IN_PROGRESS;
   for (uint32_t k = 0; k < service->n_depends; k++)
     {
       uint32_t target = service->depends[k];
@@ -489,35 +490,35 @@
       char path[MF_PATH_BYTES];
 
       if (visits[target] == VISIT_NEW)
-        check_cycle (reading, target, visits);
-      if (visits[target] != VISIT_OPEN)
+        check_cycle (reader, target, visits);
+      if (visits[target] != VISIT_IN_PROGRESS)
         continue;
       mf_path_element (object_path, "", "services", i);
       mf_path_member (path, object_path, "depends_on");
-      mf_jsonc_fault (reading->jsonc, path, MF_CODE_TEXT_CYCLE,
+      mf_jsonc_fault (reader->jsonc, path, MF_CODE_TEXT_CYCLE,
                       "\"%s\" depends on \"%s\", which depends on it", service->name,
-                      reading->config->services[target].name);
+                      reader->config->services[target].name);
     }
   visits[i] = VISIT_DONE;
 }
 
 static void
-check_cycles (const Reading *reading)
+check_cycles (const ConfigReader *reader)
 {
-  uint8_t *visits = calloc ((size_t)reading->config->n_services + 1, 1);
+  uint8_t *visits = calloc ((size_t)reader->config->n_services + 1, 1);
 
-  for (uint32_t i = 0; visits != NULL && i < reading->config->n_services; i++)
+  for (uint32_t i = 0; visits != NULL && i < reader->config->n_services; i++)
     {
       if (visits[i] == VISIT_NEW)
-        check_cycle (reading, i, visits);
+        check_cycle (reader, i, visits);
     }
   free (visits);
 }
 
 static void
-read_customers (const Reading *reading, json_object *array)
+read_customers (const ConfigReader *reader, json_object *array)
 {
-  MfConfig *config = reading->config;
+  MfConfig *config = reader->config;
 
   for (uint32_t i = 0; i < config->n_customers; i++)
     {
@@ -527,24 +528,24 @@
       json_object *object;
 
       mf_path_element (path, "", "customers", i);
-      object = element (reading, array, path, i);
+      object = read_element (reader, array, path, i);
       if (object == NULL)
         continue;
       *customer = (MfCustomer){ .share = 1 };
-      mf_field_read (reading->jsonc, path, object, &customer_table, 0, customer);
-      name_add (reading, &config->index->customers, i, customer->name, path, "name");
+      mf_field_read (reader->jsonc, path, object, &customer_table, 0, customer);
+      name_add (reader, &config->index->customers, i, customer->name, path, "name");
       if (!json_object_object_get_ex (object, "key_digest", NULL)
           || mf_name_table_add (&config->index->keys, i, customer->key_digest, MF_DIGEST_BYTES))
         continue;
       mf_path_member (member, path, "key_digest");
-      mf_jsonc_fault (reading->jsonc, member, MF_CODE_TEXT_DUPLICATE, "the key is given twice");
+      mf_jsonc_fault (reader->jsonc, member, MF_CODE_TEXT_DUPLICATE, "the key is given twice");
     }
 }
 
 static void
-read_voters (const Reading *reading, json_object *array)
+read_voters (const ConfigReader *reader, json_object *array)
 {
-  MfConfig *config = reading->config;
+  MfConfig *config = reader->config;
 
   for (uint32_t i = 0; i < config->n_voters; i++)
     {
@@ -554,15 +555,15 @@
       mf_path_element (path, "idempotency", "voters", i);
       if (!json_object_is_type (value, json_type_string) || json_object_get_string_len (value) == 0
           || !mf_name_set (config->voters[i].name, MF_NAME_BYTES, json_object_get_string (value)))
-        mf_jsonc_fault (reading->jsonc, path, MF_CODE_TEXT_TYPE, "not the name of an instance");
+        mf_jsonc_fault (reader->jsonc, path, MF_CODE_TEXT_TYPE, "not the name of an instance");
       else
-        name_add (reading, &config->index->voters, i, config->voters[i].name, path, "");
+        name_add (reader, &config->index->voters, i, config->voters[i].name, path, "");
     }
   if (config->voters_per_key == 0)
     config->voters_per_key
         = config->n_voters < MF_VOTERS_PER_KEY_MAX ? config->n_voters : MF_VOTERS_PER_KEY_MAX;
   else if (config->voters_per_key > config->n_voters)
-    mf_jsonc_fault (reading->jsonc, "idempotency.voters_per_key", MF_CODE_TEXT_RANGE,
+    mf_jsonc_fault (reader->jsonc, "idempotency.voters_per_key", MF_CODE_TEXT_RANGE,
                     "\"voters_per_key\" exceeds the number of voters");
 }
 
@@ -613,7 +614,7 @@
 void
 mf_config_read (MfJsonc *jsonc, MfConfig *config)
 {
-  Reading reading = { .jsonc = jsonc, .config = config };
+  ConfigReader reader = { .jsonc = jsonc, .config = config };
   json_object *root = mf_jsonc_root (jsonc);
   json_object *idempotency = NULL;
   json_object *services = mf_field_array (jsonc, "", root, "services", false);
@@ -621,7 +622,7 @@
   json_object *customers = mf_field_array (jsonc, "", root, "customers", false);
   json_object *voters = NULL;
 
-  mf_field_read (jsonc, "", root, &text_table, 0, config);
+  mf_field_read (jsonc, "", root, &config_table, 0, config);
   if (json_object_object_get_ex (root, "idempotency", &idempotency)
       && json_object_is_type (idempotency, json_type_object))
     voters = mf_field_array (jsonc, "idempotency", idempotency, "voters", false);
@@ -640,10 +641,10 @@
       mf_jsonc_fault (jsonc, "", MF_CODE_NO_MEMORY, "no memory for the text");
       return;
     }
-  read_pools (&reading, pools);
-  read_services (&reading, services);
-  read_depends (&reading, services);
-  check_cycles (&reading);
-  read_customers (&reading, customers);
-  read_voters (&reading, voters);
+  read_pools (&reader, pools);
+  read_services (&reader, services);
+  read_depends (&reader, services);
+  check_cycles (&reader);
+  read_customers (&reader, customers);
+  read_voters (&reader, voters);
 }
--- a/libmangofork/explain.c
+++ b/libmangofork/explain.c
@@ -6,7 +6,7 @@
 #include <inttypes.h>
 #include <stdio.h>
 
-#define TEXT_BYTES 256
+#define STEP_TEXT_BYTES 256
 
 /* The lives under one name while they are written. */
 typedef struct
@@ -33,7 +33,7 @@
 }
 
 static const char *
-verdict_name (uint64_t verdict)
+decision_name (uint64_t decision)
 {
   static const char *const names[] = {
     [MF_CLAIM_GRANTED] = "granted",
@@ -44,7 +44,7 @@
     [MF_CLAIM_TOO_OLD] = "older than keys are kept",
   };
 
-  return verdict < MF_ARRAY_LEN (names) ? names[verdict] : "settled";
+  return decision < MF_ARRAY_LEN (names) ? names[decision] : "settled";
 }
 
 /* Says in a sentence what a step was. */
@@ -59,63 +59,64 @@
   switch (step->kind)
     {
     case MF_TRACE_ARRIVED:
-      snprintf (text, TEXT_BYTES, "read whole, %" PRIu64 " prompt tokens", n);
+      snprintf (text, STEP_TEXT_BYTES, "read whole, %" PRIu64 " prompt tokens", n);
       return;
     case MF_TRACE_QUEUED:
-      snprintf (text, TEXT_BYTES, "queued behind %" PRIu64 " others", n);
+      snprintf (text, STEP_TEXT_BYTES, "queued behind %" PRIu64 " others", n);
       return;
     case MF_TRACE_PLACED:
       if (step->other == MF_NONE)
         other = "an engine chosen when its KV is ready";
-      snprintf (text, TEXT_BYTES, "placed: prefill on %s, decode on %s, first token in %.1f ms",
-                upstream, other, ms);
+      snprintf (text, STEP_TEXT_BYTES,
+                "placed: prefill on %s, decode on %s, first token in %.1f ms", upstream, other, ms);
       return;
     case MF_TRACE_ALTERNATIVE:
-      snprintf (text, TEXT_BYTES, "second best, not taken: prefill on %s, first token in %.1f ms",
-                upstream, ms);
+      snprintf (text, STEP_TEXT_BYTES,
+                "second best, not taken: prefill on %s, first token in %.1f ms", upstream, ms);
       return;
     case MF_TRACE_CALLED:
-      snprintf (text, TEXT_BYTES, "%s sent to %s", call_name (n), upstream);
+      snprintf (text, STEP_TEXT_BYTES, "%s sent to %s", call_name (n), upstream);
       return;
     case MF_TRACE_PREFILLED:
-      snprintf (text, TEXT_BYTES, "%s has prefilled; its KV waits to be imported", upstream);
+      snprintf (text, STEP_TEXT_BYTES, "%s has prefilled; its KV waits to be imported", upstream);
       return;
     case MF_TRACE_IMPORTED:
-      snprintf (text, TEXT_BYTES, "%s holds the KV", upstream);
+      snprintf (text, STEP_TEXT_BYTES, "%s holds the KV", upstream);
       return;
     case MF_TRACE_FIRST_TOKEN:
-      snprintf (text, TEXT_BYTES, "first token from %s after %.1f ms", upstream, ms);
+      snprintf (text, STEP_TEXT_BYTES, "first token from %s after %.1f ms", upstream, ms);
       return;
     case MF_TRACE_BROKEN:
-      snprintf (text, TEXT_BYTES, "call to %s broke with %" PRIu64 " tokens delivered", upstream,
-                n);
+      snprintf (text, STEP_TEXT_BYTES, "call to %s broke with %" PRIu64 " tokens delivered",
+                upstream, n);
       return;
     case MF_TRACE_RETRIED:
-      snprintf (text, TEXT_BYTES, "to be tried again, not on %s", upstream);
+      snprintf (text, STEP_TEXT_BYTES, "to be tried again, not on %s", upstream);
       return;
     case MF_TRACE_RESUMED:
-      snprintf (text, TEXT_BYTES, "%s goes on at token %" PRIu64, upstream, n);
+      snprintf (text, STEP_TEXT_BYTES, "%s goes on at token %" PRIu64, upstream, n);
       return;
     case MF_TRACE_HEDGED:
-      snprintf (text, TEXT_BYTES, "sent to %s as well: %s is slow", upstream, other);
+      snprintf (text, STEP_TEXT_BYTES, "sent to %s as well: %s is slow", upstream, other);
       return;
     case MF_TRACE_CLAIMED:
-      snprintf (text, TEXT_BYTES, "claim of its key: %s", verdict_name (n));
+      snprintf (text, STEP_TEXT_BYTES, "claim of its key: %s", decision_name (n));
       return;
     case MF_TRACE_CANCELLED:
-      snprintf (text, TEXT_BYTES, "cancel owed to %s", upstream);
+      snprintf (text, STEP_TEXT_BYTES, "cancel owed to %s", upstream);
       return;
     case MF_TRACE_SUSPECTED:
-      snprintf (text, TEXT_BYTES, "%s died while running it: suspected of %" PRIu64 " deaths",
+      snprintf (text, STEP_TEXT_BYTES, "%s died while running it: suspected of %" PRIu64 " deaths",
                 upstream, n);
       return;
     case MF_TRACE_ENDED:
       if (step->code == MF_CODE_OK)
         {
-          snprintf (text, TEXT_BYTES, "answered whole, %" PRIu64 " tokens delivered", n);
+          snprintf (text, STEP_TEXT_BYTES, "answered whole, %" PRIu64 " tokens delivered", n);
           return;
         }
-      snprintf (text, TEXT_BYTES, "ended by the %s while %s: %d %s, %" PRIu64 " tokens delivered",
+      snprintf (text, STEP_TEXT_BYTES,
+                "ended by the %s while %s: %d %s, %" PRIu64 " tokens delivered",
                 mf_ended_by_name (step->ended_by), mf_phase_name (step->phase), (int)step->code,
                 mf_code_info (step->code)->name, n);
       return;
@@ -154,7 +155,7 @@
 {
   Explanation *explanation = data;
   json_object *object = json_object_new_object ();
-  char text[TEXT_BYTES];
+  char text[STEP_TEXT_BYTES];
 
   if (explanation->request == NULL || explanation->request_id != step->request_id)
     request_begin (explanation, step);
--- a/libmangofork/field.c
+++ b/libmangofork/field.c
@@ -164,22 +164,22 @@
 static void
 read_choice (MfJsonc *jsonc, const char *path, json_object *value, const MfField *field, void *dst)
 {
-  const char *word = json_object_get_string (value);
-  char words[MF_ERROR_TEXT_BYTES / 2] = "";
+  const char *name = json_object_get_string (value);
+  char names[MF_ERROR_TEXT_BYTES / 2] = "";
   size_t used = 0;
 
   for (uint32_t i = 0; field->choices[i] != NULL; i++)
     {
-      if (strcmp (field->choices[i], word) == 0)
+      if (strcmp (field->choices[i], name) == 0)
         {
           *(uint32_t *)dst = i;
           return;
         }
-      if (used < sizeof words)
-        used += (size_t)snprintf (words + used, sizeof words - used, "%s%s", i > 0 ? ", " : "",
+      if (used < sizeof names)
+        used += (size_t)snprintf (names + used, sizeof names - used, "%s%s", i > 0 ? ", " : "",
                                   field->choices[i]);
     }
-  mf_jsonc_fault (jsonc, path, MF_CODE_TEXT_RANGE, "\"%s\" is not one of %s", field->key, words);
+  mf_jsonc_fault (jsonc, path, MF_CODE_TEXT_RANGE, "\"%s\" is not one of %s", field->key, names);
 }
 
 static void
@@ -202,7 +202,7 @@
 static void
 read_value (MfJsonc *jsonc, const char *path, json_object *value, const MfField *field, void *dst)
 {
-  char *at = (char *)dst + field->offset;
+  char *target = (char *)dst + field->offset;
 
   switch (field->type)
     {
@@ -210,11 +210,11 @@
       return;
     case MF_FIELD_U32:
     case MF_FIELD_U64:
-      read_number (jsonc, path, value, field, at);
+      read_number (jsonc, path, value, field, target);
       return;
     case MF_FIELD_BOOL:
       if (json_object_is_type (value, json_type_boolean))
-        *(bool *)at = json_object_get_boolean (value) != 0;
+        *(bool *)target = json_object_get_boolean (value) != 0;
       else
         mf_jsonc_fault (jsonc, path, MF_CODE_TEXT_TYPE, "\"%s\" is not true or false", field->key);
       return;
@@ -233,11 +233,11 @@
   if (!json_object_is_type (value, json_type_string))
     mf_jsonc_fault (jsonc, path, MF_CODE_TEXT_TYPE, "\"%s\" is not a string", field->key);
   else if (field->type == MF_FIELD_CHOICE)
-    read_choice (jsonc, path, value, field, at);
+    read_choice (jsonc, path, value, field, target);
   else if (field->type == MF_FIELD_DIGEST)
-    read_digest (jsonc, path, value, field, at);
+    read_digest (jsonc, path, value, field, target);
   else
-    read_string (jsonc, path, value, field, at);
+    read_string (jsonc, path, value, field, target);
 }
 
 void
--- a/libmangofork/jsonc.c
+++ b/libmangofork/jsonc.c
@@ -43,7 +43,7 @@
 typedef struct
 {
   MfJsonc *jsonc;
-  size_t at;
+  size_t offset;
   char path[PATH_BYTES];
   size_t path_bytes;
 } Scan;
@@ -60,16 +60,16 @@
 
 /* The keys seen in one object: the first few in a row, further ones in a table, so that neither
  * many small objects nor one large one is slow. */
-#define SEEN_FIRST 24
+#define SEEN_INLINE_MAX 24
 
 typedef struct
 {
-  const char *first[SEEN_FIRST];
-  size_t first_bytes[SEEN_FIRST];
-  uint32_t n_first;
+  const char *inline_keys[SEEN_INLINE_MAX];
+  size_t inline_key_bytes[SEEN_INLINE_MAX];
+  uint32_t n_inline_keys;
   SeenKey *table;
   SeenKey *latest;
-} Seen;
+} SeenKeys;
 
 static void
 fault_add (MfJsonc *jsonc, const char *path, bool at_key, size_t offset, MfCode code,
@@ -177,7 +177,7 @@
 {
   MfJsonc *jsonc = calloc (1, sizeof *jsonc);
   const char *nul = text_bytes > 0 ? memchr (text, '\0', text_bytes) : NULL;
-  size_t open;
+  size_t open_comment;
 
   if (jsonc == NULL)
     return NULL;
@@ -195,12 +195,12 @@
       return jsonc;
     }
   memcpy (jsonc->text, text, jsonc->text_bytes);
-  open = comments_blank (jsonc->text, jsonc->text_bytes);
+  open_comment = comments_blank (jsonc->text, jsonc->text_bytes);
   if (nul != NULL)
     fault_add (jsonc, NULL, false, (size_t)(nul - text), MF_CODE_TEXT_SYNTAX,
                "the text holds a NUL byte");
-  else if (open < jsonc->text_bytes)
-    fault_add (jsonc, NULL, false, open, MF_CODE_TEXT_SYNTAX, "a comment never ends");
+  else if (open_comment < jsonc->text_bytes)
+    fault_add (jsonc, NULL, false, open_comment, MF_CODE_TEXT_SYNTAX, "a comment never ends");
   else
     jsonc_parse (jsonc);
   return jsonc;
@@ -261,26 +261,26 @@
 }
 
 static void
-scan_space (Scan *scan)
+scan_skip_space (Scan *scan)
 {
-  scan->at += strspn (scan->jsonc->text + scan->at, " \t\r\n");
+  scan->offset += strspn (scan->jsonc->text + scan->offset, " \t\r\n");
 }
 
 /* Passes over a string, its quotes included. */
 static void
-scan_string (Scan *scan)
+scan_skip_string (Scan *scan)
 {
   const char *text = scan->jsonc->text;
 
-  scan->at++;
-  while (text[scan->at] != '"' && text[scan->at] != '\0')
-    scan->at += text[scan->at] == '\\' && text[scan->at + 1] != '\0' ? 2 : 1;
-  if (text[scan->at] == '"')
-    scan->at++;
+  scan->offset++;
+  while (text[scan->offset] != '"' && text[scan->offset] != '\0')
+    scan->offset += text[scan->offset] == '\\' && text[scan->offset + 1] != '\0' ? 2 : 1;
+  if (text[scan->offset] == '"')
+    scan->offset++;
 }
 
 static FaultPath *
-path_find (const MfJsonc *jsonc, const char *path)
+fault_path_find (const MfJsonc *jsonc, const char *path)
 {
   FaultPath *row;
 
@@ -290,10 +290,10 @@
 
 /* Gives the faults of the value at the scan's path their place. */
 static void
-scan_place (const Scan *scan, size_t key_offset, size_t value_offset)
+scan_set_fault_offsets (const Scan *scan, size_t key_offset, size_t value_offset)
 {
   MfJsonc *jsonc = scan->jsonc;
-  const FaultPath *found = jsonc->paths != NULL ? path_find (jsonc, scan->path) : NULL;
+  const FaultPath *found = jsonc->paths != NULL ? fault_path_find (jsonc, scan->path) : NULL;
 
   if (found == NULL)
     return;
@@ -304,7 +304,7 @@
 static void scan_value (Scan *scan, size_t key_offset);
 
 static void
-scan_path_cut (Scan *scan, size_t path_bytes)
+scan_path_truncate (Scan *scan, size_t path_bytes)
 {
   scan->path_bytes = path_bytes;
   scan->path[path_bytes] = '\0';
@@ -334,13 +334,14 @@
 }
 
 static bool
-seen_has (const Seen *seen, const char *key, size_t key_bytes)
+seen_has (const SeenKeys *seen, const char *key, size_t key_bytes)
 {
   SeenKey *row;
 
-  for (uint32_t i = 0; i < seen->n_first; i++)
+  for (uint32_t i = 0; i < seen->n_inline_keys; i++)
     {
-      if (seen->first_bytes[i] == key_bytes && memcmp (seen->first[i], key, key_bytes) == 0)
+      if (seen->inline_key_bytes[i] == key_bytes
+          && memcmp (seen->inline_keys[i], key, key_bytes) == 0)
         return true;
     }
   HASH_FIND (hh, seen->table, key, key_bytes, row);
@@ -348,14 +349,14 @@
 }
 
 static void
-seen_add (Seen *seen, const char *key, size_t key_bytes)
+seen_add (SeenKeys *seen, const char *key, size_t key_bytes)
 {
   SeenKey *row;
 
-  if (seen->n_first < SEEN_FIRST)
+  if (seen->n_inline_keys < SEEN_INLINE_MAX)
     {
-      seen->first[seen->n_first] = key;
-      seen->first_bytes[seen->n_first++] = key_bytes;
+      seen->inline_keys[seen->n_inline_keys] = key;
+      seen->inline_key_bytes[seen->n_inline_keys++] = key_bytes;
       return;
     }
   row = calloc (1, sizeof *row);
@@ -368,7 +369,7 @@
 }
 
 static void
-seen_clear (Seen *seen)
+seen_clear (SeenKeys *seen)
 {
   HASH_CLEAR (hh, seen->table);
   while (seen->latest != NULL)
@@ -382,7 +383,7 @@
 
 /* Notes a key of the object being walked; keys given twice are faults. */
 static void
-scan_key (Scan *scan, Seen *seen, size_t start, size_t key_bytes)
+scan_key (Scan *scan, SeenKeys *seen, size_t start, size_t key_bytes)
 {
   MfJsonc *jsonc = scan->jsonc;
   const char *key = jsonc->text + start + 1;
@@ -410,31 +411,31 @@
 {
   const char *text = scan->jsonc->text;
   size_t path_bytes = scan->path_bytes;
-  Seen seen;
+  SeenKeys seen;
 
-  seen.n_first = 0;
+  seen.n_inline_keys = 0;
   seen.table = NULL;
   seen.latest = NULL;
-  scan->at++;
-  for (scan_space (scan); text[scan->at] == '"'; scan_space (scan))
+  scan->offset++;
+  for (scan_skip_space (scan); text[scan->offset] == '"'; scan_skip_space (scan))
     {
-      size_t start = scan->at;
+      size_t start = scan->offset;
       size_t key_bytes;
 
-      scan_string (scan);
-      key_bytes = scan->at - start - 2;
+      scan_skip_string (scan);
+      key_bytes = scan->offset - start - 2;
       scan_key (scan, &seen, start, key_bytes);
       scan_path_add_key (scan, text + start + 1, key_bytes);
-      scan_space (scan);
-      scan->at++; /* the colon */
+      scan_skip_space (scan);
+      scan->offset++; /* the colon */
       scan_value (scan, start);
-      scan_path_cut (scan, path_bytes);
-      scan_space (scan);
-      if (text[scan->at] == ',')
-        scan->at++;
+      scan_path_truncate (scan, path_bytes);
+      scan_skip_space (scan);
+      if (text[scan->offset] == ',')
+        scan->offset++;
     }
-  if (text[scan->at] == '}')
-    scan->at++;
+  if (text[scan->offset] == '}')
+    scan->offset++;
   seen_clear (&seen);
 }
 
@@ -445,18 +446,19 @@
   size_t path_bytes = scan->path_bytes;
   size_t index = 0;
 
-  scan->at++;
-  for (scan_space (scan); text[scan->at] != ']' && text[scan->at] != '\0'; scan_space (scan))
+  scan->offset++;
+  for (scan_skip_space (scan); text[scan->offset] != ']' && text[scan->offset] != '\0';
+       scan_skip_space (scan))
     {
       scan_path_add_index (scan, index++);
-      scan_value (scan, scan->at);
-      scan_path_cut (scan, path_bytes);
-      scan_space (scan);
-      if (text[scan->at] == ',')
-        scan->at++;
+      scan_value (scan, scan->offset);
+      scan_path_truncate (scan, path_bytes);
+      scan_skip_space (scan);
+      if (text[scan->offset] == ',')
+        scan->offset++;
     }
-  if (text[scan->at] == ']')
-    scan->at++;
+  if (text[scan->offset] == ']')
+    scan->offset++;
 }
 
 static void
@@ -464,34 +466,34 @@
 {
   const char *text = scan->jsonc->text;
 
-  scan_space (scan);
-  scan_place (scan, key_offset, scan->at);
-  if (text[scan->at] == '{')
+  scan_skip_space (scan);
+  scan_set_fault_offsets (scan, key_offset, scan->offset);
+  if (text[scan->offset] == '{')
     scan_object (scan);
-  else if (text[scan->at] == '[')
+  else if (text[scan->offset] == '[')
     scan_array (scan);
-  else if (text[scan->at] == '"')
-    scan_string (scan);
+  else if (text[scan->offset] == '"')
+    scan_skip_string (scan);
   else
-    scan->at += strcspn (text + scan->at, ",]} \t\r\n");
+    scan->offset += strcspn (text + scan->offset, ",]} \t\r\n");
 }
 
 static void
-path_add (MfJsonc *jsonc, FaultPath *row)
+fault_path_add (MfJsonc *jsonc, FaultPath *row)
 {
   HASH_ADD_KEYPTR (hh, jsonc->paths, row->path, strlen (row->path), row);
 }
 
 /* Groups the faults by path, so that the scan finds them at once. */
 static void
-paths_index (MfJsonc *jsonc, FaultPath *rows)
+faults_index_by_path (MfJsonc *jsonc, FaultPath *rows)
 {
   uint32_t n = 0;
 
   for (uint32_t i = 0; i < jsonc->n_faults; i++)
     {
       Fault *fault = &jsonc->faults[i];
-      FaultPath *row = fault->path != NULL ? path_find (jsonc, fault->path) : NULL;
+      FaultPath *row = fault->path != NULL ? fault_path_find (jsonc, fault->path) : NULL;
 
       if (row != NULL)
         {
@@ -502,7 +504,7 @@
         {
           row = &rows[n++];
           *row = (FaultPath){ .path = fault->path, .fault = i };
-          path_add (jsonc, row);
+          fault_path_add (jsonc, row);
         }
     }
 }
@@ -520,22 +522,22 @@
 
 /* Turns offsets into lines and columns; columns count characters, not bytes. */
 static void
-faults_number (MfJsonc *jsonc)
+faults_find_positions (MfJsonc *jsonc)
 {
   uint32_t line = 1;
   uint32_t column = 1;
-  size_t at = 0;
+  size_t offset = 0;
 
   for (uint32_t i = 0; i < jsonc->n_faults; i++)
     {
-      for (; at < jsonc->faults[i].offset; at++)
+      for (; offset < jsonc->faults[i].offset; offset++)
         {
-          if (jsonc->original[at] == '\n')
+          if (jsonc->original[offset] == '\n')
             {
               line++;
               column = 1;
             }
-          else if (((unsigned char)jsonc->original[at] & 0xc0) != 0x80)
+          else if (((unsigned char)jsonc->original[offset] & 0xc0) != 0x80)
             column++;
         }
       jsonc->faults[i].error.line = line;
@@ -544,7 +546,7 @@
 }
 
 static void
-faults_place (MfJsonc *jsonc)
+faults_find_offsets (MfJsonc *jsonc)
 {
   Scan *scan = calloc (1, sizeof *scan);
   FaultPath *rows = calloc (jsonc->n_faults + 1, sizeof *rows);
@@ -552,7 +554,7 @@
   if (scan != NULL && rows != NULL)
     {
       scan->jsonc = jsonc;
-      paths_index (jsonc, rows);
+      faults_index_by_path (jsonc, rows);
       scan_value (scan, 0);
       HASH_CLEAR (hh, jsonc->paths);
     }
@@ -564,11 +566,11 @@
 mf_jsonc_report (MfJsonc *jsonc, MfFaultFunc on_fault, void *data)
 {
   if (jsonc->root != NULL)
-    faults_place (jsonc);
+    faults_find_offsets (jsonc);
   if (jsonc->n_faults == 0)
     return 0;
   qsort (jsonc->faults, jsonc->n_faults, sizeof *jsonc->faults, fault_compare);
-  faults_number (jsonc);
+  faults_find_positions (jsonc);
   for (uint32_t i = 0; on_fault != NULL && i < jsonc->n_faults; i++)
     on_fault (&jsonc->faults[i].error, data);
   return jsonc->n_faults + jsonc->n_dropped;
--- a/libmangofork/render.c
+++ b/libmangofork/render.c
@@ -84,10 +84,10 @@
 mf_render_finish (json_object *object, MfBuffer *out)
 {
   const char *text = json_object_to_json_string_ext (object, JSON_C_TO_STRING_PLAIN);
-  bool good = text != NULL;
+  bool rendered = text != NULL;
 
-  if (good)
+  if (rendered)
     mf_buffer_add_text (out, text);
   json_object_put (object);
-  return good && !out->failed;
+  return rendered && !out->failed;
 }
--- a/libmangofork/report.c
+++ b/libmangofork/report.c
@@ -125,13 +125,13 @@
   uint32_t index;
   double burn; /* the fastest of its objectives over the last hour */
   uint64_t total;
-} Ranked;
+} RankedCustomer;
 
 static int
 ranked_compare (const void *a, const void *b)
 {
-  const Ranked *left = a;
-  const Ranked *right = b;
+  const RankedCustomer *left = a;
+  const RankedCustomer *right = b;
 
   if (left->burn != right->burn)
     return left->burn > right->burn ? -1 : 1;
@@ -140,10 +140,10 @@
   return left->index < right->index ? -1 : 1;
 }
 
-static Ranked
+static RankedCustomer
 rank_customer (const MfCore *core, uint32_t index)
 {
-  Ranked ranked = { .index = index };
+  RankedCustomer ranked = { .index = index };
   MfBurnCounts counts;
 
   mf_burn_counts (core->board.burn, MF_BURN_CUSTOMER,
@@ -161,7 +161,7 @@
 }
 
 static json_object *
-customer_object (const MfCore *core, const Ranked *ranked)
+customer_object (const MfCore *core, const RankedCustomer *ranked)
 {
   const char *name = core->board.config->customers[ranked->index].name;
   uint64_t name_hash = mf_hash_name (name);
@@ -188,7 +188,7 @@
 {
   uint32_t n = core->board.config != NULL ? core->board.config->n_customers : 0;
   json_object *customers = json_object_new_array ();
-  Ranked *ranked = calloc ((size_t)n + 1, sizeof *ranked);
+  RankedCustomer *ranked = calloc ((size_t)n + 1, sizeof *ranked);
 
   for (uint32_t i = 0; ranked != NULL && i < n; i++)
     ranked[i] = rank_customer (core, i);
@@ -230,12 +230,12 @@
 {
   const char *name;
   bool found;
-} Search;
+} PeerSearch;
 
 static bool
 search_merged (const MfBurnPeer *peer, void *data)
 {
-  Search *search = data;
+  PeerSearch *search = data;
 
   search->found = strcmp (peer->owner.name, search->name) == 0;
   return !search->found;
@@ -245,7 +245,7 @@
 add_missing (const MfMember *member, void *data)
 {
   const Coverage *coverage = data;
-  Search search = { .name = member->owner.name };
+  PeerSearch search = { .name = member->owner.name };
 
   if (!mf_member_is_live (member))
     return true;
@@ -278,12 +278,12 @@
 {
   const uint64_t *by_code;
   json_object *list;
-} Ends;
+} EndCounts;
 
 static bool
 add_end (const MfCodeInfo *info, void *data)
 {
-  const Ends *ends = data;
+  const EndCounts *ends = data;
   uint64_t n = ends->by_code[mf_code_index (info->code)];
   json_object *object;
 
@@ -299,7 +299,7 @@
 static void
 add_ends (const MfCore *core, json_object *report)
 {
-  Ends ends = { .by_code = core->board.counters.by_code, .list = json_object_new_array () };
+  EndCounts ends = { .by_code = core->board.counters.by_code, .list = json_object_new_array () };
   json_object *phases = json_object_new_array ();
 
   mf_code_foreach (add_end, &ends);
@@ -343,7 +343,7 @@
 static bool
 add_point_code (const MfCodeInfo *info, void *data)
 {
-  const Ends *ends = data;
+  const EndCounts *ends = data;
   uint64_t n = ends->by_code[mf_code_index (info->code)];
 
   if (n > 0 && info->code != MF_CODE_OK)
@@ -357,7 +357,7 @@
   const Points *points = data;
   json_object *object = json_object_new_object ();
   uint64_t by_code[MF_CODE_SLOTS];
-  Ends ends = { .by_code = by_code, .list = json_object_new_object () };
+  EndCounts ends = { .by_code = by_code, .list = json_object_new_object () };
 
   for (uint32_t i = 0; i < MF_CODE_SLOTS; i++)
     by_code[i] = point->by_code[i];
--- a/libmangofork/series.c
+++ b/libmangofork/series.c
@@ -5,16 +5,16 @@
 
 #include <stdlib.h>
 
-#define POINTS 240
+#define POINTS_MAX 240
 
 /* The points of one length; the newest overwrites the oldest. */
 typedef struct
 {
-  MfSeriesPoint points[POINTS];
+  MfSeriesPoint points[POINTS_MAX];
   uint32_t n;
   uint32_t next;
   uint64_t start_us;
-  MfCounters start; /* when the running stretch began */
+  MfCounters start_counters; /* when the running stretch began */
 } Ring;
 
 struct MfSeries
@@ -54,7 +54,7 @@
 }
 
 static void
-ring_close (MfCore *core, Ring *ring)
+ring_add_point (MfCore *core, Ring *ring)
 {
   const MfCounters *now = &core->board.counters;
   MfSeriesPoint *point = &ring->points[ring->next];
@@ -67,14 +67,14 @@
     .debts = mf_cancel_count (core),
   };
   for (uint32_t i = 0; i < MF_COUNTER_COUNT; i++)
-    point->counters[i] = now->values[i] - ring->start.values[i];
+    point->counters[i] = now->values[i] - ring->start_counters.values[i];
   for (uint32_t i = 0; i < MF_CODE_SLOTS; i++)
-    point->by_code[i] = (uint32_t)(now->by_code[i] - ring->start.by_code[i]);
+    point->by_code[i] = (uint32_t)(now->by_code[i] - ring->start_counters.by_code[i]);
   point_slots (core, point);
-  ring->start = *now;
+  ring->start_counters = *now;
   ring->start_us = core->board.now_us;
-  ring->next = (ring->next + 1) % POINTS;
-  if (ring->n < POINTS)
+  ring->next = (ring->next + 1) % POINTS_MAX;
+  if (ring->n < POINTS_MAX)
     ring->n++;
 }
 
@@ -84,7 +84,7 @@
   const Ring *ring = &core->board.series->rings[kind];
 
   for (uint32_t i = 0; i < ring->n; i++)
-    func (&ring->points[(ring->next + POINTS - ring->n + i) % POINTS], data);
+    func (&ring->points[(ring->next + POINTS_MAX - ring->n + i) % POINTS_MAX], data);
 }
 
 static bool
@@ -115,7 +115,7 @@
       Ring *ring = &core->board.series->rings[i];
 
       if (core->board.now_us - ring->start_us >= lengths_us[i])
-        ring_close (core, ring);
+        ring_add_point (core, ring);
       mf_core_wake_at (core, ring->start_us + lengths_us[i]);
     }
 }
--- a/libmangofork/status.c
+++ b/libmangofork/status.c
@@ -221,11 +221,11 @@
 {
   const Listing *listing = data;
   json_object *object = json_object_new_object ();
-  bool convicted = suspect->quarantined_until_us > listing->core->board.now_us;
+  bool quarantined = suspect->quarantined_until_us > listing->core->board.now_us;
 
   mf_render_hex (object, "digest", suspect->digest);
   mf_render_number (object, "deaths", suspect->n_deaths);
-  mf_render_text (object, "state", convicted ? "convicted" : "suspected");
+  mf_render_text (object, "state", quarantined ? "convicted" : "suspected");
   mf_render_age (object, "age_s", listing->core, suspect->at_us);
   json_object_array_add (listing->list, object);
   return json_object_array_length (listing->list) < SUSPECTS_SHOWN;
--- a/libmangofork/trace.c
+++ b/libmangofork/trace.c
@@ -6,43 +6,43 @@
 #include "table.h"
 
 /* Requests remembered for each this many steps of the ring. */
-#define STEPS_PER_LIFE 8
+#define STEPS_PER_REQUEST 8
 /* Requests of one name that are shown. */
-#define SAME_NAME_MAX 16
+#define SAME_NAME_SHOWN_MAX 16
 #define PHASES_MAX 16
 
 /* One slot of the ring. Sequence numbers count all steps from 1; 0 is none. */
 typedef struct
 {
   MfTraceStep step;
-  uint64_t previous; /* sequence of the step before of the same request */
-} Slot;
+  uint64_t previous_sequence; /* sequence of the step before of the same request */
+} Entry;
 
 /* One remembered request. */
-typedef struct Life Life;
+typedef struct TracedRequest TracedRequest;
 
-struct Life
+struct TracedRequest
 {
   uint64_t request_id; /* 0 while unused */
   char name[MF_TRACE_NAME_BYTES];
-  uint64_t last;        /* sequence of its last step */
-  bool named;           /* in the table of names: the latest of its name */
-  Life *older;          /* of the same name */
-  uint64_t older_id;    /* what older must still hold */
-  UT_hash_handle hh;    /* by request_id */
-  UT_hash_handle hname; /* by name */
+  uint64_t last_sequence; /* sequence of its last step */
+  bool named;             /* in the table of names: the latest of its name */
+  TracedRequest *older;   /* of the same name */
+  uint64_t older_id;      /* what older must still hold */
+  UT_hash_handle hh;      /* by request_id */
+  UT_hash_handle hname;   /* by name */
 };
 
 struct MfTrace
 {
-  Slot *slots;
-  uint32_t n_slots;
+  Entry *entries;
+  uint32_t n_entries;
   uint64_t sequence;
-  Life *lives;
-  uint32_t n_lives;
-  uint32_t next_life;
-  Life *by_id;
-  Life *by_name;
+  TracedRequest *requests;
+  uint32_t n_requests;
+  uint32_t next_request;
+  TracedRequest *by_id;
+  TracedRequest *by_name;
   uint64_t ended[MF_ENDED_BY_COUNT][PHASES_MAX];
 };
 
@@ -53,11 +53,11 @@
 
   if (trace == NULL)
     return NULL;
-  trace->n_slots = n_steps > 0 ? n_steps : 1;
-  trace->n_lives = trace->n_slots / STEPS_PER_LIFE + 1;
-  trace->slots = calloc (trace->n_slots, sizeof *trace->slots);
-  trace->lives = calloc (trace->n_lives, sizeof *trace->lives);
-  if (trace->slots == NULL || trace->lives == NULL)
+  trace->n_entries = n_steps > 0 ? n_steps : 1;
+  trace->n_requests = trace->n_entries / STEPS_PER_REQUEST + 1;
+  trace->entries = calloc (trace->n_entries, sizeof *trace->entries);
+  trace->requests = calloc (trace->n_requests, sizeof *trace->requests);
+  if (trace->entries == NULL || trace->requests == NULL)
     {
       mf_trace_free (trace);
       return NULL;
@@ -73,80 +73,80 @@
     return;
   HASH_CLEAR (hh, trace->by_id);
   HASH_CLEAR (hname, trace->by_name);
-  free (trace->slots);
-  free (trace->lives);
+  free (trace->entries);
+  free (trace->requests);
   free (trace);
 }
 
-static Life *
-life_find (const MfTrace *trace, uint64_t request_id)
+static TracedRequest *
+request_find (const MfTrace *trace, uint64_t request_id)
 {
-  Life *life;
+  TracedRequest *request;
 
-  HASH_FIND (hh, trace->by_id, &request_id, sizeof request_id, life);
-  return life;
+  HASH_FIND (hh, trace->by_id, &request_id, sizeof request_id, request);
+  return request;
 }
 
-static Life *
-life_find_name (const MfTrace *trace, const char *name)
+static TracedRequest *
+request_find_by_name (const MfTrace *trace, const char *name)
 {
-  Life *life;
+  TracedRequest *request;
 
-  HASH_FIND (hname, trace->by_name, name, strlen (name), life);
-  return life;
+  HASH_FIND (hname, trace->by_name, name, strlen (name), request);
+  return request;
 }
 
 static void
-life_unname (MfTrace *trace, Life *life)
+request_unlink_name (MfTrace *trace, TracedRequest *request)
 {
-  if (life->named && trace->by_name != NULL)
-    HASH_DELETE (hname, trace->by_name, life);
-  life->named = false;
+  if (request->named && trace->by_name != NULL)
+    HASH_DELETE (hname, trace->by_name, request);
+  request->named = false;
 }
 
 static void
-life_name (MfTrace *trace, Life *life)
+request_link_name (MfTrace *trace, TracedRequest *request)
 {
-  HASH_ADD_KEYPTR (hname, trace->by_name, life->name, strlen (life->name), life);
-  life->named = true;
+  HASH_ADD_KEYPTR (hname, trace->by_name, request->name, strlen (request->name), request);
+  request->named = true;
 }
 
 static void
-life_forget (MfTrace *trace, Life *life)
+request_remove (MfTrace *trace, TracedRequest *request)
 {
-  life_unname (trace, life);
-  HASH_DELETE (hh, trace->by_id, life);
-  life->request_id = 0;
+  request_unlink_name (trace, request);
+  HASH_DELETE (hh, trace->by_id, request);
+  request->request_id = 0;
 }
 
 /* Returns the row of a request, giving it the place of the oldest one when it is new. */
-static Life *
-life_need (MfTrace *trace, uint64_t request_id)
-{
-  Life *life = life_find (trace, request_id);
-
-  if (life != NULL)
-    return life;
-  life = &trace->lives[trace->next_life];
-  trace->next_life = (trace->next_life + 1) % trace->n_lives;
-  if (life->request_id != 0)
-    life_forget (trace, life);
-  *life = (Life){ .request_id = request_id };
-  HASH_ADD (hh, trace->by_id, request_id, sizeof life->request_id, life);
-  return life;
+static TracedRequest *
+request_find_or_add (MfTrace *trace, uint64_t request_id)
+{
+  TracedRequest *request = request_find (trace, request_id);
+
+  if (request != NULL)
+    return request;
+  request = &trace->requests[trace->next_request];
+  trace->next_request = (trace->next_request + 1) % trace->n_requests;
+  if (request->request_id != 0)
+    request_remove (trace, request);
+  *request = (TracedRequest){ .request_id = request_id };
+  HASH_ADD (hh, trace->by_id, request_id, sizeof request->request_id, request);
+  return request;
 }
 
 void
 mf_trace_note (MfTrace *trace, const MfTraceStep *step)
 {
-  Life *life = life_need (trace, step->request_id);
-  Slot *slot;
+  TracedRequest *request = request_find_or_add (trace, step->request_id);
+  Entry *entry;
 
   trace->sequence++;
-  slot = &trace->slots[trace->sequence % trace->n_slots];
-  slot->step = *step;
-  slot->previous = life->last;
-  life->last = trace->sequence;
+  entry = &trace->entries[trace->sequence % trace->n_entries];
+  entry->step = *step;
+  entry->previous_sequence = request->last_sequence;
+  request->last_sequence = trace->sequence;
   if (step->kind == MF_TRACE_ENDED && step->code != MF_CODE_OK && step->ended_by < MF_ENDED_BY_COUNT
       && step->phase < PHASES_MAX)
     trace->ended[step->ended_by][step->phase]++;
@@ -155,66 +155,70 @@
 void
 mf_trace_name (MfTrace *trace, uint64_t request_id, const char *name)
 {
-  Life *life = life_need (trace, request_id);
-  Life *older;
+  TracedRequest *request = request_find_or_add (trace, request_id);
+  TracedRequest *older;
 
-  life_unname (trace, life);
-  mf_name_set (life->name, sizeof life->name, name);
-  older = life_find_name (trace, life->name);
+  request_unlink_name (trace, request);
+  mf_name_set (request->name, sizeof request->name, name);
+  older = request_find_by_name (trace, request->name);
   if (older != NULL)
     {
-      life_unname (trace, older);
-      life->older = older;
-      life->older_id = older->request_id;
+      request_unlink_name (trace, older);
+      request->older = older;
+      request->older_id = older->request_id;
     }
-  life_name (trace, life);
+  request_link_name (trace, request);
 }
 
 /* Calls func for the steps of one life that the ring still holds. */
 static void
-life_foreach (const MfTrace *trace, const Life *life, MfTraceFunc func, void *data)
+request_foreach_step (const MfTrace *trace, const TracedRequest *request, MfTraceFunc func,
+                      void *data)
 {
-  uint64_t oldest = trace->sequence >= trace->n_slots ? trace->sequence - trace->n_slots + 1 : 1;
-  uint64_t sequence = life->last;
+  uint64_t oldest
+      = trace->sequence >= trace->n_entries ? trace->sequence - trace->n_entries + 1 : 1;
+  uint64_t sequence = request->last_sequence;
   uint64_t *sequences;
   uint32_t n = 0;
 
   while (sequence >= oldest)
     {
       n++;
-      sequence = trace->slots[sequence % trace->n_slots].previous;
+      sequence = trace->entries[sequence % trace->n_entries].previous_sequence;
     }
   sequences = calloc ((size_t)n + 1, sizeof *sequences);
   if (sequences == NULL)
     return;
-  sequence = life->last;
+  sequence = request->last_sequence;
   for (uint32_t i = n; i-- > 0;)
     {
       sequences[i] = sequence;
-      sequence = trace->slots[sequence % trace->n_slots].previous;
+      sequence = trace->entries[sequence % trace->n_entries].previous_sequence;
     }
   for (uint32_t i = 0; i < n; i++)
-    func (&trace->slots[sequences[i] % trace->n_slots].step, data);
+    func (&trace->entries[sequences[i] % trace->n_entries].step, data);
   free (sequences);
 }
 
 bool
 mf_trace_foreach (const MfTrace *trace, const char *name, MfTraceFunc func, void *data)
 {
-  const Life *lives[SAME_NAME_MAX];
-  char cut[MF_TRACE_NAME_BYTES];
-  const Life *life;
+  const TracedRequest *requests[SAME_NAME_SHOWN_MAX];
+  char truncated_name[MF_TRACE_NAME_BYTES];
+  const TracedRequest *request;
   uint32_t n = 0;
 
-  mf_name_set (cut, sizeof cut, name);
-  life = life_find_name (trace, cut);
-  while (life != NULL && n < SAME_NAME_MAX)
+  mf_name_set (truncated_name, sizeof truncated_name, name);
+  request = request_find_by_name (trace, truncated_name);
+  while (request != NULL && n < SAME_NAME_SHOWN_MAX)
     {
-      lives[n++] = life;
-      life = life->older != NULL && life->older->request_id == life->older_id ? life->older : NULL;
+      requests[n++] = request;
+      request = request->older != NULL && request->older->request_id == request->older_id
+                    ? request->older
+                    : NULL;
     }
   for (uint32_t i = n; i-- > 0;)
-    life_foreach (trace, lives[i], func, data);
+    request_foreach_step (trace, requests[i], func, data);
   return n > 0;
 }
 
--- a/tests/test_burn.c
+++ b/tests/test_burn.c
@@ -37,7 +37,7 @@
 }
 
 static void
-note (MfBurn *burn, MfBurnSample sample, uint32_t n, uint64_t now_us)
+record (MfBurn *burn, MfBurnSample sample, uint32_t n, uint64_t now_us)
 {
   MfConfig config = config_of ();
 
@@ -84,11 +84,11 @@
   MfBurnCounts counts;
 
   (void)state;
-  note (burn, refused, 3, START_US);
-  note (burn, failed, 1, START_US);
-  note (burn, departed, 2, START_US);
-  note (burn, callers, 5, START_US);
-  note (burn, good_sample (), 9, START_US);
+  record (burn, refused, 3, START_US);
+  record (burn, failed, 1, START_US);
+  record (burn, departed, 2, START_US);
+  record (burn, callers, 5, START_US);
+  record (burn, good_sample (), 9, START_US);
   counts = counts_of (burn, MF_WINDOW_5M, false, START_US);
   assert_int_equal (counts.total[MF_SLI_AVAILABILITY], 10);
   assert_int_equal (counts.bad[MF_SLI_AVAILABILITY], 1);
@@ -110,8 +110,8 @@
 
   (void)state;
   late.ttft_us = 2000;
-  note (burn, late, 10, START_US);
-  note (burn, good_sample (), 10, START_US + 10 * MINUTE_US);
+  record (burn, late, 10, START_US);
+  record (burn, good_sample (), 10, START_US + 10 * MINUTE_US);
   counts = counts_of (burn, MF_WINDOW_5M, false, START_US + 10 * MINUTE_US);
   assert_int_equal (counts.bad[MF_SLI_TTFT], 0);
   assert_int_equal (counts.total[MF_SLI_TTFT], 10);
@@ -131,35 +131,35 @@
 static void
 test_peers_merge_exactly (void **state)
 {
-  MfBurn *here = mf_burn_new (START_US);
-  MfBurn *there = mf_burn_new (START_US);
-  MfInstanceId owner = { .name = "entry-2", .incarnation = 7 };
+  MfBurn *local = mf_burn_new (START_US);
+  MfBurn *remote = mf_burn_new (START_US);
+  MfInstanceId remote_id = { .name = "entry-2", .incarnation = 7 };
   uint8_t digest[2048];
   size_t n;
 
   (void)state;
-  note (here, good_sample (), 1, START_US);
-  note (there, good_sample (), 5, START_US + 1);
-  n = mf_burn_pack (there, START_US + 2, digest, sizeof digest);
+  record (local, good_sample (), 1, START_US);
+  record (remote, good_sample (), 5, START_US + 1);
+  n = mf_burn_pack (remote, START_US + 2, digest, sizeof digest);
   assert_true (n > 0);
-  assert_true (mf_burn_merge (here, &owner, digest, n, START_US + 3));
-  assert_true (mf_burn_merge (here, &owner, digest, n, START_US + 4));
-  note (there, good_sample (), 2, START_US + 5);
-  mf_burn_pack (there, START_US + 5, digest, sizeof digest); /* lost */
-  note (there, good_sample (), 3, START_US + 6);
-  n = mf_burn_pack (there, START_US + 6, digest, sizeof digest);
-  assert_true (mf_burn_merge (here, &owner, digest, n, START_US + 7));
-  assert_int_equal (counts_of (here, MF_WINDOW_5M, true, START_US + 8).total[MF_SLI_TTFT], 11);
-  assert_int_equal (counts_of (here, MF_WINDOW_5M, false, START_US + 8).total[MF_SLI_TTFT], 1);
-  mf_burn_free (there);
-  there = mf_burn_new (START_US);
-  owner.incarnation = 8;
-  note (there, good_sample (), 4, START_US + 9);
-  n = mf_burn_pack (there, START_US + 9, digest, sizeof digest);
-  assert_true (mf_burn_merge (here, &owner, digest, n, START_US + 10));
-  assert_int_equal (counts_of (here, MF_WINDOW_5M, true, START_US + 11).total[MF_SLI_TTFT], 15);
-  mf_burn_free (there);
-  mf_burn_free (here);
+  assert_true (mf_burn_merge (local, &remote_id, digest, n, START_US + 3));
+  assert_true (mf_burn_merge (local, &remote_id, digest, n, START_US + 4));
+  record (remote, good_sample (), 2, START_US + 5);
+  mf_burn_pack (remote, START_US + 5, digest, sizeof digest); /* lost */
+  record (remote, good_sample (), 3, START_US + 6);
+  n = mf_burn_pack (remote, START_US + 6, digest, sizeof digest);
+  assert_true (mf_burn_merge (local, &remote_id, digest, n, START_US + 7));
+  assert_int_equal (counts_of (local, MF_WINDOW_5M, true, START_US + 8).total[MF_SLI_TTFT], 11);
+  assert_int_equal (counts_of (local, MF_WINDOW_5M, false, START_US + 8).total[MF_SLI_TTFT], 1);
+  mf_burn_free (remote);
+  remote = mf_burn_new (START_US);
+  remote_id.incarnation = 8;
+  record (remote, good_sample (), 4, START_US + 9);
+  n = mf_burn_pack (remote, START_US + 9, digest, sizeof digest);
+  assert_true (mf_burn_merge (local, &remote_id, digest, n, START_US + 10));
+  assert_int_equal (counts_of (local, MF_WINDOW_5M, true, START_US + 11).total[MF_SLI_TTFT], 15);
+  mf_burn_free (remote);
+  mf_burn_free (local);
 }
 
 /* A peer that began earlier, or counted while this instance was idle, loses nothing; nor does a row
@@ -167,9 +167,9 @@
 static void
 test_an_idle_instance_takes_the_first_counts (void **state)
 {
-  MfBurn *here = mf_burn_new (START_US + 10);
-  MfBurn *there = mf_burn_new (START_US);
-  MfInstanceId owner = { .name = "entry-2", .incarnation = 7 };
+  MfBurn *local = mf_burn_new (START_US + 10);
+  MfBurn *remote = mf_burn_new (START_US);
+  MfInstanceId remote_id = { .name = "entry-2", .incarnation = 7 };
   uint8_t digest[2048];
   MfBurnSample sample = good_sample ();
   MfBurnCounts counts;
@@ -177,77 +177,77 @@
 
   (void)state;
   sample.customer = MF_NONE;
-  note (there, sample, 3, START_US + 20);
-  n = mf_burn_pack (there, START_US + 30, digest, sizeof digest);
-  assert_true (mf_burn_merge (here, &owner, digest, n, START_US + 30));
-  assert_int_equal (counts_of (here, MF_WINDOW_5M, true, START_US + 40).total[MF_SLI_TTFT], 3);
+  record (remote, sample, 3, START_US + 20);
+  n = mf_burn_pack (remote, START_US + 30, digest, sizeof digest);
+  assert_true (mf_burn_merge (local, &remote_id, digest, n, START_US + 30));
+  assert_int_equal (counts_of (local, MF_WINDOW_5M, true, START_US + 40).total[MF_SLI_TTFT], 3);
   sample.customer = 0;
-  note (there, sample, 2, START_US + 50);
-  n = mf_burn_pack (there, START_US + 60, digest, sizeof digest);
-  assert_true (mf_burn_merge (here, &owner, digest, n, START_US + 60));
-  assert_int_equal (counts_of (here, MF_WINDOW_5M, true, START_US + 70).total[MF_SLI_TTFT], 5);
-  mf_burn_counts (here, MF_BURN_CUSTOMER, mf_hash_name ("c"), MF_WINDOW_5M, true, START_US + 70,
+  record (remote, sample, 2, START_US + 50);
+  n = mf_burn_pack (remote, START_US + 60, digest, sizeof digest);
+  assert_true (mf_burn_merge (local, &remote_id, digest, n, START_US + 60));
+  assert_int_equal (counts_of (local, MF_WINDOW_5M, true, START_US + 70).total[MF_SLI_TTFT], 5);
+  mf_burn_counts (local, MF_BURN_CUSTOMER, mf_hash_name ("c"), MF_WINDOW_5M, true, START_US + 70,
                   &counts);
   assert_int_equal (counts.total[MF_SLI_TTFT], 2);
-  mf_burn_free (there);
-  mf_burn_free (here);
+  mf_burn_free (remote);
+  mf_burn_free (local);
 }
 
 /* What a peer counted before this instance began is not told as if it were new. */
 static void
 test_a_fresh_instance_takes_no_history (void **state)
 {
-  MfBurn *here = mf_burn_new (START_US + MINUTE_US);
-  MfBurn *there = mf_burn_new (START_US);
-  MfInstanceId owner = { .name = "entry-2", .incarnation = 7 };
+  MfBurn *local = mf_burn_new (START_US + MINUTE_US);
+  MfBurn *remote = mf_burn_new (START_US);
+  MfInstanceId remote_id = { .name = "entry-2", .incarnation = 7 };
   uint8_t digest[2048];
   size_t n;
 
   (void)state;
-  note (there, good_sample (), 100, START_US);
-  n = mf_burn_pack (there, START_US + MINUTE_US, digest, sizeof digest);
-  note (here, good_sample (), 1, START_US + MINUTE_US);
-  assert_true (mf_burn_merge (here, &owner, digest, n, START_US + MINUTE_US + 1));
-  note (there, good_sample (), 2, START_US + MINUTE_US + 2);
-  n = mf_burn_pack (there, START_US + MINUTE_US + 3, digest, sizeof digest);
-  assert_true (mf_burn_merge (here, &owner, digest, n, START_US + MINUTE_US + 4));
+  record (remote, good_sample (), 100, START_US);
+  n = mf_burn_pack (remote, START_US + MINUTE_US, digest, sizeof digest);
+  record (local, good_sample (), 1, START_US + MINUTE_US);
+  assert_true (mf_burn_merge (local, &remote_id, digest, n, START_US + MINUTE_US + 1));
+  record (remote, good_sample (), 2, START_US + MINUTE_US + 2);
+  n = mf_burn_pack (remote, START_US + MINUTE_US + 3, digest, sizeof digest);
+  assert_true (mf_burn_merge (local, &remote_id, digest, n, START_US + MINUTE_US + 4));
   assert_int_equal (
-      counts_of (here, MF_WINDOW_5M, true, START_US + MINUTE_US + 5).total[MF_SLI_TTFT], 3);
-  mf_burn_free (there);
-  mf_burn_free (here);
+      counts_of (local, MF_WINDOW_5M, true, START_US + MINUTE_US + 5).total[MF_SLI_TTFT], 3);
+  mf_burn_free (remote);
+  mf_burn_free (local);
 }
 
 static void
 test_malformed_digests_are_ignored (void **state)
 {
-  MfBurn *here = mf_burn_new (START_US);
-  MfBurn *there = mf_burn_new (START_US);
-  MfInstanceId owner = { .name = "entry-2", .incarnation = 7 };
+  MfBurn *local = mf_burn_new (START_US);
+  MfBurn *remote = mf_burn_new (START_US);
+  MfInstanceId remote_id = { .name = "entry-2", .incarnation = 7 };
   uint8_t digest[2048];
   uint8_t *copy;
   size_t n;
 
   (void)state;
-  note (there, good_sample (), 5, START_US);
-  n = mf_burn_pack (there, START_US, digest, sizeof digest);
+  record (remote, good_sample (), 5, START_US);
+  n = mf_burn_pack (remote, START_US, digest, sizeof digest);
   for (size_t i = 0; i < n; i++)
     {
       copy = malloc (n);
       assert_non_null (copy);
       memcpy (copy, digest, n);
       copy[i] = 0xc1;
-      mf_burn_merge (here, &owner, copy, n, START_US);
+      mf_burn_merge (local, &remote_id, copy, n, START_US);
       free (copy);
       copy = malloc (i + 1);
       assert_non_null (copy);
       memcpy (copy, digest, i);
-      mf_burn_merge (here, &owner, copy, i, START_US);
+      mf_burn_merge (local, &remote_id, copy, i, START_US);
       free (copy);
     }
-  assert_false (mf_burn_merge (here, &owner, (const uint8_t *)"x", 1, START_US));
-  assert_true (mf_burn_pack (there, START_US, digest, 40) <= 40);
-  mf_burn_free (there);
-  mf_burn_free (here);
+  assert_false (mf_burn_merge (local, &remote_id, (const uint8_t *)"x", 1, START_US));
+  assert_true (mf_burn_pack (remote, START_US, digest, 40) <= 40);
+  mf_burn_free (remote);
+  mf_burn_free (local);
 }
 
 /* Many customers share small digests in turn, and all arrive. */
@@ -258,9 +258,9 @@
   {
     N = 2400
   };
-  MfBurn *here = mf_burn_new (START_US);
-  MfBurn *there = mf_burn_new (START_US);
-  MfInstanceId owner = { .name = "entry-2", .incarnation = 7 };
+  MfBurn *local = mf_burn_new (START_US);
+  MfBurn *remote = mf_burn_new (START_US);
+  MfInstanceId remote_id = { .name = "entry-2", .incarnation = 7 };
   MfCustomer *customers = calloc (N, sizeof *customers);
   MfConfig config
       = { .services = &service, .n_services = 1, .customers = customers, .n_customers = N };
@@ -270,33 +270,33 @@
 
   (void)state;
   assert_non_null (customers);
-  note (here, sample, 1, START_US);
+  record (local, sample, 1, START_US);
   for (uint32_t i = 0; i < N; i++)
     {
       snprintf (customers[i].name, sizeof customers[i].name, "c%u", i);
       sample.customer = i;
-      mf_burn_note (there, &config, &sample, START_US + 1);
+      mf_burn_note (remote, &config, &sample, START_US + 1);
     }
   for (uint32_t i = 0; i < N; i++)
     {
-      size_t n = mf_burn_pack (there, START_US + 2, digest, sizeof digest);
+      size_t n = mf_burn_pack (remote, START_US + 2, digest, sizeof digest);
 
       assert_true (n <= sizeof digest);
-      assert_true (mf_burn_merge (here, &owner, digest, n, START_US + 3));
+      assert_true (mf_burn_merge (local, &remote_id, digest, n, START_US + 3));
     }
   for (uint32_t i = 0; i < N; i++)
     {
       MfBurnCounts counts;
 
-      mf_burn_counts (here, MF_BURN_CUSTOMER, mf_hash_name (customers[i].name), MF_WINDOW_1D, true,
+      mf_burn_counts (local, MF_BURN_CUSTOMER, mf_hash_name (customers[i].name), MF_WINDOW_1D, true,
                       START_US + 4, &counts);
       n_found += counts.total[MF_SLI_TTFT] == 1;
     }
   assert_int_equal (n_found, N);
-  assert_int_equal (mf_burn_missed (here), 0);
+  assert_int_equal (mf_burn_missed (local), 0);
   free (customers);
-  mf_burn_free (there);
-  mf_burn_free (here);
+  mf_burn_free (remote);
+  mf_burn_free (local);
 }
 
 int
--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -17,7 +17,7 @@
 } Faults;
 
 static void
-note_fault (const MfError *fault, void *data)
+record_fault (const MfError *fault, void *data)
 {
   Faults *faults = data;
 
@@ -29,7 +29,7 @@
 parse (const char *text, Faults *faults)
 {
   *faults = (Faults){ 0 };
-  return mf_config_parse (text, strlen (text), 1, note_fault, faults);
+  return mf_config_parse (text, strlen (text), 1, record_fault, faults);
 }
 
 static bool
@@ -71,7 +71,7 @@
   Faults faults = { 0 };
   size_t bytes;
   char *text = read_example ("text.json", &bytes);
-  MfConfig *config = mf_config_parse (text, bytes, 7, note_fault, &faults);
+  MfConfig *config = mf_config_parse (text, bytes, 7, record_fault, &faults);
 
   (void)state;
   assert_int_equal (faults.n_faults, 0);
@@ -250,7 +250,7 @@
   (void)state;
   assert_non_null (text);
   memset (text, ' ', bytes);
-  assert_null (mf_config_parse (text, bytes, 1, note_fault, &faults));
+  assert_null (mf_config_parse (text, bytes, 1, record_fault, &faults));
   assert_int_equal (faults.n_faults, 1);
   assert_int_equal (faults.faults[0].code, MF_CODE_TEXT_TOO_LARGE);
   free (text);
--- a/tests/test_trace.c
+++ b/tests/test_trace.c
@@ -11,19 +11,19 @@
 {
   uint64_t values[64];
   uint32_t n;
-} Seen;
+} CollectedValues;
 
 static void
-note_value (const MfTraceStep *step, void *data)
+collect_value (const MfTraceStep *step, void *data)
 {
-  Seen *seen = data;
+  CollectedValues *collected = data;
 
-  assert_true (seen->n < MF_ARRAY_LEN (seen->values));
-  seen->values[seen->n++] = step->value;
+  assert_true (collected->n < MF_ARRAY_LEN (collected->values));
+  collected->values[collected->n++] = step->value;
 }
 
 static void
-note (MfTrace *trace, uint64_t request_id, uint64_t value)
+add_step (MfTrace *trace, uint64_t request_id, uint64_t value)
 {
   MfTraceStep step
       = { .request_id = request_id, .kind = MF_TRACE_CALLED, .value = value, .upstream = MF_NONE };
@@ -35,21 +35,21 @@
 test_steps_of_one_request_in_order (void **state)
 {
   MfTrace *trace = mf_trace_new (64);
-  Seen seen = { 0 };
+  CollectedValues collected = { 0 };
 
   (void)state;
   mf_trace_name (trace, 1, "a");
   mf_trace_name (trace, 2, "b");
   for (uint64_t i = 0; i < 5; i++)
     {
-      note (trace, 1, i);
-      note (trace, 2, 100 + i);
+      add_step (trace, 1, i);
+      add_step (trace, 2, 100 + i);
     }
-  assert_true (mf_trace_foreach (trace, "a", note_value, &seen));
-  assert_int_equal (seen.n, 5);
-  for (uint32_t i = 0; i < seen.n; i++)
-    assert_int_equal (seen.values[i], i);
-  assert_false (mf_trace_foreach (trace, "c", note_value, &seen));
+  assert_true (mf_trace_foreach (trace, "a", collect_value, &collected));
+  assert_int_equal (collected.n, 5);
+  for (uint32_t i = 0; i < collected.n; i++)
+    assert_int_equal (collected.values[i], i);
+  assert_false (mf_trace_foreach (trace, "c", collect_value, &collected));
   mf_trace_free (trace);
 }
 
@@ -57,28 +57,28 @@
 test_ring_forgets_the_oldest (void **state)
 {
   MfTrace *trace = mf_trace_new (16);
-  Seen seen = { 0 };
+  CollectedValues collected = { 0 };
 
   (void)state;
   mf_trace_name (trace, 1, "long");
   for (uint64_t i = 0; i < 20; i++)
-    note (trace, 1, i);
-  assert_true (mf_trace_foreach (trace, "long", note_value, &seen));
-  assert_int_equal (seen.n, 16);
-  assert_int_equal (seen.values[0], 4);
-  assert_int_equal (seen.values[15], 19);
+    add_step (trace, 1, i);
+  assert_true (mf_trace_foreach (trace, "long", collect_value, &collected));
+  assert_int_equal (collected.n, 16);
+  assert_int_equal (collected.values[0], 4);
+  assert_int_equal (collected.values[15], 19);
   for (uint64_t id = 2; id < 100; id++)
     {
       char name[16];
 
       snprintf (name, sizeof name, "r%d", (int)id);
       mf_trace_name (trace, id, name);
-      note (trace, id, id);
+      add_step (trace, id, id);
     }
-  assert_false (mf_trace_foreach (trace, "long", note_value, &seen));
-  seen.n = 0;
-  assert_true (mf_trace_foreach (trace, "r99", note_value, &seen));
-  assert_int_equal (seen.n, 1);
+  assert_false (mf_trace_foreach (trace, "long", collect_value, &collected));
+  collected.n = 0;
+  assert_true (mf_trace_foreach (trace, "r99", collect_value, &collected));
+  assert_int_equal (collected.n, 1);
   mf_trace_free (trace);
 }
 
@@ -86,19 +86,19 @@
 test_a_name_used_again_shows_both (void **state)
 {
   MfTrace *trace = mf_trace_new (64);
-  Seen seen = { 0 };
+  CollectedValues collected = { 0 };
 
   (void)state;
   mf_trace_name (trace, 1, "again");
-  note (trace, 1, 10);
+  add_step (trace, 1, 10);
   mf_trace_name (trace, 2, "again");
-  note (trace, 2, 20);
-  note (trace, 1, 11);
-  assert_true (mf_trace_foreach (trace, "again", note_value, &seen));
-  assert_int_equal (seen.n, 3);
-  assert_int_equal (seen.values[0], 10);
-  assert_int_equal (seen.values[1], 11);
-  assert_int_equal (seen.values[2], 20);
+  add_step (trace, 2, 20);
+  add_step (trace, 1, 11);
+  assert_true (mf_trace_foreach (trace, "again", collect_value, &collected));
+  assert_int_equal (collected.n, 3);
+  assert_int_equal (collected.values[0], 10);
+  assert_int_equal (collected.values[1], 11);
+  assert_int_equal (collected.values[2], 20);
   mf_trace_free (trace);
 }
 
