--- a/libmangofork/config.c
+++ b/libmangofork/config.c
@@ -79,7 +79,7 @@
   return NULL;
 }
 
-/* Frees a checked text. Accepts NULL. */
+/* Accepts NULL. */
 void
 mf_config_free (MfConfig *config)
 {
@@ -112,7 +112,8 @@
   return mf_name_table_find (&config->index->models, model, strlen (model));
 }
 
-/* Cuts the path at its last '/' until a service has what is left; a query is no part of it. */
+/* Looks up ever shorter prefixes, each cut at a '/', until one belongs to a service. The query
+ * string is ignored. */
 uint32_t
 mf_config_find_path (const MfConfig *config, const char *path)
 {
--- a/libmangofork/config_index.h
+++ b/libmangofork/config_index.h
@@ -1,13 +1,13 @@
 #ifndef MF_CONFIG_INDEX_H
 #define MF_CONFIG_INDEX_H
 
-/* Tables of the names of a text; for config.c and config_read.c only. */
+/* Name tables of a configuration; private to config.c and config_read.c. */
 
 #include "field.h"
 
 #include "table.h"
 
-/* One name of a list and its place there. */
+/* Maps a name to its index in a list of the configuration. */
 typedef struct
 {
   uint32_t index;
@@ -33,12 +33,12 @@
 };
 
 uint32_t mf_name_table_find (const MfNameTable *table, const void *key, size_t key_bytes);
-/* Gives a table room for n rows. */
+/* Allocates n rows. */
 bool mf_name_table_reserve (MfNameTable *table, uint32_t n);
-/* Adds a key that lives as long as the table. Returns false when it is there already. */
+/* Adds a key, which must outlive the table. Returns false when the table already has it. */
 bool mf_name_table_add (MfNameTable *table, uint32_t index, const void *key, size_t key_bytes);
 
-/* Reads the tree of a text into config; faults go to jsonc. */
+/* Fills config from the parsed text; records faults in jsonc. */
 void mf_config_read (MfJsonc *jsonc, MfConfig *config);
 
 #endif
--- a/libmangofork/config_read.c
+++ b/libmangofork/config_read.c
@@ -11,7 +11,7 @@
 #define DAY_S UINT64_C (86400)
 #define BYTES_PER_MB UINT64_C (1000000)
 
-/* A text while it is read. */
+/* State while a configuration is read. */
 typedef struct
 {
   MfJsonc *jsonc;
@@ -239,7 +239,8 @@
 };
 static const MfFieldTable config_table = { config_fields, MF_ARRAY_LEN (config_fields) };
 
-/* Adds a name; one that is given twice is a fault. Empty names are faults already. */
+/* Adds a name to a table and records a fault when it is already there. Empty names are skipped:
+ * mf_field_read has already reported them. */
 static void
 name_add (const ConfigReader *reader, MfNameTable *table, uint32_t index, const char *name,
           const char *path, const char *key)
@@ -252,7 +253,7 @@
   mf_jsonc_fault (reader->jsonc, member, MF_CODE_TEXT_DUPLICATE, "\"%s\" is given twice", name);
 }
 
-/* Returns the i-th element of an array when it is an object; anything else is a fault. */
+/* Returns the i-th element of an array, or NULL with a fault recorded when it is not an object. */
 static json_object *
 read_element (const ConfigReader *reader, json_object *array, const char *path, size_t i)
 {
@@ -264,7 +265,9 @@
   return NULL;
 }
 
-/* Returns the index of the name at object[key], or MF_NONE with a fault. */
+/* Resolves a name that refers to another entry. Returns its index, or MF_NONE with a fault
+ * recorded.
+ */
 static uint32_t
 read_reference (const ConfigReader *reader, const MfNameTable *table, json_object *value,
                 const char *path, const char *what)
@@ -273,13 +276,13 @@
 
   if (!json_object_is_type (value, json_type_string))
     {
-      mf_jsonc_fault (reader->jsonc, path, MF_CODE_TEXT_TYPE, "not the name of a %s", what);
+      mf_jsonc_fault (reader->jsonc, path, MF_CODE_TEXT_TYPE, "expected the name of a %s", what);
       return MF_NONE;
     }
   found = mf_name_table_find (table, json_object_get_string (value),
                               (size_t)json_object_get_string_len (value));
   if (found == MF_NONE)
-    mf_jsonc_fault (reader->jsonc, path, MF_CODE_TEXT_MISSING, "there is no %s \"%s\"", what,
+    mf_jsonc_fault (reader->jsonc, path, MF_CODE_TEXT_MISSING, "unknown %s \"%s\"", what,
                     json_object_get_string (value));
   return found;
 }
@@ -359,7 +362,8 @@
     }
 }
 
-/* Returns the pool a service names under key; it must have the role. */
+/* Returns the index of the pool that a service names under key; a pool of another role is a fault.
+ */
 static uint32_t
 read_pool_reference (const ConfigReader *reader, json_object *object, const char *path,
                      const char *key, MfRole role)
@@ -412,7 +416,8 @@
       char member[MF_PATH_BYTES];
 
       mf_path_member (member, path, "path");
-      mf_jsonc_fault (reader->jsonc, member, MF_CODE_TEXT_RANGE, "\"path\" begins with no \"/\"");
+      mf_jsonc_fault (reader->jsonc, member, MF_CODE_TEXT_RANGE,
+                      "\"path\" does not begin with \"/\"");
     }
   service->prefill_pool
       = read_pool_reference (reader, object, path, "prefill_pool", MF_ROLE_PREFILL);
@@ -476,7 +481,8 @@
   VISIT_DONE,
 } Visit;
 
-/* Walks the dependencies of one service; one that leads back into the walk closes a cycle. */
+/* Depth-first search of the dependencies of one service; an edge to a service whose search is still
+ * in progress closes a cycle. */
 static void
 check_cycle (const ConfigReader *reader, uint32_t i, uint8_t *visits)
 {
@@ -496,8 +502,8 @@
       mf_path_element (object_path, "", "services", i);
       mf_path_member (path, object_path, "depends_on");
       mf_jsonc_fault (reader->jsonc, path, MF_CODE_TEXT_CYCLE,
-                      "\"%s\" depends on \"%s\", which depends on it", service->name,
-                      reader->config->services[target].name);
+                      "dependency cycle: \"%s\" depends on \"%s\", which depends on it",
+                      service->name, reader->config->services[target].name);
     }
   visits[i] = VISIT_DONE;
 }
@@ -538,7 +544,8 @@
           || mf_name_table_add (&config->index->keys, i, customer->key_digest, MF_DIGEST_BYTES))
         continue;
       mf_path_member (member, path, "key_digest");
-      mf_jsonc_fault (reader->jsonc, member, MF_CODE_TEXT_DUPLICATE, "the key is given twice");
+      mf_jsonc_fault (reader->jsonc, member, MF_CODE_TEXT_DUPLICATE,
+                      "another customer has this key");
     }
 }
 
@@ -555,7 +562,7 @@
       mf_path_element (path, "idempotency", "voters", i);
       if (!json_object_is_type (value, json_type_string) || json_object_get_string_len (value) == 0
           || !mf_name_set (config->voters[i].name, MF_NAME_BYTES, json_object_get_string (value)))
-        mf_jsonc_fault (reader->jsonc, path, MF_CODE_TEXT_TYPE, "not the name of an instance");
+        mf_jsonc_fault (reader->jsonc, path, MF_CODE_TEXT_TYPE, "expected the name of an instance");
       else
         name_add (reader, &config->index->voters, i, config->voters[i].name, path, "");
     }
@@ -589,7 +596,7 @@
   return n;
 }
 
-/* Makes room for all lists, whose lengths the tree gives. */
+/* Allocates all lists and name tables at their final size. */
 static bool
 config_reserve (MfConfig *config, uint32_t n_upstreams)
 {
@@ -638,7 +645,7 @@
     }
   if (!config_reserve (config, count_upstreams (pools)))
     {
-      mf_jsonc_fault (jsonc, "", MF_CODE_NO_MEMORY, "no memory for the text");
+      mf_jsonc_fault (jsonc, "", MF_CODE_NO_MEMORY, "no memory for the configuration");
       return;
     }
   read_pools (&reader, pools);
--- a/libmangofork/field.c
+++ b/libmangofork/field.c
@@ -32,7 +32,7 @@
     dst[0] = '\0';
 }
 
-/* Whether both keys are the same but for a unit after the last underscore, as in deadline_s and
+/* Whether two keys differ only in the unit after the last underscore, such as deadline_s and
  * deadline_ms. */
 static bool
 differs_in_unit (const char *a, const char *b)
@@ -58,17 +58,17 @@
       if (strcmp (field->key, key) == 0)
         {
           mf_jsonc_fault_key (jsonc, path, MF_CODE_TEXT_UNKNOWN_KEY,
-                              "\"%s\" is not read for this kind", key);
+                              "\"%s\" is not a key of this kind", key);
           return;
         }
       if ((field->kinds == 0 || (field->kinds & kind) != 0) && differs_in_unit (key, field->key))
         {
           mf_jsonc_fault_key (jsonc, path, MF_CODE_TEXT_TYPE,
-                              "\"%s\" has the wrong unit; \"%s\" is read", key, field->key);
+                              "\"%s\" has the wrong unit; use \"%s\"", key, field->key);
           return;
         }
     }
-  mf_jsonc_fault_key (jsonc, path, MF_CODE_TEXT_UNKNOWN_KEY, "nobody reads \"%s\"", key);
+  mf_jsonc_fault_key (jsonc, path, MF_CODE_TEXT_UNKNOWN_KEY, "unknown key \"%s\"", key);
 }
 
 static void
@@ -82,7 +82,7 @@
 
     (void)value;
     if (strlen (key) > MF_JSONC_KEY_BYTES_MAX)
-      continue; /* reported with its place by mf_jsonc_report */
+      continue; /* mf_jsonc_report reports it */
     for (uint32_t i = 0; i < table->n_fields && !known; i++)
       known = strcmp (table->fields[i].key, key) == 0
               && (table->fields[i].kinds == 0 || (table->fields[i].kinds & kind) != 0);
@@ -101,13 +101,14 @@
 
   if (!json_object_is_type (value, json_type_int))
     {
-      mf_jsonc_fault (jsonc, path, MF_CODE_TEXT_TYPE, "\"%s\" is not a whole number", field->key);
+      mf_jsonc_fault (jsonc, path, MF_CODE_TEXT_TYPE, "\"%s\" is not a non-negative integer",
+                      field->key);
       return;
     }
   number = json_object_get_int64 (value);
   if (number < 0 || (uint64_t)number < field->min || (uint64_t)number > field->max)
     {
-      mf_jsonc_fault (jsonc, path, MF_CODE_TEXT_RANGE, "\"%s\" is not from %llu to %llu",
+      mf_jsonc_fault (jsonc, path, MF_CODE_TEXT_RANGE, "\"%s\" is not in the range %llu to %llu",
                       field->key, (unsigned long long)field->min, (unsigned long long)field->max);
       return;
     }
@@ -193,8 +194,8 @@
       || sodium_hex2bin (digest, sizeof digest, json_object_get_string (value), len, NULL, &n, NULL)
              != 0
       || n != MF_DIGEST_BYTES)
-    mf_jsonc_fault (jsonc, path, MF_CODE_TEXT_TYPE, "\"%s\" is not %d bytes in hex", field->key,
-                    MF_DIGEST_BYTES);
+    mf_jsonc_fault (jsonc, path, MF_CODE_TEXT_TYPE, "\"%s\" is not a hex string of %d bytes",
+                    field->key, MF_DIGEST_BYTES);
   else
     memcpy (dst, digest, sizeof digest);
 }
@@ -279,6 +280,6 @@
   if (json_object_is_type (value, json_type_array))
     return value;
   mf_path_member (member, path, key);
-  mf_jsonc_fault (jsonc, member, MF_CODE_TEXT_TYPE, "\"%s\" is not a list", key);
+  mf_jsonc_fault (jsonc, member, MF_CODE_TEXT_TYPE, "\"%s\" is not an array", key);
   return NULL;
 }
--- a/libmangofork/jsonc.c
+++ b/libmangofork/jsonc.c
@@ -7,19 +7,19 @@
 
 #include "table.h"
 
-/* Bytes of the longest path: json-c bounds the depth, the scan bounds the keys. */
+/* Size of the longest path: json-c limits the depth, scan_path_add_key the length of a key. */
 #define PATH_BYTES (JSON_TOKENER_DEFAULT_DEPTH * (MF_JSONC_KEY_BYTES_MAX + 16))
 
 typedef struct
 {
   MfError error;
-  char *path; /* NULL when the offset is known */
+  char *path; /* NULL when the offset is already known */
   bool at_key;
   size_t offset;
-  uint32_t next; /* another fault of the same path, or MF_NONE */
+  uint32_t next; /* next fault of the same path, or MF_NONE */
 } Fault;
 
-/* First fault of a path. */
+/* Head of the list of the faults of one path. */
 typedef struct
 {
   const char *path;
@@ -30,7 +30,7 @@
 struct MfJsonc
 {
   const char *original; /* borrowed */
-  char *text;           /* comments turned into spaces; offsets are those of the original */
+  char *text;           /* comments replaced by spaces, so that offsets match the original */
   size_t text_bytes;
   json_object *root;
   Fault *faults;
@@ -39,7 +39,7 @@
   FaultPath *paths;
 };
 
-/* A walk over a text that json-c has found valid. */
+/* Scanner over a text that json-c has accepted; json-c does not keep the offsets of values. */
 typedef struct
 {
   MfJsonc *jsonc;
@@ -48,7 +48,7 @@
   size_t path_bytes;
 } Scan;
 
-/* A key seen in the object being walked. */
+/* A key found in the object being scanned. */
 typedef struct SeenKey SeenKey;
 
 struct SeenKey
@@ -58,8 +58,8 @@
   UT_hash_handle hh;
 };
 
-/* The keys seen in one object: the first few in a row, further ones in a table, so that neither
- * many small objects nor one large one is slow. */
+/* The keys found in one object: the first few in an array, further ones in a hash table, so that
+ * both many small objects and one large object are scanned fast. */
 #define SEEN_INLINE_MAX 24
 
 typedef struct
@@ -99,7 +99,7 @@
   jsonc->n_faults++;
 }
 
-/* Blanks comments out, keeping line ends. Returns the offset of a comment that never ends, or
+/* Replaces comments by spaces, keeping line ends. Returns the offset of an unterminated comment, or
  * text_bytes. */
 static size_t
 comments_blank (char *text, size_t text_bytes)
@@ -148,22 +148,22 @@
   tokener = json_tokener_new ();
   if (tokener == NULL)
     {
-      fault_add (jsonc, NULL, false, 0, MF_CODE_NO_MEMORY, "no memory to read the text");
+      fault_add (jsonc, NULL, false, 0, MF_CODE_NO_MEMORY, "no memory to parse the text");
       return;
     }
   json_tokener_set_flags (tokener, JSON_TOKENER_STRICT | JSON_TOKENER_VALIDATE_UTF8);
-  /* The closing NUL tells json-c that the text ends. */
+  /* json-c recognizes the end of the text by the terminating NUL. */
   jsonc->root = json_tokener_parse_ex (tokener, jsonc->text, (int)jsonc->text_bytes + 1);
   result = json_tokener_get_error (tokener);
   end = json_tokener_get_parse_end (tokener);
   if (end > jsonc->text_bytes)
     end = jsonc->text_bytes;
   if (result == json_tokener_continue)
-    fault_add (jsonc, NULL, false, end, MF_CODE_TEXT_SYNTAX, "the text ends early");
+    fault_add (jsonc, NULL, false, end, MF_CODE_TEXT_SYNTAX, "unexpected end of the text");
   else if (result != json_tokener_success)
     fault_add (jsonc, NULL, false, end, MF_CODE_TEXT_SYNTAX, json_tokener_error_desc (result));
   else if (!json_object_is_type (jsonc->root, json_type_object))
-    fault_add (jsonc, NULL, false, 0, MF_CODE_TEXT_TYPE, "the text is not an object");
+    fault_add (jsonc, NULL, false, 0, MF_CODE_TEXT_TYPE, "the text is not a JSON object");
   json_tokener_free (tokener);
   if (jsonc->n_faults > 0 && jsonc->root != NULL)
     {
@@ -198,15 +198,15 @@
   open_comment = comments_blank (jsonc->text, jsonc->text_bytes);
   if (nul != NULL)
     fault_add (jsonc, NULL, false, (size_t)(nul - text), MF_CODE_TEXT_SYNTAX,
-               "the text holds a NUL byte");
+               "the text contains a NUL byte");
   else if (open_comment < jsonc->text_bytes)
-    fault_add (jsonc, NULL, false, open_comment, MF_CODE_TEXT_SYNTAX, "a comment never ends");
+    fault_add (jsonc, NULL, false, open_comment, MF_CODE_TEXT_SYNTAX, "unterminated comment");
   else
     jsonc_parse (jsonc);
   return jsonc;
 }
 
-/* Frees a text under check. Accepts NULL. */
+/* Accepts NULL. */
 void
 mf_jsonc_free (MfJsonc *jsonc)
 {
@@ -266,7 +266,7 @@
   scan->offset += strspn (scan->jsonc->text + scan->offset, " \t\r\n");
 }
 
-/* Passes over a string, its quotes included. */
+/* Skips a string with its quotes. */
 static void
 scan_skip_string (Scan *scan)
 {
@@ -288,7 +288,7 @@
   return row;
 }
 
-/* Gives the faults of the value at the scan's path their place. */
+/* Sets the offsets of the faults recorded for the scanner's current path. */
 static void
 scan_set_fault_offsets (const Scan *scan, size_t key_offset, size_t value_offset)
 {
@@ -310,7 +310,7 @@
   scan->path[path_bytes] = '\0';
 }
 
-/* Paths are only kept while there are faults to be placed. */
+/* Paths are only built while there are faults whose offsets are still unknown. */
 static void
 scan_path_add_key (Scan *scan, const char *key, size_t key_bytes)
 {
@@ -381,7 +381,8 @@
     }
 }
 
-/* Notes a key of the object being walked; keys given twice are faults. */
+/* Checks a key of the object being scanned and adds it to the keys found; a duplicate is a fault.
+ */
 static void
 scan_key (Scan *scan, SeenKeys *seen, size_t start, size_t key_bytes)
 {
@@ -394,7 +395,8 @@
       return;
     }
   if (memchr (key, '\\', key_bytes) != NULL)
-    fault_add (jsonc, NULL, true, start, MF_CODE_TEXT_SYNTAX, "keys take no escapes");
+    fault_add (jsonc, NULL, true, start, MF_CODE_TEXT_SYNTAX,
+               "escape sequences are not allowed in keys");
   if (seen_has (seen, key, key_bytes))
     {
       char text[MF_ERROR_TEXT_BYTES];
@@ -484,7 +486,7 @@
   HASH_ADD_KEYPTR (hh, jsonc->paths, row->path, strlen (row->path), row);
 }
 
-/* Groups the faults by path, so that the scan finds them at once. */
+/* Groups the faults by path, so that the scan finds them with one look-up per value. */
 static void
 faults_index_by_path (MfJsonc *jsonc, FaultPath *rows)
 {
@@ -520,7 +522,7 @@
   return (int)left->error.code - (int)right->error.code;
 }
 
-/* Turns offsets into lines and columns; columns count characters, not bytes. */
+/* Converts offsets to lines and columns; columns count UTF-8 characters, not bytes. */
 static void
 faults_find_positions (MfJsonc *jsonc)
 {
--- a/tests/test_cli.c
+++ b/tests/test_cli.c
@@ -56,7 +56,7 @@
   run ("printf '{ \"services\": [],\\n \"pool\": [] }' |", "check -", &output);
   assert_int_equal (output.code, 1);
   assert_string_equal (output.text, "-:1:1: 5006 text-missing: \"pools\" is missing\n"
-                                    "-:2:2: 5002 text-unknown-key: nobody reads \"pool\"\n");
+                                    "-:2:2: 5002 text-unknown-key: unknown key \"pool\"\n");
   run ("printf '{ \"listen\": 1 }' |", "check -", &output);
   assert_int_equal (output.code, 1);
   assert_non_null (strstr (output.text, "-:1:13: 5003 text-type: \"listen\" is not a string\n"));
--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -223,7 +223,8 @@
     assert_true (faults.faults[i].line >= faults.faults[i - 1].line);
 }
 
-/* Keys given twice are found among few keys and among many. */
+/* Duplicate keys are found both in the array of the first keys of an object and in the hash table
+ * of the others. */
 static void
 test_duplicate_among_many_keys (void **state)
 {
@@ -256,7 +257,8 @@
   free (text);
 }
 
-/* Every cut of a good text and every byte changed in it is refused or read, never a crash. */
+/* Every truncation of a valid text, and every single byte replaced in it, is either accepted or
+ * refused without a crash. */
 static void
 test_cut_and_changed_texts (void **state)
 {
