--- a/libmangofork/admin.c
+++ b/libmangofork/admin.c
@@ -21,7 +21,8 @@
   MfHttpd *httpd;
 };
 
-/* Writes the body of a page and returns its status. rest is what follows the page's path. */
+/* Writes the body of a page and returns the HTTP status. argument is the rest of the URL after the
+ * page's path. */
 typedef unsigned (*PageFunc) (const MfCore *core, const char *argument, MfBuffer *body);
 
 typedef struct
@@ -63,7 +64,7 @@
 {
   if (mf_explain_render (core, argument, body))
     return MHD_HTTP_OK;
-  mf_buffer_add_text (body, "{\"error\":\"nothing is remembered of this request\"}");
+  mf_buffer_add_text (body, "{\"error\":\"no steps of this request are recorded\"}");
   return MHD_HTTP_NOT_FOUND;
 }
 
@@ -84,7 +85,7 @@
   return core->board.ready ? MHD_HTTP_OK : MHD_HTTP_SERVICE_UNAVAILABLE;
 }
 
-/* A path that ends in '/' takes what follows as its argument. */
+/* A page whose path ends in '/' takes the rest of the URL as its argument. */
 static const Page pages[] = {
   { "/metrics", "text/plain; version=0.0.4", write_metrics },
   { "/status", "application/json", write_status },
@@ -141,7 +142,7 @@
   *upload_data_bytes = 0;
   if (strcmp (method, "GET") != 0 && strcmp (method, "HEAD") != 0)
     {
-      mf_buffer_add_text (&body, "only GET is offered here\n");
+      mf_buffer_add_text (&body, "only GET and HEAD are allowed\n");
       result = queue_response (connection, MHD_HTTP_METHOD_NOT_ALLOWED, "text/plain", &body);
     }
   else if (page == NULL)
@@ -178,7 +179,7 @@
 
   if (admin == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the operators' interface");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the admin interface");
       return NULL;
     }
   admin->options = *options;
--- a/libmangofork/admin.h
+++ b/libmangofork/admin.h
@@ -5,13 +5,13 @@
 
 struct ev_loop;
 
-/* The operators' HTTP interface: counters, health, status, report and explanations. */
+/* The admin HTTP interface: metrics, health, status, report and explanations of requests. */
 typedef struct MfAdmin MfAdmin;
 
 typedef struct
 {
   const char *listen;
-  /* Brings counters that adapters keep up to date before they are shown; may be NULL. */
+  /* Called before a page is rendered, to update the counters that adapters keep; may be NULL. */
   void (*on_refresh) (void *data);
   void *data;
 } MfAdminOptions;
--- a/libmangofork/burn.c
+++ b/libmangofork/burn.c
@@ -12,17 +12,18 @@
 #define US_PER_MINUTE (60 * MF_US_PER_S)
 #define N_RINGS 4
 #define RING_BUCKETS 13
-/* Rows one instance keeps: customers, with room for services. Further ones are not counted. */
+/* Rows of one instance, for all its customers and services. Further ones are not counted. */
 #define ROWS_MAX 4096
 #define PEERS_MAX 128
-/* Rows of peers whose last counts are remembered. */
+/* Rows of peers whose last totals are kept. */
 #define BASELINES_MAX 65536
 #define PEER_MAX_AGE_US (UINT64_C (24) * 60 * US_PER_MINUTE)
-/* Unchanged rows sent again with each digest, in turn. */
+/* Rows sent again with each digest although unchanged, in rotation, because a digest may be lost.
+ */
 #define ROWS_RESENT_PER_DIGEST 2
 #define PACK_VERSION 1
 #define ROW_N_COUNTS (3 * MF_SLI_COUNT + 3)
-#define ROW_N_HEADER_FIELDS 3 /* kind, hash of the name, age */
+#define ROW_N_HEADER_FIELDS 3 /* kind, hash of the name, age in microseconds */
 #define ROW_N_FIELDS (ROW_N_HEADER_FIELDS + ROW_N_COUNTS)
 
 typedef struct
@@ -33,7 +34,7 @@
   uint32_t good;
   uint32_t refused;
   uint32_t departed;
-  uint32_t epoch; /* which stretch of time it counts */
+  uint32_t epoch; /* start of the interval that it counts, in bucket widths */
 } Bucket;
 
 typedef struct
@@ -43,21 +44,21 @@
 
 typedef struct
 {
-  uint64_t key; /* of kind and name_hash */
+  uint64_t key; /* hash of kind and name_hash */
   MfBurnKind kind;
   uint64_t name_hash;
   MfBurnCounts counts; /* since the start */
-  uint64_t first_us;   /* own first request counted; 0 for none */
+  uint64_t first_us;   /* when this instance counted its first request; 0 for none */
   bool changed;        /* since it was last packed */
   WindowCounts own_windows;
-  WindowCounts *peer_windows; /* NULL until a peer has told of it */
+  WindowCounts *peer_windows; /* NULL until a peer has reported the row */
   UT_hash_handle hh;
 } Row;
 
-/* A row as a peer last told it. */
+/* The totals of a row in the last digest of a peer. */
 typedef struct
 {
-  uint64_t key; /* of the peer's slot and the row */
+  uint64_t key; /* hash of the peer's name and the row's key */
   uint64_t incarnation;
   MfBurnCounts counts;
   UT_hash_handle hh;
@@ -68,7 +69,7 @@
   Row *rows[ROWS_MAX];
   uint32_t n_rows;
   Row *table;
-  uint32_t next_changed; /* where packing goes on */
+  uint32_t next_changed; /* where the next digest continues */
   uint32_t next_resent;
   Baseline *baselines;
   MfBurnPeer peers[PEERS_MAX];
@@ -80,7 +81,7 @@
 static const uint64_t ring_widths_us[N_RINGS]
     = { 30 * MF_US_PER_S, 5 * US_PER_MINUTE, 30 * US_PER_MINUTE, 120 * US_PER_MINUTE };
 
-/* The ring a window is summed from and its length in buckets. */
+/* The ring that a window is summed from, and its length in buckets. */
 static const struct
 {
   const char *name;
@@ -158,7 +159,7 @@
   free (burn);
 }
 
-/* One key for a pair; two pairs that share one are not met with in practice. */
+/* Hashes a pair to one 64-bit key. Collisions are too rare to be handled. */
 static uint64_t
 pair_key (uint64_t first, uint64_t second)
 {
@@ -183,7 +184,7 @@
   HASH_ADD (hh, burn->table, key, sizeof row->key, row);
 }
 
-/* Finds or makes a row; NULL when there is no room. */
+/* Returns NULL when the table is full or memory ran out. */
 static Row *
 row_find_or_add (MfBurn *burn, MfBurnKind kind, uint64_t name_hash)
 {
@@ -243,7 +244,7 @@
     }
 }
 
-/* Sums the running bucket and the n before it. */
+/* Sums the current bucket and the n_buckets before it. */
 static void
 window_counts_sum (const WindowCounts *src, MfWindow window, uint64_t now_us, MfBurnCounts *counts)
 {
@@ -268,7 +269,7 @@
     }
 }
 
-/* Whether the code says that the caller's own request was at fault. */
+/* Whether the code means an error in the caller's own request. */
 static bool
 code_is_caller_error (MfCode code)
 {
@@ -283,8 +284,8 @@
   counts->allowed_ppm[sli] += 1000000 - objective_ppm;
 }
 
-/* Says how one request counts. A departed caller's, and one that was the caller's own fault, count
- * for no objective; an honest refusal is counted apart. */
+/* Counts one request. Requests whose caller disconnected or made an error count for no objective;
+ * refused ones count only for MF_SLI_REFUSALS. */
 static void
 sample_count (const MfService *service, const MfBurnSample *sample, MfBurnCounts *counts)
 {
@@ -329,7 +330,7 @@
   row->changed = true;
 }
 
-/* Counts how one request ended, for its service and its customer. */
+/* Counts the outcome of one request for its service and its customer. */
 void
 mf_burn_note (MfBurn *burn, const MfConfig *config, const MfBurnSample *sample, uint64_t now_us)
 {
@@ -400,7 +401,7 @@
   return burn->started_us;
 }
 
-/* The numbers of a row in the order they are packed. */
+/* Lists the counts of a row in the order in which they are packed. */
 static void
 counts_to_array (const MfBurnCounts *counts, uint64_t array[ROW_N_COUNTS])
 {
@@ -433,7 +434,7 @@
   counts->departed = array[n];
 }
 
-/* Appends a row when it fits. */
+/* Appends a row if it fits. */
 static bool
 pack_row (msgpack_sbuffer *packed, const Row *row, uint64_t now_us, size_t max_bytes)
 {
@@ -455,7 +456,8 @@
   return false;
 }
 
-/* Packs the changed rows in turn, so that each gets its share of a digest that is too small. */
+/* Packs the changed rows in rotation, so that each row is sent in time even if a digest cannot hold
+ * all of them. */
 static void
 pack_changed (MfBurn *burn, msgpack_sbuffer *packed, uint64_t now_us, size_t max_bytes)
 {
@@ -543,7 +545,7 @@
   return baseline;
 }
 
-/* A peer's digest while it is taken in. */
+/* State while a peer's digest is merged. */
 typedef struct
 {
   MfBurn *burn;
@@ -551,9 +553,9 @@
   uint64_t now_us;
 } Merge;
 
-/* Adds what a row has grown by since the peer last told of it. A row heard of for the first time
- * counts whole when the peer began it within this instance's life, age_us ago; else its history is
- * older than this instance, and only what comes from now on is added. */
+/* Adds the growth of a row since the peer's last digest. A row reported for the first time is added
+ * in full if the peer started it, age_us ago, after this instance started. Otherwise its history is
+ * older than this instance, and only its growth from now on is added. */
 static void
 merge_row (const Merge *merge, MfBurnKind kind, uint64_t name_hash, uint64_t age_us,
            const MfBurnCounts *counts)
@@ -595,7 +597,7 @@
   return true;
 }
 
-/* Takes in one packed row; false when it is malformed. */
+/* Merges one packed row. Returns false when it is malformed. */
 static bool
 merge_packed (const Merge *merge, const msgpack_object *object)
 {
@@ -610,7 +612,7 @@
         return false;
     }
   if (numbers[0] >= MF_BURN_KIND_COUNT)
-    return true; /* of a later release */
+    return true; /* sent by a later release */
   counts_from_array (&counts, numbers + ROW_N_HEADER_FIELDS);
   merge_row (merge, (MfBurnKind)numbers[0], numbers[1], numbers[2], &counts);
   return true;
--- a/libmangofork/burn.h
+++ b/libmangofork/burn.h
@@ -3,46 +3,48 @@
 
 #include "config.h"
 
-/* How one request ended, as the service-level report counts it. */
+/* The outcome of one request, as counted for the service-level objectives. */
 typedef struct
 {
   uint32_t service;
   uint32_t customer; /* or MF_NONE */
   MfCode code;
   MfOutcome outcome;
-  bool refused;         /* an honest refusal, counted apart from failures */
-  bool departed;        /* the caller left; counts neither way */
-  uint64_t ttft_us;     /* 0 when no token or answer came */
+  bool refused;         /* not admitted, and nothing ran; counted apart from failures */
+  bool departed;        /* the caller disconnected; counts for no objective */
+  uint64_t ttft_us;     /* 0 when there was no token or answer */
   uint32_t n_gaps;      /* gaps between tokens */
-  uint32_t n_gaps_late; /* of them, longer than the service's target */
+  uint32_t n_gaps_late; /* of these, longer than the service's tbt_target_us */
   uint32_t prefill_tokens;
   uint32_t wasted_prefill_tokens;
 } MfBurnSample;
 
+/* Error budgets: requests of each service and customer that met or missed each objective, over
+ * several time windows, for this instance and together with its peers. Counting starts at now_us.
+ */
 typedef struct MfBurn MfBurn;
 
-/* Counts from now on. */
 MfBurn *mf_burn_new (uint64_t now_us);
 void mf_burn_free (MfBurn *burn);
 void mf_burn_note (MfBurn *burn, const MfConfig *config, const MfBurnSample *sample,
                    uint64_t now_us);
 
-/* Whether a request was good: whole, its first token in time and 95 in 100 gaps in time. The
- * program, the bench and the report share this definition. */
+/* Whether a request was good: answered in full, its first token in time and at least 95 % of the
+ * gaps between tokens in time. The program, the bench and the report share this definition. */
 bool mf_burn_is_good (const MfService *service, const MfBurnSample *sample);
 
-/* What is promised of a service, each with an error budget of its own. Failures and honest refusals
- * are told apart; both are held against the objective for availability. */
+/* Service-level indicators, each with its own error budget. Failures and refusals are counted
+ * apart; both are measured against the availability objective. */
 typedef enum
 {
   MF_SLI_TTFT,
   MF_SLI_TBT,
-  MF_SLI_AVAILABILITY, /* accepted and then answered in full */
-  MF_SLI_REFUSALS,     /* not refused */
+  MF_SLI_AVAILABILITY, /* answered in full, of the requests admitted */
+  MF_SLI_REFUSALS,     /* not refused, of all requests */
   MF_SLI_COUNT,
 } MfSli;
 
-/* Windows over which burn is told; alerts pair a short one with a long one. */
+/* Windows over which burn rates are computed; an alert combines a short one with a long one. */
 typedef enum
 {
   MF_WINDOW_5M,
@@ -54,7 +56,7 @@
   MF_WINDOW_COUNT,
 } MfWindow;
 
-/* Whose requests a row counts. */
+/* What a row of counts is kept for. */
 typedef enum
 {
   MF_BURN_SERVICE,
@@ -64,22 +66,25 @@
 
 typedef struct
 {
-  uint64_t total[MF_SLI_COUNT];       /* requests that an objective applies to */
-  uint64_t bad[MF_SLI_COUNT];         /* of them, those that missed it */
-  uint64_t allowed_ppm[MF_SLI_COUNT]; /* misses the objectives allow, in millionths of a request */
-  uint64_t good;                      /* met both latency targets */
-  uint64_t refused;                   /* honest refusals: nothing ran */
-  uint64_t departed;                  /* the caller left */
+  uint64_t total[MF_SLI_COUNT]; /* requests that an objective applies to */
+  uint64_t bad[MF_SLI_COUNT];   /* of these, those that missed it */
+  uint64_t
+      allowed_ppm[MF_SLI_COUNT]; /* misses that the objective allows, in millionths of a request */
+  uint64_t good;                 /* met both latency targets */
+  uint64_t refused;              /* not admitted; nothing ran */
+  uint64_t departed;             /* the caller disconnected */
 } MfBurnCounts;
 
-/* Adds up a row's counts over a window, or since this process started for MF_WINDOW_COUNT; those of
- * peers as well when with_peers. A row without counts is all zero. */
+/* Sums the counts of a row over a window; MF_WINDOW_COUNT stands for the time since this process
+ * started. with_peers adds the counts of peers, except for MF_WINDOW_COUNT. An unknown row counts
+ * nothing. */
 void mf_burn_counts (const MfBurn *burn, MfBurnKind kind, uint64_t name_hash, MfWindow window,
                      bool with_peers, uint64_t now_us, MfBurnCounts *counts);
-/* How fast the error budget is spent; 1 spends it exactly over the objective's period. */
+/* Returns the rate at which the error budget is spent: misses over misses allowed. At 1 the budget
+ * is used up exactly at the end of the objective's period. */
 double mf_burn_rate (const MfBurnCounts *counts, MfSli sli);
 
-/* An alert fires while both of its windows burn at least this fast. */
+/* An alert fires while the burn rates of both windows are at least rate. */
 typedef struct
 {
   MfWindow short_window;
@@ -99,23 +104,23 @@
 typedef struct
 {
   MfInstanceId owner;
-  uint64_t first_us; /* its counts are merged from here on */
-  uint64_t last_us;  /* when it was last heard */
+  uint64_t first_us; /* when its first counts were merged */
+  uint64_t last_us;  /* when its last counts were merged */
 } MfBurnPeer;
 
 typedef bool (*MfBurnPeerFunc) (const MfBurnPeer *peer, void *data);
 
 void mf_burn_foreach_peer (const MfBurn *burn, MfBurnPeerFunc func, void *data);
-/* Rows of peers that found no room and are missing from the sums. */
+/* Returns how many updates were left out of the sums because a table was full or memory ran out. */
 uint64_t mf_burn_missed (const MfBurn *burn);
-/* When counting began. */
+/* Returns when counting started. */
 uint64_t mf_burn_started_us (const MfBurn *burn);
 
-/* Encodes this instance's rows that changed since the last call, for the digest to peers, at most
- * max_bytes. Rows hold all counts since the start, so that one that is lost is made good by the
- * next. Returns the bytes written. */
+/* Encodes this instance's rows that changed since the last call into at most max_bytes, for the
+ * digest to peers. Rows hold the totals since the start, so the next row makes up for a lost one.
+ * Returns the bytes written. */
 size_t mf_burn_pack (MfBurn *burn, uint64_t now_us, uint8_t *dst, size_t max_bytes);
-/* Takes in what a peer packed. Malformed input is ignored and returns false. */
+/* Merges rows that a peer packed. Ignores malformed input and returns false. */
 bool mf_burn_merge (MfBurn *burn, const MfInstanceId *peer, const uint8_t *src, size_t src_bytes,
                     uint64_t now_us);
 
--- a/libmangofork/explain.c
+++ b/libmangofork/explain.c
@@ -8,7 +8,7 @@
 
 #define STEP_TEXT_BYTES 256
 
-/* The lives under one name while they are written. */
+/* State while the requests of one name are written. */
 typedef struct
 {
   const MfCore *core;
@@ -25,7 +25,7 @@
   static const char *const names[MF_CALL_COUNT] = {
     [MF_CALL_PREFILL] = "prefill",  [MF_CALL_DECODE] = "decode",
     [MF_CALL_RESUME] = "resume",    [MF_CALL_PLAIN] = "plain call",
-    [MF_CALL_CANCEL] = "cancel",    [MF_CALL_CANCEL_OWNER] = "cancel of an owner",
+    [MF_CALL_CANCEL] = "cancel",    [MF_CALL_CANCEL_OWNER] = "cancel of all work of an instance",
     [MF_CALL_LOAD] = "load report", [MF_CALL_ORDER] = "order",
   };
 
@@ -38,16 +38,16 @@
   static const char *const names[] = {
     [MF_CLAIM_GRANTED] = "granted",
     [MF_CLAIM_ANSWERED] = "answered before",
-    [MF_CLAIM_UNKNOWN] = "an earlier run's fate is unknown",
+    [MF_CLAIM_UNKNOWN] = "the outcome of an earlier run is unknown",
     [MF_CLAIM_NO_QUORUM] = "too few votes",
     [MF_CLAIM_BODY_DIFFERS] = "used before with another body",
-    [MF_CLAIM_TOO_OLD] = "older than keys are kept",
+    [MF_CLAIM_TOO_OLD] = "older than the time that keys are kept",
   };
 
   return decision < MF_ARRAY_LEN (names) ? names[decision] : "settled";
 }
 
-/* Says in a sentence what a step was. */
+/* Describes a step in one line. */
 static void
 step_text (const MfCore *core, const MfTraceStep *step, char *text)
 {
@@ -59,60 +59,64 @@
   switch (step->kind)
     {
     case MF_TRACE_ARRIVED:
-      snprintf (text, STEP_TEXT_BYTES, "read whole, %" PRIu64 " prompt tokens", n);
+      snprintf (text, STEP_TEXT_BYTES, "received completely, %" PRIu64 " prompt tokens", n);
       return;
     case MF_TRACE_QUEUED:
-      snprintf (text, STEP_TEXT_BYTES, "queued behind %" PRIu64 " others", n);
+      snprintf (text, STEP_TEXT_BYTES, "queued behind %" PRIu64 " other requests", n);
       return;
     case MF_TRACE_PLACED:
       if (step->other == MF_NONE)
-        other = "an engine chosen when its KV is ready";
+        other = "an engine to be chosen when the KV is ready";
       snprintf (text, STEP_TEXT_BYTES,
-                "placed: prefill on %s, decode on %s, first token in %.1f ms", upstream, other, ms);
+                "placed: prefill on %s, decode on %s, first token predicted in %.1f ms", upstream,
+                other, ms);
       return;
     case MF_TRACE_ALTERNATIVE:
       snprintf (text, STEP_TEXT_BYTES,
-                "second best, not taken: prefill on %s, first token in %.1f ms", upstream, ms);
+                "second best, not used: prefill on %s, first token predicted in %.1f ms", upstream,
+                ms);
       return;
     case MF_TRACE_CALLED:
       snprintf (text, STEP_TEXT_BYTES, "%s sent to %s", call_name (n), upstream);
       return;
     case MF_TRACE_PREFILLED:
-      snprintf (text, STEP_TEXT_BYTES, "%s has prefilled; its KV waits to be imported", upstream);
+      snprintf (text, STEP_TEXT_BYTES, "prefill finished on %s; its KV waits to be imported",
+                upstream);
       return;
     case MF_TRACE_IMPORTED:
-      snprintf (text, STEP_TEXT_BYTES, "%s holds the KV", upstream);
+      snprintf (text, STEP_TEXT_BYTES, "KV imported by %s", upstream);
       return;
     case MF_TRACE_FIRST_TOKEN:
       snprintf (text, STEP_TEXT_BYTES, "first token from %s after %.1f ms", upstream, ms);
       return;
     case MF_TRACE_BROKEN:
-      snprintf (text, STEP_TEXT_BYTES, "call to %s broke with %" PRIu64 " tokens delivered",
+      snprintf (text, STEP_TEXT_BYTES, "call to %s failed after %" PRIu64 " tokens delivered",
                 upstream, n);
       return;
     case MF_TRACE_RETRIED:
-      snprintf (text, STEP_TEXT_BYTES, "to be tried again, not on %s", upstream);
+      snprintf (text, STEP_TEXT_BYTES, "to be retried on an upstream other than %s", upstream);
       return;
     case MF_TRACE_RESUMED:
-      snprintf (text, STEP_TEXT_BYTES, "%s goes on at token %" PRIu64, upstream, n);
+      snprintf (text, STEP_TEXT_BYTES, "resumed on %s at token %" PRIu64, upstream, n);
       return;
     case MF_TRACE_HEDGED:
-      snprintf (text, STEP_TEXT_BYTES, "sent to %s as well: %s is slow", upstream, other);
+      snprintf (text, STEP_TEXT_BYTES, "hedged: also sent to %s because %s is slow", upstream,
+                other);
       return;
     case MF_TRACE_CLAIMED:
-      snprintf (text, STEP_TEXT_BYTES, "claim of its key: %s", decision_name (n));
+      snprintf (text, STEP_TEXT_BYTES, "claim of its idempotency key: %s", decision_name (n));
       return;
     case MF_TRACE_CANCELLED:
-      snprintf (text, STEP_TEXT_BYTES, "cancel owed to %s", upstream);
+      snprintf (text, STEP_TEXT_BYTES, "cancel to be confirmed by %s", upstream);
       return;
     case MF_TRACE_SUSPECTED:
-      snprintf (text, STEP_TEXT_BYTES, "%s died while running it: suspected of %" PRIu64 " deaths",
-                upstream, n);
+      snprintf (text, STEP_TEXT_BYTES,
+                "%s died while running it; suspected of causing %" PRIu64 " deaths", upstream, n);
       return;
     case MF_TRACE_ENDED:
       if (step->code == MF_CODE_OK)
         {
-          snprintf (text, STEP_TEXT_BYTES, "answered whole, %" PRIu64 " tokens delivered", n);
+          snprintf (text, STEP_TEXT_BYTES, "answered in full, %" PRIu64 " tokens delivered", n);
           return;
         }
       snprintf (text, STEP_TEXT_BYTES,
--- a/libmangofork/explain.h
+++ b/libmangofork/explain.h
@@ -4,8 +4,8 @@
 #include "buffer.h"
 #include "core.h"
 
-/* Adds the life of the request of that name as a JSON object. Returns false, and adds nothing, when
- * nothing is remembered of it. */
+/* Adds the recorded steps of the requests of that name as a JSON object. Returns false and adds
+ * nothing when there are none. */
 bool mf_explain_render (const MfCore *core, const char *name, MfBuffer *out);
 
 #endif
--- a/libmangofork/metrics.c
+++ b/libmangofork/metrics.c
@@ -38,7 +38,7 @@
   add_line (out, "%s %.17g\n", name, value);
 }
 
-/* Seconds since a time of the core's clock; -1 when there was none. */
+/* Seconds since a time of the core's clock; -1 for a time of 0. */
 static double
 age_s (const MfCore *core, uint64_t at_us)
 {
@@ -57,7 +57,7 @@
     }
 }
 
-/* One code's line. */
+/* Context of add_code. */
 typedef struct
 {
   const MfCore *core;
@@ -84,7 +84,7 @@
   add_head (out, "mangofork_ended_total", "counter", "requests ended, by result code");
   mf_code_foreach (add_code, &output);
   add_head (out, "mangofork_ended_by_total", "counter",
-            "requests ended without an answer, by whom in which phase");
+            "requests ended without an answer, by party and phase");
   for (uint32_t by = MF_ENDED_BY_CALLER; by < MF_ENDED_BY_COUNT; by++)
     {
       for (uint32_t phase = 0; phase < MF_PHASE_COUNT; phase++)
@@ -115,7 +115,7 @@
   uint32_t counts[MF_ARRAY_LEN (states)] = { 0 };
 
   mf_member_foreach (core, count_member, counts);
-  add_head (out, "mangofork_instances", "gauge", "other instances, by what is believed of them");
+  add_head (out, "mangofork_instances", "gauge", "other instances, by membership state");
   for (size_t i = 0; i < MF_ARRAY_LEN (states); i++)
     add_line (out, "mangofork_instances{state=\"%s\"} %u\n", states[i], counts[i]);
 }
@@ -125,21 +125,24 @@
 {
   const MfBoard *board = &core->board;
 
-  add_gauge (out, "mangofork_ready", "whether the balancer may send callers here", board->ready);
+  add_gauge (out, "mangofork_ready", "whether the load balancer may send requests here",
+             board->ready);
   add_gauge (out, "mangofork_draining", "whether this process is shutting down", board->draining);
   add_gauge (out, "mangofork_votes", "whether this process votes on idempotency keys",
              board->voter_admitted);
-  add_gauge (out, "mangofork_in_flight", "requests held", mf_request_count (core));
-  add_gauge (out, "mangofork_queued", "requests that wait for room", mf_queue_length (core));
-  add_gauge (out, "mangofork_debts", "cancels owed to engines", mf_cancel_count (core));
-  add_gauge (out, "mangofork_suspected_requests", "requests suspected or convicted of killing",
-             mf_suspect_count (core));
-  add_gauge (out, "mangofork_config_revision", "revision of the text in force",
+  add_gauge (out, "mangofork_in_flight", "requests in progress", mf_request_count (core));
+  add_gauge (out, "mangofork_queued", "requests that wait for capacity", mf_queue_length (core));
+  add_gauge (out, "mangofork_debts", "cancels not yet confirmed by engines",
+             mf_cancel_count (core));
+  add_gauge (out, "mangofork_suspected_requests",
+             "requests suspected of crashing upstreams or quarantined", mf_suspect_count (core));
+  add_gauge (out, "mangofork_config_revision", "revision of the configuration in force",
              board->config != NULL ? (double)board->config->revision : 0);
-  add_gauge (out, "mangofork_config_age_seconds", "since the text came in force; -1 without one",
+  add_gauge (out, "mangofork_config_age_seconds",
+             "time since the configuration came into force; -1 if there is none",
              age_s (core, board->config_state.accepted_us));
   add_gauge (out, "mangofork_platform_heard_seconds",
-             "since the platform last answered this process; -1 for never",
+             "time since the platform last answered this process; -1 if it never has",
              age_s (core, board->config_state.platform_answered_us));
   add_members (core, out);
 }
@@ -213,7 +216,7 @@
         add_service_counts (core, &services->rows[i], out);
     }
   add_head (out, "mangofork_service_burn_rate", "gauge",
-            "speed at which the error budget is spent, over this process and its peers");
+            "rate at which the error budget is spent, over this process and its peers");
   for (uint32_t i = 0; i < services->n_rows; i++)
     {
       if (services->rows[i].in_config)
@@ -245,7 +248,7 @@
             (double)upstream->token_gap_us / (double)MF_US_PER_S);
 }
 
-/* Only the upstreams that this instance uses: a bounded number a pool. */
+/* Adds only the upstreams that this instance uses, a bounded number per pool. */
 static void
 add_upstreams (const MfCore *core, MfBuffer *out)
 {
--- a/libmangofork/report.c
+++ b/libmangofork/report.c
@@ -8,14 +8,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Customers listed: those that burn fastest. */
+/* Customers listed: those with the highest burn rates. */
 #define CUSTOMERS_SHOWN 20
 
-/* What an objective is worth beside its target. */
+/* An objective and its latency target. */
 typedef struct
 {
   uint32_t objective_ppm;
-  uint64_t target_us; /* 0 when it has none */
+  uint64_t target_us; /* 0 for none */
 } Objective;
 
 static Objective
@@ -35,7 +35,7 @@
   return (Objective){ service->objective_availability_ppm, 0 };
 }
 
-/* Adds total, bad and burn of one objective over every window, and the alerts that fire. */
+/* Adds the counts and burn rate of one objective over each window, and the alerts that fire. */
 static void
 add_windows (const MfCore *core, MfBurnKind kind, uint64_t name_hash, MfSli sli,
              json_object *object)
@@ -119,11 +119,11 @@
   json_object_object_add (report, "services", services);
 }
 
-/* A customer's place in the list. */
+/* A customer with the figures that the list is sorted by. */
 typedef struct
 {
   uint32_t index;
-  double burn; /* the fastest of its objectives over the last hour */
+  double burn; /* highest burn rate of its objectives over the last hour */
   uint64_t total;
 } RankedCustomer;
 
@@ -182,7 +182,7 @@
   return object;
 }
 
-/* Lists the customers that burn fastest, of those with any request in the last hour. */
+/* Lists the customers with the highest burn rates, of those with requests in the last hour. */
 static void
 add_customers (const MfCore *core, json_object *report)
 {
@@ -204,7 +204,7 @@
   json_object_object_add (report, "customers", customers);
 }
 
-/* The instances whose counts are in the sums, and those that are missing. */
+/* The instances whose counts are in the sums, and the live ones whose counts are not. */
 typedef struct
 {
   const MfCore *core;
@@ -255,7 +255,8 @@
   return true;
 }
 
-/* Says what the sums cover: instances keep nothing, so a window holds what its members saw. */
+/* Adds which instances the sums cover and since when. Instances do not store counts, so a window
+ * only has what its instances counted since they started. */
 static void
 add_coverage (const MfCore *core, json_object *report)
 {
@@ -273,7 +274,7 @@
   mf_render_number (report, "rows_missed", mf_burn_missed (core->board.burn));
 }
 
-/* Lists of codes are written for the whole process and for each point of the series. */
+/* Counts of ended requests by code: of the process, or of one point of a series. */
 typedef struct
 {
   const uint64_t *by_code;
@@ -333,7 +334,7 @@
   json_object_object_add (report, "counters", counters);
 }
 
-/* The points of one series while they are written. */
+/* Context of add_point. */
 typedef struct
 {
   const MfCore *core;
--- a/libmangofork/report.h
+++ b/libmangofork/report.h
@@ -4,8 +4,8 @@
 #include "buffer.h"
 #include "core.h"
 
-/* Adds service-level burn and the series behind its plots as a JSON object. Returns false when
- * memory ran out. */
+/* Adds burn rates, counters and the series for plots as a JSON object. Returns false when memory
+ * ran out. */
 bool mf_report_render (const MfCore *core, MfBuffer *out);
 
 #endif
--- a/libmangofork/series.c
+++ b/libmangofork/series.c
@@ -5,16 +5,17 @@
 
 #include <stdlib.h>
 
+/* Points kept of each kind. */
 #define POINTS_MAX 240
 
-/* The points of one length; the newest overwrites the oldest. */
+/* The points of one kind; the newest overwrites the oldest. */
 typedef struct
 {
   MfSeriesPoint points[POINTS_MAX];
   uint32_t n;
   uint32_t next;
   uint64_t start_us;
-  MfCounters start_counters; /* when the running stretch began */
+  MfCounters start_counters; /* at start_us, when the current interval started */
 } Ring;
 
 struct MfSeries
@@ -33,7 +34,7 @@
   return lengths_us[kind];
 }
 
-/* Adds up the slots of the upstreams that this instance uses, a bounded number a pool. */
+/* Sums the slots of the upstreams that this instance uses, a bounded number per pool. */
 static void
 point_slots (const MfCore *core, MfSeriesPoint *point)
 {
--- a/libmangofork/series.h
+++ b/libmangofork/series.h
@@ -3,21 +3,21 @@
 
 #include "core.h"
 
-/* What happened in one stretch of time, and how things stood at its end. */
+/* Counters over one interval, and gauges at its end. */
 typedef struct
 {
   uint64_t end_us;
   uint64_t length_us;
-  uint64_t counters[MF_COUNTER_COUNT]; /* growth */
+  uint64_t counters[MF_COUNTER_COUNT]; /* increments */
   uint32_t by_code[MF_CODE_SLOTS];     /* requests that ended with each code */
   uint32_t queued;
   uint32_t in_flight;
   uint32_t debts;
-  uint32_t slots_used[MF_ROLE_COUNT]; /* of the upstreams this instance uses, as far as known */
+  uint32_t slots_used[MF_ROLE_COUNT]; /* of the upstreams that this instance uses */
   uint32_t slots[MF_ROLE_COUNT];
 } MfSeriesPoint;
 
-/* The stretches kept: fine ones of the last minutes and coarse ones of the last hours. */
+/* Short intervals cover the last minutes, long ones the last hours. */
 typedef enum
 {
   MF_SERIES_FINE,
@@ -27,7 +27,7 @@
 
 typedef void (*MfSeriesFunc) (const MfSeriesPoint *point, void *data);
 
-/* Calls func for each point that is kept, oldest first. */
+/* Calls func for each point kept, oldest first. */
 void mf_series_foreach (const MfCore *core, MfSeriesKind kind, MfSeriesFunc func, void *data);
 uint64_t mf_series_length_us (MfSeriesKind kind);
 
--- a/libmangofork/status.c
+++ b/libmangofork/status.c
@@ -8,10 +8,10 @@
 
 #include <stdlib.h>
 
-/* Suspected and convicted requests listed. */
+/* Suspect and quarantined requests listed. */
 #define SUSPECTS_SHOWN 100
 
-/* Adds to one list of a status. */
+/* Context of the functions that fill a list. */
 typedef struct
 {
   const MfCore *core;
@@ -46,7 +46,7 @@
   json_object_object_add (status, "config", config);
 }
 
-/* Lists a service's own pools, each with how many of its upstreams may be given work. */
+/* Lists the pools of a service, each with its numbers of upstreams and of usable ones. */
 static void
 add_pools (const MfCore *core, const MfService *service, json_object *object)
 {
@@ -70,7 +70,7 @@
   json_object_object_add (object, "pools", pools);
 }
 
-/* Names what the service needs, and which of it is down. */
+/* Lists the dependencies of a service, and those that are down. */
 static void
 add_needs (const MfCore *core, const MfService *service, json_object *object)
 {
@@ -149,7 +149,7 @@
   return object;
 }
 
-/* Marks the upstreams that this instance uses, a bounded number a pool. */
+/* Marks the upstreams that this instance uses, a bounded number per pool. */
 static void
 mark_used (const MfCore *core, bool *used)
 {
@@ -162,8 +162,8 @@
     }
 }
 
-/* Lists the upstreams that this instance uses and those it knows to be faulty; of the others it
- * knows no more than the text says. */
+/* Lists the upstreams that this instance uses and those that are not healthy; of the others it
+ * knows only the configuration. */
 static void
 add_upstreams (const MfCore *core, json_object *status)
 {
--- a/libmangofork/status.h
+++ b/libmangofork/status.h
@@ -4,7 +4,8 @@
 #include "buffer.h"
 #include "core.h"
 
-/* Adds the picture in force as a JSON object. Returns false when memory ran out. */
+/* Adds the current state as a JSON object: configuration, services, upstreams, instances and
+ * suspect requests. Returns false when memory ran out. */
 bool mf_status_render (const MfCore *core, MfBuffer *out);
 
 #endif
--- a/libmangofork/trace.c
+++ b/libmangofork/trace.c
@@ -5,30 +5,30 @@
 
 #include "table.h"
 
-/* Requests remembered for each this many steps of the ring. */
+/* The number of requests kept is the number of steps divided by this. */
 #define STEPS_PER_REQUEST 8
-/* Requests of one name that are shown. */
+/* Requests of one name that mf_trace_foreach visits. */
 #define SAME_NAME_SHOWN_MAX 16
 #define PHASES_MAX 16
 
-/* One slot of the ring. Sequence numbers count all steps from 1; 0 is none. */
+/* One entry of the ring. Sequence numbers count all steps from 1; 0 means none. */
 typedef struct
 {
   MfTraceStep step;
-  uint64_t previous_sequence; /* sequence of the step before of the same request */
+  uint64_t previous_sequence; /* previous step of the same request */
 } Entry;
 
-/* One remembered request. */
+/* One recorded request. */
 typedef struct TracedRequest TracedRequest;
 
 struct TracedRequest
 {
   uint64_t request_id; /* 0 while unused */
   char name[MF_TRACE_NAME_BYTES];
-  uint64_t last_sequence; /* sequence of its last step */
-  bool named;             /* in the table of names: the latest of its name */
-  TracedRequest *older;   /* of the same name */
-  uint64_t older_id;      /* what older must still hold */
+  uint64_t last_sequence; /* its last step */
+  bool named;             /* in by_name: the latest request of its name */
+  TracedRequest *older;   /* the previous request of the same name */
+  uint64_t older_id;      /* request_id of older; another one means that the row was reused */
   UT_hash_handle hh;      /* by request_id */
   UT_hash_handle hname;   /* by name */
 };
@@ -119,7 +119,7 @@
   request->request_id = 0;
 }
 
-/* Returns the row of a request, giving it the place of the oldest one when it is new. */
+/* Returns the row of a request. A new request replaces the oldest one. */
 static TracedRequest *
 request_find_or_add (MfTrace *trace, uint64_t request_id)
 {
@@ -170,7 +170,7 @@
   request_link_name (trace, request);
 }
 
-/* Calls func for the steps of one life that the ring still holds. */
+/* Calls func for the steps of one request that the ring still holds. */
 static void
 request_foreach_step (const MfTrace *trace, const TracedRequest *request, MfTraceFunc func,
                       void *data)
--- a/libmangofork/trace.h
+++ b/libmangofork/trace.h
@@ -5,13 +5,13 @@
 
 #define MF_TRACE_NAME_BYTES 64
 
-/* What a step in the life of a request was. */
+/* Kinds of steps in the processing of a request. */
 typedef enum
 {
   MF_TRACE_ARRIVED,
-  MF_TRACE_QUEUED,      /* value: requests before it */
-  MF_TRACE_PLACED,      /* upstream, other: prefill and decode; value: predicted first token, us */
-  MF_TRACE_ALTERNATIVE, /* upstream: an upstream not taken; value: its predicted first token, us */
+  MF_TRACE_QUEUED,      /* value: requests ahead of it */
+  MF_TRACE_PLACED,      /* upstream: prefill; other: decode; value: predicted TTFT in us */
+  MF_TRACE_ALTERNATIVE, /* upstream: the second best; value: its predicted TTFT in us */
   MF_TRACE_CALLED,      /* value: MfCallKind */
   MF_TRACE_PREFILLED,
   MF_TRACE_IMPORTED,
@@ -23,7 +23,7 @@
   MF_TRACE_CLAIMED,
   MF_TRACE_CANCELLED,
   MF_TRACE_SUSPECTED,
-  MF_TRACE_ENDED, /* value: tokens delivered; code says how */
+  MF_TRACE_ENDED, /* value: tokens delivered; code: the result */
   MF_TRACE_KIND_COUNT,
 } MfTraceKind;
 
@@ -54,19 +54,19 @@
 
 typedef void (*MfTraceFunc) (const MfTraceStep *step, void *data);
 
-/* A bounded ring of steps over all requests; the oldest are overwritten. */
+/* Creates a ring of n_steps steps, shared by all requests; the newest overwrites the oldest. */
 MfTrace *mf_trace_new (uint32_t n_steps);
 void mf_trace_free (MfTrace *trace);
 void mf_trace_note (MfTrace *trace, const MfTraceStep *step);
-/* Binds the caller-visible name to the request, so that it can be found by it. */
+/* Sets the name under which callers know the request, for mf_trace_foreach. */
 void mf_trace_name (MfTrace *trace, uint64_t request_id, const char *name);
-/* Calls func for each remembered step of the request of that name, oldest first. A name that a
- * caller used again names several requests, the latest of which come last. Returns false when
- * nothing is remembered. */
+/* Calls func for each recorded step of the requests of that name, oldest first. Callers may use one
+ * name for several requests; the latest request comes last. Returns false when no request of that
+ * name is recorded. */
 bool mf_trace_foreach (const MfTrace *trace, const char *name, MfTraceFunc func, void *data);
 
-/* How many requests were ended without an answer by whom, in which MfPhase. Counts all, also those
- * forgotten. */
+/* Returns how many requests were ended without an answer by that party in that MfPhase, including
+ * those whose steps have been overwritten. */
 uint64_t mf_trace_ended (const MfTrace *trace, MfEndedBy by, uint32_t phase);
 
 const char *mf_trace_kind_name (MfTraceKind kind);
--- a/tests/test_admin.c
+++ b/tests/test_admin.c
@@ -65,7 +65,7 @@
   return 0;
 }
 
-/* Sends a request without a body and checks the status and a text of the answer. */
+/* Sends a request without a body, and checks the status and a part of the response. */
 static void
 check_page (Fixture *fixture, const char *request, const char *status, const char *text)
 {
--- a/tests/test_burn.c
+++ b/tests/test_burn.c
@@ -117,7 +117,7 @@
   assert_int_equal (counts.total[MF_SLI_TTFT], 10);
   counts = counts_of (burn, MF_WINDOW_1H, false, START_US + 10 * MINUTE_US);
   assert_int_equal (counts.bad[MF_SLI_TTFT], 10);
-  /* Half were late where one in twenty may be: ten times the budget. */
+  /* 50 % were late and 5 % are allowed: a burn rate of 10. */
   assert_true (mf_burn_rate (&counts, MF_SLI_TTFT) > 9.99);
   assert_true (mf_burn_rate (&counts, MF_SLI_TTFT) < 10.01);
   counts = counts_of (burn, MF_WINDOW_1D, false, START_US + HOURS_26_US);
@@ -127,7 +127,7 @@
   mf_burn_free (burn);
 }
 
-/* Digests that are lost, repeated or come from a restarted peer never count a request twice. */
+/* Requests are counted exactly once when digests are lost or repeated, or a peer restarts. */
 static void
 test_peers_merge_exactly (void **state)
 {
@@ -145,7 +145,7 @@
   assert_true (mf_burn_merge (local, &remote_id, digest, n, START_US + 3));
   assert_true (mf_burn_merge (local, &remote_id, digest, n, START_US + 4));
   record (remote, good_sample (), 2, START_US + 5);
-  mf_burn_pack (remote, START_US + 5, digest, sizeof digest); /* lost */
+  mf_burn_pack (remote, START_US + 5, digest, sizeof digest); /* this digest is lost */
   record (remote, good_sample (), 3, START_US + 6);
   n = mf_burn_pack (remote, START_US + 6, digest, sizeof digest);
   assert_true (mf_burn_merge (local, &remote_id, digest, n, START_US + 7));
@@ -162,8 +162,8 @@
   mf_burn_free (local);
 }
 
-/* A peer that began earlier, or counted while this instance was idle, loses nothing; nor does a row
- * that comes later. */
+/* Counts are merged in full from a peer that started earlier than this instance but counted its
+ * first request later, even while this instance is idle; so are rows that appear later. */
 static void
 test_an_idle_instance_takes_the_first_counts (void **state)
 {
@@ -193,7 +193,7 @@
   mf_burn_free (local);
 }
 
-/* What a peer counted before this instance began is not told as if it were new. */
+/* Requests that a peer counted before this instance started are not merged into its windows. */
 static void
 test_a_fresh_instance_takes_no_history (void **state)
 {
@@ -250,7 +250,8 @@
   mf_burn_free (local);
 }
 
-/* Many customers share small digests in turn, and all arrive. */
+/* When a digest is too small for all customers, rows are sent in rotation and all of them arrive.
+ */
 static void
 test_many_customers_fit_small_digests (void **state)
 {
--- a/tests/test_report.c
+++ b/tests/test_report.c
@@ -17,7 +17,8 @@
   return one_core_json (&buffer);
 }
 
-/* Each way to end shows in its own place and in no other. */
+/* Guards against a request counted under the wrong result, or under two: answered, late, departed
+ * and failed requests each show in their own count only. */
 static void
 test_report_counts_each_end_once (void **state)
 {
@@ -37,7 +38,7 @@
   assert_int_equal (one_core_number (report, "services.1.failed"), 1);
   assert_int_equal (one_core_number (report, "services.1.refused"), 0);
   assert_int_equal (one_core_number (report, "services.0.answered"), 0);
-  /* One of two was late where one in twenty may be. */
+  /* 50 % were late and 5 % are allowed: a burn rate of 10. */
   assert_string_equal (one_core_text (report, "services.1.objectives.0.windows.5m.burn"), "10.000");
   assert_string_equal (one_core_text (report, "ended_by.0.ended_by"), "caller");
   assert_int_equal (one_core_number (report, "counters.mangofork_requests_total"), 4);
@@ -45,7 +46,8 @@
   one_core_free (one);
 }
 
-/* A failure burns in every window; once the shortest has passed, its alert no longer fires. */
+/* A failure counts in every window, and all alerts fire; when the shortest window has passed, the
+ * alert that needs it stops. */
 static void
 test_alerts_need_both_windows (void **state)
 {
--- a/tests/test_status.c
+++ b/tests/test_status.c
@@ -19,7 +19,7 @@
   return one_core_json (&buffer);
 }
 
-/* A service is down because of what it needs, and the status names it. */
+/* A service is down because a dependency is down, and the status names that dependency. */
 static void
 test_status_names_the_cause (void **state)
 {
@@ -63,7 +63,7 @@
   one_core_free (one);
 }
 
-/* An explanation says who ended the request, in which phase, and every step before. */
+/* An explanation has who ended the request, in which phase, and every step before. */
 static void
 test_explanation_tells_the_whole_life (void **state)
 {
