--- a/bench/pages.c
+++ b/bench/pages.c
@@ -154,7 +154,7 @@
                               .code = MF_CODE_OK,
                               .ttft_us = (i + seed) % 10 == 0 ? 2 * MF_US_PER_S : 1 };
 
-      mf_burn_note (core->board.burn, core->board.config, &sample, core->board.now_us);
+      mf_burn_record (core->board.burn, core->board.config, &sample, core->board.now_us);
     }
 }
 
--- a/libmangofork/burn.c
+++ b/libmangofork/burn.c
@@ -87,16 +87,16 @@
   const char *name;
   uint32_t ring;
   uint32_t n_buckets;
-} windows[MF_WINDOW_COUNT] = {
-  [MF_WINDOW_5M] = { "5m", 0, 10 }, [MF_WINDOW_30M] = { "30m", 1, 6 },
-  [MF_WINDOW_1H] = { "1h", 1, 12 }, [MF_WINDOW_2H] = { "2h", 2, 4 },
-  [MF_WINDOW_6H] = { "6h", 2, 12 }, [MF_WINDOW_1D] = { "1d", 3, 12 },
+} windows[MF_BURN_WINDOW_COUNT] = {
+  [MF_BURN_WINDOW_5M] = { "5m", 0, 10 }, [MF_BURN_WINDOW_30M] = { "30m", 1, 6 },
+  [MF_BURN_WINDOW_1H] = { "1h", 1, 12 }, [MF_BURN_WINDOW_2H] = { "2h", 2, 4 },
+  [MF_BURN_WINDOW_6H] = { "6h", 2, 12 }, [MF_BURN_WINDOW_1D] = { "1d", 3, 12 },
 };
 
-const MfBurnAlert mf_burn_alerts[MF_BURN_ALERTS] = {
-  { MF_WINDOW_5M, MF_WINDOW_1H, 14.4, "page" },
-  { MF_WINDOW_30M, MF_WINDOW_6H, 6, "page" },
-  { MF_WINDOW_2H, MF_WINDOW_1D, 3, "ticket" },
+const MfBurnAlert mf_burn_alerts[MF_BURN_ALERT_COUNT] = {
+  { MF_BURN_WINDOW_5M, MF_BURN_WINDOW_1H, 14.4, "page" },
+  { MF_BURN_WINDOW_30M, MF_BURN_WINDOW_6H, 6, "page" },
+  { MF_BURN_WINDOW_2H, MF_BURN_WINDOW_1D, 3, "ticket" },
 };
 
 const char *
@@ -113,13 +113,13 @@
 }
 
 const char *
-mf_window_name (MfWindow window)
+mf_burn_window_name (MfBurnWindow window)
 {
-  return window < MF_WINDOW_COUNT ? windows[window].name : "start";
+  return window < MF_BURN_WINDOW_COUNT ? windows[window].name : "start";
 }
 
 uint64_t
-mf_window_us (MfWindow window)
+mf_burn_window_us (MfBurnWindow window)
 {
   return windows[window].n_buckets * ring_widths_us[windows[window].ring];
 }
@@ -246,7 +246,8 @@
 
 /* Sums the current bucket and the n_buckets before it. */
 static void
-window_counts_sum (const WindowCounts *src, MfWindow window, uint64_t now_us, MfBurnCounts *counts)
+window_counts_sum (const WindowCounts *src, MfBurnWindow window, uint64_t now_us,
+                   MfBurnCounts *counts)
 {
   uint32_t ring = windows[window].ring;
   uint32_t epoch = (uint32_t)(now_us / ring_widths_us[ring]);
@@ -332,7 +333,7 @@
 
 /* Counts the outcome of one request for its service and its customer. */
 void
-mf_burn_note (MfBurn *burn, const MfConfig *config, const MfBurnSample *sample, uint64_t now_us)
+mf_burn_record (MfBurn *burn, const MfConfig *config, const MfBurnSample *sample, uint64_t now_us)
 {
   MfBurnCounts counts = { 0 };
 
@@ -353,7 +354,7 @@
 }
 
 void
-mf_burn_counts (const MfBurn *burn, MfBurnKind kind, uint64_t name_hash, MfWindow window,
+mf_burn_counts (const MfBurn *burn, MfBurnKind kind, uint64_t name_hash, MfBurnWindow window,
                 bool with_peers, uint64_t now_us, MfBurnCounts *counts)
 {
   const Row *row = row_find (burn, kind, name_hash);
@@ -361,7 +362,7 @@
   *counts = (MfBurnCounts){ 0 };
   if (row == NULL)
     return;
-  if (window >= MF_WINDOW_COUNT)
+  if (window >= MF_BURN_WINDOW_COUNT)
     {
       *counts = row->counts;
       return;
@@ -390,7 +391,7 @@
 }
 
 uint64_t
-mf_burn_missed (const MfBurn *burn)
+mf_burn_n_rows_missed (const MfBurn *burn)
 {
   return burn->n_rows_missed;
 }
@@ -509,15 +510,15 @@
     {
       MfBurnPeer *peer = &burn->peers[i];
 
-      if (strcmp (peer->owner.name, id->name) == 0)
+      if (strcmp (peer->peer.name, id->name) == 0)
         return peer;
-      if (now_us - peer->last_us > PEER_MAX_AGE_US)
+      if (now_us - peer->last_seen_us > PEER_MAX_AGE_US)
         free_peer = peer;
     }
   if (burn->n_peers < PEERS_MAX)
     free_peer = &burn->peers[burn->n_peers++];
   if (free_peer != NULL)
-    *free_peer = (MfBurnPeer){ .owner = *id, .first_us = now_us };
+    *free_peer = (MfBurnPeer){ .peer = *id, .merged_since_us = now_us };
   return free_peer;
 }
 
@@ -638,8 +639,8 @@
   known = is_valid ? peer_find_or_add (burn, peer, now_us) : NULL;
   if (known != NULL)
     {
-      known->owner.incarnation = peer->incarnation;
-      known->last_us = now_us;
+      known->peer.incarnation = peer->incarnation;
+      known->last_seen_us = now_us;
     }
   while (is_valid && known != NULL && offset < src_bytes)
     is_valid = msgpack_unpack_next (&unpacked, (const char *)src, src_bytes, &offset)
--- a/libmangofork/burn.h
+++ b/libmangofork/burn.h
@@ -26,8 +26,8 @@
 
 MfBurn *mf_burn_new (uint64_t now_us);
 void mf_burn_free (MfBurn *burn);
-void mf_burn_note (MfBurn *burn, const MfConfig *config, const MfBurnSample *sample,
-                   uint64_t now_us);
+void mf_burn_record (MfBurn *burn, const MfConfig *config, const MfBurnSample *sample,
+                     uint64_t now_us);
 
 /* Whether a request was good: answered in full, its first token in time and at least 95 % of the
  * gaps between tokens in time. The program, the bench and the report share this definition. */
@@ -47,14 +47,14 @@
 /* Windows over which burn rates are computed; an alert combines a short one with a long one. */
 typedef enum
 {
-  MF_WINDOW_5M,
-  MF_WINDOW_30M,
-  MF_WINDOW_1H,
-  MF_WINDOW_2H,
-  MF_WINDOW_6H,
-  MF_WINDOW_1D,
-  MF_WINDOW_COUNT,
-} MfWindow;
+  MF_BURN_WINDOW_5M,
+  MF_BURN_WINDOW_30M,
+  MF_BURN_WINDOW_1H,
+  MF_BURN_WINDOW_2H,
+  MF_BURN_WINDOW_6H,
+  MF_BURN_WINDOW_1D,
+  MF_BURN_WINDOW_COUNT,
+} MfBurnWindow;
 
 /* What a row of counts is kept for. */
 typedef enum
@@ -75,10 +75,10 @@
   uint64_t departed;             /* the caller disconnected */
 } MfBurnCounts;
 
-/* Sums the counts of a row over a window; MF_WINDOW_COUNT stands for the time since this process
- * started. with_peers adds the counts of peers, except for MF_WINDOW_COUNT. An unknown row counts
- * nothing. */
-void mf_burn_counts (const MfBurn *burn, MfBurnKind kind, uint64_t name_hash, MfWindow window,
+/* Sums the counts of a row over a window; MF_BURN_WINDOW_COUNT stands for the time since this
+ * process started. with_peers adds the counts of peers, except for MF_BURN_WINDOW_COUNT. An unknown
+ * row counts nothing. */
+void mf_burn_counts (const MfBurn *burn, MfBurnKind kind, uint64_t name_hash, MfBurnWindow window,
                      bool with_peers, uint64_t now_us, MfBurnCounts *counts);
 /* Returns the rate at which the error budget is spent: misses over misses allowed. At 1 the budget
  * is used up exactly at the end of the objective's period. */
@@ -87,32 +87,32 @@
 /* An alert fires while the burn rates of both windows are at least rate. */
 typedef struct
 {
-  MfWindow short_window;
-  MfWindow long_window;
+  MfBurnWindow short_window;
+  MfBurnWindow long_window;
   double rate;
   const char *name;
 } MfBurnAlert;
 
-#define MF_BURN_ALERTS 3
-extern const MfBurnAlert mf_burn_alerts[MF_BURN_ALERTS];
+#define MF_BURN_ALERT_COUNT 3
+extern const MfBurnAlert mf_burn_alerts[MF_BURN_ALERT_COUNT];
 
 const char *mf_sli_name (MfSli sli);
-const char *mf_window_name (MfWindow window);
-uint64_t mf_window_us (MfWindow window);
+const char *mf_burn_window_name (MfBurnWindow window);
+uint64_t mf_burn_window_us (MfBurnWindow window);
 
 /* A peer whose counts are merged into the rows. */
 typedef struct
 {
-  MfInstanceId owner;
-  uint64_t first_us; /* when its first counts were merged */
-  uint64_t last_us;  /* when its last counts were merged */
+  MfInstanceId peer;
+  uint64_t merged_since_us; /* when its first counts were merged */
+  uint64_t last_seen_us;    /* when its last counts were merged */
 } MfBurnPeer;
 
 typedef bool (*MfBurnPeerFunc) (const MfBurnPeer *peer, void *data);
 
 void mf_burn_foreach_peer (const MfBurn *burn, MfBurnPeerFunc func, void *data);
 /* Returns how many updates were left out of the sums because a table was full or memory ran out. */
-uint64_t mf_burn_missed (const MfBurn *burn);
+uint64_t mf_burn_n_rows_missed (const MfBurn *burn);
 /* Returns when counting started. */
 uint64_t mf_burn_started_us (const MfBurn *burn);
 
--- a/libmangofork/config.h
+++ b/libmangofork/config.h
@@ -3,7 +3,7 @@
 
 #include "error.h"
 
-#define MF_TEXT_BYTES_MAX 1048576
+#define MF_CONFIG_TEXT_BYTES_MAX 1048576
 #define MF_SERVICE_DEPENDS_MAX 8
 /* Services in one configuration. */
 #define MF_SERVICES_MAX 1024
--- a/libmangofork/config_read.c
+++ b/libmangofork/config_read.c
@@ -78,7 +78,7 @@
     .max = DAY_MS,
     .scale = MF_US_PER_MS },
   { .key = "objective", .type = MF_FIELD_OBJECT, .members = &objective_table },
-  { .key = "depends_on", .type = MF_FIELD_OTHER },
+  { .key = "depends_on", .type = MF_FIELD_CUSTOM },
   { .key = "model",
     .type = MF_FIELD_STRING,
     .offset = offsetof (MfService, model),
@@ -96,8 +96,8 @@
     .offset = offsetof (MfService, version),
     .bytes = MF_NAME_BYTES,
     .kinds = KIND_MODEL },
-  { .key = "prefill_pool", .type = MF_FIELD_OTHER, .kinds = KIND_MODEL, .required = true },
-  { .key = "decode_pool", .type = MF_FIELD_OTHER, .kinds = KIND_MODEL, .required = true },
+  { .key = "prefill_pool", .type = MF_FIELD_CUSTOM, .kinds = KIND_MODEL, .required = true },
+  { .key = "decode_pool", .type = MF_FIELD_CUSTOM, .kinds = KIND_MODEL, .required = true },
   { .key = "tbt_target_ms",
     .type = MF_FIELD_U64,
     .offset = offsetof (MfService, tbt_target_us),
@@ -124,7 +124,7 @@
     .min = 1,
     .kinds = KIND_PLAIN,
     .required = true },
-  { .key = "pool", .type = MF_FIELD_OTHER, .kinds = KIND_PLAIN, .required = true },
+  { .key = "pool", .type = MF_FIELD_CUSTOM, .kinds = KIND_PLAIN, .required = true },
   { .key = "get_is_idempotent",
     .type = MF_FIELD_BOOL,
     .offset = offsetof (MfService, get_is_idempotent),
@@ -139,7 +139,7 @@
     .offset = offsetof (MfPool, role),
     .choices = role_names,
     .required = true },
-  { .key = "upstreams", .type = MF_FIELD_OTHER, .required = true },
+  { .key = "upstreams", .type = MF_FIELD_CUSTOM, .required = true },
 };
 static const MfFieldTable pool_table = { pool_fields, MF_ARRAY_LEN (pool_fields) };
 
@@ -155,7 +155,7 @@
     .min = 1,
     .required = true },
   NAME_FIELD ("data_centre", MfUpstreamConfig, data_centre, true),
-  { .key = "engine", .type = MF_FIELD_OTHER },
+  { .key = "engine", .type = MF_FIELD_CUSTOM },
   { .key = "slots",
     .type = MF_FIELD_U32,
     .offset = offsetof (MfUpstreamConfig, slots),
@@ -206,7 +206,7 @@
 static const MfFieldTable customer_table = { customer_fields, MF_ARRAY_LEN (customer_fields) };
 
 static const MfField idempotency_fields[] = {
-  { .key = "voters", .type = MF_FIELD_OTHER },
+  { .key = "voters", .type = MF_FIELD_CUSTOM },
   { .key = "voters_per_key",
     .type = MF_FIELD_U32,
     .offset = offsetof (MfConfig, voters_per_key),
@@ -223,9 +223,9 @@
     = { idempotency_fields, MF_ARRAY_LEN (idempotency_fields) };
 
 static const MfField config_fields[] = {
-  { .key = "services", .type = MF_FIELD_OTHER, .required = true },
-  { .key = "pools", .type = MF_FIELD_OTHER, .required = true },
-  { .key = "customers", .type = MF_FIELD_OTHER },
+  { .key = "services", .type = MF_FIELD_CUSTOM, .required = true },
+  { .key = "pools", .type = MF_FIELD_CUSTOM, .required = true },
+  { .key = "customers", .type = MF_FIELD_CUSTOM },
   { .key = "allow_anonymous",
     .type = MF_FIELD_BOOL,
     .offset = offsetof (MfConfig, allow_anonymous) },
--- a/libmangofork/explain.c
+++ b/libmangofork/explain.c
@@ -52,7 +52,7 @@
 step_text (const MfCore *core, const MfTraceStep *step, char *text)
 {
   const char *upstream = mf_render_upstream_name (core, step->upstream);
-  const char *other = mf_render_upstream_name (core, step->other);
+  const char *other = mf_render_upstream_name (core, step->other_upstream);
   double ms = (double)step->value / 1000;
   uint64_t n = step->value;
 
@@ -65,7 +65,7 @@
       snprintf (text, STEP_TEXT_BYTES, "queued behind %" PRIu64 " other requests", n);
       return;
     case MF_TRACE_PLACED:
-      if (step->other == MF_NONE)
+      if (step->other_upstream == MF_NONE)
         other = "an engine to be chosen when the KV is ready";
       snprintf (text, STEP_TEXT_BYTES,
                 "placed: prefill on %s, decode on %s, first token predicted in %.1f ms", upstream,
@@ -89,7 +89,7 @@
     case MF_TRACE_FIRST_TOKEN:
       snprintf (text, STEP_TEXT_BYTES, "first token from %s after %.1f ms", upstream, ms);
       return;
-    case MF_TRACE_BROKEN:
+    case MF_TRACE_CALL_FAILED:
       snprintf (text, STEP_TEXT_BYTES, "call to %s failed after %" PRIu64 " tokens delivered",
                 upstream, n);
       return;
--- a/libmangofork/field.c
+++ b/libmangofork/field.c
@@ -207,7 +207,7 @@
 
   switch (field->type)
     {
-    case MF_FIELD_OTHER:
+    case MF_FIELD_CUSTOM:
       return;
     case MF_FIELD_U32:
     case MF_FIELD_U64:
--- a/libmangofork/field.h
+++ b/libmangofork/field.h
@@ -14,7 +14,7 @@
   MF_FIELD_CHOICE,  /* one of the names in choices; its index is stored */
   MF_FIELD_DIGEST,  /* MF_DIGEST_BYTES in hex */
   MF_FIELD_OBJECT,  /* an object whose fields go to the same struct */
-  MF_FIELD_OTHER,   /* accepted here, read by other code */
+  MF_FIELD_CUSTOM,  /* accepted here, read by other code */
 } MfFieldType;
 
 /* One key of an object and the struct member that takes its value. */
--- a/libmangofork/finish.c
+++ b/libmangofork/finish.c
@@ -11,7 +11,7 @@
     .at_us = board->now_us,
     .kind = MF_TRACE_ENDED,
     .upstream = MF_NONE,
-    .other = MF_NONE,
+    .other_upstream = MF_NONE,
     .value = request->delivered,
     .code = code,
     .phase = (uint8_t)request->phase,
@@ -33,7 +33,7 @@
     .wasted_prefill_tokens = request->wasted_tokens,
   };
 
-  mf_trace_note (board->trace, &step);
+  mf_trace_add_step (board->trace, &step);
   board->counters.by_code[mf_code_index (code)]++;
   mf_counter_add (&board->counters, MF_COUNTER_WASTED_PREFILL_TOKENS, request->wasted_tokens);
   if (code == MF_CODE_OK)
@@ -41,7 +41,7 @@
   if (mf_burn_is_good (&service->config, &sample))
     mf_counter_add (&board->counters, MF_COUNTER_GOOD, 1);
   if (service->in_config)
-    mf_burn_note (board->burn, board->config, &sample, board->now_us);
+    mf_burn_record (board->burn, board->config, &sample, board->now_us);
 }
 
 /* Returns whether any of the work ran, as far as known. A running call that was sent counts as
@@ -204,21 +204,21 @@
                        .at_us = board->now_us,
                        .kind = MF_TRACE_ENDED,
                        .upstream = MF_NONE,
-                       .other = MF_NONE,
+                       .other_upstream = MF_NONE,
                        .code = code,
                        .phase = MF_PHASE_ENDED,
                        .ended_by = MF_ENDED_BY_INSTANCE };
   MfBurnSample sample
       = { .customer = customer, .code = code, .outcome = info->outcome, .refused = true };
 
-  mf_trace_note (board->trace, &step);
+  mf_trace_add_step (board->trace, &step);
   board->counters.by_code[mf_code_index (code)]++;
   if (service != MF_NONE)
     {
       sample.service = board->services.rows[service].index_in_config;
       if (customer != MF_NONE)
         sample.customer = board->services.customers[customer].index_in_config;
-      mf_burn_note (board->burn, board->config, &sample, board->now_us);
+      mf_burn_record (board->burn, board->config, &sample, board->now_us);
     }
   mf_core_emit (core, &action);
 }
--- a/libmangofork/jsonc.c
+++ b/libmangofork/jsonc.c
@@ -182,14 +182,14 @@
   if (jsonc == NULL)
     return NULL;
   jsonc->original = text;
-  jsonc->text_bytes = text_bytes > (size_t)MF_TEXT_BYTES_MAX ? 0 : text_bytes;
+  jsonc->text_bytes = text_bytes > (size_t)MF_CONFIG_TEXT_BYTES_MAX ? 0 : text_bytes;
   jsonc->text = calloc (jsonc->text_bytes + 2, 1);
   if (jsonc->text == NULL)
     {
       free (jsonc);
       return NULL;
     }
-  if (text_bytes > (size_t)MF_TEXT_BYTES_MAX)
+  if (text_bytes > (size_t)MF_CONFIG_TEXT_BYTES_MAX)
     {
       fault_add (jsonc, NULL, false, 0, MF_CODE_TEXT_TOO_LARGE, "the text exceeds one megabyte");
       return jsonc;
--- a/libmangofork/life.c
+++ b/libmangofork/life.c
@@ -457,7 +457,7 @@
   bool usable = mf_upstream_is_usable (&core->board.upstreams[upstream]);
   bool timed_out = step->event->call.timed_out;
 
-  mf_request_trace (core, request, MF_TRACE_BROKEN, upstream, MF_NONE, request->delivered);
+  mf_request_trace (core, request, MF_TRACE_CALL_FAILED, upstream, MF_NONE, request->delivered);
   if (mf_policy (core)->resumes && usable && !timed_out && request->phase == MF_PHASE_DECODING)
     {
       request->attempt = step->call->attempt;
@@ -712,7 +712,7 @@
       request->last_upstream = call->upstream;
       mf_health_note_stall (step->core, call->upstream);
     }
-  mf_request_trace (step->core, request, MF_TRACE_BROKEN, request->last_upstream, MF_NONE,
+  mf_request_trace (step->core, request, MF_TRACE_CALL_FAILED, request->last_upstream, MF_NONE,
                     request->delivered);
   retry_or_refuse (step->core, request, MF_CODE_UPSTREAM_STALLED);
 }
--- a/libmangofork/metrics.c
+++ b/libmangofork/metrics.c
@@ -90,7 +90,7 @@
       for (uint32_t phase = 0; phase < MF_PHASE_COUNT; phase++)
         add_line (out, "mangofork_ended_by_total{by=\"%s\",phase=\"%s\"} %llu\n",
                   mf_ended_by_name ((MfEndedBy)by), mf_phase_name ((MfPhase)phase),
-                  (unsigned long long)mf_trace_ended (core->board.trace, (MfEndedBy)by, phase));
+                  (unsigned long long)mf_trace_n_ended (core->board.trace, (MfEndedBy)by, phase));
     }
 }
 
@@ -153,8 +153,8 @@
   const char *name = row->config.name;
   MfBurnCounts counts;
 
-  mf_burn_counts (core->board.burn, MF_BURN_SERVICE, mf_hash_name (name), MF_WINDOW_COUNT, false,
-                  core->board.now_us, &counts);
+  mf_burn_counts (core->board.burn, MF_BURN_SERVICE, mf_hash_name (name), MF_BURN_WINDOW_COUNT,
+                  false, core->board.now_us, &counts);
   const struct
   {
     const char *result;
@@ -175,18 +175,18 @@
 static void
 add_service_burn (const MfCore *core, const MfServiceRow *row, MfBuffer *out)
 {
-  for (uint32_t window = 0; window < MF_WINDOW_COUNT; window++)
+  for (uint32_t window = 0; window < MF_BURN_WINDOW_COUNT; window++)
     {
       MfBurnCounts counts;
 
       mf_burn_counts (core->board.burn, MF_BURN_SERVICE, mf_hash_name (row->config.name),
-                      (MfWindow)window, true, core->board.now_us, &counts);
+                      (MfBurnWindow)window, true, core->board.now_us, &counts);
       for (uint32_t sli = 0; sli < MF_SLI_COUNT; sli++)
         add_line (out,
                   "mangofork_service_burn_rate{service=\"%s\",objective=\"%s\",window=\"%s\"} "
                   "%.3f\n",
-                  row->config.name, mf_sli_name ((MfSli)sli), mf_window_name ((MfWindow)window),
-                  mf_burn_rate (&counts, (MfSli)sli));
+                  row->config.name, mf_sli_name ((MfSli)sli),
+                  mf_burn_window_name ((MfBurnWindow)window), mf_burn_rate (&counts, (MfSli)sli));
     }
 }
 
--- a/libmangofork/platform.c
+++ b/libmangofork/platform.c
@@ -17,7 +17,7 @@
 #define ANSWER_S 10
 #define CONNECT_TIMEOUT_MS 3000
 /* A text of one megabyte is a third longer in base64. */
-#define ANSWER_BYTES_MAX (2 * (size_t)MF_TEXT_BYTES_MAX)
+#define ANSWER_BYTES_MAX (2 * (size_t)MF_CONFIG_TEXT_BYTES_MAX)
 #define PATH_BYTES 256
 #define TOKEN_BYTES 256
 #define INDEX_HEADER "X-Consul-Index:"
--- a/libmangofork/report.c
+++ b/libmangofork/report.c
@@ -42,22 +42,22 @@
 {
   json_object *windows = json_object_new_object ();
   json_object *alerts = json_object_new_array ();
-  double rates[MF_WINDOW_COUNT];
+  double rates[MF_BURN_WINDOW_COUNT];
 
-  for (uint32_t i = 0; i < MF_WINDOW_COUNT; i++)
+  for (uint32_t i = 0; i < MF_BURN_WINDOW_COUNT; i++)
     {
       json_object *window = json_object_new_object ();
       MfBurnCounts counts;
 
-      mf_burn_counts (core->board.burn, kind, name_hash, (MfWindow)i, true, core->board.now_us,
+      mf_burn_counts (core->board.burn, kind, name_hash, (MfBurnWindow)i, true, core->board.now_us,
                       &counts);
       rates[i] = mf_burn_rate (&counts, sli);
       mf_render_number (window, "total", counts.total[sli]);
       mf_render_number (window, "bad", counts.bad[sli]);
       mf_render_real (window, "burn", rates[i]);
-      json_object_object_add (windows, mf_window_name ((MfWindow)i), window);
+      json_object_object_add (windows, mf_burn_window_name ((MfBurnWindow)i), window);
     }
-  for (uint32_t i = 0; i < MF_BURN_ALERTS; i++)
+  for (uint32_t i = 0; i < MF_BURN_ALERT_COUNT; i++)
     {
       const MfBurnAlert *alert = &mf_burn_alerts[i];
 
@@ -74,8 +74,8 @@
 {
   MfBurnCounts counts;
 
-  mf_burn_counts (core->board.burn, kind, name_hash, MF_WINDOW_COUNT, false, core->board.now_us,
-                  &counts);
+  mf_burn_counts (core->board.burn, kind, name_hash, MF_BURN_WINDOW_COUNT, false,
+                  core->board.now_us, &counts);
   mf_render_number (object, "answered", counts.total[MF_SLI_TTFT]);
   mf_render_number (object, "good", counts.good);
   mf_render_number (object, "failed", counts.bad[MF_SLI_AVAILABILITY]);
@@ -147,7 +147,7 @@
   MfBurnCounts counts;
 
   mf_burn_counts (core->board.burn, MF_BURN_CUSTOMER,
-                  mf_hash_name (core->board.config->customers[index].name), MF_WINDOW_1H, true,
+                  mf_hash_name (core->board.config->customers[index].name), MF_BURN_WINDOW_1H, true,
                   core->board.now_us, &counts);
   for (uint32_t sli = 0; sli < MF_SLI_COUNT; sli++)
     {
@@ -218,10 +218,10 @@
   const Coverage *coverage = data;
   json_object *object = json_object_new_object ();
 
-  mf_render_text (object, "instance", peer->owner.name);
-  mf_render_hex (object, "incarnation", peer->owner.incarnation);
-  mf_render_age (object, "since_s", coverage->core, peer->first_us);
-  mf_render_age (object, "heard_s", coverage->core, peer->last_us);
+  mf_render_text (object, "instance", peer->peer.name);
+  mf_render_hex (object, "incarnation", peer->peer.incarnation);
+  mf_render_age (object, "since_s", coverage->core, peer->merged_since_us);
+  mf_render_age (object, "heard_s", coverage->core, peer->last_seen_us);
   json_object_array_add (coverage->merged, object);
   return true;
 }
@@ -237,7 +237,7 @@
 {
   PeerSearch *search = data;
 
-  search->found = strcmp (peer->owner.name, search->name) == 0;
+  search->found = strcmp (peer->peer.name, search->name) == 0;
   return !search->found;
 }
 
@@ -271,7 +271,7 @@
   mf_member_foreach (core, add_missing, &coverage);
   json_object_object_add (report, "merged", coverage.merged);
   json_object_object_add (report, "missing", coverage.missing);
-  mf_render_number (report, "rows_missed", mf_burn_missed (core->board.burn));
+  mf_render_number (report, "rows_missed", mf_burn_n_rows_missed (core->board.burn));
 }
 
 /* Counts of ended requests by code: of the process, or of one point of a series. */
@@ -309,7 +309,7 @@
     {
       for (uint32_t phase = 0; phase < MF_PHASE_COUNT; phase++)
         {
-          uint64_t n = mf_trace_ended (core->board.trace, (MfEndedBy)by, phase);
+          uint64_t n = mf_trace_n_ended (core->board.trace, (MfEndedBy)by, phase);
           json_object *object;
 
           if (n == 0)
@@ -373,7 +373,7 @@
   mf_render_number (object, "wasted_tokens", point->counters[MF_COUNTER_WASTED_PREFILL_TOKENS]);
   mf_render_number (object, "queued", point->queued);
   mf_render_number (object, "in_flight", point->in_flight);
-  mf_render_number (object, "debts", point->debts);
+  mf_render_number (object, "debts", point->cancels);
   for (uint32_t role = 0; role < MF_ROLE_COUNT; role++)
     {
       json_object *slots = json_object_new_object ();
--- a/libmangofork/request.c
+++ b/libmangofork/request.c
@@ -93,12 +93,12 @@
     .at_us = core->board.now_us,
     .kind = kind,
     .upstream = upstream,
-    .other = other,
+    .other_upstream = other,
     .value = value,
     .phase = (uint8_t)request->phase,
   };
 
-  mf_trace_note (core->board.trace, &step);
+  mf_trace_add_step (core->board.trace, &step);
 }
 
 /* Removes the request from all tables and frees it. */
@@ -206,7 +206,7 @@
 
   mf_counter_add (&core->board.counters, MF_COUNTER_REQUESTS, 1);
   if (event->name != NULL)
-    mf_trace_name (core->board.trace, event->request_id, event->name);
+    mf_trace_set_name (core->board.trace, event->request_id, event->name);
   if (code == MF_CODE_OK)
     code = admit (core, service, customer, &retry_after_ms);
   else if (code != MF_CODE_NO_CONFIG)
--- a/libmangofork/series.c
+++ b/libmangofork/series.c
@@ -65,7 +65,7 @@
     .length_us = core->board.now_us - ring->start_us,
     .queued = mf_queue_length (core),
     .in_flight = mf_request_count (core),
-    .debts = mf_cancel_count (core),
+    .cancels = mf_cancel_count (core),
   };
   for (uint32_t i = 0; i < MF_COUNTER_COUNT; i++)
     point->counters[i] = now->values[i] - ring->start_counters.values[i];
--- a/libmangofork/series.h
+++ b/libmangofork/series.h
@@ -12,7 +12,7 @@
   uint32_t by_code[MF_CODE_SLOTS];     /* requests that ended with each code */
   uint32_t queued;
   uint32_t in_flight;
-  uint32_t debts;
+  uint32_t cancels;
   uint32_t slots_used[MF_ROLE_COUNT]; /* of the upstreams that this instance uses */
   uint32_t slots[MF_ROLE_COUNT];
 } MfSeriesPoint;
--- a/libmangofork/trace.c
+++ b/libmangofork/trace.c
@@ -137,7 +137,7 @@
 }
 
 void
-mf_trace_note (MfTrace *trace, const MfTraceStep *step)
+mf_trace_add_step (MfTrace *trace, const MfTraceStep *step)
 {
   TracedRequest *request = request_find_or_add (trace, step->request_id);
   Entry *entry;
@@ -153,7 +153,7 @@
 }
 
 void
-mf_trace_name (MfTrace *trace, uint64_t request_id, const char *name)
+mf_trace_set_name (MfTrace *trace, uint64_t request_id, const char *name)
 {
   TracedRequest *request = request_find_or_add (trace, request_id);
   TracedRequest *older;
@@ -223,7 +223,7 @@
 }
 
 uint64_t
-mf_trace_ended (const MfTrace *trace, MfEndedBy by, uint32_t phase)
+mf_trace_n_ended (const MfTrace *trace, MfEndedBy by, uint32_t phase)
 {
   return by < MF_ENDED_BY_COUNT && phase < PHASES_MAX ? trace->ended[by][phase] : 0;
 }
@@ -236,7 +236,7 @@
     [MF_TRACE_PLACED] = "placed",       [MF_TRACE_ALTERNATIVE] = "alternative",
     [MF_TRACE_CALLED] = "called",       [MF_TRACE_PREFILLED] = "prefilled",
     [MF_TRACE_IMPORTED] = "imported",   [MF_TRACE_FIRST_TOKEN] = "first-token",
-    [MF_TRACE_BROKEN] = "broken",       [MF_TRACE_RETRIED] = "retried",
+    [MF_TRACE_CALL_FAILED] = "broken",  [MF_TRACE_RETRIED] = "retried",
     [MF_TRACE_RESUMED] = "resumed",     [MF_TRACE_HEDGED] = "hedged",
     [MF_TRACE_CLAIMED] = "claimed",     [MF_TRACE_CANCELLED] = "cancelled",
     [MF_TRACE_SUSPECTED] = "suspected", [MF_TRACE_ENDED] = "ended",
--- a/libmangofork/trace.h
+++ b/libmangofork/trace.h
@@ -16,7 +16,7 @@
   MF_TRACE_PREFILLED,
   MF_TRACE_IMPORTED,
   MF_TRACE_FIRST_TOKEN,
-  MF_TRACE_BROKEN, /* value: tokens delivered */
+  MF_TRACE_CALL_FAILED, /* value: tokens delivered */
   MF_TRACE_RETRIED,
   MF_TRACE_RESUMED,
   MF_TRACE_HEDGED,
@@ -42,8 +42,8 @@
   uint64_t request_id;
   uint64_t at_us;
   MfTraceKind kind;
-  uint32_t upstream; /* or MF_NONE */
-  uint32_t other;    /* or MF_NONE */
+  uint32_t upstream;       /* or MF_NONE */
+  uint32_t other_upstream; /* or MF_NONE */
   uint64_t value;
   MfCode code;
   uint8_t phase;    /* MfPhase */
@@ -57,9 +57,9 @@
 /* Creates a ring of n_steps steps, shared by all requests; the newest overwrites the oldest. */
 MfTrace *mf_trace_new (uint32_t n_steps);
 void mf_trace_free (MfTrace *trace);
-void mf_trace_note (MfTrace *trace, const MfTraceStep *step);
+void mf_trace_add_step (MfTrace *trace, const MfTraceStep *step);
 /* Sets the name under which callers know the request, for mf_trace_foreach. */
-void mf_trace_name (MfTrace *trace, uint64_t request_id, const char *name);
+void mf_trace_set_name (MfTrace *trace, uint64_t request_id, const char *name);
 /* Calls func for each recorded step of the requests of that name, oldest first. Callers may use one
  * name for several requests; the latest request comes last. Returns false when no request of that
  * name is recorded. */
@@ -67,7 +67,7 @@
 
 /* Returns how many requests were ended without an answer by that party in that MfPhase, including
  * those whose steps have been overwritten. */
-uint64_t mf_trace_ended (const MfTrace *trace, MfEndedBy by, uint32_t phase);
+uint64_t mf_trace_n_ended (const MfTrace *trace, MfEndedBy by, uint32_t phase);
 
 const char *mf_trace_kind_name (MfTraceKind kind);
 const char *mf_ended_by_name (MfEndedBy by);
--- a/tests/test_burn.c
+++ b/tests/test_burn.c
@@ -42,11 +42,11 @@
   MfConfig config = config_of ();
 
   for (uint32_t i = 0; i < n; i++)
-    mf_burn_note (burn, &config, &sample, now_us);
+    mf_burn_record (burn, &config, &sample, now_us);
 }
 
 static MfBurnCounts
-counts_of (const MfBurn *burn, MfWindow window, bool with_peers, uint64_t now_us)
+counts_of (const MfBurn *burn, MfBurnWindow window, bool with_peers, uint64_t now_us)
 {
   MfBurnCounts counts;
 
@@ -89,7 +89,7 @@
   record (burn, departed, 2, START_US);
   record (burn, callers, 5, START_US);
   record (burn, good_sample (), 9, START_US);
-  counts = counts_of (burn, MF_WINDOW_5M, false, START_US);
+  counts = counts_of (burn, MF_BURN_WINDOW_5M, false, START_US);
   assert_int_equal (counts.total[MF_SLI_AVAILABILITY], 10);
   assert_int_equal (counts.bad[MF_SLI_AVAILABILITY], 1);
   assert_int_equal (counts.total[MF_SLI_TTFT], 9);
@@ -112,17 +112,17 @@
   late.ttft_us = 2000;
   record (burn, late, 10, START_US);
   record (burn, good_sample (), 10, START_US + 10 * MINUTE_US);
-  counts = counts_of (burn, MF_WINDOW_5M, false, START_US + 10 * MINUTE_US);
+  counts = counts_of (burn, MF_BURN_WINDOW_5M, false, START_US + 10 * MINUTE_US);
   assert_int_equal (counts.bad[MF_SLI_TTFT], 0);
   assert_int_equal (counts.total[MF_SLI_TTFT], 10);
-  counts = counts_of (burn, MF_WINDOW_1H, false, START_US + 10 * MINUTE_US);
+  counts = counts_of (burn, MF_BURN_WINDOW_1H, false, START_US + 10 * MINUTE_US);
   assert_int_equal (counts.bad[MF_SLI_TTFT], 10);
   /* 50 % were late and 5 % are allowed: a burn rate of 10. */
   assert_true (mf_burn_rate (&counts, MF_SLI_TTFT) > 9.99);
   assert_true (mf_burn_rate (&counts, MF_SLI_TTFT) < 10.01);
-  counts = counts_of (burn, MF_WINDOW_1D, false, START_US + HOURS_26_US);
+  counts = counts_of (burn, MF_BURN_WINDOW_1D, false, START_US + HOURS_26_US);
   assert_int_equal (counts.total[MF_SLI_TTFT], 0);
-  counts = counts_of (burn, MF_WINDOW_COUNT, false, START_US + HOURS_26_US);
+  counts = counts_of (burn, MF_BURN_WINDOW_COUNT, false, START_US + HOURS_26_US);
   assert_int_equal (counts.total[MF_SLI_TTFT], 20);
   mf_burn_free (burn);
 }
@@ -149,15 +149,18 @@
   record (remote, good_sample (), 3, START_US + 6);
   n = mf_burn_pack (remote, START_US + 6, digest, sizeof digest);
   assert_true (mf_burn_merge (local, &remote_id, digest, n, START_US + 7));
-  assert_int_equal (counts_of (local, MF_WINDOW_5M, true, START_US + 8).total[MF_SLI_TTFT], 11);
-  assert_int_equal (counts_of (local, MF_WINDOW_5M, false, START_US + 8).total[MF_SLI_TTFT], 1);
+  assert_int_equal (counts_of (local, MF_BURN_WINDOW_5M, true, START_US + 8).total[MF_SLI_TTFT],
+                    11);
+  assert_int_equal (counts_of (local, MF_BURN_WINDOW_5M, false, START_US + 8).total[MF_SLI_TTFT],
+                    1);
   mf_burn_free (remote);
   remote = mf_burn_new (START_US);
   remote_id.incarnation = 8;
   record (remote, good_sample (), 4, START_US + 9);
   n = mf_burn_pack (remote, START_US + 9, digest, sizeof digest);
   assert_true (mf_burn_merge (local, &remote_id, digest, n, START_US + 10));
-  assert_int_equal (counts_of (local, MF_WINDOW_5M, true, START_US + 11).total[MF_SLI_TTFT], 15);
+  assert_int_equal (counts_of (local, MF_BURN_WINDOW_5M, true, START_US + 11).total[MF_SLI_TTFT],
+                    15);
   mf_burn_free (remote);
   mf_burn_free (local);
 }
@@ -180,14 +183,16 @@
   record (remote, sample, 3, START_US + 20);
   n = mf_burn_pack (remote, START_US + 30, digest, sizeof digest);
   assert_true (mf_burn_merge (local, &remote_id, digest, n, START_US + 30));
-  assert_int_equal (counts_of (local, MF_WINDOW_5M, true, START_US + 40).total[MF_SLI_TTFT], 3);
+  assert_int_equal (counts_of (local, MF_BURN_WINDOW_5M, true, START_US + 40).total[MF_SLI_TTFT],
+                    3);
   sample.customer = 0;
   record (remote, sample, 2, START_US + 50);
   n = mf_burn_pack (remote, START_US + 60, digest, sizeof digest);
   assert_true (mf_burn_merge (local, &remote_id, digest, n, START_US + 60));
-  assert_int_equal (counts_of (local, MF_WINDOW_5M, true, START_US + 70).total[MF_SLI_TTFT], 5);
-  mf_burn_counts (local, MF_BURN_CUSTOMER, mf_hash_name ("c"), MF_WINDOW_5M, true, START_US + 70,
-                  &counts);
+  assert_int_equal (counts_of (local, MF_BURN_WINDOW_5M, true, START_US + 70).total[MF_SLI_TTFT],
+                    5);
+  mf_burn_counts (local, MF_BURN_CUSTOMER, mf_hash_name ("c"), MF_BURN_WINDOW_5M, true,
+                  START_US + 70, &counts);
   assert_int_equal (counts.total[MF_SLI_TTFT], 2);
   mf_burn_free (remote);
   mf_burn_free (local);
@@ -212,7 +217,7 @@
   n = mf_burn_pack (remote, START_US + MINUTE_US + 3, digest, sizeof digest);
   assert_true (mf_burn_merge (local, &remote_id, digest, n, START_US + MINUTE_US + 4));
   assert_int_equal (
-      counts_of (local, MF_WINDOW_5M, true, START_US + MINUTE_US + 5).total[MF_SLI_TTFT], 3);
+      counts_of (local, MF_BURN_WINDOW_5M, true, START_US + MINUTE_US + 5).total[MF_SLI_TTFT], 3);
   mf_burn_free (remote);
   mf_burn_free (local);
 }
@@ -276,7 +281,7 @@
     {
       snprintf (customers[i].name, sizeof customers[i].name, "c%u", i);
       sample.customer = i;
-      mf_burn_note (remote, &config, &sample, START_US + 1);
+      mf_burn_record (remote, &config, &sample, START_US + 1);
     }
   for (uint32_t i = 0; i < N; i++)
     {
@@ -289,12 +294,12 @@
     {
       MfBurnCounts counts;
 
-      mf_burn_counts (local, MF_BURN_CUSTOMER, mf_hash_name (customers[i].name), MF_WINDOW_1D, true,
-                      START_US + 4, &counts);
+      mf_burn_counts (local, MF_BURN_CUSTOMER, mf_hash_name (customers[i].name), MF_BURN_WINDOW_1D,
+                      true, START_US + 4, &counts);
       n_found += counts.total[MF_SLI_TTFT] == 1;
     }
   assert_int_equal (n_found, N);
-  assert_int_equal (mf_burn_missed (local), 0);
+  assert_int_equal (mf_burn_n_rows_missed (local), 0);
   free (customers);
   mf_burn_free (remote);
   mf_burn_free (local);
--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -244,7 +244,7 @@
 static void
 test_too_large (void **state)
 {
-  size_t bytes = MF_TEXT_BYTES_MAX + 1;
+  size_t bytes = MF_CONFIG_TEXT_BYTES_MAX + 1;
   char *text = malloc (bytes);
   Faults faults = { 0 };
 
--- a/tests/test_confsync.c
+++ b/tests/test_confsync.c
@@ -262,7 +262,7 @@
   start_all (cores, 3);
   assert_int_equal (count_revision (cores, 3, 10), 3);
   whole_bytes = fake_cores_core (cores, 0)->board.config->text_bytes;
-  assert_in_range (whole_bytes, 800000, MF_TEXT_BYTES_MAX);
+  assert_in_range (whole_bytes, 800000, MF_CONFIG_TEXT_BYTES_MAX);
   for (uint32_t i = 0; i < 3; i++)
     n_bytes += fake_cores_bytes_out (cores, i);
   publish (cores, 11, n_upstreams + 1);
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -166,7 +166,7 @@
 test_text_of_a_megabyte (void **state)
 {
   Rig *rig = *state;
-  size_t n = MF_TEXT_BYTES_MAX;
+  size_t n = MF_CONFIG_TEXT_BYTES_MAX;
   char *text = calloc (1, n + 1);
 
   memset (text, 'x', n);
@@ -175,7 +175,7 @@
   mf_platform_read_text (rig->platform, 0);
   run_until (rig, 1);
   assert_int_equal (rig->types[0], MF_EVENT_PLATFORM_TEXT);
-  assert_int_equal (rig->text_bytes, MF_TEXT_BYTES_MAX);
+  assert_int_equal (rig->text_bytes, MF_CONFIG_TEXT_BYTES_MAX);
 }
 
 static void
--- a/tests/test_status.c
+++ b/tests/test_status.c
@@ -74,7 +74,7 @@
 
   (void)state;
   one_core_request (one, "left", "/orders/1", ONE_CALLER_LEAVES, 10 * MF_US_PER_MS);
-  mf_trace_name (one->core->board.trace, one->next_request, "left");
+  mf_trace_set_name (one->core->board.trace, one->next_request, "left");
   assert_false (mf_explain_render (one->core, "nobody", &buffer));
   assert_int_equal (mf_buffer_bytes (&buffer), 0);
   assert_true (mf_explain_render (one->core, "left", &buffer));
--- a/tests/test_trace.c
+++ b/tests/test_trace.c
@@ -28,7 +28,7 @@
   MfTraceStep step
       = { .request_id = request_id, .kind = MF_TRACE_CALLED, .value = value, .upstream = MF_NONE };
 
-  mf_trace_note (trace, &step);
+  mf_trace_add_step (trace, &step);
 }
 
 static void
@@ -38,8 +38,8 @@
   CollectedValues collected = { 0 };
 
   (void)state;
-  mf_trace_name (trace, 1, "a");
-  mf_trace_name (trace, 2, "b");
+  mf_trace_set_name (trace, 1, "a");
+  mf_trace_set_name (trace, 2, "b");
   for (uint64_t i = 0; i < 5; i++)
     {
       add_step (trace, 1, i);
@@ -60,7 +60,7 @@
   CollectedValues collected = { 0 };
 
   (void)state;
-  mf_trace_name (trace, 1, "long");
+  mf_trace_set_name (trace, 1, "long");
   for (uint64_t i = 0; i < 20; i++)
     add_step (trace, 1, i);
   assert_true (mf_trace_foreach (trace, "long", collect_value, &collected));
@@ -72,7 +72,7 @@
       char name[16];
 
       snprintf (name, sizeof name, "r%d", (int)id);
-      mf_trace_name (trace, id, name);
+      mf_trace_set_name (trace, id, name);
       add_step (trace, id, id);
     }
   assert_false (mf_trace_foreach (trace, "long", collect_value, &collected));
@@ -89,9 +89,9 @@
   CollectedValues collected = { 0 };
 
   (void)state;
-  mf_trace_name (trace, 1, "again");
+  mf_trace_set_name (trace, 1, "again");
   add_step (trace, 1, 10);
-  mf_trace_name (trace, 2, "again");
+  mf_trace_set_name (trace, 2, "again");
   add_step (trace, 2, 20);
   add_step (trace, 1, 11);
   assert_true (mf_trace_foreach (trace, "again", collect_value, &collected));
@@ -116,11 +116,11 @@
     {
       step.request_id = i + 1;
       step.phase = (uint8_t)(i % 2);
-      mf_trace_note (trace, &step);
+      mf_trace_add_step (trace, &step);
     }
-  assert_int_equal (mf_trace_ended (trace, MF_ENDED_BY_CALLER, 0), 5);
-  assert_int_equal (mf_trace_ended (trace, MF_ENDED_BY_CALLER, 1), 5);
-  assert_int_equal (mf_trace_ended (trace, MF_ENDED_BY_UPSTREAM, 0), 0);
+  assert_int_equal (mf_trace_n_ended (trace, MF_ENDED_BY_CALLER, 0), 5);
+  assert_int_equal (mf_trace_n_ended (trace, MF_ENDED_BY_CALLER, 1), 5);
+  assert_int_equal (mf_trace_n_ended (trace, MF_ENDED_BY_UPSTREAM, 0), 0);
   mf_trace_free (trace);
 }
 
