--- a/libmangofork/burn.h
+++ b/libmangofork/burn.h
@@ -10,10 +10,10 @@
   uint32_t customer; /* or MF_NONE */
   MfCode code;
   MfOutcome outcome;
-  bool refused;         /* not admitted, and nothing ran; counted apart from failures */
-  bool departed;        /* the caller disconnected; counts for no objective */
-  uint64_t ttft_us;     /* 0 when there was no token or answer */
-  uint32_t n_gaps;      /* gaps between tokens */
+  bool refused;     /* ended with an error before any output; counts as a refusal if nothing ran */
+  bool departed;    /* the caller disconnected; counts for no objective */
+  uint64_t ttft_us; /* 0 when there was no token or answer */
+  uint32_t n_gaps;  /* gaps between tokens */
   uint32_t n_gaps_late; /* of these, longer than the service's tbt_target_us */
   uint32_t prefill_tokens;
   uint32_t wasted_prefill_tokens;
@@ -39,8 +39,8 @@
 {
   MF_SLI_TTFT,
   MF_SLI_TBT,
-  MF_SLI_AVAILABILITY, /* answered in full, of the requests admitted */
-  MF_SLI_REFUSALS,     /* not refused, of all requests */
+  MF_SLI_AVAILABILITY, /* answered in full; refused requests do not count */
+  MF_SLI_REFUSALS,     /* not refused */
   MF_SLI_COUNT,
 } MfSli;
 
@@ -71,7 +71,7 @@
   uint64_t
       allowed_ppm[MF_SLI_COUNT]; /* misses that the objective allows, in millionths of a request */
   uint64_t good;                 /* met both latency targets */
-  uint64_t refused;              /* not admitted; nothing ran */
+  uint64_t refused;              /* ended with an error although nothing ran */
   uint64_t departed;             /* the caller disconnected */
 } MfBurnCounts;
 
@@ -104,8 +104,8 @@
 typedef struct
 {
   MfInstanceId peer;
-  uint64_t merged_since_us; /* when its first counts were merged */
-  uint64_t last_seen_us;    /* when its last counts were merged */
+  uint64_t merged_since_us; /* when its first digest was merged */
+  uint64_t last_seen_us;    /* when its last digest was merged */
 } MfBurnPeer;
 
 typedef bool (*MfBurnPeerFunc) (const MfBurnPeer *peer, void *data);
--- a/libmangofork/config.h
+++ b/libmangofork/config.h
@@ -30,7 +30,7 @@
   uint32_t prefill_pool;       /* model services, else MF_NONE */
   uint32_t decode_pool;        /* model services, else MF_NONE */
   uint32_t plain_pool;         /* plain services, else MF_NONE */
-  uint64_t deadline_us;        /* for the complete answer, unless the caller sets another */
+  uint64_t deadline_us;        /* for the complete answer, unless the caller sets another one */
   uint64_t ttft_target_us;
   uint64_t tbt_target_us;
   uint64_t kv_token_bytes;     /* size of one token in the KV cache */
@@ -66,7 +66,7 @@
 {
   char name[MF_NAME_BYTES];
   uint8_t key_digest[MF_DIGEST_BYTES]; /* BLAKE2b-256 of the API key */
-  uint32_t share;                      /* weight in fair queueing */
+  uint32_t share;                      /* weight in the queue's fair sharing */
   uint32_t in_flight_max;              /* 0 for no limit */
   uint32_t requests_per_s;             /* 0 for no limit */
 } MfCustomer;
@@ -96,8 +96,8 @@
   uint32_t n_customers;
   MfVoter *voters;
   uint32_t n_voters;
-  uint32_t voters_per_key; /* number of voters for one key; at most 7 */
-  uint64_t key_life_us;    /* how long the outcome of a key is kept */
+  uint32_t voters_per_key; /* number of voters for one idempotency key; at most 7 */
+  uint64_t key_life_us;    /* how long the outcome of an idempotency key is kept */
   uint64_t weight_store_bytes_per_s;
   bool allow_anonymous; /* callers without an API key are served */
   MfConfigIndex *index;
--- a/libmangofork/config_read.c
+++ b/libmangofork/config_read.c
@@ -265,7 +265,7 @@
   return NULL;
 }
 
-/* Resolves a name that refers to another entry. Returns its index, or MF_NONE with a fault
+/* Resolves a name that refers to another entry. Returns the index, or MF_NONE with a fault
  * recorded.
  */
 static uint32_t
@@ -362,8 +362,7 @@
     }
 }
 
-/* Returns the index of the pool that a service names under key; a pool of another role is a fault.
- */
+/* Returns the pool that a service names under key. A pool of another role is a fault. */
 static uint32_t
 read_pool_reference (const ConfigReader *reader, json_object *object, const char *path,
                      const char *key, MfRole role)
--- a/libmangofork/trace.h
+++ b/libmangofork/trace.h
@@ -10,8 +10,8 @@
 {
   MF_TRACE_ARRIVED,
   MF_TRACE_QUEUED,      /* value: requests ahead of it */
-  MF_TRACE_PLACED,      /* upstream: prefill; other: decode; value: predicted TTFT in us */
-  MF_TRACE_ALTERNATIVE, /* upstream: the second best; value: its predicted TTFT in us */
+  MF_TRACE_PLACED,      /* upstream: prefill; other_upstream: decode; value: predicted TTFT, us */
+  MF_TRACE_ALTERNATIVE, /* upstream: the second best; value: its predicted TTFT, us */
   MF_TRACE_CALLED,      /* value: MfCallKind */
   MF_TRACE_PREFILLED,
   MF_TRACE_IMPORTED,
@@ -19,7 +19,7 @@
   MF_TRACE_CALL_FAILED, /* value: tokens delivered */
   MF_TRACE_RETRIED,
   MF_TRACE_RESUMED,
-  MF_TRACE_HEDGED,
+  MF_TRACE_HEDGED, /* upstream: the second one; other_upstream: the slow one */
   MF_TRACE_CLAIMED,
   MF_TRACE_CANCELLED,
   MF_TRACE_SUSPECTED,
