--- a/tests/test_burn.c
+++ b/tests/test_burn.c
@@ -102,7 +102,7 @@
 }
 
 static void
-test_windows_forget (void **state)
+test_windows_drop_old_requests (void **state)
 {
   MfBurn *burn = mf_burn_new (START_US);
   MfBurnSample late = good_sample ();
@@ -311,7 +311,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_good_needs_both_targets),
     cmocka_unit_test (test_refusals_and_departures_are_apart),
-    cmocka_unit_test (test_windows_forget),
+    cmocka_unit_test (test_windows_drop_old_requests),
     cmocka_unit_test (test_peers_merge_exactly),
     cmocka_unit_test (test_an_idle_instance_takes_the_first_counts),
     cmocka_unit_test (test_a_fresh_instance_takes_no_history),
--- a/tests/test_status.c
+++ b/tests/test_status.c
@@ -65,7 +65,7 @@
 
 /* An explanation has who ended the request, in which phase, and every step before. */
 static void
-test_explanation_tells_the_whole_life (void **state)
+test_explanation_lists_all_steps (void **state)
 {
   OneCore *one = one_core_new ();
   MfBuffer buffer = { 0 };
@@ -95,7 +95,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_status_names_the_cause),
     cmocka_unit_test (test_status_shows_the_refused_text),
-    cmocka_unit_test (test_explanation_tells_the_whole_life),
+    cmocka_unit_test (test_explanation_lists_all_steps),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
