--- a/libmangofork/burn.c
+++ b/libmangofork/burn.c
@@ -18,8 +18,7 @@
 /* Rows of peers whose last totals are kept. */
 #define BASELINES_MAX 65536
 #define PEER_MAX_AGE_US (UINT64_C (24) * 60 * US_PER_MINUTE)
-/* Rows sent again with each digest although unchanged, in rotation, because a digest may be lost.
- */
+/* Rows sent again with each digest although unchanged, in rotation, in case a digest was lost. */
 #define ROWS_RESENT_PER_DIGEST 2
 #define PACK_VERSION 1
 #define ROW_N_COUNTS (3 * MF_SLI_COUNT + 3)
--- a/libmangofork/burn.h
+++ b/libmangofork/burn.h
@@ -20,10 +20,10 @@
 } MfBurnSample;
 
 /* Error budgets: requests of each service and customer that met or missed each objective, over
- * several time windows, for this instance and together with its peers. Counting starts at now_us.
- */
+ * several time windows, for this instance and together with its peers. */
 typedef struct MfBurn MfBurn;
 
+/* Counting starts at now_us. */
 MfBurn *mf_burn_new (uint64_t now_us);
 void mf_burn_free (MfBurn *burn);
 void mf_burn_record (MfBurn *burn, const MfConfig *config, const MfBurnSample *sample,
--- a/libmangofork/config_read.c
+++ b/libmangofork/config_read.c
@@ -265,9 +265,8 @@
   return NULL;
 }
 
-/* Resolves a name that refers to another entry. Returns the index, or MF_NONE with a fault
- * recorded.
- */
+/* Resolves a name that refers to another entry. Returns its index, or MF_NONE with a fault
+ * recorded. */
 static uint32_t
 read_reference (const ConfigReader *reader, const MfNameTable *table, json_object *value,
                 const char *path, const char *what)
--- a/libmangofork/jsonc.c
+++ b/libmangofork/jsonc.c
@@ -381,8 +381,7 @@
     }
 }
 
-/* Checks a key of the object being scanned and adds it to the keys found; a duplicate is a fault.
- */
+/* Adds a key of the object being scanned to the keys found. A duplicate is a fault. */
 static void
 scan_key (Scan *scan, SeenKeys *seen, size_t start, size_t key_bytes)
 {
--- a/tests/test_burn.c
+++ b/tests/test_burn.c
@@ -255,8 +255,7 @@
   mf_burn_free (local);
 }
 
-/* When a digest is too small for all customers, rows are sent in rotation and all of them arrive.
- */
+/* When digests are too small for all customers, rows are sent in rotation and all arrive. */
 static void
 test_many_customers_fit_small_digests (void **state)
 {
