--- a/libmangofork/report.c
+++ b/libmangofork/report.c
@@ -8,14 +8,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Customers listed: those that burn fastest. */
+/* Customers listed: those with the highest burn rates. */
 #define CUSTOMERS_SHOWN 20
 
-/* What an objective is worth beside its target. */
+/* An objective and its latency target. */
 typedef struct
 {
   uint32_t objective_ppm;
-  uint64_t target_us; /* 0 when it has none */
+  uint64_t target_us; /* 0 for none */
 } Objective;
 
 static Objective
@@ -35,29 +35,29 @@
   return (Objective){ service->objective_availability_ppm, 0 };
 }
 
-/* Adds total, bad and burn of one objective over every window, and the alerts that fire. */
+/* Adds the counts and burn rate of one objective over each window, and the alerts that fire. */
 static void
 add_windows (const MfCore *core, MfBurnKind kind, uint64_t name_hash, MfSli sli,
              json_object *object)
 {
   json_object *windows = json_object_new_object ();
   json_object *alerts = json_object_new_array ();
-  double rates[MF_WINDOW_COUNT];
+  double rates[MF_BURN_WINDOW_COUNT];
 
-  for (uint32_t i = 0; i < MF_WINDOW_COUNT; i++)
+  for (uint32_t i = 0; i < MF_BURN_WINDOW_COUNT; i++)
     {
       json_object *window = json_object_new_object ();
       MfBurnCounts counts;
 
-      mf_burn_counts (core->board.burn, kind, name_hash, (MfWindow)i, true, core->board.now_us,
+      mf_burn_counts (core->board.burn, kind, name_hash, (MfBurnWindow)i, true, core->board.now_us,
                       &counts);
       rates[i] = mf_burn_rate (&counts, sli);
       mf_render_number (window, "total", counts.total[sli]);
       mf_render_number (window, "bad", counts.bad[sli]);
       mf_render_real (window, "burn", rates[i]);
-      json_object_object_add (windows, mf_window_name ((MfWindow)i), window);
+      json_object_object_add (windows, mf_burn_window_name ((MfBurnWindow)i), window);
     }
-  for (uint32_t i = 0; i < MF_BURN_ALERTS; i++)
+  for (uint32_t i = 0; i < MF_BURN_ALERT_COUNT; i++)
     {
       const MfBurnAlert *alert = &mf_burn_alerts[i];
 
@@ -74,8 +74,8 @@
 {
   MfBurnCounts counts;
 
-  mf_burn_counts (core->board.burn, kind, name_hash, MF_WINDOW_COUNT, false, core->board.now_us,
-                  &counts);
+  mf_burn_counts (core->board.burn, kind, name_hash, MF_BURN_WINDOW_COUNT, false,
+                  core->board.now_us, &counts);
   mf_render_number (object, "answered", counts.total[MF_SLI_TTFT]);
   mf_render_number (object, "good", counts.good);
   mf_render_number (object, "failed", counts.bad[MF_SLI_AVAILABILITY]);
@@ -119,19 +119,19 @@
   json_object_object_add (report, "services", services);
 }
 
-/* A customer's place in the list. */
+/* A customer with the figures that the list is sorted by. */
 typedef struct
 {
   uint32_t index;
-  double burn; /* the fastest of its objectives over the last hour */
+  double burn; /* highest burn rate of its objectives over the last hour */
   uint64_t total;
-} Ranked;
+} RankedCustomer;
 
 static int
 ranked_compare (const void *a, const void *b)
 {
-  const Ranked *left = a;
-  const Ranked *right = b;
+  const RankedCustomer *left = a;
+  const RankedCustomer *right = b;
 
   if (left->burn != right->burn)
     return left->burn > right->burn ? -1 : 1;
@@ -140,14 +140,14 @@
   return left->index < right->index ? -1 : 1;
 }
 
-static Ranked
+static RankedCustomer
 rank_customer (const MfCore *core, uint32_t index)
 {
-  Ranked ranked = { .index = index };
+  RankedCustomer ranked = { .index = index };
   MfBurnCounts counts;
 
   mf_burn_counts (core->board.burn, MF_BURN_CUSTOMER,
-                  mf_hash_name (core->board.config->customers[index].name), MF_WINDOW_1H, true,
+                  mf_hash_name (core->board.config->customers[index].name), MF_BURN_WINDOW_1H, true,
                   core->board.now_us, &counts);
   for (uint32_t sli = 0; sli < MF_SLI_COUNT; sli++)
     {
@@ -161,7 +161,7 @@
 }
 
 static json_object *
-customer_object (const MfCore *core, const Ranked *ranked)
+customer_object (const MfCore *core, const RankedCustomer *ranked)
 {
   const char *name = core->board.config->customers[ranked->index].name;
   uint64_t name_hash = mf_hash_name (name);
@@ -182,13 +182,13 @@
   return object;
 }
 
-/* Lists the customers that burn fastest, of those with any request in the last hour. */
+/* Lists the customers with the highest burn rates, of those with requests in the last hour. */
 static void
 add_customers (const MfCore *core, json_object *report)
 {
   uint32_t n = core->board.config != NULL ? core->board.config->n_customers : 0;
   json_object *customers = json_object_new_array ();
-  Ranked *ranked = calloc ((size_t)n + 1, sizeof *ranked);
+  RankedCustomer *ranked = calloc ((size_t)n + 1, sizeof *ranked);
 
   for (uint32_t i = 0; ranked != NULL && i < n; i++)
     ranked[i] = rank_customer (core, i);
@@ -204,7 +204,7 @@
   json_object_object_add (report, "customers", customers);
 }
 
-/* The instances whose counts are in the sums, and those that are missing. */
+/* The instances whose counts are in the sums, and the live ones whose counts are not. */
 typedef struct
 {
   const MfCore *core;
@@ -218,10 +218,10 @@
   const Coverage *coverage = data;
   json_object *object = json_object_new_object ();
 
-  mf_render_text (object, "instance", peer->owner.name);
-  mf_render_hex (object, "incarnation", peer->owner.incarnation);
-  mf_render_age (object, "since_s", coverage->core, peer->first_us);
-  mf_render_age (object, "heard_s", coverage->core, peer->last_us);
+  mf_render_text (object, "instance", peer->peer.name);
+  mf_render_hex (object, "incarnation", peer->peer.incarnation);
+  mf_render_age (object, "since_s", coverage->core, peer->merged_since_us);
+  mf_render_age (object, "heard_s", coverage->core, peer->last_seen_us);
   json_object_array_add (coverage->merged, object);
   return true;
 }
@@ -230,14 +230,14 @@
 {
   const char *name;
   bool found;
-} Search;
+} PeerSearch;
 
 static bool
 search_merged (const MfBurnPeer *peer, void *data)
 {
-  Search *search = data;
+  PeerSearch *search = data;
 
-  search->found = strcmp (peer->owner.name, search->name) == 0;
+  search->found = strcmp (peer->peer.name, search->name) == 0;
   return !search->found;
 }
 
@@ -245,7 +245,7 @@
 add_missing (const MfMember *member, void *data)
 {
   const Coverage *coverage = data;
-  Search search = { .name = member->owner.name };
+  PeerSearch search = { .name = member->owner.name };
 
   if (!mf_member_is_live (member))
     return true;
@@ -255,7 +255,8 @@
   return true;
 }
 
-/* Says what the sums cover: instances keep nothing, so a window holds what its members saw. */
+/* Adds which instances the sums cover and since when. Instances do not store counts, so a window
+ * only has what its instances counted since they started. */
 static void
 add_coverage (const MfCore *core, json_object *report)
 {
@@ -270,20 +271,20 @@
   mf_member_foreach (core, add_missing, &coverage);
   json_object_object_add (report, "merged", coverage.merged);
   json_object_object_add (report, "missing", coverage.missing);
-  mf_render_number (report, "rows_missed", mf_burn_missed (core->board.burn));
+  mf_render_number (report, "rows_missed", mf_burn_n_rows_missed (core->board.burn));
 }
 
-/* Lists of codes are written for the whole process and for each point of the series. */
+/* Counts of ended requests by code: of the process, or of one point of a series. */
 typedef struct
 {
   const uint64_t *by_code;
   json_object *list;
-} Ends;
+} EndCounts;
 
 static bool
 add_end (const MfCodeInfo *info, void *data)
 {
-  const Ends *ends = data;
+  const EndCounts *ends = data;
   uint64_t n = ends->by_code[mf_code_index (info->code)];
   json_object *object;
 
@@ -299,7 +300,7 @@
 static void
 add_ends (const MfCore *core, json_object *report)
 {
-  Ends ends = { .by_code = core->board.counters.by_code, .list = json_object_new_array () };
+  EndCounts ends = { .by_code = core->board.counters.by_code, .list = json_object_new_array () };
   json_object *phases = json_object_new_array ();
 
   mf_code_foreach (add_end, &ends);
@@ -308,7 +309,7 @@
     {
       for (uint32_t phase = 0; phase < MF_PHASE_COUNT; phase++)
         {
-          uint64_t n = mf_trace_ended (core->board.trace, (MfEndedBy)by, phase);
+          uint64_t n = mf_trace_n_ended (core->board.trace, (MfEndedBy)by, phase);
           json_object *object;
 
           if (n == 0)
@@ -333,7 +334,7 @@
   json_object_object_add (report, "counters", counters);
 }
 
-/* The points of one series while they are written. */
+/* Context of add_point. */
 typedef struct
 {
   const MfCore *core;
@@ -343,7 +344,7 @@
 static bool
 add_point_code (const MfCodeInfo *info, void *data)
 {
-  const Ends *ends = data;
+  const EndCounts *ends = data;
   uint64_t n = ends->by_code[mf_code_index (info->code)];
 
   if (n > 0 && info->code != MF_CODE_OK)
@@ -357,7 +358,7 @@
   const Points *points = data;
   json_object *object = json_object_new_object ();
   uint64_t by_code[MF_CODES_MAX];
-  Ends ends = { .by_code = by_code, .list = json_object_new_object () };
+  EndCounts ends = { .by_code = by_code, .list = json_object_new_object () };
 
   for (uint32_t i = 0; i < MF_CODES_MAX; i++)
     by_code[i] = point->by_code[i];
@@ -372,7 +373,7 @@
   mf_render_number (object, "wasted_tokens", point->counters[MF_COUNTER_WASTED_PREFILL_TOKENS]);
   mf_render_number (object, "queued", point->queued);
   mf_render_number (object, "in_flight", point->in_flight);
-  mf_render_number (object, "debts", point->debts);
+  mf_render_number (object, "debts", point->cancels);
   for (uint32_t role = 0; role < MF_ROLE_COUNT; role++)
     {
       json_object *slots = json_object_new_object ();
--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -17,7 +17,7 @@
 } Faults;
 
 static void
-note_fault (const MfError *fault, void *data)
+record_fault (const MfError *fault, void *data)
 {
   Faults *faults = data;
 
@@ -29,7 +29,7 @@
 parse (const char *text, Faults *faults)
 {
   *faults = (Faults){ 0 };
-  return mf_config_parse (text, strlen (text), 1, note_fault, faults);
+  return mf_config_parse (text, strlen (text), 1, record_fault, faults);
 }
 
 static bool
@@ -71,7 +71,7 @@
   Faults faults = { 0 };
   size_t bytes;
   char *text = read_example ("text.json", &bytes);
-  MfConfig *config = mf_config_parse (text, bytes, 7, note_fault, &faults);
+  MfConfig *config = mf_config_parse (text, bytes, 7, record_fault, &faults);
 
   (void)state;
   assert_int_equal (faults.n_faults, 0);
@@ -223,7 +223,8 @@
     assert_true (faults.faults[i].line >= faults.faults[i - 1].line);
 }
 
-/* Keys given twice are found among few keys and among many. */
+/* Duplicate keys are found both in the array of the first keys of an object and in the hash table
+ * of the others. */
 static void
 test_duplicate_among_many_keys (void **state)
 {
@@ -243,20 +244,21 @@
 static void
 test_too_large (void **state)
 {
-  size_t bytes = MF_TEXT_BYTES_MAX + 1;
+  size_t bytes = MF_CONFIG_TEXT_BYTES_MAX + 1;
   char *text = malloc (bytes);
   Faults faults = { 0 };
 
   (void)state;
   assert_non_null (text);
   memset (text, ' ', bytes);
-  assert_null (mf_config_parse (text, bytes, 1, note_fault, &faults));
+  assert_null (mf_config_parse (text, bytes, 1, record_fault, &faults));
   assert_int_equal (faults.n_faults, 1);
   assert_int_equal (faults.faults[0].code, MF_CODE_TEXT_TOO_LARGE);
   free (text);
 }
 
-/* Every cut of a good text and every byte changed in it is refused or read, never a crash. */
+/* Every truncation of a valid text, and every single byte replaced in it, is either accepted or
+ * refused without a crash. */
 static void
 test_cut_and_changed_texts (void **state)
 {
