--- a/bench/decide.c
+++ b/bench/decide.c
@@ -78,21 +78,21 @@
 }
 
 static size_t
-add_pool (char *text, size_t room, const char *name, uint32_t n)
+add_pool (char *text, size_t text_bytes, const char *name, uint32_t n)
 {
-  size_t len = (size_t)snprintf (text, room, "{\"name\":\"%s\",\"role\":\"%s\",\"upstreams\":[",
-                                 name, name);
+  size_t len = (size_t)snprintf (text, text_bytes,
+                                 "{\"name\":\"%s\",\"role\":\"%s\",\"upstreams\":[", name, name);
 
   for (uint32_t i = 0; i < n; i++)
-    len += (size_t)snprintf (text + len, room - len,
+    len += (size_t)snprintf (text + len, text_bytes - len,
                              "%s{\"name\":\"%s%u\",\"address\":\"127.0.0.1:%u\","
                              "\"data_centre\":\"a\",\"slots\":20,\"pieces\":200}",
                              i > 0 ? "," : "", name, i, 1000 + i);
-  return len + (size_t)snprintf (text + len, room - len, "]}");
+  return len + (size_t)snprintf (text + len, text_bytes - len, "]}");
 }
 
 static void
-begin (Bench *bench, uint32_t n_upstreams, uint64_t seed)
+bench_init (Bench *bench, uint32_t n_upstreams, uint64_t seed)
 {
   char *text = malloc (TEXT_BYTES);
   size_t len;
@@ -133,7 +133,7 @@
 /* One request from its arrival to its placement, then on to its end. Returns the time of the first
  * part. */
 static uint64_t
-serve (Bench *bench)
+run_request (Bench *bench)
 {
   MfEvent event = { .type = MF_EVENT_REQUEST,
                     .request = { .request_id = ++bench->next_request,
@@ -142,11 +142,11 @@
                                  .max_tokens = 100,
                                  .n_prefix_hashes = 1,
                                  .prefix_hashes = { bench->next_request % 100 } } };
-  uint64_t began_ns = wall_ns ();
-  uint64_t taken_ns;
+  uint64_t start_ns = wall_ns ();
+  uint64_t placement_ns;
 
   step (bench, &event);
-  taken_ns = wall_ns () - began_ns;
+  placement_ns = wall_ns () - start_ns;
   call_step (bench, MF_EVENT_CALL_SENT, MF_CALL_PREFILL, (MfCallEvent){ 0 });
   call_step (bench, MF_EVENT_CALL_PREFILLED, MF_CALL_PREFILL,
              (MfCallEvent){ .expires_us = bench->now_us + MF_US_PER_S, .kv_bytes = 131072000 });
@@ -157,48 +157,48 @@
              (MfCallEvent){ .n_tokens = 1, .data = "a", .data_bytes = 1 });
   call_step (bench, MF_EVENT_CALL_DONE, MF_CALL_DECODE,
              (MfCallEvent){ .status = 200, .stopped = true });
-  return taken_ns;
+  return placement_ns;
 }
 
 static double
-decision_us (uint32_t n_upstreams, uint32_t n_requests, uint64_t seed)
+measure_decision_us (uint32_t n_upstreams, uint32_t n_requests, uint64_t seed)
 {
   Bench bench;
   uint64_t sum_ns = 0;
 
-  begin (&bench, n_upstreams, seed);
+  bench_init (&bench, n_upstreams, seed);
   for (uint32_t i = 0; i < n_requests / 10; i++)
-    serve (&bench);
+    run_request (&bench);
   for (uint32_t i = 0; i < n_requests; i++)
-    sum_ns += serve (&bench);
+    sum_ns += run_request (&bench);
   mf_core_free (bench.core);
   return (double)sum_ns / n_requests / 1000;
 }
 
 /* Streams tokens of one request; returns the allocations and the time of one token. */
 static uint64_t
-stream (uint64_t seed, double *token_us)
+measure_stream (uint64_t seed, double *token_us)
 {
   MfEvent event
       = { .type = MF_EVENT_REQUEST,
           .request
           = { .request_id = 1, .model = "m", .prompt_tokens = 10, .max_tokens = TOKENS + 10 } };
   uint64_t before;
-  uint64_t began_ns;
+  uint64_t start_ns;
   Bench bench;
 
-  begin (&bench, 100, seed);
+  bench_init (&bench, 100, seed);
   step (&bench, &event);
   call_step (&bench, MF_EVENT_CALL_SENT, MF_CALL_PREFILL, (MfCallEvent){ 0 });
   call_step (&bench, MF_EVENT_CALL_PREFILLED, MF_CALL_PREFILL,
              (MfCallEvent){ .expires_us = bench.now_us + MF_US_PER_S, .kv_bytes = 1000 });
   call_step (&bench, MF_EVENT_CALL_IMPORTED, MF_CALL_DECODE, (MfCallEvent){ 0 });
   before = n_allocations;
-  began_ns = wall_ns ();
+  start_ns = wall_ns ();
   for (uint32_t i = 0; i < TOKENS; i++)
     call_step (&bench, MF_EVENT_CALL_TOKENS, MF_CALL_DECODE,
                (MfCallEvent){ .first_index = i, .n_tokens = 1, .data = "a", .data_bytes = 1 });
-  *token_us = (double)(wall_ns () - began_ns) / TOKENS / 1000;
+  *token_us = (double)(wall_ns () - start_ns) / TOKENS / 1000;
   before = n_allocations - before;
   mf_core_free (bench.core);
   return before;
@@ -230,10 +230,10 @@
     }
   for (int i = 0; i < N_SIZES; i++)
     {
-      costs_us[i] = decision_us (sizes[i], n_requests, seed);
+      costs_us[i] = measure_decision_us (sizes[i], n_requests, seed);
       printf ("%u upstreams: %.2f us a decision\n", sizes[i], costs_us[i]);
     }
-  n = stream (seed, &token_us);
+  n = measure_stream (seed, &token_us);
   printf ("%u tokens: %.2f us each, %llu allocations\n", TOKENS, token_us, (unsigned long long)n);
   result ("cost_at_2400", costs_us[N_SIZES - 1], "us", 10);
   result ("cost_at_2400_over_10", costs_us[N_SIZES - 1] / costs_us[0], "", 1.5);
--- a/bench/pages.c
+++ b/bench/pages.c
@@ -145,7 +145,7 @@
 
 /* One request of each customer, every tenth of them late. */
 static void
-feed (MfCore *core, uint32_t seed)
+add_samples (MfCore *core, uint32_t seed)
 {
   for (uint32_t i = 0; i < core->board.config->n_customers; i++)
     {
@@ -160,7 +160,7 @@
 
 /* The median time of a renderer. */
 static double
-time_of (const MfCore *core, RenderFunc render, uint32_t n_rounds, size_t *n_bytes)
+median_ms (const MfCore *core, RenderFunc render, uint32_t n_rounds, size_t *n_bytes)
 {
   double times[ROUNDS_MAX];
 
@@ -191,13 +191,13 @@
   double parse_ms;
   MfCore *core = core_new (size, &parse_ms);
 
-  feed (core, seed);
+  add_samples (core, seed);
   printf ("%u upstreams, %u customers: text read in %.2f ms\n", size->n_upstreams,
           size->n_customers, parse_ms);
   for (size_t i = 0; i < MF_ARRAY_LEN (pages); i++)
     {
       size_t n_bytes = 0;
-      double ms = time_of (core, pages[i].render, size->n_rounds, &n_bytes);
+      double ms = median_ms (core, pages[i].render, size->n_rounds, &n_bytes);
 
       printf ("  %-8s %8.2f ms %9zu bytes\n", pages[i].name, ms, n_bytes);
       if (is_target)
@@ -213,7 +213,7 @@
 {
   static const char *const names[] = { "metrics", "status", "report", "text" };
   Size sizes[] = { { 12, 3, 32 }, { 120, 120, 32 }, { 2400, 2400, 32 } };
-  double found_ms[4] = { 0 };
+  double results_ms[4] = { 0 };
   uint32_t seed = 1;
 
   for (int i = 1; i < argc; i++)
@@ -224,9 +224,9 @@
         sizes[2].n_rounds = 3;
     }
   for (size_t i = 0; i < MF_ARRAY_LEN (sizes); i++)
-    measure (&sizes[i], seed, i + 1 == MF_ARRAY_LEN (sizes), found_ms);
+    measure (&sizes[i], seed, i + 1 == MF_ARRAY_LEN (sizes), results_ms);
   for (size_t i = 0; i < MF_ARRAY_LEN (names); i++)
-    printf ("RESULT pages_%s_ms_at_2400 %.2f %.0f %s\n", names[i], found_ms[i], LIMIT_MS,
-            found_ms[i] <= LIMIT_MS ? "met" : "missed");
+    printf ("RESULT pages_%s_ms_at_2400 %.2f %.0f %s\n", names[i], results_ms[i], LIMIT_MS,
+            results_ms[i] <= LIMIT_MS ? "met" : "missed");
   return 0;
 }
--- a/bench/policy.c
+++ b/bench/policy.c
@@ -10,11 +10,11 @@
 /* Goodput and wasted prefill of the real core against the naive policy on the same engines, in
  * virtual time. */
 
-#define WARM_US (10 * MF_US_PER_S)
+#define WARM_UP_US (10 * MF_US_PER_S)
 #define N_CORES 6
 #define N_LOADS 5
-#define LOAD_ONE 2
-#define LOAD_TWO 4
+#define LOAD_1_0_INDEX 2
+#define LOAD_2_0_INDEX 4
 #define FAULT_LOAD 0.8
 #define PREFIX_GROUPS 8
 #define SLOTS 20
@@ -55,10 +55,10 @@
 {
   uint32_t n_offered;
   uint32_t n_good;
-  uint32_t n_whole;
+  uint32_t n_complete;
   uint32_t n_refused;
-  uint32_t n_broken;   /* promises broken: garbled, answered twice, never answered */
-  double offered_work; /* of the resource that limits, as a share of its capacity */
+  uint32_t n_violations; /* promises broken: garbled, answered twice, never answered */
+  double offered_work;   /* of the resource that limits, as a share of its capacity */
   double good_work;
   double wasted_share;
   uint64_t wasted_tokens;
@@ -67,7 +67,7 @@
   uint32_t n_reads_lost;
   uint32_t n_orders_twice;
   uint32_t n_orders_lost;
-  uint32_t held;
+  uint32_t n_held;
   uint32_t deaths;
   double ttft_p99_ms;
 } Figures;
@@ -112,7 +112,7 @@
 }
 
 static void
-rig_options (const Trial *trial, RigOptions *options)
+trial_rig_options (const Trial *trial, RigOptions *options)
 {
   FakeEngineOptions engine;
 
@@ -227,7 +227,7 @@
 }
 
 static void
-strike (Rig *rig, const Trial *trial)
+inject_fault (Rig *rig, const Trial *trial)
 {
   uint32_t decode = trial->deployment->n_prefill;
 
@@ -299,8 +299,8 @@
   double *ttfts_ms = calloc (n, sizeof *ttfts_ms);
   uint32_t n_reads = 0;
   uint32_t n_ttfts = 0;
-  double window_s = (double)(trial->length_us - WARM_US) / 1e6;
-  double whole_work = 0;
+  double window_s = (double)(trial->length_us - WARM_UP_US) / 1e6;
+  double complete_work = 0;
   uint64_t prefilled = 0;
 
   (void)per_s;
@@ -310,10 +310,10 @@
       double work = prefill_limits ? prefill_s (request) / trial->deployment->n_prefill
                                    : decode_s (request) / (trial->deployment->n_decode * SLOTS);
 
-      figures->n_broken += request->n_ends != 1 || request->garbled
-                           || (request->outcome == MF_OUTCOME_NOT_RUN && request->code != MF_CODE_OK
-                               && request->ran);
-      if (request->sent_us < WARM_US + MF_US_PER_S)
+      figures->n_violations += request->n_ends != 1 || request->garbled
+                               || (request->outcome == MF_OUTCOME_NOT_RUN
+                                   && request->code != MF_CODE_OK && request->ran);
+      if (request->sent_us < WARM_UP_US + MF_US_PER_S)
         continue;
       if (request->service != 0)
         {
@@ -322,11 +322,11 @@
         }
       figures->n_offered++;
       figures->offered_work += work / window_s;
-      figures->n_whole += rig_is_whole (request);
+      figures->n_complete += rig_is_whole (request);
       figures->n_refused += request->code != MF_CODE_OK;
       if (rig_is_whole (request))
         ttfts_ms[n_ttfts++] = (double)(request->first_us - request->sent_us) / 1000;
-      whole_work += rig_is_whole (request) ? work / window_s : 0;
+      complete_work += rig_is_whole (request) ? work / window_s : 0;
       if (!is_good (request))
         continue;
       figures->n_good++;
@@ -342,7 +342,7 @@
   figures->wasted_share = prefilled > 0 ? (double)figures->wasted_tokens / (double)prefilled : 0;
   figures->read_p99_ms = percentile (reads_ms, n_reads, 0.99);
   figures->ttft_p99_ms = percentile (ttfts_ms, n_ttfts, 0.99);
-  figures->held = rig_held (rig);
+  figures->n_held = rig_held (rig);
   free (reads_ms);
   free (ttfts_ms);
 }
@@ -358,23 +358,23 @@
   Rig *rig;
   uint64_t start_us;
 
-  rig_options (trial, &options);
+  trial_rig_options (trial, &options);
   rig = rig_new (&options);
   start_us = rig_now_us (rig);
   send_all (rig, trial, per_s);
   rig_run (rig, start_us + trial->length_us / 2);
-  strike (rig, trial);
+  inject_fault (rig, trial);
   rig_run (rig, start_us + trial->length_us + 70 * MF_US_PER_S);
   count (rig, trial, per_s, prefill_limits, &figures);
-  printf ("%-8s %-5s load %.1f %-5s (%.1f/s) offered %5u good %.3f whole %.3f refused %.3f "
-          "good/capacity %.3f wasted %.4f ttft99 %6.0f read99 %5.1f lost %u twice %u broken %u "
-          "held %u\n",
-          trial->deployment->name, trial->naive ? "naive" : "ours", trial->load,
-          faults[trial->fault], per_s, figures.n_offered,
-          (double)figures.n_good / figures.n_offered, (double)figures.n_whole / figures.n_offered,
-          (double)figures.n_refused / figures.n_offered, figures.good_work, figures.wasted_share,
-          figures.ttft_p99_ms, figures.read_p99_ms, figures.n_reads_lost, figures.n_orders_twice,
-          figures.n_broken, figures.held);
+  printf (
+      "%-8s %-5s load %.1f %-5s (%.1f/s) offered %5u good %.3f whole %.3f refused %.3f "
+      "good/capacity %.3f wasted %.4f ttft99 %6.0f read99 %5.1f lost %u twice %u broken %u "
+      "held %u\n",
+      trial->deployment->name, trial->naive ? "naive" : "ours", trial->load, faults[trial->fault],
+      per_s, figures.n_offered, (double)figures.n_good / figures.n_offered,
+      (double)figures.n_complete / figures.n_offered, (double)figures.n_refused / figures.n_offered,
+      figures.good_work, figures.wasted_share, figures.ttft_p99_ms, figures.read_p99_ms,
+      figures.n_reads_lost, figures.n_orders_twice, figures.n_violations, figures.n_held);
   fflush (stdout);
   rig_free (rig);
   return figures;
@@ -405,45 +405,45 @@
 static void
 report_loads (const char *name, Figures figures[N_LOADS][2])
 {
-  const Figures *one = &figures[LOAD_ONE][0];
-  const Figures *two = &figures[LOAD_TWO][0];
+  const Figures *at_1_0 = &figures[LOAD_1_0_INDEX][0];
+  const Figures *at_2_0 = &figures[LOAD_2_0_INDEX][0];
   double worst_waste = 0;
-  uint32_t n_broken = 0;
+  uint32_t n_violations = 0;
   uint32_t n_twice = 0;
   uint32_t n_lost = 0;
 
   for (int l = 0; l < N_LOADS; l++)
     {
-      if (l <= LOAD_ONE && figures[l][0].wasted_share > worst_waste)
+      if (l <= LOAD_1_0_INDEX && figures[l][0].wasted_share > worst_waste)
         worst_waste = figures[l][0].wasted_share;
-      n_broken += figures[l][0].n_broken + figures[l][0].held;
+      n_violations += figures[l][0].n_violations + figures[l][0].n_held;
       n_twice += figures[l][0].n_orders_twice;
       n_lost += figures[l][0].n_orders_lost;
     }
-  result (name, "goodput_at_1.0_of_offered", one->good_work / one->offered_work, ">=", 0.95);
-  result (name, "goodput_at_1.0_over_naive", ratio (one->good_work, figures[LOAD_ONE][1].good_work),
-          ">=", 1.5);
-  result (name, "goodput_at_2.0_of_capacity", two->good_work, ">=", 0.9);
+  result (name, "goodput_at_1.0_of_offered", at_1_0->good_work / at_1_0->offered_work, ">=", 0.95);
+  result (name, "goodput_at_1.0_over_naive",
+          ratio (at_1_0->good_work, figures[LOAD_1_0_INDEX][1].good_work), ">=", 1.5);
+  result (name, "goodput_at_2.0_of_capacity", at_2_0->good_work, ">=", 0.9);
   result (name, "goodput_at_2.0_over_1.3",
-          ratio (two->good_work, figures[LOAD_TWO - 1][0].good_work), ">=", 0.97);
+          ratio (at_2_0->good_work, figures[LOAD_2_0_INDEX - 1][0].good_work), ">=", 0.97);
   result (name, "wasted_prefill_up_to_1.0", worst_waste, "<=", 0.01);
-  result (name, "wasted_prefill_at_2.0", two->wasted_share, "<=", 0.03);
+  result (name, "wasted_prefill_at_2.0", at_2_0->wasted_share, "<=", 0.03);
   result (name, "wasted_prefill_at_2.0_over_naive",
-          ratio (two->wasted_share, figures[LOAD_TWO][1].wasted_share), "<=", 0.1);
+          ratio (at_2_0->wasted_share, figures[LOAD_2_0_INDEX][1].wasted_share), "<=", 0.1);
   result (name, "read_p99_at_2.0_over_unloaded",
-          ratio (two->read_p99_ms, figures[0][0].read_p99_ms), "<=", 2);
+          ratio (at_2_0->read_p99_ms, figures[0][0].read_p99_ms), "<=", 2);
   result (name, "orders_twice", n_twice, "<=", 0);
   result (name, "orders_lost", n_lost, "<=", 0);
-  result (name, "promises_broken_and_memory_held", n_broken, "<=", 0);
+  result (name, "promises_broken_and_memory_held", n_violations, "<=", 0);
 }
 
 /* The share of the work offered that the engines left can carry, when one decode engine is lost
  * half-way. */
 static double
-carried (const Deployment *deployment, const Trial *trial, int fault)
+remaining_capacity_share (const Deployment *deployment, const Trial *trial, int fault)
 {
   double left = (double)(deployment->n_decode - 1) / deployment->n_decode / FAULT_LOAD;
-  double after = (double)trial->length_us / 2 / (double)(trial->length_us - WARM_US);
+  double after = (double)trial->length_us / 2 / (double)(trial->length_us - WARM_UP_US);
 
   if ((fault != FAULT_DEATH && fault != FAULT_GRAY) || left >= 1)
     return 1;
@@ -461,12 +461,13 @@
     {
       snprintf (text, sizeof text, "%s_goodput_of_what_is_left", names[f]);
       result (name, text,
-              figures[f][0].good_work / figures[f][0].offered_work / carried (deployment, trial, f),
+              figures[f][0].good_work / figures[f][0].offered_work
+                  / remaining_capacity_share (deployment, trial, f),
               ">=", 0.9);
       snprintf (text, sizeof text, "%s_goodput_over_naive", names[f]);
       result (name, text, ratio (figures[f][0].good_work, figures[f][1].good_work), ">=", 1);
       snprintf (text, sizeof text, "%s_broken_and_held", names[f]);
-      result (name, text, figures[f][0].n_broken + figures[f][0].held, "<=", 0);
+      result (name, text, figures[f][0].n_violations + figures[f][0].n_held, "<=", 0);
     }
 }
 
--- a/bench/relay.c
+++ b/bench/relay.c
@@ -41,7 +41,7 @@
   uint16_t prefill;
   uint16_t decode[RELAY_DECODERS];
   uint16_t platform;
-  uint16_t copier;
+  uint16_t tcp_proxy;
 } Ports;
 
 typedef struct
@@ -51,7 +51,7 @@
   struct ev_loop *loop;
   pid_t upstream;
   pid_t server;
-  pid_t copier;
+  pid_t tcp_proxy;
   char results[1024];
 } Bench;
 
@@ -84,7 +84,7 @@
 };
 
 static uint16_t
-port_free (void)
+find_free_port (void)
 {
   MfError error = { 0 };
   int fd = mf_socket_listen ("127.0.0.1:0", &error);
@@ -95,16 +95,16 @@
 }
 
 static void
-ports_choose (Ports *ports)
-{
-  ports->callers = port_free ();
-  ports->admin = port_free ();
-  ports->peer = port_free ();
-  ports->prefill = port_free ();
-  ports->platform = port_free ();
-  ports->copier = port_free ();
+ports_init (Ports *ports)
+{
+  ports->callers = find_free_port ();
+  ports->admin = find_free_port ();
+  ports->peer = find_free_port ();
+  ports->prefill = find_free_port ();
+  ports->platform = find_free_port ();
+  ports->tcp_proxy = find_free_port ();
   for (int i = 0; i < RELAY_DECODERS; i++)
-    ports->decode[i] = port_free ();
+    ports->decode[i] = find_free_port ();
 }
 
 static void
@@ -163,10 +163,10 @@
       relay_upstream_run (bench->ports.prefill, bench->ports.decode, bench->ports.platform);
       exit (0);
     }
-  bench->copier = child_fork ();
-  if (bench->copier == 0)
+  bench->tcp_proxy = child_fork ();
+  if (bench->tcp_proxy == 0)
     {
-      relay_copier_run (bench->ports.copier, bench->ports.decode[0]);
+      relay_copier_run (bench->ports.tcp_proxy, bench->ports.decode[0]);
       exit (0);
     }
   usleep (200000);
@@ -181,7 +181,7 @@
 static void
 children_stop (Bench *bench)
 {
-  pid_t children[] = { bench->server, bench->copier, bench->upstream };
+  pid_t children[] = { bench->server, bench->tcp_proxy, bench->upstream };
 
   for (size_t i = 0; i < MF_ARRAY_LEN (children); i++)
     {
@@ -245,23 +245,23 @@
   struct ev_loop *loop;
   RelayClient *clients[OPEN_STREAMS];
   uint32_t n_clients;
-  uint32_t n_first;
+  uint32_t n_first_tokens;
   uint32_t n_done;
-  uint32_t wait_first;
+  uint32_t n_first_wanted;
 } Streams;
 
 static void
-streams_first (RelayClient *client, void *data)
+streams_on_first_token (RelayClient *client, void *data)
 {
   Streams *streams = data;
 
   (void)client;
-  if (++streams->n_first == streams->wait_first)
+  if (++streams->n_first_tokens == streams->n_first_wanted)
     ev_break (streams->loop, EVBREAK_ALL);
 }
 
 static void
-streams_done (RelayClient *client, void *data)
+streams_on_complete (RelayClient *client, void *data)
 {
   Streams *streams = data;
 
@@ -271,10 +271,11 @@
 }
 
 static void
-streams_begin (Streams *streams, struct ev_loop *loop, uint16_t port, const char *body)
+streams_start (Streams *streams, struct ev_loop *loop, uint16_t port, const char *body)
 {
-  static const RelayHooks hooks
-      = { .on_first = streams_first, .on_done = streams_done, .on_broken = on_broken };
+  static const RelayHooks hooks = { .on_first = streams_on_first_token,
+                                    .on_done = streams_on_complete,
+                                    .on_broken = on_broken };
 
   streams->loop = loop;
   streams->n_clients = OPEN_STREAMS;
@@ -287,7 +288,7 @@
 
 /* Ends the connections and returns the tokens that arrived. */
 static uint64_t
-streams_end (Streams *streams)
+streams_close (Streams *streams)
 {
   uint64_t n_tokens = 0;
 
@@ -306,16 +307,16 @@
   RelayClient *prefill; /* NULL through the process */
   RelayClient *decode;
   char body[BODY_BYTES];
-  double begun_s;
+  double start_s;
   double *first_ms;
   uint32_t n_probes;
-  uint32_t n_taken;
+  uint32_t n_measured;
 } Probe;
 
 static void
 probe_send (Probe *probe)
 {
-  probe->begun_s = relay_clock_s ();
+  probe->start_s = relay_clock_s ();
   if (probe->prefill != NULL)
     relay_client_send (probe->prefill, probe->body, false);
   else
@@ -323,16 +324,16 @@
 }
 
 static void
-probe_first (RelayClient *client, void *data)
+probe_on_first_token (RelayClient *client, void *data)
 {
   Probe *probe = data;
 
-  if (client == probe->decode && probe->n_taken < probe->n_probes)
-    probe->first_ms[probe->n_taken++] = (relay_clock_s () - probe->begun_s) * 1000;
+  if (client == probe->decode && probe->n_measured < probe->n_probes)
+    probe->first_ms[probe->n_measured++] = (relay_clock_s () - probe->start_s) * 1000;
 }
 
 static void
-probe_done (RelayClient *client, void *data)
+probe_on_complete (RelayClient *client, void *data)
 {
   Probe *probe = data;
 
@@ -346,7 +347,7 @@
 probe_open (Probe *probe, const Bench *bench, bool direct)
 {
   static const RelayHooks hooks
-      = { .on_first = probe_first, .on_done = probe_done, .on_broken = on_broken };
+      = { .on_first = probe_on_first_token, .on_done = probe_on_complete, .on_broken = on_broken };
 
   *probe = (Probe){ .loop = bench->loop, .n_probes = bench->options.n_probes };
   probe->first_ms = calloc (probe->n_probes, sizeof *probe->first_ms);
@@ -369,7 +370,7 @@
 static double
 quantile (const Probe *probe, double share)
 {
-  return probe->first_ms[(uint32_t)(share * (double)(probe->n_taken - 1))];
+  return probe->first_ms[(uint32_t)(share * (double)(probe->n_measured - 1))];
 }
 
 static void
@@ -400,9 +401,9 @@
   char body[BODY_BYTES];
   double added_ms;
 
-  streams->wait_first = OPEN_STREAMS;
+  streams->n_first_wanted = OPEN_STREAMS;
   body_write (body, false, true, 20000, 50000);
-  streams_begin (streams, bench->loop, bench->ports.callers, body);
+  streams_start (streams, bench->loop, bench->ports.callers, body);
   ev_run (bench->loop, 0);
   probe_open (&probes[0], bench, false);
   probe_open (&probes[1], bench, true);
@@ -413,16 +414,16 @@
     }
   for (int i = 0; i < 2; i++)
     {
-      qsort (probes[i].first_ms, probes[i].n_taken, sizeof (double), compare);
+      qsort (probes[i].first_ms, probes[i].n_measured, sizeof (double), compare);
       printf ("first token, %s, %u open streams: p50 %.3f ms, p99 %.3f ms (%u probes)\n",
               i == 0 ? "through the process" : "direct", OPEN_STREAMS, quantile (&probes[i], 0.5),
-              quantile (&probes[i], 0.99), probes[i].n_taken);
+              quantile (&probes[i], 0.99), probes[i].n_measured);
     }
   printf ("added at p50: %.3f ms\n", quantile (&probes[0], 0.5) - quantile (&probes[1], 0.5));
   added_ms = quantile (&probes[0], 0.99) - quantile (&probes[1], 0.99);
   probe_close (&probes[0]);
   probe_close (&probes[1]);
-  streams_end (streams);
+  streams_close (streams);
   free (streams);
   return added_ms;
 }
@@ -432,7 +433,7 @@
 measure_tokens (Bench *bench, bool direct, uint32_t gap_us, const char *what)
 {
   Streams *streams = calloc (1, sizeof *streams);
-  pid_t pid = direct ? bench->copier : bench->server;
+  pid_t pid = direct ? bench->tcp_proxy : bench->server;
   uint64_t wanted = (uint64_t)OPEN_STREAMS * bench->options.n_tokens;
   char body[BODY_BYTES];
   double cpu = cpu_s (pid);
@@ -441,11 +442,12 @@
   uint64_t n_tokens;
 
   body_write (body, direct, true, bench->options.n_tokens, gap_us);
-  streams_begin (streams, bench->loop, direct ? bench->ports.copier : bench->ports.callers, body);
+  streams_start (streams, bench->loop, direct ? bench->ports.tcp_proxy : bench->ports.callers,
+                 body);
   ev_run (bench->loop, 0);
   cpu = cpu_s (pid) - cpu;
   wall = relay_clock_s () - wall;
-  n_tokens = streams_end (streams);
+  n_tokens = streams_close (streams);
   free (streams);
   rate = (double)n_tokens / cpu;
   printf ("%s, %s: %llu of %llu tokens in %.2f s, %.2f s of processor time, %.0f tokens/s a core\n",
@@ -462,42 +464,42 @@
   uint32_t n_wanted;
   uint32_t n_sent;
   uint32_t n_done;
-} Volley;
+} RequestRun;
 
 static void
-volley_next (RelayClient *client, Volley *volley)
+request_run_next (RelayClient *client, RequestRun *run)
 {
-  bool stream = volley->n_sent % 2 == 1;
+  bool stream = run->n_sent % 2 == 1;
 
-  if (volley->n_sent == volley->n_wanted)
+  if (run->n_sent == run->n_wanted)
     return;
-  relay_client_send (client, volley->bodies[stream], stream);
-  volley->n_sent++;
+  relay_client_send (client, run->bodies[stream], stream);
+  run->n_sent++;
 }
 
 static void
-volley_done (RelayClient *client, void *data)
+request_run_complete (RelayClient *client, void *data)
 {
-  Volley *volley = data;
+  RequestRun *run = data;
 
-  if (++volley->n_done == volley->n_wanted)
-    ev_break (volley->loop, EVBREAK_ALL);
-  volley_next (client, volley);
+  if (++run->n_done == run->n_wanted)
+    ev_break (run->loop, EVBREAK_ALL);
+  request_run_next (client, run);
 }
 
 static void
-volley_run (Bench *bench, uint32_t n_requests)
+request_run (Bench *bench, uint32_t n_requests)
 {
-  static const RelayHooks hooks = { .on_done = volley_done, .on_broken = on_broken };
-  Volley volley = { .loop = bench->loop, .n_wanted = n_requests };
+  static const RelayHooks hooks = { .on_done = request_run_complete, .on_broken = on_broken };
+  RequestRun run = { .loop = bench->loop, .n_wanted = n_requests };
   RelayClient *clients[MEMORY_CALLERS];
 
-  body_write (volley.bodies[0], false, false, 2, 0);
-  body_write (volley.bodies[1], false, true, 2, 0);
+  body_write (run.bodies[0], false, false, 2, 0);
+  body_write (run.bodies[1], false, true, 2, 0);
   for (int i = 0; i < MEMORY_CALLERS; i++)
     {
-      clients[i] = relay_client_new (bench->loop, bench->ports.callers, &hooks, &volley);
-      volley_next (clients[i], &volley);
+      clients[i] = relay_client_new (bench->loop, bench->ports.callers, &hooks, &run);
+      request_run_next (clients[i], &run);
     }
   ev_run (bench->loop, 0);
   for (int i = 0; i < MEMORY_CALLERS; i++)
@@ -512,10 +514,10 @@
   long after;
   double cpu;
 
-  volley_run (bench, n / 5);
+  request_run (bench, n / 5);
   before = resident_kb (bench->server);
   cpu = cpu_s (bench->server);
-  volley_run (bench, n);
+  request_run (bench, n);
   after = resident_kb (bench->server);
   cpu = cpu_s (bench->server) - cpu;
   printf ("memory: %ld kB after %u requests, %ld kB after %u more; %.1f us of processor time a "
@@ -525,7 +527,7 @@
 }
 
 static bool
-wants (const Bench *bench, const char *part)
+part_is_selected (const Bench *bench, const char *part)
 {
   return bench->options.part == NULL || strcmp (bench->options.part, part) == 0;
 }
@@ -601,7 +603,7 @@
   bench.options.n_probes = bench.options.quick ? 300 : 3000;
   bench.options.n_requests = bench.options.quick ? 10000 : 100000;
   bench.options.n_tokens = bench.options.quick ? 100 : 1000;
-  ports_choose (&bench.ports);
+  ports_init (&bench.ports);
   signal (SIGPIPE, SIG_IGN);
   setvbuf (stdout, NULL, _IOLBF, 0);
   children_start (&bench);
@@ -609,7 +611,7 @@
   usleep (1500000);
   for (size_t i = 0; i < MF_ARRAY_LEN (parts); i++)
     {
-      if (wants (&bench, parts[i].name))
+      if (part_is_selected (&bench, parts[i].name))
         parts[i].run (&bench);
     }
   children_stop (&bench);
--- a/bench/relay_client.c
+++ b/bench/relay_client.c
@@ -24,7 +24,7 @@
   ev_io read;
   bool stream;
   bool busy;
-  bool first_seen;
+  bool first_token_seen;
   uint64_t n_tokens;
   char tail[64];
   size_t tail_bytes;
@@ -41,7 +41,7 @@
 
 /* Counts the marks in new bytes; at most one mark can straddle the kept tail. */
 static uint64_t
-marks_count (const char *data, size_t data_bytes)
+count_token_marks (const char *data, size_t data_bytes)
 {
   uint64_t n = 0;
   const char *end = data + data_bytes;
@@ -85,11 +85,11 @@
       return;
     }
   total = client->tail_bytes + (size_t)n;
-  before = marks_count (data, client->tail_bytes);
-  client->n_tokens += marks_count (data, total) - before;
-  if (!client->first_seen && client->busy && marks_count (data, total) > 0)
+  before = count_token_marks (data, client->tail_bytes);
+  client->n_tokens += count_token_marks (data, total) - before;
+  if (!client->first_token_seen && client->busy && count_token_marks (data, total) > 0)
     {
-      client->first_seen = true;
+      client->first_token_seen = true;
       if (client->hooks.on_first != NULL)
         client->hooks.on_first (client, client->data);
     }
@@ -148,7 +148,7 @@
 
   client->stream = stream;
   client->busy = true;
-  client->first_seen = false;
+  client->first_token_seen = false;
   client->tail_bytes = 0;
   for (int i = 0; i < 1000 && sent < 0; i++)
     {
--- a/bench/relay_upstream.c
+++ b/bench/relay_upstream.c
@@ -16,9 +16,9 @@
 
 #define SLOTS 8000
 #define PIECES 100000
-#define COPY_BYTES 65536
+#define PROXY_READ_BYTES 65536
 /* Steps by which the streams' first gaps are spread, so that their tokens do not come in step. */
-#define PHASES 97
+#define N_STAGGER_STEPS 97
 #define KV_HANDLE                                                                                  \
   "{\"usage\":{\"total_tokens\":1},\"choices\":[{\"index\":0,\"text\":\"\"}],\"kv_transfer_"       \
   "params\":{\"do_remote_prefill\":true,"                                                          \
@@ -38,7 +38,7 @@
 {
   Upstream *upstream;
   FakeConn *conn;
-  uint64_t left;
+  uint64_t n_tokens_left;
   ev_timer timer;
   struct Stream *next;
 } Stream;
@@ -96,11 +96,11 @@
 
 /* Sends one token; the last one ends the stream. */
 static void
-stream_step (Stream *stream)
+stream_send_token (Stream *stream)
 {
   FakeConn *conn = stream->conn;
 
-  if (--stream->left > 0)
+  if (--stream->n_tokens_left > 0)
     {
       fake_conn_send (conn, TOKEN, sizeof TOKEN - 1);
       return;
@@ -115,34 +115,35 @@
 {
   (void)loop;
   (void)events;
-  stream_step (watcher->data);
+  stream_send_token (watcher->data);
 }
 
 static void
-stream_begin (Upstream *upstream, FakeConn *conn, uint64_t n_tokens, uint64_t gap_us)
+stream_start (Upstream *upstream, FakeConn *conn, uint64_t n_tokens, uint64_t gap_us)
 {
   Stream *stream = calloc (1, sizeof *stream);
 
   stream->upstream = upstream;
   stream->conn = conn;
-  stream->left = n_tokens == 0 ? 1 : n_tokens;
+  stream->n_tokens_left = n_tokens == 0 ? 1 : n_tokens;
   stream->next = upstream->streams;
   upstream->streams = stream;
   fake_conn_begin (conn);
   fake_conn_send (conn, ": imported\n\n", 12);
   ev_timer_init (&stream->timer, stream_due,
-                 (double)gap_us / 1e6 * (double)(1 + upstream->n_streams++ % PHASES) / PHASES,
+                 (double)gap_us / 1e6 * (double)(1 + upstream->n_streams++ % N_STAGGER_STEPS)
+                     / N_STAGGER_STEPS,
                  (double)gap_us / 1e6);
   stream->timer.data = stream;
-  if (gap_us > 0 && stream->left > 1)
+  if (gap_us > 0 && stream->n_tokens_left > 1)
     {
       fake_conn_send (conn, TOKEN, sizeof TOKEN - 1);
-      stream->left--;
+      stream->n_tokens_left--;
       ev_timer_start (upstream->loop, &stream->timer);
       return;
     }
-  for (uint64_t left = stream->left; left > 0; left--)
-    stream_step (stream);
+  for (uint64_t n_tokens_left = stream->n_tokens_left; n_tokens_left > 0; n_tokens_left--)
+    stream_send_token (stream);
 }
 
 static void
@@ -173,7 +174,7 @@
     fake_conn_answer (conn, 200, "Content-Type: application/json\r\n", KV_HANDLE,
                       sizeof KV_HANDLE - 1);
   else
-    stream_begin (upstream, conn, body_number (request, "\"max_tokens\""),
+    stream_start (upstream, conn, body_number (request, "\"max_tokens\""),
                   body_number (request, "\"bench_gap_us\""));
 }
 
@@ -194,8 +195,8 @@
 
 /* Publishes a text with one prefill engine and all that decode. */
 static void
-platform_open (struct ev_loop *loop, uint16_t platform_port, uint16_t prefill_port,
-               const uint16_t *decode_ports)
+platform_start (struct ev_loop *loop, uint16_t platform_port, uint16_t prefill_port,
+                const uint16_t *decode_ports)
 {
   char settings[128];
   char text[4096];
@@ -240,14 +241,14 @@
       snprintf (address, sizeof address, "127.0.0.1:%u", decode_ports[i]);
       fake_http_new (loop, address, &hooks, &decode);
     }
-  platform_open (loop, platform_port, prefill_port, decode_ports);
+  platform_start (loop, platform_port, prefill_port, decode_ports);
   run_until_signal (loop);
 }
 
 /* One direction of a copied connection; the other is its twin. */
 typedef struct Pipe
 {
-  struct Pipe *twin;
+  struct Pipe *peer;
   ev_io read;
   ev_io write;
   MfBuffer out; /* for the own descriptor */
@@ -256,25 +257,25 @@
 typedef struct
 {
   struct ev_loop *loop;
-  char to[MF_ADDRESS_BYTES];
+  char target_address[MF_ADDRESS_BYTES];
   int fd;
   ev_io accept;
-} Copier;
+} TcpProxy;
 
 static void
 pipe_close (struct ev_loop *loop, Pipe *pipe)
 {
-  Pipe *both[] = { pipe, pipe->twin };
+  Pipe *ends[] = { pipe, pipe->peer };
 
   for (int i = 0; i < 2; i++)
     {
-      ev_io_stop (loop, &both[i]->read);
-      ev_io_stop (loop, &both[i]->write);
-      close (both[i]->read.fd);
-      mf_buffer_clear (&both[i]->out);
+      ev_io_stop (loop, &ends[i]->read);
+      ev_io_stop (loop, &ends[i]->write);
+      close (ends[i]->read.fd);
+      mf_buffer_clear (&ends[i]->out);
     }
-  free (both[0]);
-  free (both[1]);
+  free (ends[0]);
+  free (ends[1]);
 }
 
 static void
@@ -302,7 +303,7 @@
 pipe_readable (struct ev_loop *loop, ev_io *watcher, int events)
 {
   Pipe *pipe = watcher->data;
-  char data[COPY_BYTES];
+  char data[PROXY_READ_BYTES];
   ssize_t n = recv (watcher->fd, data, sizeof data, MSG_DONTWAIT);
 
   (void)events;
@@ -313,8 +314,8 @@
       pipe_close (loop, pipe);
       return;
     }
-  mf_buffer_add (&pipe->twin->out, data, (size_t)n);
-  pipe_flush (loop, pipe->twin);
+  mf_buffer_add (&pipe->peer->out, data, (size_t)n);
+  pipe_flush (loop, pipe->peer);
 }
 
 static Pipe *
@@ -333,33 +334,33 @@
 }
 
 static void
-copier_accept (struct ev_loop *loop, ev_io *watcher, int events)
+tcp_proxy_accept (struct ev_loop *loop, ev_io *watcher, int events)
 {
-  Copier *copier = watcher->data;
+  TcpProxy *tcp_proxy = watcher->data;
   MfError error = { 0 };
-  int fd = accept4 (copier->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
-  Pipe *near;
+  int fd = accept4 (tcp_proxy->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
+  Pipe *client;
 
   (void)events;
   if (fd < 0)
     return;
-  near = pipe_new (loop, fd);
-  near->twin = pipe_new (loop, mf_socket_connect (copier->to, &error));
-  near->twin->twin = near;
+  client = pipe_new (loop, fd);
+  client->peer = pipe_new (loop, mf_socket_connect (tcp_proxy->target_address, &error));
+  client->peer->peer = client;
 }
 
 void
 relay_copier_run (uint16_t from_port, uint16_t to_port)
 {
-  Copier copier = { .loop = ev_loop_new (EVFLAG_AUTO) };
+  TcpProxy tcp_proxy = { .loop = ev_loop_new (EVFLAG_AUTO) };
   MfError error = { 0 };
   char address[MF_ADDRESS_BYTES];
 
-  snprintf (copier.to, sizeof copier.to, "127.0.0.1:%u", to_port);
+  snprintf (tcp_proxy.target_address, sizeof tcp_proxy.target_address, "127.0.0.1:%u", to_port);
   snprintf (address, sizeof address, "127.0.0.1:%u", from_port);
-  copier.fd = mf_socket_listen (address, &error);
-  ev_io_init (&copier.accept, copier_accept, copier.fd, EV_READ);
-  copier.accept.data = &copier;
-  ev_io_start (copier.loop, &copier.accept);
-  run_until_signal (copier.loop);
+  tcp_proxy.fd = mf_socket_listen (address, &error);
+  ev_io_init (&tcp_proxy.accept, tcp_proxy_accept, tcp_proxy.fd, EV_READ);
+  tcp_proxy.accept.data = &tcp_proxy;
+  ev_io_start (tcp_proxy.loop, &tcp_proxy.accept);
+  run_until_signal (tcp_proxy.loop);
 }
--- a/bench/soak.c
+++ b/bench/soak.c
@@ -18,39 +18,39 @@
 
 #define SECONDS 60
 #define SECONDS_QUICK 15
-#define WARM_MS 2000
-#define TURN_MS 40
+#define WARM_UP_MS 2000
+#define STEP_MS 40
 #define FAULT_US (900 * MF_US_PER_MS)
 #define FAULTS_AT_ONCE 2
-#define SENT_MAX 8192
+#define CALLS_MAX 8192
 #define ORDERS_MAX 2048
-#define ARRIVALS_MAX 6
+#define SENDS_MAX 6
 #define TOKENS 60
 
 typedef enum
 {
-  SENT_STREAM,
-  SENT_ORDER,
-  SENT_READ,
-} SentKind;
+  CALL_STREAM,
+  CALL_ORDER,
+  CALL_READ,
+} CallKind;
 
 /* One call of a caller. */
 typedef struct
 {
   Caller *caller;
-  SentKind kind;
+  CallKind kind;
   int instance;
-  unsigned life; /* of the instance when it was sent */
+  unsigned n_kills; /* of the instance when it was sent */
   unsigned order;
-  bool left;
-  bool seen; /* its end has been taken in */
-} Sent;
+  bool abandoned;
+  bool counted; /* its end has been taken in */
+} Call;
 
 typedef struct
 {
   char key[40];
-  unsigned n_arrivals;
-  unsigned n_open;
+  unsigned n_sends;
+  unsigned n_in_flight;
   unsigned n_not_run;
   bool done;
 } Order;
@@ -60,35 +60,35 @@
 {
   unsigned kind;
   unsigned target;
-  uint64_t until_us; /* 0 when the place is free */
+  uint64_t end_us; /* 0 when the place is free */
 } Fault;
 
 typedef struct
 {
   Fleet *fleet;
-  uint64_t random;
-  uint64_t began_us;
+  uint64_t random_state;
+  uint64_t start_us;
   unsigned seconds;
-  Sent sent[SENT_MAX];
-  unsigned n_sent;
+  Call calls[CALLS_MAX];
+  unsigned n_calls;
   Order orders[ORDERS_MAX];
   unsigned n_orders;
   Fault faults[FAULTS_AT_ONCE];
   uint64_t next_fault_us;
   unsigned n_faults;
-  unsigned lives[FLEET_INSTANCES + 1];
+  unsigned n_kills[FLEET_INSTANCES + 1];
   bool down[FLEET_INSTANCES + 1];
-  unsigned n_whole;
+  unsigned n_complete;
   unsigned n_refused;
-  unsigned n_broken;
+  unsigned n_failed;
   unsigned n_lost_with_instance;
-  unsigned n_left;
+  unsigned n_abandoned;
 } Soak;
 
 static uint64_t
 draw (Soak *soak, uint64_t bound)
 {
-  uint64_t z = (soak->random += UINT64_C (0x9e3779b97f4a7c15));
+  uint64_t z = (soak->random_state += UINT64_C (0x9e3779b97f4a7c15));
 
   z = (z ^ (z >> 30)) * UINT64_C (0xbf58476d1ce4e5b9);
   z = (z ^ (z >> 27)) * UINT64_C (0x94d049bb133111eb);
@@ -111,13 +111,13 @@
 }
 
 static void
-sent_add (Soak *soak, Caller *caller, SentKind kind, int instance, unsigned order)
+call_add (Soak *soak, Caller *caller, CallKind kind, int instance, unsigned order)
 {
-  soak->sent[soak->n_sent++] = (Sent){ .caller = caller,
-                                       .kind = kind,
-                                       .instance = instance,
-                                       .life = soak->lives[instance],
-                                       .order = order };
+  soak->calls[soak->n_calls++] = (Call){ .caller = caller,
+                                         .kind = kind,
+                                         .instance = instance,
+                                         .n_kills = soak->n_kills[instance],
+                                         .order = order };
 }
 
 static void
@@ -130,15 +130,15 @@
   if (instance == 0)
     return;
   snprintf (name, sizeof name, "o%u", number);
-  order->n_arrivals++;
-  order->n_open++;
-  sent_add (soak, fleet_order (soak->fleet, instance, name, order->key), SENT_ORDER, instance,
+  order->n_sends++;
+  order->n_in_flight++;
+  call_add (soak, fleet_order (soak->fleet, instance, name, order->key), CALL_ORDER, instance,
             number);
 }
 
 /* A new order, whose key is a UUIDv7 minted now. */
 static void
-new_order (Soak *soak)
+send_new_order (Soak *soak)
 {
   Order *order = &soak->orders[soak->n_orders];
   uint64_t now_ms = mf_clock_wall_ms ();
@@ -154,14 +154,14 @@
 /* An order that is not known to be placed is sent again, as its caller would, also while its first
  * call still runs. */
 static void
-send_again (Soak *soak)
+resend_order (Soak *soak)
 {
   unsigned number;
 
   if (soak->n_orders == 0)
     return;
   number = soak->n_orders - 1 - (unsigned)draw (soak, soak->n_orders < 20 ? soak->n_orders : 20);
-  if (!soak->orders[number].done && soak->orders[number].n_arrivals < ARRIVALS_MAX)
+  if (!soak->orders[number].done && soak->orders[number].n_sends < SENDS_MAX)
     send_order (soak, number);
 }
 
@@ -173,9 +173,9 @@
 
   if (instance == 0)
     return;
-  snprintf (tag, sizeof tag, "t%u", soak->n_sent);
-  sent_add (soak, fleet_complete (soak->fleet, instance, tag, 1 + (unsigned)draw (soak, TOKENS)),
-            SENT_STREAM, instance, 0);
+  snprintf (tag, sizeof tag, "t%u", soak->n_calls);
+  call_add (soak, fleet_complete (soak->fleet, instance, tag, 1 + (unsigned)draw (soak, TOKENS)),
+            CALL_STREAM, instance, 0);
 }
 
 static void
@@ -183,21 +183,21 @@
 {
   int instance;
 
-  if (soak->n_sent + 8 >= SENT_MAX)
+  if (soak->n_calls + 8 >= CALLS_MAX)
     return;
   send_stream (soak);
   if (draw (soak, 3) == 0)
-    new_order (soak);
+    send_new_order (soak);
   if (draw (soak, 3) == 0)
-    send_again (soak);
+    resend_order (soak);
   instance = pick_instance (soak);
   if (instance != 0 && draw (soak, 3) == 0)
-    sent_add (soak, fleet_read (soak->fleet, instance, "/stock/7"), SENT_READ, instance, 0);
+    call_add (soak, fleet_read (soak->fleet, instance, "/stock/7"), CALL_READ, instance, 0);
 }
 
 typedef struct
 {
-  char letter; /* of the stand-ins it is for, which are numbered; 0 for the platform */
+  char prefix; /* of the stand-ins it is for, which are numbered; 0 for the platform */
   const char *begin;
   const char *end; /* NULL when it ends by itself */
   unsigned value;
@@ -220,21 +220,21 @@
 };
 
 static bool
-is_busy (const Soak *soak, unsigned kind, unsigned target)
+has_fault (const Soak *soak, unsigned kind, unsigned target)
 {
   for (unsigned i = 0; i < FAULTS_AT_ONCE; i++)
     {
       const Fault *fault = &soak->faults[i];
       bool process = fault->kind <= FAULT_FREEZE && kind <= FAULT_FREEZE;
 
-      if (fault->until_us != 0 && (process || fault->kind == kind) && fault->target == target)
+      if (fault->end_us != 0 && (process || fault->kind == kind) && fault->target == target)
         return true;
     }
   return false;
 }
 
 static unsigned
-next_of (unsigned instance)
+next_instance (unsigned instance)
 {
   return instance % FLEET_INSTANCES + 1;
 }
@@ -247,14 +247,14 @@
 
   if (!begin && row->end == NULL)
     return;
-  if (row->letter == 0)
+  if (row->prefix == 0)
     mf_name_set (target, sizeof target, "platform");
   else
-    snprintf (target, sizeof target, "%c%u", row->letter, fault->target);
+    snprintf (target, sizeof target, "%c%u", row->prefix, fault->target);
   if (begin)
     fleet_fault (soak->fleet, target, row->begin, row->value);
   else
-    fleet_fault (soak->fleet, target, row->end, row->letter == 'o' ? 0 : 100);
+    fleet_fault (soak->fleet, target, row->end, row->prefix == 'o' ? 0 : 100);
 }
 
 static void
@@ -265,10 +265,10 @@
   bool stand_in = fault->kind >= FAULT_STAND_IN;
 
   print_message ("%.2f s: %s %s of %c%u\n",
-                 (double)(mf_clock_now_us () - soak->began_us) / (double)MF_US_PER_S, what,
+                 (double)(mf_clock_now_us () - soak->start_us) / (double)MF_US_PER_S, what,
                  stand_in ? row->begin : names[fault->kind],
                  !stand_in          ? 'n'
-                 : row->letter != 0 ? row->letter
+                 : row->prefix != 0 ? row->prefix
                                     : '-',
                  fault->target);
 }
@@ -283,7 +283,7 @@
   if (fault->kind == FAULT_KILL)
     {
       soak->down[instance] = true;
-      soak->lives[instance]++;
+      soak->n_kills[instance]++;
       fleet_signal (soak->fleet, instance, SIGKILL);
     }
   else if (fault->kind == FAULT_FREEZE)
@@ -291,7 +291,7 @@
   else if (fault->kind == FAULT_ISOLATE)
     fleet_isolate (soak->fleet, instance, true);
   else if (fault->kind == FAULT_ONE_WAY)
-    fleet_link (soak->fleet, instance, "cut", (int)next_of (fault->target));
+    fleet_link (soak->fleet, instance, "cut", (int)next_instance (fault->target));
   else
     stand_in_fault (soak, fault, true);
 }
@@ -302,7 +302,7 @@
   int instance = (int)fault->target;
 
   fault_print (soak, fault, "end");
-  fault->until_us = 0;
+  fault->end_us = 0;
   if (fault->kind == FAULT_KILL)
     {
       fleet_start (soak->fleet, instance);
@@ -314,13 +314,13 @@
   else if (fault->kind == FAULT_ISOLATE)
     fleet_isolate (soak->fleet, instance, false);
   else if (fault->kind == FAULT_ONE_WAY)
-    fleet_link (soak->fleet, instance, "pass", (int)next_of (fault->target));
+    fleet_link (soak->fleet, instance, "pass", (int)next_instance (fault->target));
   else
     stand_in_fault (soak, fault, false);
 }
 
 static void
-faults_turn (Soak *soak, bool more)
+update_faults (Soak *soak, bool allow_new)
 {
   uint64_t now_us = mf_clock_now_us ();
 
@@ -328,15 +328,15 @@
     {
       Fault *fault = &soak->faults[i];
 
-      if (fault->until_us != 0 && (now_us >= fault->until_us || !more))
+      if (fault->end_us != 0 && (now_us >= fault->end_us || !allow_new))
         fault_end (soak, fault);
-      if (!more || fault->until_us != 0 || now_us < soak->next_fault_us)
+      if (!allow_new || fault->end_us != 0 || now_us < soak->next_fault_us)
         continue;
       fault->kind = (unsigned)draw (soak, FAULT_STAND_IN + MF_ARRAY_LEN (stand_in_faults));
       fault->target = 1 + (unsigned)draw (soak, FLEET_INSTANCES);
-      if (is_busy (soak, fault->kind, fault->target))
+      if (has_fault (soak, fault->kind, fault->target))
         continue;
-      fault->until_us = now_us + (300 + draw (soak, 2700)) * MF_US_PER_MS;
+      fault->end_us = now_us + (300 + draw (soak, 2700)) * MF_US_PER_MS;
       soak->next_fault_us = now_us + draw (soak, FAULT_US);
       soak->n_faults++;
       fault_begin (soak, fault);
@@ -344,63 +344,63 @@
 }
 
 static void
-order_ended (Soak *soak, const Sent *sent)
+order_ended (Soak *soak, const Call *call)
 {
-  Order *order = &soak->orders[sent->order];
+  Order *order = &soak->orders[call->order];
 
-  order->n_open--;
-  if (caller_status (sent->caller) == 200)
+  order->n_in_flight--;
+  if (caller_status (call->caller) == 200)
     order->done = true;
-  order->n_not_run += strcmp (caller_outcome (sent->caller), "not-run") == 0;
+  order->n_not_run += strcmp (caller_outcome (call->caller), "not-run") == 0;
 }
 
 /* Counts how a call ended. A call whose instance was killed under it ends as it may. */
 static void
-take_end (Soak *soak, Sent *sent)
-{
-  bool whole = sent->kind == SENT_STREAM ? caller_is_whole (sent->caller)
-                                         : caller_status (sent->caller) == 200;
-
-  sent->seen = true;
-  if (sent->kind == SENT_ORDER)
-    order_ended (soak, sent);
-  if (sent->left)
-    soak->n_left++;
-  else if (whole)
-    soak->n_whole++;
-  else if (sent->life != soak->lives[sent->instance])
+count_end (Soak *soak, Call *call)
+{
+  bool complete = call->kind == CALL_STREAM ? caller_is_whole (call->caller)
+                                            : caller_status (call->caller) == 200;
+
+  call->counted = true;
+  if (call->kind == CALL_ORDER)
+    order_ended (soak, call);
+  if (call->abandoned)
+    soak->n_abandoned++;
+  else if (complete)
+    soak->n_complete++;
+  else if (call->n_kills != soak->n_kills[call->instance])
     soak->n_lost_with_instance++;
-  else if (strstr (caller_body (sent->caller), "urn:mangofork:code:") != NULL)
+  else if (strstr (caller_body (call->caller), "urn:mangofork:code:") != NULL)
     {
       soak->n_refused++;
       print_message ("%.2f s: refused by entry-%d: %s\n",
-                     (double)(mf_clock_now_us () - soak->began_us) / (double)MF_US_PER_S,
-                     sent->instance, caller_tail (sent->caller));
+                     (double)(mf_clock_now_us () - soak->start_us) / (double)MF_US_PER_S,
+                     call->instance, caller_tail (call->caller));
     }
   else
     {
-      soak->n_broken++;
-      print_message ("broken at entry-%d, kind %d, status %u: %s\n", sent->instance, sent->kind,
-                     caller_status (sent->caller), caller_tail (sent->caller));
+      soak->n_failed++;
+      print_message ("broken at entry-%d, kind %d, status %u: %s\n", call->instance, call->kind,
+                     caller_status (call->caller), caller_tail (call->caller));
     }
 }
 
 static void
-ends_turn (Soak *soak)
+collect_ends (Soak *soak)
 {
-  for (unsigned i = 0; i < soak->n_sent; i++)
+  for (unsigned i = 0; i < soak->n_calls; i++)
     {
-      Sent *sent = &soak->sent[i];
+      Call *call = &soak->calls[i];
 
-      if (sent->seen)
+      if (call->counted)
         continue;
-      if (sent->kind == SENT_STREAM && draw (soak, 400) == 0)
+      if (call->kind == CALL_STREAM && draw (soak, 400) == 0)
         {
-          sent->left = !caller_has_ended (sent->caller);
-          caller_leave (sent->caller);
+          call->abandoned = !caller_has_ended (call->caller);
+          caller_leave (call->caller);
         }
-      if (caller_has_ended (sent->caller))
-        take_end (soak, sent);
+      if (caller_has_ended (call->caller))
+        count_end (soak, call);
     }
 }
 
@@ -410,10 +410,10 @@
   Soak *soak = data;
 
   (void)fleet;
-  ends_turn (soak);
-  for (unsigned i = 0; i < soak->n_sent; i++)
+  collect_ends (soak);
+  for (unsigned i = 0; i < soak->n_calls; i++)
     {
-      if (!soak->sent[i].seen)
+      if (!soak->calls[i].counted)
         return false;
     }
   return true;
@@ -431,10 +431,10 @@
 static void
 report (Soak *soak)
 {
-  unsigned n_twice = 0;
-  unsigned n_untrue = 0;
+  unsigned n_run_twice = 0;
+  unsigned n_false_reports = 0;
   unsigned n_ran = 0;
-  uint64_t n_ended = soak->n_whole + soak->n_refused + soak->n_broken;
+  uint64_t n_ended = soak->n_complete + soak->n_refused + soak->n_failed;
 
   for (unsigned i = 0; i < soak->n_orders; i++)
     {
@@ -445,19 +445,20 @@
       snprintf (name, sizeof name, "o%u", i);
       runs = fleet_runs (soak->fleet, name);
       n_ran += runs > 0;
-      n_twice += runs > 1;
-      n_untrue += (order->done && runs == 0) || (runs > 0 && order->n_not_run == order->n_arrivals);
+      n_run_twice += runs > 1;
+      n_false_reports
+          += (order->done && runs == 0) || (runs > 0 && order->n_not_run == order->n_sends);
     }
   printf ("%u faults; %u calls: %u whole, %u refused, %u broken, %u lost with a killed instance, "
           "%u left; %u orders, %u ran\n",
-          soak->n_faults, soak->n_sent, soak->n_whole, soak->n_refused, soak->n_broken,
-          soak->n_lost_with_instance, soak->n_left, soak->n_orders, n_ran);
-  result ("soak_orders_run_twice", n_twice, 0, false);
-  result ("soak_refusals_untrue", n_untrue, 0, false);
-  result ("soak_answers_broken", soak->n_broken, 0, false);
+          soak->n_faults, soak->n_calls, soak->n_complete, soak->n_refused, soak->n_failed,
+          soak->n_lost_with_instance, soak->n_abandoned, soak->n_orders, n_ran);
+  result ("soak_orders_run_twice", n_run_twice, 0, false);
+  result ("soak_refusals_untrue", n_false_reports, 0, false);
+  result ("soak_answers_broken", soak->n_failed, 0, false);
   result ("soak_memory_held_at_end", fleet_held (soak->fleet), 0, false);
-  result ("soak_whole_ppm", n_ended == 0 ? 0 : soak->n_whole * UINT64_C (1000000) / n_ended, 990000,
-          true);
+  result ("soak_whole_ppm", n_ended == 0 ? 0 : soak->n_complete * UINT64_C (1000000) / n_ended,
+          990000, true);
 }
 
 static void
@@ -468,17 +469,17 @@
 
   for (int i = 1; i <= FLEET_INSTANCES; i++)
     fleet_until_voting (soak->fleet, i);
-  fleet_pass (soak->fleet, WARM_MS);
-  soak->began_us = mf_clock_now_us ();
-  end_us = soak->began_us + soak->seconds * MF_US_PER_S;
+  fleet_pass (soak->fleet, WARM_UP_MS);
+  soak->start_us = mf_clock_now_us ();
+  end_us = soak->start_us + soak->seconds * MF_US_PER_S;
   while (mf_clock_now_us () < end_us)
     {
       send_something (soak);
-      faults_turn (soak, true);
-      fleet_pass (soak->fleet, TURN_MS);
-      ends_turn (soak);
+      update_faults (soak, true);
+      fleet_pass (soak->fleet, STEP_MS);
+      collect_ends (soak);
     }
-  faults_turn (soak, false);
+  update_faults (soak, false);
   fleet_until (soak->fleet, all_ended, soak);
   fleet_until_free (soak->fleet);
   report (soak);
@@ -503,7 +504,7 @@
 int
 main (int argc, char **argv)
 {
-  static Soak soak = { .random = 1, .seconds = SECONDS };
+  static Soak soak = { .random_state = 1, .seconds = SECONDS };
   const struct CMUnitTest tests[] = {
     cmocka_unit_test_prestate_setup_teardown (soak_run, soak_setup, soak_teardown, &soak),
   };
@@ -513,7 +514,7 @@
       if (strcmp (argv[i], "--quick") == 0)
         soak.seconds = SECONDS_QUICK;
       else if (strcmp (argv[i], "--seed") == 0 && i + 1 < argc)
-        soak.random = strtoull (argv[++i], NULL, 10);
+        soak.random_state = strtoull (argv[++i], NULL, 10);
       else
         {
           fprintf (stderr, "usage: %s [--seed N] [--quick]\n", argv[0]);
--- a/cli/bars.c
+++ b/cli/bars.c
@@ -13,7 +13,7 @@
 #define BURN_MAX 1000.0
 
 static double
-x_of (double burn)
+x_position (double burn)
 {
   double least = log10 (BURN_MIN);
   double share
@@ -25,9 +25,10 @@
 static void
 write_mark (double burn, const char *name, const char *colour, double height, MfBuffer *out)
 {
-  plot_print (out, "<line x1=%.1f x2=%.1f y1=0 y2=%g stroke=\"%s\" />", x_of (burn), x_of (burn),
-              height - FOOT + 4, colour);
-  plot_print (out, "<text x=%.1f y=%g text-anchor=middle>%s</text>", x_of (burn), height - 6, name);
+  plot_print (out, "<line x1=%.1f x2=%.1f y1=0 y2=%g stroke=\"%s\" />", x_position (burn),
+              x_position (burn), height - FOOT + 4, colour);
+  plot_print (out, "<text x=%.1f y=%g text-anchor=middle>%s</text>", x_position (burn), height - 6,
+              name);
 }
 
 static void
@@ -37,12 +38,12 @@
   plot_escaped (out, bar->label);
   plot_print (out, "</text>");
   plot_print (out, "<rect x=%g y=%g width=%.1f height=9 fill=\"%s\" />", LEFT, y + 5,
-              x_of (bar->short_burn) - LEFT, plot_colour (0));
+              x_position (bar->short_burn) - LEFT, plot_colour (0));
   plot_print (out, "<rect x=%g y=%g width=%.1f height=9 fill=\"%s\" />", LEFT, y + 15,
-              x_of (bar->long_burn) - LEFT, plot_colour (1));
+              x_position (bar->long_burn) - LEFT, plot_colour (1));
   plot_print (out, "<text x=%.1f y=%g>%.3g / %.3g</text>",
-              x_of (fmax (bar->short_burn, bar->long_burn)) + 6, y + ROW / 2 + 4, bar->short_burn,
-              bar->long_burn);
+              x_position (fmax (bar->short_burn, bar->long_burn)) + 6, y + ROW / 2 + 4,
+              bar->short_burn, bar->long_burn);
 }
 
 void
--- a/cli/check.c
+++ b/cli/check.c
@@ -11,7 +11,7 @@
 /* Which of the two texts a file holds. */
 typedef enum
 {
-  KIND_FOUND, /* whichever its keys say */
+  KIND_AUTO, /* whichever its keys say */
   KIND_TEXT,
   KIND_SETTINGS,
 } Kind;
@@ -70,7 +70,7 @@
 
 /* Tells the two texts apart by a key that only one of them has. */
 static Kind
-kind_of (const char *text, size_t text_bytes)
+detect_kind (const char *text, size_t text_bytes)
 {
   static const char *const keys[] = { "name", "listen", "admin", "peer", "platform", "peers" };
   MfJsonc *jsonc = mf_jsonc_new (text, text_bytes);
@@ -143,7 +143,7 @@
 }
 
 static void
-print_picture (const MfConfig *config)
+print_config (const MfConfig *config)
 {
   bool printed[MF_SERVICES_MAX] = { false };
 
@@ -168,7 +168,7 @@
   if (config == NULL)
     return false;
   if (!arguments->quiet)
-    print_picture (config);
+    print_config (config);
   mf_config_free (config);
   return true;
 }
@@ -195,16 +195,16 @@
   CheckArguments arguments = { 0 };
   size_t text_bytes = 0;
   char *text;
-  bool good;
+  bool ok;
 
   argp_parse (&parser, argc, argv, 0, NULL, &arguments);
   text = command_read_file (arguments.path, &text_bytes);
   if (text == NULL)
     return EXIT_FAULTY;
-  if (arguments.kind == KIND_FOUND)
-    arguments.kind = kind_of (text, text_bytes);
-  good = arguments.kind == KIND_TEXT ? check_text (&arguments, text, text_bytes)
-                                     : check_settings (&arguments, text, text_bytes);
+  if (arguments.kind == KIND_AUTO)
+    arguments.kind = detect_kind (text, text_bytes);
+  ok = arguments.kind == KIND_TEXT ? check_text (&arguments, text, text_bytes)
+                                   : check_settings (&arguments, text, text_bytes);
   free (text);
-  return good ? EXIT_SUCCESS : EXIT_FAULTY;
+  return ok ? EXIT_SUCCESS : EXIT_FAULTY;
 }
--- a/cli/fetch.c
+++ b/cli/fetch.c
@@ -11,9 +11,9 @@
 #define ANSWER_BYTES_MAX ((size_t)64 * 1024 * 1024)
 
 static size_t
-on_data (char *data, size_t size, size_t n, void *user)
+on_data (char *data, size_t size, size_t n, void *userdata)
 {
-  MfBuffer *answer = user;
+  MfBuffer *answer = userdata;
   size_t n_bytes = size * n;
 
   if (mf_buffer_bytes (answer) + n_bytes > ANSWER_BYTES_MAX)
@@ -24,7 +24,7 @@
 
 /* Joins the address an operator gave, with or without "http://", and a path. */
 static void
-url_join (char dst[URL_BYTES], const char *url, const char *path)
+join_url (char dst[URL_BYTES], const char *url, const char *path)
 {
   const char *scheme = strstr (url, "://") != NULL ? "" : "http://";
   size_t len = strlen (url);
@@ -63,13 +63,13 @@
 json_object *
 fetch_json (const char *url, const char *path)
 {
-  char whole[URL_BYTES];
+  char full_url[URL_BYTES];
   MfBuffer answer = { 0 };
   json_object *page = NULL;
   long status;
 
-  url_join (whole, url, path);
-  status = get (whole, &answer);
+  join_url (full_url, url, path);
+  status = get (full_url, &answer);
   mf_buffer_add (&answer, "", 1);
   if (status != 0 && !answer.failed)
     page = json_tokener_parse (mf_buffer_data (&answer));
@@ -77,16 +77,16 @@
   if (status == 200 && page != NULL)
     return page;
   if (status != 0)
-    fprintf (stderr, "mangofork: %s: %ld%s%s\n", whole, status, page != NULL ? ": " : "",
+    fprintf (stderr, "mangofork: %s: %ld%s%s\n", full_url, status, page != NULL ? ": " : "",
              fetch_text (page, "error"));
   json_object_put (page);
   return NULL;
 }
 
 char *
-fetch_escape (const char *part)
+fetch_escape (const char *segment)
 {
-  char *escaped = curl_easy_escape (NULL, part, 0);
+  char *escaped = curl_easy_escape (NULL, segment, 0);
   char *copy = escaped != NULL ? strdup (escaped) : NULL;
 
   curl_free (escaped);
--- a/cli/page.c
+++ b/cli/page.c
@@ -17,16 +17,16 @@
 {
   const PageCommand *command;
   PageArguments *arguments;
-} Parsing;
+} ParseState;
 
 static error_t
-parse_positional (const Parsing *parsing, char *arg, struct argp_state *state)
+parse_positional (const ParseState *parse_state, char *arg, struct argp_state *state)
 {
-  PageArguments *arguments = parsing->arguments;
+  PageArguments *arguments = parse_state->arguments;
 
   if (arguments->url == NULL)
     arguments->url = arg;
-  else if (parsing->command->takes_request && arguments->request == NULL)
+  else if (parse_state->command->takes_request && arguments->request == NULL)
     arguments->request = arg;
   else
     argp_error (state, "too many arguments");
@@ -36,22 +36,23 @@
 static error_t
 parse_option (int key, char *arg, struct argp_state *state)
 {
-  const Parsing *parsing = state->input;
+  const ParseState *parse_state = state->input;
 
   switch (key)
     {
     case 'j':
-      parsing->arguments->json = true;
+      parse_state->arguments->json = true;
       return 0;
     case 'h':
-      parsing->arguments->html = arg;
+      parse_state->arguments->html = arg;
       return 0;
     case ARGP_KEY_ARG:
-      return parse_positional (parsing, arg, state);
+      return parse_positional (parse_state, arg, state);
     case ARGP_KEY_END:
-      if (parsing->arguments->url == NULL
-          || (parsing->command->takes_request && parsing->arguments->request == NULL))
-        argp_error (state, "%s needs %s", parsing->command->name, parsing->command->args_doc);
+      if (parse_state->arguments->url == NULL
+          || (parse_state->command->takes_request && parse_state->arguments->request == NULL))
+        argp_error (state, "%s needs %s", parse_state->command->name,
+                    parse_state->command->args_doc);
       return 0;
     default:
       return ARGP_ERR_UNKNOWN;
@@ -67,7 +68,7 @@
     .args_doc = command->args_doc,
     .doc = command->doc,
   };
-  Parsing parsing = { .command = command, .arguments = arguments };
+  ParseState parse_state = { .command = command, .arguments = arguments };
 
-  argp_parse (&parser, argc, argv, 0, NULL, &parsing);
+  argp_parse (&parser, argc, argv, 0, NULL, &parse_state);
 }
--- a/cli/plot.c
+++ b/cli/plot.c
@@ -81,7 +81,7 @@
 }
 
 static double
-top_of (const Plot *plot)
+axis_top (const Plot *plot)
 {
   double top = plot->least_top > 0 ? plot->least_top : 1e-9;
 
@@ -94,16 +94,16 @@
 }
 
 static double
-x_of (const Plot *plot, uint32_t point)
+x_position (const Plot *plot, uint32_t point)
 {
   double span = plot->ages_s[0] - plot->ages_s[plot->n_points - 1];
-  double past = plot->ages_s[0] - plot->ages_s[point];
+  double elapsed = plot->ages_s[0] - plot->ages_s[point];
 
-  return LEFT + (span > 0 ? past / span : 1) * (WIDTH - LEFT - RIGHT);
+  return LEFT + (span > 0 ? elapsed / span : 1) * (WIDTH - LEFT - RIGHT);
 }
 
 static double
-y_of (double value, double top)
+y_position (double value, double top)
 {
   return HEIGHT - BOTTOM - value / top * (HEIGHT - TOP - BOTTOM);
 }
@@ -130,8 +130,8 @@
       double value = top * i / Y_STEPS;
 
       plot_print (out, "<line class=grid x1=%g x2=%g y1=%.1f y2=%.1f />", LEFT, WIDTH - RIGHT,
-                  y_of (value, top), y_of (value, top));
-      plot_print (out, "<text x=%g y=%.1f text-anchor=end>", LEFT - 6, y_of (value, top) + 4);
+                  y_position (value, top), y_position (value, top));
+      plot_print (out, "<text x=%g y=%.1f text-anchor=end>", LEFT - 6, y_position (value, top) + 4);
       write_number (out, value);
       plot_print (out, "</text>");
     }
@@ -162,15 +162,16 @@
     {
       plot_print (out, "<polygon fill=\"%s\" fill-opacity=.75 points=\"", colour);
       for (uint32_t i = plot->n_points; i-- > 0;)
-        plot_print (out, "%.1f,%.1f ", x_of (plot, i),
-                    y_of (line > 0 ? height_at (plot, line - 1, i) : 0, top));
+        plot_print (out, "%.1f,%.1f ", x_position (plot, i),
+                    y_position (line > 0 ? height_at (plot, line - 1, i) : 0, top));
     }
   else
     /* Later lines are thinner, so that one that covers an earlier one does not hide it. */
     plot_print (out, "<polyline fill=none stroke=\"%s\" stroke-width=%g points=\"", colour,
                 plot->n_lines == 1 ? 2.0 : 1.5 + 1.5 * (plot->n_lines - 1 - line));
   for (uint32_t i = 0; i < plot->n_points; i++)
-    plot_print (out, "%.1f,%.1f ", x_of (plot, i), y_of (height_at (plot, line, i), top));
+    plot_print (out, "%.1f,%.1f ", x_position (plot, i),
+                y_position (height_at (plot, line, i), top));
   plot_print (out, "\"/>");
 }
 
@@ -210,7 +211,7 @@
                   plot->n_lines == 0 ? "nothing to show: none" : "too few points yet");
       return;
     }
-  top = top_of (plot);
+  top = axis_top (plot);
   plot_print (out, "<svg viewBox=\"0 0 %g %g\" role=img>", WIDTH, HEIGHT);
   write_axes (plot, top, out);
   for (uint32_t i = 0; i < plot->n_lines; i++)
--- a/cli/report.c
+++ b/cli/report.c
@@ -162,18 +162,18 @@
 {
   FILE *file = strcmp (path, "-") == 0 ? stdout : fopen (path, "w");
   MfBuffer page = { 0 };
-  bool good = file != NULL;
+  bool ok = file != NULL;
 
   report_html (report, &page);
-  good = good && !page.failed
-         && fwrite (mf_buffer_data (&page), 1, mf_buffer_bytes (&page), file)
-                == mf_buffer_bytes (&page);
+  ok = ok && !page.failed
+       && fwrite (mf_buffer_data (&page), 1, mf_buffer_bytes (&page), file)
+              == mf_buffer_bytes (&page);
   if (file != NULL && file != stdout)
-    good = fclose (file) == 0 && good;
+    ok = fclose (file) == 0 && ok;
   mf_buffer_clear (&page);
-  if (!good)
+  if (!ok)
     perror (path);
-  return good;
+  return ok;
 }
 
 int
@@ -181,18 +181,18 @@
 {
   PageArguments arguments = { 0 };
   json_object *report;
-  bool good = true;
+  bool ok = true;
 
   page_parse (&command, argc, argv, &arguments);
   report = fetch_json (arguments.url, "/report");
   if (report == NULL)
     return EXIT_FAULTY;
   if (arguments.html != NULL)
-    good = write_html (report, arguments.html);
+    ok = write_html (report, arguments.html);
   if (arguments.json)
     fetch_print (report);
   else if (arguments.html == NULL)
     print_report (report);
   json_object_put (report);
-  return good ? EXIT_SUCCESS : EXIT_FAULTY;
+  return ok ? EXIT_SUCCESS : EXIT_FAULTY;
 }
--- a/cli/report_html.c
+++ b/cli/report_html.c
@@ -111,7 +111,7 @@
     {
       json_object *window = fetch_object (table, windows[i]);
       double burn = fetch_real (window, "burn");
-      const char *heat = burn > 1 ? " class=warm" : "";
+      const char *css_class = burn > 1 ? " class=warm" : "";
 
       if (fetch_number (window, "total") == 0)
         {
@@ -120,8 +120,8 @@
         }
 
       if (burn >= alert_rates[i])
-        heat = " class=hot";
-      plot_print (out, "<td%s title=\"%llu of %llu missed\">%.2f", heat,
+        css_class = " class=hot";
+      plot_print (out, "<td%s title=\"%llu of %llu missed\">%.2f", css_class,
                   (unsigned long long)fetch_number (window, "bad"),
                   (unsigned long long)fetch_number (window, "total"), burn);
     }
@@ -237,7 +237,7 @@
 
 /* The points that plots are drawn from: the fine ones while they reach back to the start. */
 static const char *
-series_of (json_object *series)
+series_key (json_object *series)
 {
   size_t n_coarse = fetch_length (series, "coarse");
   json_object *fine = fetch_element (series, "fine", 0);
@@ -250,9 +250,9 @@
 
 /* Begins a plot over all points of the series. */
 static void
-plot_begin (Plot *plot, json_object *series, const char *title, const char *unit, const char *note)
+plot_init (Plot *plot, json_object *series, const char *title, const char *unit, const char *note)
 {
-  const char *key = series_of (series);
+  const char *key = series_key (series);
   size_t n = fetch_length (series, key);
 
   memset (plot, 0, sizeof *plot);
@@ -267,7 +267,7 @@
 static json_object *
 point_at (json_object *series, uint32_t i)
 {
-  return fetch_element (series, series_of (series), i);
+  return fetch_element (series, series_key (series), i);
 }
 
 /* Adds a line of what happened a second, or of how things stood. */
@@ -289,7 +289,7 @@
 /* Adds a line of one number as a share of another, in per cent. */
 static void
 plot_add_share (Plot *plot, json_object *series, const char *name, const char *role,
-                const char *part, const char *whole)
+                const char *part_key, const char *total_key)
 {
   PlotLine *line = &plot->lines[plot->n_lines++];
 
@@ -297,12 +297,12 @@
   for (uint32_t i = 0; i < plot->n_points; i++)
     {
       json_object *point = point_at (series, i);
-      double all;
+      double total;
 
       if (role != NULL)
         point = fetch_object (point, role);
-      all = fetch_real (point, whole);
-      line->values[i] = all > 0 ? 100 * fetch_real (point, part) / all : 0;
+      total = fetch_real (point, total_key);
+      line->values[i] = total > 0 ? 100 * fetch_real (point, part_key) / total : 0;
     }
 }
 
@@ -332,42 +332,41 @@
   json_object *series = fetch_object (report, "series");
 
   plot_print (out, "<h2>This instance over time</h2><div class=plots>\n");
-  plot_begin (plot, series, "Goodput", "requests a second",
-              "good: whole, first token and 95 in 100 gaps within target");
+  plot_init (plot, series, "Goodput", "requests a second",
+             "good: whole, first token and 95 in 100 gaps within target");
   plot_add (plot, series, "offered", "requests", true);
   plot_add (plot, series, "answered", "answered", true);
   plot_add (plot, series, "good", "good", true);
   plot_write (plot, out);
 
-  plot_begin (plot, series, "Ends other than an answer", "requests a second, stacked",
-              "by result code; docs/ERRORS.md says what to do on each");
+  plot_init (plot, series, "Ends other than an answer", "requests a second, stacked",
+             "by result code; docs/ERRORS.md says what to do on each");
   plot->stacked = true;
   plot_add_ends (plot, series, report);
   plot_write (plot, out);
 
-  plot_begin (plot, series, "Wasted prefill", "per cent of tokens prefilled",
-              "computed for a KV that no decode took up");
+  plot_init (plot, series, "Wasted prefill", "per cent of tokens prefilled",
+             "computed for a KV that no decode took up");
   plot->least_top = 2;
   plot_add_share (plot, series, "wasted", NULL, "wasted_tokens", "prefill_tokens");
   plot_write (plot, out);
 
-  plot_begin (plot, series, "Queue", "requests",
-              "held by this instance at the end of each stretch");
+  plot_init (plot, series, "Queue", "requests", "held by this instance at the end of each stretch");
   plot->least_top = 4;
   plot_add (plot, series, "in flight", "in_flight", false);
   plot_add (plot, series, "of them queued", "queued", false);
   plot_add (plot, series, "cancels owed", "debts", false);
   plot_write (plot, out);
 
-  plot_begin (plot, series, "Engine occupancy", "per cent of slots in use",
-              "over the upstreams this instance uses, whoever uses them");
+  plot_init (plot, series, "Engine occupancy", "per cent of slots in use",
+             "over the upstreams this instance uses, whoever uses them");
   plot->least_top = 100;
   plot_add_share (plot, series, "prefill", "prefill", "used", "slots");
   plot_add_share (plot, series, "decode", "decode", "used", "slots");
   plot_add_share (plot, series, "plain", "plain", "used", "slots");
   plot_write (plot, out);
 
-  plot_begin (plot, series, "Tokens", "a second", NULL);
+  plot_init (plot, series, "Tokens", "a second", NULL);
   plot_add (plot, series, "handed to callers", "tokens", true);
   plot_add (plot, series, "prefilled", "prefill_tokens", true);
   plot_write (plot, out);
--- a/cli/serve.c
+++ b/cli/serve.c
@@ -51,16 +51,15 @@
   MfServer *server;
   size_t text_bytes = 0;
   char *text;
-  bool good;
+  bool ok;
 
   argp_parse (&parser, argc, argv, 0, NULL, &arguments);
   text = command_read_file (arguments.path, &text_bytes);
   if (text == NULL)
     return EXIT_FAULTY;
-  good = mf_settings_parse (text, text_bytes, &settings, command_print_fault,
-                            (void *)arguments.path);
+  ok = mf_settings_parse (text, text_bytes, &settings, command_print_fault, (void *)arguments.path);
   free (text);
-  if (!good)
+  if (!ok)
     return EXIT_FAULTY;
   server = mf_server_new (&settings, &error);
   if (server == NULL)
--- a/cli/status.c
+++ b/cli/status.c
@@ -7,7 +7,7 @@
 
 #define AGE_BYTES 24
 /* Rows of a list that one screen takes; faulty ones are shown whatever their number. */
-#define HEALTHY_SHOWN 30
+#define HEALTHY_ROWS_MAX 30
 
 static const PageCommand command = {
   .name = "status",
@@ -22,16 +22,16 @@
   json_object *config = fetch_object (status, "config");
   json_object *refused = fetch_object (config, "refused");
   char age[AGE_BYTES];
-  char heard[AGE_BYTES];
+  char last_report[AGE_BYTES];
 
   fetch_age (age, sizeof age, config, "age_s");
-  fetch_age (heard, sizeof heard, config, "platform_heard_s");
+  fetch_age (last_report, sizeof last_report, config, "platform_heard_s");
   if (fetch_number (config, "revision") == 0)
-    printf ("no operators' text is in force yet; platform heard: %s\n", heard);
+    printf ("no operators' text is in force yet; platform heard: %s\n", last_report);
   else
     printf ("revision %llu in force for %s, from the %s; platform heard: %s\n",
             (unsigned long long)fetch_number (config, "revision"), age,
-            fetch_text (config, "source"), heard);
+            fetch_text (config, "source"), last_report);
   if (refused != NULL)
     {
       fetch_age (age, sizeof age, refused, "age_s");
@@ -130,12 +130,12 @@
     {
       json_object *row = fetch_element (status, "upstreams", i);
 
-      if (strcmp (fetch_text (row, "health"), "ok") == 0 && n_healthy++ >= HEALTHY_SHOWN)
+      if (strcmp (fetch_text (row, "health"), "ok") == 0 && n_healthy++ >= HEALTHY_ROWS_MAX)
         continue;
       print_upstream (row);
     }
-  if (n_healthy > HEALTHY_SHOWN)
-    printf ("and %zu more that are ok\n", n_healthy - HEALTHY_SHOWN);
+  if (n_healthy > HEALTHY_ROWS_MAX)
+    printf ("and %zu more that are ok\n", n_healthy - HEALTHY_ROWS_MAX);
   if (fetch_number (status, "upstreams_total") > fetch_length (status, "upstreams"))
     printf ("and %llu more of the text, that this instance does not use\n",
             (unsigned long long)fetch_number (status, "upstreams_total")
@@ -152,18 +152,19 @@
   for (size_t i = 0; i < fetch_length (status, "instances"); i++)
     {
       json_object *row = fetch_element (status, "instances", i);
-      char heard[AGE_BYTES];
+      char last_report[AGE_BYTES];
 
-      if (strcmp (fetch_text (row, "state"), "alive") == 0 && n_alive++ >= HEALTHY_SHOWN)
+      if (strcmp (fetch_text (row, "state"), "alive") == 0 && n_alive++ >= HEALTHY_ROWS_MAX)
         continue;
-      fetch_age (heard, sizeof heard, row, "heard_s");
+      fetch_age (last_report, sizeof last_report, row, "heard_s");
       printf ("%-20.20s %-8.8s %-8s %-6s %-6s %-6s %-8s %s\n", fetch_text (row, "instance"),
               fetch_text (row, "data_centre"), fetch_text (row, "state"),
               fetch_bool (row, "linked") ? "yes" : "no", fetch_bool (row, "listed") ? "yes" : "no",
-              fetch_bool (row, "votes") ? "yes" : "no", heard, fetch_text (row, "incarnation"));
+              fetch_bool (row, "votes") ? "yes" : "no", last_report,
+              fetch_text (row, "incarnation"));
     }
-  if (n_alive > HEALTHY_SHOWN)
-    printf ("and %zu more that are alive\n", n_alive - HEALTHY_SHOWN);
+  if (n_alive > HEALTHY_ROWS_MAX)
+    printf ("and %zu more that are alive\n", n_alive - HEALTHY_ROWS_MAX);
 }
 
 static void
--- a/tests/test_cli.c
+++ b/tests/test_cli.c
@@ -18,13 +18,13 @@
 
 /* Runs the program with arguments as a shell reads them; what it prints is kept. */
 static void
-run (const char *before, const char *arguments, Output *output)
+run (const char *shell_prefix, const char *arguments, Output *output)
 {
   char line[1024];
   FILE *pipe;
   size_t n;
 
-  snprintf (line, sizeof line, "%s '%s' %s 2>&1", before, MANGOFORK, arguments);
+  snprintf (line, sizeof line, "%s '%s' %s 2>&1", shell_prefix, MANGOFORK, arguments);
   pipe = popen (line, "r"); /* NOLINT(cert-env33-c) */
   assert_non_null (pipe);
   n = fread (output->text, 1, sizeof output->text - 1, pipe);
@@ -33,7 +33,7 @@
 }
 
 static void
-test_check_shows_the_picture (void **state)
+test_check_shows_the_services (void **state)
 {
   Output output;
 
@@ -48,7 +48,7 @@
 }
 
 static void
-test_check_places_each_fault (void **state)
+test_check_locates_each_fault (void **state)
 {
   Output output;
 
@@ -82,7 +82,7 @@
 }
 
 static void
-test_digest_leaves_the_line_end_out (void **state)
+test_digest_ignores_trailing_newline (void **state)
 {
   Output bare;
   Output line;
@@ -98,7 +98,7 @@
 }
 
 static void
-test_nobody_to_ask (void **state)
+test_unreachable_instance_fails (void **state)
 {
   Output output;
 
@@ -113,11 +113,11 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_check_shows_the_picture),
-    cmocka_unit_test (test_check_places_each_fault),
+    cmocka_unit_test (test_check_shows_the_services),
+    cmocka_unit_test (test_check_locates_each_fault),
     cmocka_unit_test (test_wrong_command_lines),
-    cmocka_unit_test (test_digest_leaves_the_line_end_out),
-    cmocka_unit_test (test_nobody_to_ask),
+    cmocka_unit_test (test_digest_ignores_trailing_newline),
+    cmocka_unit_test (test_unreachable_instance_fails),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_engine_model.c
+++ b/tests/test_engine_model.c
@@ -14,7 +14,7 @@
   uint32_t n_expired;
   uint32_t n_finished;
   uint32_t n_died;
-} Seen;
+} Recorded;
 
 static const FakeEngineOptions base = {
   .slots = 2,
@@ -31,24 +31,24 @@
 };
 
 static void
-see (FakeEngine *engine, const FakeEvent *event, void *data)
+record_event (FakeEngine *engine, const FakeEvent *event, void *data)
 {
-  Seen *seen = data;
+  Recorded *recorded = data;
 
   (void)engine;
   if (event->type == FAKE_PREFILLED)
     {
-      seen->handle = event->n;
-      seen->until_us = event->until_us;
+      recorded->handle = event->n;
+      recorded->until_us = event->until_us;
     }
-  seen->n_tokens += event->type == FAKE_TOKEN;
-  seen->n_expired += event->type == FAKE_EXPIRED;
-  seen->n_finished += event->type == FAKE_FINISHED;
-  seen->n_died += event->type == FAKE_DIED;
+  recorded->n_tokens += event->type == FAKE_TOKEN;
+  recorded->n_expired += event->type == FAKE_EXPIRED;
+  recorded->n_finished += event->type == FAKE_FINISHED;
+  recorded->n_died += event->type == FAKE_DIED;
 }
 
 static FakeEngine *
-make (MfRole role)
+engine_new (MfRole role)
 {
   FakeEngineOptions options = base;
 
@@ -57,7 +57,7 @@
 }
 
 static FakeWork
-work_of (uint64_t request_id)
+make_work (uint64_t request_id)
 {
   return (FakeWork){
     .id = { .owner = { .name = "a", .incarnation = 1 }, .request_id = request_id },
@@ -70,24 +70,24 @@
 static void
 test_prefill_then_decode_gives_the_answer (void **state)
 {
-  FakeEngine *prefill = make (MF_ROLE_PREFILL);
-  FakeEngine *decode = make (MF_ROLE_DECODE);
-  FakeWork work = work_of (1);
-  Seen seen = { 0 };
+  FakeEngine *prefill = engine_new (MF_ROLE_PREFILL);
+  FakeEngine *decode = engine_new (MF_ROLE_DECODE);
+  FakeWork work = make_work (1);
+  Recorded recorded = { 0 };
 
   (void)state;
   assert_int_equal (fake_engine_prefill (prefill, &work, 0), FAKE_ACCEPTED);
   assert_int_equal (fake_engine_next_us (prefill), 100000);
-  fake_engine_run (prefill, 100000, see, &seen);
-  assert_int_equal (seen.until_us, 600000);
-  assert_int_equal (fake_engine_decode (decode, &work, prefill, seen.handle, 100000),
+  fake_engine_run (prefill, 100000, record_event, &recorded);
+  assert_int_equal (recorded.until_us, 600000);
+  assert_int_equal (fake_engine_decode (decode, &work, prefill, recorded.handle, 100000),
                     FAKE_ACCEPTED);
   assert_int_equal (fake_engine_next_us (decode), 110000);
-  fake_engine_run (decode, 1000000, see, &seen);
-  fake_engine_run (prefill, 1000000, see, &seen);
-  assert_int_equal (seen.n_tokens, 5);
-  assert_int_equal (seen.n_finished, 1);
-  assert_int_equal (seen.n_expired, 0);
+  fake_engine_run (decode, 1000000, record_event, &recorded);
+  fake_engine_run (prefill, 1000000, record_event, &recorded);
+  assert_int_equal (recorded.n_tokens, 5);
+  assert_int_equal (recorded.n_finished, 1);
+  assert_int_equal (recorded.n_expired, 0);
   assert_int_equal (fake_engine_ledger (prefill)->wasted_prefill_tokens, 0);
   assert_int_equal (fake_engine_ledger (prefill)->prefill_tokens, 1000);
   fake_engine_free (prefill);
@@ -95,16 +95,16 @@
 }
 
 static void
-test_untaken_result_is_wasted (void **state)
+test_unclaimed_result_is_wasted (void **state)
 {
-  FakeEngine *prefill = make (MF_ROLE_PREFILL);
-  FakeWork work = work_of (1);
-  Seen seen = { 0 };
+  FakeEngine *prefill = engine_new (MF_ROLE_PREFILL);
+  FakeWork work = make_work (1);
+  Recorded recorded = { 0 };
 
   (void)state;
   fake_engine_prefill (prefill, &work, 0);
-  fake_engine_run (prefill, 700000, see, &seen);
-  assert_int_equal (seen.n_expired, 1);
+  fake_engine_run (prefill, 700000, record_event, &recorded);
+  assert_int_equal (recorded.n_expired, 1);
   assert_int_equal (fake_engine_ledger (prefill)->wasted_prefill_tokens, 1000);
   fake_engine_free (prefill);
 }
@@ -112,22 +112,22 @@
 static void
 test_stream_resumes_at_the_token_asked_for (void **state)
 {
-  FakeEngine *prefill = make (MF_ROLE_PREFILL);
-  FakeEngine *decode = make (MF_ROLE_DECODE);
-  FakeWork work = work_of (1);
-  Seen seen = { 0 };
+  FakeEngine *prefill = engine_new (MF_ROLE_PREFILL);
+  FakeEngine *decode = engine_new (MF_ROLE_DECODE);
+  FakeWork work = make_work (1);
+  Recorded recorded = { 0 };
 
   (void)state;
   fake_engine_prefill (prefill, &work, 0);
-  fake_engine_run (prefill, 100000, see, &seen);
-  fake_engine_decode (decode, &work, prefill, seen.handle, 100000);
-  fake_engine_run (decode, 130000, see, &seen);
-  assert_int_equal (seen.n_tokens, 2);
+  fake_engine_run (prefill, 100000, record_event, &recorded);
+  fake_engine_decode (decode, &work, prefill, recorded.handle, 100000);
+  fake_engine_run (decode, 130000, record_event, &recorded);
+  assert_int_equal (recorded.n_tokens, 2);
   fake_engine_detach (decode, &work.id, 130000);
   assert_int_equal (fake_engine_resume (decode, &work.id, 1, 140000), FAKE_ACCEPTED);
-  fake_engine_run (decode, 1000000, see, &seen);
-  assert_int_equal (seen.n_tokens, 6);
-  assert_int_equal (seen.n_finished, 1);
+  fake_engine_run (decode, 1000000, record_event, &recorded);
+  assert_int_equal (recorded.n_tokens, 6);
+  assert_int_equal (recorded.n_finished, 1);
   fake_engine_free (prefill);
   fake_engine_free (decode);
 }
@@ -135,16 +135,16 @@
 static void
 test_poison_kills_and_frees_all (void **state)
 {
-  FakeEngine *prefill = make (MF_ROLE_PREFILL);
-  FakeWork work = work_of (1);
-  Seen seen = { 0 };
+  FakeEngine *prefill = engine_new (MF_ROLE_PREFILL);
+  FakeWork work = make_work (1);
+  Recorded recorded = { 0 };
 
   (void)state;
   work.digest = 666;
   fake_engine_prefill (prefill, &work, 0);
   assert_true (fake_engine_is_dead (prefill));
-  fake_engine_run (prefill, 0, see, &seen);
-  assert_int_equal (seen.n_died, 1);
+  fake_engine_run (prefill, 0, record_event, &recorded);
+  assert_int_equal (recorded.n_died, 1);
   assert_int_equal (fake_engine_prefill (prefill, &work, 1), FAKE_GONE);
   fake_engine_restart (prefill, 2);
   work.digest = 1;
@@ -155,8 +155,8 @@
 static void
 test_load_report_lags (void **state)
 {
-  FakeEngine *prefill = make (MF_ROLE_PREFILL);
-  FakeWork work = work_of (1);
+  FakeEngine *prefill = engine_new (MF_ROLE_PREFILL);
+  FakeWork work = make_work (1);
   MfLoadEvent load;
 
   (void)state;
@@ -173,7 +173,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_prefill_then_decode_gives_the_answer),
-    cmocka_unit_test (test_untaken_result_is_wasted),
+    cmocka_unit_test (test_unclaimed_result_is_wasted),
     cmocka_unit_test (test_stream_resumes_at_the_token_asked_for),
     cmocka_unit_test (test_poison_kills_and_frees_all),
     cmocka_unit_test (test_load_report_lags),
