--- a/bench/relay.c
+++ b/bench/relay.c
@@ -39,7 +39,7 @@
   uint16_t admin;
   uint16_t peer;
   uint16_t prefill;
-  uint16_t decode[RELAY_DECODERS];
+  uint16_t decode[RELAY_N_DECODES];
   uint16_t platform;
   uint16_t tcp_proxy;
 } Ports;
@@ -103,7 +103,7 @@
   ports->prefill = find_free_port ();
   ports->platform = find_free_port ();
   ports->tcp_proxy = find_free_port ();
-  for (int i = 0; i < RELAY_DECODERS; i++)
+  for (int i = 0; i < RELAY_N_DECODES; i++)
     ports->decode[i] = find_free_port ();
 }
 
@@ -166,7 +166,7 @@
   bench->tcp_proxy = child_fork ();
   if (bench->tcp_proxy == 0)
     {
-      relay_copier_run (bench->ports.tcp_proxy, bench->ports.decode[0]);
+      relay_tcp_proxy_run (bench->ports.tcp_proxy, bench->ports.decode[0]);
       exit (0);
     }
   usleep (200000);
@@ -231,7 +231,7 @@
 }
 
 static void
-on_broken (RelayClient *client, void *data)
+on_failure (RelayClient *client, void *data)
 {
   (void)client;
   (void)data;
@@ -273,15 +273,15 @@
 static void
 streams_start (Streams *streams, struct ev_loop *loop, uint16_t port, const char *body)
 {
-  static const RelayHooks hooks = { .on_first = streams_on_first_token,
-                                    .on_done = streams_on_complete,
-                                    .on_broken = on_broken };
+  static const RelayClientCallbacks callbacks = { .on_first_token = streams_on_first_token,
+                                                  .on_complete = streams_on_complete,
+                                                  .on_failure = on_failure };
 
   streams->loop = loop;
   streams->n_clients = OPEN_STREAMS;
   for (uint32_t i = 0; i < OPEN_STREAMS; i++)
     {
-      streams->clients[i] = relay_client_new (loop, port, &hooks, streams);
+      streams->clients[i] = relay_client_new (loop, port, &callbacks, streams);
       relay_client_send (streams->clients[i], body, true);
     }
 }
@@ -346,16 +346,17 @@
 static void
 probe_open (Probe *probe, const Bench *bench, bool direct)
 {
-  static const RelayHooks hooks
-      = { .on_first = probe_on_first_token, .on_done = probe_on_complete, .on_broken = on_broken };
+  static const RelayClientCallbacks callbacks = { .on_first_token = probe_on_first_token,
+                                                  .on_complete = probe_on_complete,
+                                                  .on_failure = on_failure };
 
   *probe = (Probe){ .loop = bench->loop, .n_probes = bench->options.n_probes };
   probe->first_ms = calloc (probe->n_probes, sizeof *probe->first_ms);
   body_write (probe->body, direct, true, 2, 0);
   if (direct)
-    probe->prefill = relay_client_new (bench->loop, bench->ports.prefill, &hooks, probe);
+    probe->prefill = relay_client_new (bench->loop, bench->ports.prefill, &callbacks, probe);
   probe->decode = relay_client_new (
-      bench->loop, direct ? bench->ports.decode[0] : bench->ports.callers, &hooks, probe);
+      bench->loop, direct ? bench->ports.decode[0] : bench->ports.callers, &callbacks, probe);
 }
 
 static int
@@ -490,7 +491,8 @@
 static void
 request_run (Bench *bench, uint32_t n_requests)
 {
-  static const RelayHooks hooks = { .on_done = request_run_complete, .on_broken = on_broken };
+  static const RelayClientCallbacks callbacks
+      = { .on_complete = request_run_complete, .on_failure = on_failure };
   RequestRun run = { .loop = bench->loop, .n_wanted = n_requests };
   RelayClient *clients[MEMORY_CALLERS];
 
@@ -498,7 +500,7 @@
   body_write (run.bodies[1], false, true, 2, 0);
   for (int i = 0; i < MEMORY_CALLERS; i++)
     {
-      clients[i] = relay_client_new (bench->loop, bench->ports.callers, &hooks, &run);
+      clients[i] = relay_client_new (bench->loop, bench->ports.callers, &callbacks, &run);
       request_run_next (clients[i], &run);
     }
   ev_run (bench->loop, 0);
--- a/bench/relay_client.c
+++ b/bench/relay_client.c
@@ -19,7 +19,7 @@
 struct RelayClient
 {
   struct ev_loop *loop;
-  RelayHooks hooks;
+  RelayClientCallbacks callbacks;
   void *data;
   ev_io read;
   bool stream;
@@ -81,7 +81,7 @@
   if (n <= 0)
     {
       ev_io_stop (client->loop, &client->read);
-      client->hooks.on_broken (client, client->data);
+      client->callbacks.on_failure (client, client->data);
       return;
     }
   total = client->tail_bytes + (size_t)n;
@@ -90,14 +90,14 @@
   if (!client->first_token_seen && client->busy && count_token_marks (data, total) > 0)
     {
       client->first_token_seen = true;
-      if (client->hooks.on_first != NULL)
-        client->hooks.on_first (client, client->data);
+      if (client->callbacks.on_first_token != NULL)
+        client->callbacks.on_first_token (client, client->data);
     }
   if (client->busy && answer_ended (client, data, total))
     {
       client->busy = false;
       client->tail_bytes = 0;
-      client->hooks.on_done (client, client->data);
+      client->callbacks.on_complete (client, client->data);
       return;
     }
   client->tail_bytes = total < TAIL_BYTES ? total : TAIL_BYTES;
@@ -105,7 +105,8 @@
 }
 
 RelayClient *
-relay_client_new (struct ev_loop *loop, uint16_t port, const RelayHooks *hooks, void *data)
+relay_client_new (struct ev_loop *loop, uint16_t port, const RelayClientCallbacks *callbacks,
+                  void *data)
 {
   RelayClient *client = calloc (1, sizeof *client);
   MfError error = { 0 };
@@ -120,7 +121,7 @@
       exit (1);
     }
   client->loop = loop;
-  client->hooks = *hooks;
+  client->callbacks = *callbacks;
   client->data = data;
   ev_io_init (&client->read, client_readable, fd, EV_READ);
   client->read.data = client;
--- a/bench/relay_client.h
+++ b/bench/relay_client.h
@@ -10,13 +10,14 @@
 
 typedef struct
 {
-  void (*on_first) (RelayClient *client, void *data); /* the first token has arrived; may be NULL */
-  void (*on_done) (RelayClient *client, void *data);  /* the answer is whole */
-  void (*on_broken) (RelayClient *client, void *data);
-} RelayHooks;
+  void (*on_first_token) (RelayClient *client,
+                          void *data); /* the first token has arrived; may be NULL */
+  void (*on_complete) (RelayClient *client, void *data); /* the answer is whole */
+  void (*on_failure) (RelayClient *client, void *data);
+} RelayClientCallbacks;
 
-RelayClient *relay_client_new (struct ev_loop *loop, uint16_t port, const RelayHooks *hooks,
-                               void *data);
+RelayClient *relay_client_new (struct ev_loop *loop, uint16_t port,
+                               const RelayClientCallbacks *callbacks, void *data);
 void relay_client_free (RelayClient *client);
 /* Sends a completion. Streams end at their end mark, whole answers at their length. */
 void relay_client_send (RelayClient *client, const char *body, bool stream);
--- a/bench/relay_upstream.c
+++ b/bench/relay_upstream.c
@@ -215,7 +215,7 @@
                 " \"data_centre\": \"a\", \"slots\": %d, \"pieces\": %d } ] },"
                 " { \"name\": \"d\", \"role\": \"decode\", \"upstreams\": [ ",
                 prefill_port, SLOTS, PIECES);
-  for (int i = 0; i < RELAY_DECODERS; i++)
+  for (int i = 0; i < RELAY_N_DECODES; i++)
     n += snprintf (text + n, sizeof text - (size_t)n,
                    "%s{ \"name\": \"d%d\", \"address\": \"127.0.0.1:%u\", \"data_centre\": \"a\","
                    " \"slots\": %d, \"pieces\": %d }",
@@ -225,7 +225,7 @@
 }
 
 void
-relay_upstream_run (uint16_t prefill_port, const uint16_t decode_ports[RELAY_DECODERS],
+relay_upstream_run (uint16_t prefill_port, const uint16_t decode_ports[RELAY_N_DECODES],
                     uint16_t platform_port)
 {
   static const FakeHttpHooks hooks = { .on_request = on_request, .on_closed = on_closed };
@@ -236,7 +236,7 @@
 
   snprintf (address, sizeof address, "127.0.0.1:%u", prefill_port);
   fake_http_new (loop, address, &hooks, &prefill);
-  for (int i = 0; i < RELAY_DECODERS; i++)
+  for (int i = 0; i < RELAY_N_DECODES; i++)
     {
       snprintf (address, sizeof address, "127.0.0.1:%u", decode_ports[i]);
       fake_http_new (loop, address, &hooks, &decode);
@@ -350,7 +350,7 @@
 }
 
 void
-relay_copier_run (uint16_t from_port, uint16_t to_port)
+relay_tcp_proxy_run (uint16_t from_port, uint16_t to_port)
 {
   TcpProxy tcp_proxy = { .loop = ev_loop_new (EVFLAG_AUTO) };
   MfError error = { 0 };
--- a/cli/bars.c
+++ b/cli/bars.c
@@ -35,7 +35,7 @@
 write_bar (const Bar *bar, double y, MfBuffer *out)
 {
   plot_print (out, "<text x=%g y=%g text-anchor=end>", LEFT - 10, y + ROW / 2 + 4);
-  plot_escaped (out, bar->label);
+  plot_print_escaped (out, bar->label);
   plot_print (out, "</text>");
   plot_print (out, "<rect x=%g y=%g width=%.1f height=9 fill=\"%s\" />", LEFT, y + 5,
               x_position (bar->short_burn) - LEFT, plot_colour (0));
--- a/cli/plot.c
+++ b/cli/plot.c
@@ -37,7 +37,7 @@
 }
 
 void
-plot_escaped (MfBuffer *out, const char *text)
+plot_print_escaped (MfBuffer *out, const char *text)
 {
   for (; *text != '\0'; text++)
     {
@@ -83,7 +83,7 @@
 static double
 axis_top (const Plot *plot)
 {
-  double top = plot->least_top > 0 ? plot->least_top : 1e-9;
+  double top = plot->top_min > 0 ? plot->top_min : 1e-9;
 
   for (uint32_t line = 0; line < plot->n_lines; line++)
     {
@@ -182,7 +182,7 @@
   for (uint32_t i = 0; i < plot->n_lines; i++)
     {
       plot_print (out, "<span><i style=\"background:%s\"></i>", plot_colour (i));
-      plot_escaped (out, plot->lines[i].name);
+      plot_print_escaped (out, plot->lines[i].name);
       plot_print (out, "</span>");
     }
   plot_print (out, "</p>");
@@ -194,14 +194,14 @@
   double top;
 
   plot_print (out, "<figure><figcaption><b>");
-  plot_escaped (out, plot->title);
+  plot_print_escaped (out, plot->title);
   plot_print (out, "</b> <small>");
-  plot_escaped (out, plot->unit);
+  plot_print_escaped (out, plot->unit);
   plot_print (out, "</small>");
   if (plot->note != NULL)
     {
       plot_print (out, "<br><small>");
-      plot_escaped (out, plot->note);
+      plot_print_escaped (out, plot->note);
       plot_print (out, "</small>");
     }
   plot_print (out, "</figcaption>");
--- a/cli/plot.h
+++ b/cli/plot.h
@@ -18,7 +18,7 @@
   const char *title;
   const char *unit;
   const char *note; /* below the title; may be NULL */
-  double least_top; /* the vertical axis reaches at least this far */
+  double top_min;   /* the vertical axis reaches at least this far */
   bool stacked;     /* lines are areas, each on top of the one before */
   double ages_s[PLOT_POINTS_MAX];
   uint32_t n_points;
@@ -34,6 +34,6 @@
 /* Adds formatted text. */
 void plot_print (MfBuffer *out, const char *format, ...) __attribute__ ((format (printf, 2, 3)));
 /* Adds text with the characters that HTML gives a meaning replaced. */
-void plot_escaped (MfBuffer *out, const char *text);
+void plot_print_escaped (MfBuffer *out, const char *text);
 
 #endif
--- a/cli/report_html.c
+++ b/cli/report_html.c
@@ -49,14 +49,14 @@
   plot_print (out, "<!doctype html><html lang=en><meta charset=utf-8>"
                    "<meta name=viewport content=\"width=device-width\">"
                    "<title>mangofork report: ");
-  plot_escaped (out, fetch_text (instance, "name"));
+  plot_print_escaped (out, fetch_text (instance, "name"));
   plot_print (out, "</title>\n");
   mf_buffer_add_text (out, style);
   plot_print (out, "<h1>Service levels, as seen by ");
-  plot_escaped (out, fetch_text (instance, "name"));
+  plot_print_escaped (out, fetch_text (instance, "name"));
   fetch_age (age, sizeof age, report, "counting_since_s");
   plot_print (out, "</h1><p>data centre ");
-  plot_escaped (out, fetch_text (instance, "data_centre"));
+  plot_print_escaped (out, fetch_text (instance, "data_centre"));
   plot_print (out, ", revision %llu of the operators' text, counting since %s ago%s</p>\n",
               (unsigned long long)fetch_number (report, "revision"), age,
               fetch_bool (instance, "ready") ? "" : " <b>(not ready)</b>");
@@ -76,7 +76,7 @@
 
       fetch_age (age, sizeof age, peer, "since_s");
       plot_print (out, ", ");
-      plot_escaped (out, fetch_text (peer, "instance"));
+      plot_print_escaped (out, fetch_text (peer, "instance"));
       plot_print (out, " (since %s ago)", age);
     }
   plot_print (out, ". Instances keep nothing: a window holds what they saw of it.</p>\n");
@@ -86,7 +86,7 @@
   for (size_t i = 0; i < n_missing; i++)
     {
       plot_print (out, " ");
-      plot_escaped (out, json_object_get_string (fetch_element (report, "missing", i)));
+      plot_print_escaped (out, json_object_get_string (fetch_element (report, "missing", i)));
     }
   plot_print (out, "</p>\n");
 }
@@ -97,7 +97,7 @@
   json_object *table = fetch_object (objective, "windows");
 
   plot_print (out, "<tr><td class=l>");
-  plot_escaped (out, name);
+  plot_print_escaped (out, name);
   plot_print (out, "<td class=l>%s", fetch_text (objective, "objective"));
   if (fetch_number (objective, "objective_ppm") > 0)
     plot_print (out, "<td>%g%%", fetch_real (objective, "objective_ppm") / 10000);
@@ -198,7 +198,7 @@
       json_object *row = fetch_element (report, "services", i);
 
       plot_print (out, "<tr><td class=l>");
-      plot_escaped (out, fetch_text (row, "service"));
+      plot_print_escaped (out, fetch_text (row, "service"));
       for (size_t k = 0; k < sizeof keys / sizeof keys[0]; k++)
         plot_print (out, "<td>%llu", (unsigned long long)fetch_number (row, keys[k]));
       plot_print (out, "\n");
@@ -347,12 +347,12 @@
 
   plot_init (plot, series, "Wasted prefill", "per cent of tokens prefilled",
              "computed for a KV that no decode took up");
-  plot->least_top = 2;
+  plot->top_min = 2;
   plot_add_share (plot, series, "wasted", NULL, "wasted_tokens", "prefill_tokens");
   plot_write (plot, out);
 
   plot_init (plot, series, "Queue", "requests", "held by this instance at the end of each stretch");
-  plot->least_top = 4;
+  plot->top_min = 4;
   plot_add (plot, series, "in flight", "in_flight", false);
   plot_add (plot, series, "of them queued", "queued", false);
   plot_add (plot, series, "cancels owed", "debts", false);
@@ -360,7 +360,7 @@
 
   plot_init (plot, series, "Engine occupancy", "per cent of slots in use",
              "over the upstreams this instance uses, whoever uses them");
-  plot->least_top = 100;
+  plot->top_min = 100;
   plot_add_share (plot, series, "prefill", "prefill", "used", "slots");
   plot_add_share (plot, series, "decode", "decode", "used", "slots");
   plot_add_share (plot, series, "plain", "plain", "used", "slots");
