--- a/cli/bars.c
+++ b/cli/bars.c
@@ -51,16 +51,17 @@
 {
   double height = ROW * bars->n_bars + FOOT;
 
-  plot_print (out, "<figure class=wide><figcaption><b>Burn</b> <small>over 5 minutes and 1 hour, "
-                   "logarithmic; objectives without requests are left out</small></figcaption>");
+  plot_print (out,
+              "<figure class=wide><figcaption><b>Burn rate</b> <small>over 5 minutes and 1 hour, "
+              "logarithmic; objectives without requests are left out</small></figcaption>");
   if (bars->n_bars == 0)
     {
-      plot_print (out, "<p class=none>no request in the last hour</p></figure>\n");
+      plot_print (out, "<p class=none>no requests in the last hour</p></figure>\n");
       return;
     }
   plot_print (out, "<svg viewBox=\"0 0 %g %g\" role=img>", WIDTH, height);
   write_mark (BURN_MIN, "0.1", "#e3e7ec", height, out);
-  write_mark (1, "1: as planned", "#9aa4b1", height, out);
+  write_mark (1, "1: on budget", "#9aa4b1", height, out);
   write_mark (14.4, "14.4: page", "#a83246", height, out);
   write_mark (100, "100", "#e3e7ec", height, out);
   write_mark (BURN_MAX, "1000", "#e3e7ec", height, out);
--- a/cli/bars.h
+++ b/cli/bars.h
@@ -5,7 +5,7 @@
 
 #define BARS_MAX 48
 
-/* Burn of one objective over a short and a long window. */
+/* Burn rate of one objective over a short and a long window. */
 typedef struct
 {
   char label[64];
@@ -19,7 +19,8 @@
   uint32_t n_bars;
 } Bars;
 
-/* Adds a figure of burns on a logarithmic scale, with the rates at which alerts fire. */
+/* Appends an SVG bar chart of burn rates on a logarithmic scale. Lines mark the rates at which
+ * alerts fire. */
 void bars_write (const Bars *bars, MfBuffer *out);
 
 #endif
--- a/cli/check.c
+++ b/cli/check.c
@@ -8,10 +8,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Which of the two texts a file holds. */
+/* Kind of configuration that a file contains. */
 typedef enum
 {
-  KIND_AUTO, /* whichever its keys say */
+  KIND_AUTO, /* detected by its keys */
   KIND_TEXT,
   KIND_SETTINGS,
 } Kind;
@@ -24,8 +24,8 @@
 } CheckArguments;
 
 static const struct argp_option options[] = {
-  { .name = "text", .key = 't', .doc = "FILE is the operators' text" },
-  { .name = "settings", .key = 's', .doc = "FILE holds the settings of one process" },
+  { .name = "text", .key = 't', .doc = "FILE contains the operators' text" },
+  { .name = "settings", .key = 's', .doc = "FILE contains the settings of one process" },
   { .name = "quiet", .key = 'q', .doc = "Print faults only" },
   { 0 },
 };
@@ -63,12 +63,13 @@
   .options = options,
   .parser = parse_option,
   .args_doc = "FILE",
-  .doc = "Checks the operators' text or the settings of one process, whichever FILE holds; \"-\" "
-         "reads standard input. Prints what the text puts in force, or each fault as "
-         "FILE:LINE:COLUMN: CODE NAME: TEXT, and then exits with 1.",
+  .doc
+  = "Checks the operators' text or the settings of one process; its keys tell which of them FILE "
+    "contains. \"-\" reads standard input. Prints a summary, or prints each fault as "
+    "FILE:LINE:COLUMN: CODE NAME: TEXT and exits with code 1.",
 };
 
-/* Tells the two texts apart by a key that only one of them has. */
+/* Detects the kind by top-level keys that only one of the two has. */
 static Kind
 detect_kind (const char *text, size_t text_bytes)
 {
@@ -103,12 +104,12 @@
       n_upstreams++;
       n_slots += config->upstreams[i].slots;
     }
-  printf ("  %s(%u up, %llu slots)", config->pools[pool].name, n_upstreams,
+  printf ("  %s(%u upstreams, %llu slots)", config->pools[pool].name, n_upstreams,
           (unsigned long long)n_slots);
 }
 
-/* Prints a service and, indented below it, what it depends on; that is left out where it was
- * printed before. */
+/* Prints a service and, indented below it, its dependencies. Dependencies are printed only at the
+ * first occurrence of a service. */
 static void
 print_service (const MfConfig *config, uint32_t service, uint32_t depth, bool *printed)
 {
@@ -120,7 +121,7 @@
   print_pool (config, row->prefill_pool);
   print_pool (config, row->decode_pool);
   print_pool (config, row->plain_pool);
-  printf ("%s\n", printed[service] && row->n_depends > 0 ? "  (needs as above)" : "");
+  printf ("%s\n", printed[service] && row->n_depends > 0 ? "  (dependencies as above)" : "");
   if (printed[service])
     return;
   printed[service] = true;
@@ -147,11 +148,12 @@
 {
   bool printed[MF_SERVICES_MAX] = { false };
 
-  printf ("%u services, %u pools, %u upstreams, %u customers%s, %u voters, %u for each key\n\n",
+  printf ("%u services, %u pools, %u upstreams, %u customers%s, %u voters, %u per key\n\n",
           config->n_services, config->n_pools, config->n_upstreams, config->n_customers,
           config->allow_anonymous ? " and anonymous callers" : "", config->n_voters,
           config->voters_per_key);
-  printf ("%-24s %-6s %-8s  %s\n", "SERVICE", "KIND", "CLASS", "POOLS; below it, what it needs");
+  printf ("%-24s %-6s %-8s  %s\n", "SERVICE", "KIND", "CLASS",
+          "POOLS (dependencies indented below)");
   for (uint32_t i = 0; i < config->n_services; i++)
     {
       if (!is_depended_on (config, i))
--- a/cli/digest.c
+++ b/cli/digest.c
@@ -14,15 +14,15 @@
   (void)arg;
   if (key != ARGP_KEY_ARG)
     return ARGP_ERR_UNKNOWN;
-  argp_error (state, "digest reads the key from standard input, so that no list of processes "
-                     "shows it");
+  argp_error (state, "digest reads the key from standard input, so that it does not appear in "
+                     "process listings");
   return 0;
 }
 
 static const struct argp parser = {
   .parser = parse_option,
-  .doc = "Reads an API key from standard input and prints the key_digest that the operators' text "
-         "holds for it. One line end after the key is no part of it.",
+  .doc = "Reads an API key from standard input and prints its key_digest for the operators' "
+         "text. One line ending after the key is ignored.",
 };
 
 int
--- a/cli/explain.c
+++ b/cli/explain.c
@@ -8,8 +8,8 @@
 static const PageCommand command = {
   .name = "explain",
   .args_doc = "URL REQUEST-ID",
-  .doc = "Tells the life of a request as the instance whose admin port is at URL remembers it. "
-         "REQUEST-ID is the X-Request-Id of the request and of its answer.",
+  .doc = "Shows the steps of a request as recorded by the instance whose admin port is at URL. "
+         "REQUEST-ID is the X-Request-Id header of the request and of its answer.",
   .takes_request = true,
 };
 
@@ -19,10 +19,10 @@
   char age[24];
 
   fetch_age (age, sizeof age, request, "age_s");
-  printf ("\nrequest %llu, begun %s ago", (unsigned long long)fetch_number (request, "request_id"),
-          age);
+  printf ("\nrequest %llu, started %s ago",
+          (unsigned long long)fetch_number (request, "request_id"), age);
   if (fetch_object (request, "code") != NULL && fetch_number (request, "code") == 0)
-    printf (", answered whole");
+    printf (", answered in full");
   else if (strcmp (fetch_text (request, "state"), "ended") == 0)
     printf (", ended by the %s while %s: %llu %s, %s", fetch_text (request, "ended_by"),
             fetch_text (request, "phase"), (unsigned long long)fetch_number (request, "code"),
--- a/cli/fetch.c
+++ b/cli/fetch.c
@@ -22,7 +22,7 @@
   return answer->failed ? 0 : n_bytes;
 }
 
-/* Joins the address an operator gave, with or without "http://", and a path. */
+/* Joins the address from the command line, with or without a scheme, and a path. */
 static void
 join_url (char dst[URL_BYTES], const char *url, const char *path)
 {
@@ -34,7 +34,8 @@
   snprintf (dst, URL_BYTES, "%s%.*s%s", scheme, (int)len, url, path);
 }
 
-/* Gets a page; returns its status, 0 with a message printed when none came. */
+/* Fetches a page. Returns its HTTP status, or 0 after printing a message when the transfer failed.
+ */
 static long
 get (const char *url, MfBuffer *answer)
 {
@@ -77,8 +78,8 @@
   if (status == 200 && page != NULL)
     return page;
   if (status != 0)
-    fprintf (stderr, "mangofork: %s: %ld%s%s\n", full_url, status, page != NULL ? ": " : "",
-             fetch_text (page, "error"));
+    fprintf (stderr, "mangofork: %s: HTTP status %ld%s%s\n", full_url, status,
+             page != NULL ? ": " : "", fetch_text (page, "error"));
   json_object_put (page);
   return NULL;
 }
--- a/cli/file.c
+++ b/cli/file.c
@@ -8,7 +8,8 @@
 #define FILE_BYTES_MAX ((size_t)16 * 1024 * 1024)
 #define READ_BYTES 65536
 
-/* Reads to the end of an open file. */
+/* Reads a file to its end. Returns NULL on a read error, when out of memory, or when the file is
+ * larger than FILE_BYTES_MAX. */
 static char *
 file_read (FILE *file, size_t *text_bytes)
 {
--- a/cli/main.c
+++ b/cli/main.c
@@ -18,7 +18,7 @@
   { "relay", command_relay },
 };
 
-/* The command and what follows it. */
+/* The selected command and its arguments. */
 typedef struct
 {
   const Command *command;
@@ -49,7 +49,7 @@
     case ARGP_KEY_ARG:
       arguments->command = command_find (arg);
       if (arguments->command == NULL)
-        argp_error (state, "no command \"%s\"", arg);
+        argp_error (state, "unknown command \"%s\"", arg);
       arguments->argc = state->argc - state->next + 1;
       arguments->argv = state->argv + state->next - 1;
       state->next = state->argc;
@@ -67,15 +67,15 @@
   .args_doc = "COMMAND [ARGUMENT...]",
   .doc = "Routes callers' requests to prefill, decode and plain upstreams.\v"
          "Commands:\n"
-         "  serve -c FILE    serve callers with these settings\n"
+         "  serve -c FILE    serve callers with the settings in FILE\n"
          "  relay            serve the routes of the platform's configuration\n"
          "  check FILE       check the operators' text or the settings\n"
-         "  status URL       show the picture in force at an instance\n"
-         "  report URL       report service-level burn\n"
-         "  explain URL ID   tell the life of one request\n"
+         "  status URL       show the state of an instance\n"
+         "  report URL       report service-level burn rates\n"
+         "  explain URL ID   show the steps of one request\n"
          "  digest           print the digest of the API key on standard input\n"
          "\n"
-         "Each command takes --help. Exit codes: 0 done, 1 faulty, 2 wrong command line.",
+         "Each command takes --help. Exit codes: 0 success, 1 failure, 2 invalid command line.",
 };
 
 int
--- a/cli/page.c
+++ b/cli/page.c
@@ -4,7 +4,10 @@
 
 static const struct argp_option html_options[] = {
   { .name = "json", .key = 'j', .doc = "Print the page as JSON" },
-  { .name = "html", .key = 'h', .arg = "FILE", .doc = "Write a page with plots to FILE" },
+  { .name = "html",
+    .key = 'h',
+    .arg = "FILE",
+    .doc = "Write an HTML page with plots to FILE; \"-\" is standard output" },
   { 0 },
 };
 
--- a/cli/page.h
+++ b/cli/page.h
@@ -5,16 +5,16 @@
 
 #include <stdbool.h>
 
-/* The arguments of the commands that show a page of an instance. */
+/* Arguments of the commands that show a page of an instance. */
 typedef struct
 {
   const char *url;
   const char *request; /* explain only */
-  const char *html;    /* report only: where to write the page */
+  const char *html;    /* report only: file for the HTML page */
   bool json;
 } PageArguments;
 
-/* Which of them a command takes beside the URL. */
+/* A command that shows a page, and the arguments it takes besides the URL. */
 typedef struct
 {
   const char *name;
@@ -24,7 +24,7 @@
   bool takes_html;
 } PageCommand;
 
-/* Reads the command line; ends the process when it is wrong. */
+/* Parses the command line; exits with EXIT_USAGE if it is invalid. */
 void page_parse (const PageCommand *command, int argc, char **argv, PageArguments *arguments);
 
 #endif
--- a/cli/plot.c
+++ b/cli/plot.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* The figure, in units of its view box. */
+/* Layout of the figure, in units of the SVG view box. */
 #define WIDTH 560.0
 #define HEIGHT 200.0
 #define LEFT 52.0
@@ -54,7 +54,7 @@
     }
 }
 
-/* The least of 1, 2, 5, 10, 20, ... times a power of ten that covers a value. */
+/* Rounds a value up to 1, 2, 4 or 8 times a power of ten. */
 static double
 round_up (double value)
 {
@@ -69,7 +69,7 @@
   return value <= 8 * power ? 8 * power : 10 * power;
 }
 
-/* The height of a line at a point, with those below it when they are stacked. */
+/* Value of a line at a point; in a stacked plot, the sum with the lines below it. */
 static double
 height_at (const Plot *plot, uint32_t line, uint32_t point)
 {
@@ -166,7 +166,7 @@
                     y_position (line > 0 ? height_at (plot, line - 1, i) : 0, top));
     }
   else
-    /* Later lines are thinner, so that one that covers an earlier one does not hide it. */
+    /* Later lines are thinner, so that an earlier line with the same values stays visible. */
     plot_print (out, "<polyline fill=none stroke=\"%s\" stroke-width=%g points=\"", colour,
                 plot->n_lines == 1 ? 2.0 : 1.5 + 1.5 * (plot->n_lines - 1 - line));
   for (uint32_t i = 0; i < plot->n_points; i++)
@@ -208,7 +208,7 @@
   if (plot->n_points < 2 || plot->n_lines == 0)
     {
       plot_print (out, "<p class=none>%s</p></figure>",
-                  plot->n_lines == 0 ? "nothing to show: none" : "too few points yet");
+                  plot->n_lines == 0 ? "no data" : "too few data points");
       return;
     }
   top = axis_top (plot);
--- a/cli/relay.c
+++ b/cli/relay.c
@@ -6,7 +6,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Names the settings file where the deployment sets it. */
+/* Environment variable with the path of the settings file, unless -s names it. */
 #define SETTINGS_VARIABLE "MANGOFORK_SETTINGS"
 
 typedef struct
@@ -16,8 +16,11 @@
 } RelayArguments;
 
 static const struct argp_option options[] = {
-  { .name = "settings", .key = 's', .arg = "FILE", .doc = "Settings; else $" SETTINGS_VARIABLE },
-  { .name = "check", .key = 'n', .doc = "Only check the settings" },
+  { .name = "settings",
+    .key = 's',
+    .arg = "FILE",
+    .doc = "Settings file; default: $" SETTINGS_VARIABLE },
+  { .name = "check", .key = 'n', .doc = "Check the settings and exit" },
   { 0 },
 };
 
@@ -46,8 +49,8 @@
 static const struct argp parser = {
   .options = options,
   .parser = parse_option,
-  .doc = "Serves the routes of the platform's configuration until SIGTERM or SIGINT. SIGHUP reads "
-         "the settings again.",
+  .doc = "Serves the routes of the platform's configuration until SIGTERM or SIGINT. SIGHUP "
+         "reloads the settings.",
 };
 
 int
--- a/cli/report.c
+++ b/cli/report.c
@@ -12,8 +12,10 @@
 static const PageCommand command = {
   .name = "report",
   .args_doc = "URL",
-  .doc = "Reports service-level burn as the instance whose admin port is at URL and its peers "
-         "counted it. A burn of 1 spends the error budget exactly over the objective's period.",
+  .doc
+  = "Reports service-level burn rates as counted by the instance whose admin port is at URL and "
+    "by its peers. A burn rate of 1 uses up the error budget exactly over the objective's "
+    "period.",
   .takes_html = true,
 };
 
@@ -37,7 +39,7 @@
   printf ("%s\n", fetch_length (report, "merged") == 0 ? " no other instance" : "");
   if (fetch_length (report, "missing") == 0)
     return;
-  printf ("MISSING from the sums:");
+  printf ("MISSING (counts not included):");
   for (size_t i = 0; i < fetch_length (report, "missing"); i++)
     printf (" %s", json_object_get_string (fetch_element (report, "missing", i)));
   printf ("\n");
@@ -74,7 +76,7 @@
 static void
 print_burn (json_object *report, const char *list, const char *name_key, const char *title)
 {
-  printf ("\n%-20s %-12s %8s %8s %7s %7s %7s %7s %7s %7s  %s\n", title, "OBJECTIVE", "AIM",
+  printf ("\n%-20s %-12s %8s %8s %7s %7s %7s %7s %7s %7s  %s\n", title, "OBJECTIVE", "GOAL",
           "TARGET", "5m", "1h", "30m", "6h", "2h", "1d", "ALERT");
   for (size_t i = 0; i < fetch_length (report, list); i++)
     {
@@ -88,8 +90,8 @@
 static void
 print_counts (json_object *report)
 {
-  printf ("\nThis instance alone, since it began counting:\n%-20s %9s %9s %9s %9s %9s\n", "SERVICE",
-          "ANSWERED", "GOOD", "REFUSED", "FAILED", "DEPARTED");
+  printf ("\nThis instance alone, since it started counting:\n%-20s %9s %9s %9s %9s %9s\n",
+          "SERVICE", "ANSWERED", "GOOD", "REFUSED", "FAILED", "DEPARTED");
   for (size_t i = 0; i < fetch_length (report, "services"); i++)
     {
       json_object *row = fetch_element (report, "services", i);
@@ -134,13 +136,14 @@
   double prefill = fetch_real (counters, "mangofork_prefill_tokens_total");
   double wasted = fetch_real (counters, "mangofork_wasted_prefill_tokens_total");
 
-  printf ("\nprefilled %.0f tokens, wasted %.0f (%.2f%%); handed out %llu tokens; retries %llu, "
-          "hedges %llu, resumes %llu\n",
-          prefill, wasted, prefill > 0 ? 100 * wasted / prefill : 0,
-          (unsigned long long)fetch_number (counters, "mangofork_tokens_total"),
-          (unsigned long long)fetch_number (counters, "mangofork_retries_total"),
-          (unsigned long long)fetch_number (counters, "mangofork_hedges_total"),
-          (unsigned long long)fetch_number (counters, "mangofork_resumes_total"));
+  printf (
+      "\nprefilled %.0f tokens, wasted %.0f (%.2f%%); sent %llu tokens to callers; retries %llu, "
+      "hedges %llu, resumes %llu\n",
+      prefill, wasted, prefill > 0 ? 100 * wasted / prefill : 0,
+      (unsigned long long)fetch_number (counters, "mangofork_tokens_total"),
+      (unsigned long long)fetch_number (counters, "mangofork_retries_total"),
+      (unsigned long long)fetch_number (counters, "mangofork_hedges_total"),
+      (unsigned long long)fetch_number (counters, "mangofork_resumes_total"));
 }
 
 static void
@@ -156,7 +159,7 @@
   print_waste (report);
 }
 
-/* Writes the page with plots; "-" is standard output. */
+/* Writes the report as an HTML page to a file; "-" is standard output. */
 static bool
 write_html (json_object *report, const char *path)
 {
--- a/cli/report_html.c
+++ b/cli/report_html.c
@@ -13,7 +13,8 @@
 static const char *const windows[] = { "5m", "1h", "30m", "6h", "2h", "1d" };
 #define N_WINDOWS (sizeof windows / sizeof windows[0])
 
-/* Burn at which the alert of each window's pair fires. */
+/* Burn rate at which an alert fires, for each window. An alert needs both windows of a pair: 5m and
+ * 1h, 30m and 6h, 2h and 1d. */
 static const double alert_rates[N_WINDOWS] = { 14.4, 14.4, 6, 6, 3, 3 };
 
 static const char style[]
@@ -62,7 +63,7 @@
               fetch_bool (instance, "ready") ? "" : " <b>(not ready)</b>");
 }
 
-/* Says whose counts are in the burn rates and whose are not. */
+/* Lists the instances whose counts the burn rates include, and those that are missing. */
 static void
 write_coverage (json_object *report, MfBuffer *out)
 {
@@ -79,7 +80,8 @@
       plot_print_escaped (out, fetch_text (peer, "instance"));
       plot_print (out, " (since %s ago)", age);
     }
-  plot_print (out, ". Instances keep nothing: a window holds what they saw of it.</p>\n");
+  plot_print (out, ". Counts are kept in memory only: a window covers no time before an instance "
+                   "started counting.</p>\n");
   if (n_missing == 0)
     return;
   plot_print (out, "<p class=warn>Missing from the burn rates:");
@@ -138,12 +140,13 @@
 {
   if (fetch_length (report, list) == 0)
     return;
-  plot_print (out,
-              "<h2>%s</h2><p><small>Speed at which the error budget is spent: 1 spends it exactly "
-              "over the objective's period. An alert fires while both windows of its pair burn at "
-              "14.4, 6 or 3 and more.</small></p>"
-              "<table><tr><th class=l>%s<th class=l>objective<th>aim<th>target",
-              title, name_key);
+  plot_print (
+      out,
+      "<h2>%s</h2><p><small>Rate at which the error budget is used up: 1 uses it up exactly "
+      "over the objective's period. An alert fires while the burn rate of both of its windows "
+      "is at least 14.4, 6 or 3.</small></p>"
+      "<table><tr><th class=l>%s<th class=l>objective<th>goal<th>target",
+      title, name_key);
   for (size_t i = 0; i < N_WINDOWS; i++)
     plot_print (out, "<th>%s", windows[i]);
   plot_print (out, "<th class=l>alert\n");
@@ -158,7 +161,7 @@
   plot_print (out, "</table>\n");
 }
 
-/* Draws the burn of every service's objectives that had requests in the last hour. */
+/* Draws the burn rates of the services' objectives that had requests in the last hour. */
 static void
 write_bars (json_object *report, MfBuffer *out)
 {
@@ -210,8 +213,9 @@
 write_ends (json_object *report, MfBuffer *out)
 {
   if (fetch_length (report, "ends") > 0)
-    plot_print (out, "<h2>Ends other than an answer</h2><table><tr><th class=l>code<th class=l>"
-                     "name<th class=l>meaning<th>requests\n");
+    plot_print (out,
+                "<h2>Unanswered requests by result code</h2><table><tr><th class=l>code<th class=l>"
+                "name<th class=l>meaning<th>requests\n");
   for (size_t i = 0; i < fetch_length (report, "ends"); i++)
     {
       json_object *row = fetch_element (report, "ends", i);
@@ -220,11 +224,12 @@
                   (unsigned long long)fetch_number (row, "code"), fetch_text (row, "name"),
                   fetch_text (row, "summary"), (unsigned long long)fetch_number (row, "count"));
     }
-  plot_print (out,
-              "%s<h2>Who ended requests without an answer, and in which phase</h2><table><tr><th "
-              "class=l>ended by"
-              "<th class=l>phase<th>requests\n",
-              fetch_length (report, "ends") > 0 ? "</table>\n" : "");
+  plot_print (
+      out,
+      "%s<h2>Unanswered requests by the party that ended them and by phase</h2><table><tr><th "
+      "class=l>ended by"
+      "<th class=l>phase<th>requests\n",
+      fetch_length (report, "ends") > 0 ? "</table>\n" : "");
   for (size_t i = 0; i < fetch_length (report, "ended_by"); i++)
     {
       json_object *row = fetch_element (report, "ended_by", i);
@@ -235,7 +240,7 @@
   plot_print (out, "</table>\n");
 }
 
-/* The points that plots are drawn from: the fine ones while they reach back to the start. */
+/* Key of the series to plot: the fine one as long as it reaches back as far as the coarse one. */
 static const char *
 series_key (json_object *series)
 {
@@ -248,7 +253,7 @@
   return "coarse";
 }
 
-/* Begins a plot over all points of the series. */
+/* Initialises a plot without lines over the points of the series. */
 static void
 plot_init (Plot *plot, json_object *series, const char *title, const char *unit, const char *note)
 {
@@ -270,7 +275,7 @@
   return fetch_element (series, series_key (series), i);
 }
 
-/* Adds a line of what happened a second, or of how things stood. */
+/* Adds a line for a counted value, as a rate per second, or for a level, as it is. */
 static void
 plot_add (Plot *plot, json_object *series, const char *name, const char *key, bool per_second)
 {
@@ -286,7 +291,8 @@
     }
 }
 
-/* Adds a line of one number as a share of another, in per cent. */
+/* Adds a line for one value in per cent of another. Both are in the object of the role, or in the
+ * point itself if role is NULL. */
 static void
 plot_add_share (Plot *plot, json_object *series, const char *name, const char *role,
                 const char *part_key, const char *total_key)
@@ -306,7 +312,7 @@
     }
 }
 
-/* Adds a line for each of the codes that ended most requests. */
+/* Adds a line for each of the result codes that ended most requests. */
 static void
 plot_add_ends (Plot *plot, json_object *series, json_object *report)
 {
@@ -332,42 +338,42 @@
   json_object *series = fetch_object (report, "series");
 
   plot_print (out, "<h2>This instance over time</h2><div class=plots>\n");
-  plot_init (plot, series, "Goodput", "requests a second",
-             "good: whole, first token and 95 in 100 gaps within target");
+  plot_init (plot, series, "Goodput", "requests/s",
+             "good: complete, with the first token and 95 % of the token gaps within target");
   plot_add (plot, series, "offered", "requests", true);
   plot_add (plot, series, "answered", "answered", true);
   plot_add (plot, series, "good", "good", true);
   plot_write (plot, out);
 
-  plot_init (plot, series, "Ends other than an answer", "requests a second, stacked",
-             "by result code; docs/ERRORS.md says what to do on each");
+  plot_init (plot, series, "Unanswered requests", "requests/s, stacked",
+             "by result code; see docs/ERRORS.md");
   plot->stacked = true;
   plot_add_ends (plot, series, report);
   plot_write (plot, out);
 
-  plot_init (plot, series, "Wasted prefill", "per cent of tokens prefilled",
-             "computed for a KV that no decode took up");
+  plot_init (plot, series, "Wasted prefill", "% of prefilled tokens",
+             "tokens whose KV no decode used");
   plot->top_min = 2;
   plot_add_share (plot, series, "wasted", NULL, "wasted_tokens", "prefill_tokens");
   plot_write (plot, out);
 
-  plot_init (plot, series, "Queue", "requests", "held by this instance at the end of each stretch");
+  plot_init (plot, series, "Queue", "requests", "at this instance at the end of each interval");
   plot->top_min = 4;
   plot_add (plot, series, "in flight", "in_flight", false);
-  plot_add (plot, series, "of them queued", "queued", false);
-  plot_add (plot, series, "cancels owed", "debts", false);
+  plot_add (plot, series, "of these, queued", "queued", false);
+  plot_add (plot, series, "unconfirmed cancels", "debts", false);
   plot_write (plot, out);
 
-  plot_init (plot, series, "Engine occupancy", "per cent of slots in use",
-             "over the upstreams this instance uses, whoever uses them");
+  plot_init (plot, series, "Engine occupancy", "% of slots in use",
+             "of the upstreams that this instance uses, including slots used by other instances");
   plot->top_min = 100;
   plot_add_share (plot, series, "prefill", "prefill", "used", "slots");
   plot_add_share (plot, series, "decode", "decode", "used", "slots");
   plot_add_share (plot, series, "plain", "plain", "used", "slots");
   plot_write (plot, out);
 
-  plot_init (plot, series, "Tokens", "a second", NULL);
-  plot_add (plot, series, "handed to callers", "tokens", true);
+  plot_init (plot, series, "Tokens", "tokens/s", NULL);
+  plot_add (plot, series, "sent to callers", "tokens", true);
   plot_add (plot, series, "prefilled", "prefill_tokens", true);
   plot_write (plot, out);
   plot_print (out, "</div>\n");
@@ -380,13 +386,13 @@
 
   write_head (report, out);
   write_coverage (report, out);
-  write_burn (report, "services", "service", "Burn by service", out);
+  write_burn (report, "services", "service", "Burn rate by service", out);
   write_bars (report, out);
   if (plot != NULL)
     write_plots (report, plot, out);
   write_counts (report, out);
   write_ends (report, out);
-  write_burn (report, "customers", "customer", "Burn by customer, the fastest first", out);
+  write_burn (report, "customers", "customer", "Burn rate by customer, highest first", out);
   plot_print (out, "</html>\n");
   free (plot);
 }
--- a/cli/report_html.h
+++ b/cli/report_html.h
@@ -5,7 +5,7 @@
 
 #include <json-c/json.h>
 
-/* Writes the report as one page that needs nothing else: tables and plots. */
+/* Appends the report as a self-contained HTML page with tables and plots. */
 void report_html (json_object *report, MfBuffer *out);
 
 #endif
--- a/cli/serve.c
+++ b/cli/serve.c
@@ -13,7 +13,7 @@
 } ServeArguments;
 
 static const struct argp_option options[] = {
-  { .name = "config", .key = 'c', .arg = "FILE", .doc = "Settings of this process" },
+  { .name = "config", .key = 'c', .arg = "FILE", .doc = "Settings file of this process" },
   { 0 },
 };
 
@@ -39,7 +39,7 @@
 static const struct argp parser = {
   .options = options,
   .parser = parse_option,
-  .doc = "Serves callers until SIGTERM or SIGINT. SIGHUP reads the key files again.",
+  .doc = "Serves callers until SIGTERM or SIGINT. SIGHUP reloads the key files.",
 };
 
 int
--- a/cli/status.c
+++ b/cli/status.c
@@ -6,14 +6,14 @@
 #include <string.h>
 
 #define AGE_BYTES 24
-/* Rows of a list that one screen takes; faulty ones are shown whatever their number. */
+/* Healthy rows shown of a list, to fit on one screen; unhealthy rows are always shown. */
 #define HEALTHY_ROWS_MAX 30
 
 static const PageCommand command = {
   .name = "status",
   .args_doc = "URL",
-  .doc = "Shows the picture in force at the instance whose admin port is at URL: text, services, "
-         "upstreams, other instances, debts and suspects.",
+  .doc = "Shows the state of the instance whose admin port is at URL: operators' text, services, "
+         "upstreams, other instances, unconfirmed cancels and suspect requests.",
 };
 
 static void
@@ -27,9 +27,10 @@
   fetch_age (age, sizeof age, config, "age_s");
   fetch_age (last_report, sizeof last_report, config, "platform_heard_s");
   if (fetch_number (config, "revision") == 0)
-    printf ("no operators' text is in force yet; platform heard: %s\n", last_report);
+    printf ("no operators' text is in force yet; age of the last platform answer: %s\n",
+            last_report);
   else
-    printf ("revision %llu in force for %s, from the %s; platform heard: %s\n",
+    printf ("revision %llu in force for %s, from the %s; age of the last platform answer: %s\n",
             (unsigned long long)fetch_number (config, "revision"), age,
             fetch_text (config, "source"), last_report);
   if (refused != NULL)
@@ -42,14 +43,14 @@
               (unsigned long long)fetch_number (refused, "code"), fetch_text (refused, "name"),
               fetch_text (refused, "text"));
     }
-  printf ("in flight %llu, queued %llu, debts %llu, suspected requests %llu\n",
+  printf ("in flight %llu, queued %llu, unconfirmed cancels %llu, suspect requests %llu\n",
           (unsigned long long)fetch_number (status, "in_flight"),
           (unsigned long long)fetch_number (status, "queued"),
           (unsigned long long)fetch_number (status, "debts"),
           (unsigned long long)fetch_number (status, "suspected_requests"));
 }
 
-/* Writes the names in a list, separated by commas. */
+/* Writes the strings of an array, separated by commas. */
 static void
 join (char *dst, size_t dst_bytes, json_object *object, const char *key)
 {
@@ -64,8 +65,8 @@
 static void
 print_services (json_object *status)
 {
-  printf ("\n%-20s %-8s %-5s %7s %7s  %-22s %s\n", "SERVICE", "CLASS", "STATE", "FLYING", "QUEUED",
-          "USABLE UPSTREAMS", "NEEDS");
+  printf ("\n%-20s %-8s %-5s %9s %7s  %-22s %s\n", "SERVICE", "CLASS", "STATE", "IN FLIGHT",
+          "QUEUED", "USABLE UPSTREAMS", "DEPENDS ON");
   for (size_t i = 0; i < fetch_length (status, "services"); i++)
     {
       json_object *row = fetch_element (status, "services", i);
@@ -85,7 +86,7 @@
         }
       join (needs, sizeof needs, row, "needs");
       join (down, sizeof down, row, "needs_down");
-      printf ("%-20.20s %-8s %-5s %7llu %7llu  %-22s %s", fetch_text (row, "service"),
+      printf ("%-20.20s %-8s %-5s %9llu %7llu  %-22s %s", fetch_text (row, "service"),
               fetch_text (row, "class"), fetch_text (row, "state"),
               (unsigned long long)fetch_number (row, "in_flight"),
               (unsigned long long)fetch_number (row, "queued"), pools, needs);
@@ -113,7 +114,7 @@
     printf (" %llu %s for %s", (unsigned long long)fetch_number (row, "code"),
             fetch_text (row, "name"), since);
   if (fetch_number (row, "suspects") > 0)
-    printf (" runs %llu suspects", (unsigned long long)fetch_number (row, "suspects"));
+    printf (" runs %llu suspect requests", (unsigned long long)fetch_number (row, "suspects"));
   if (fetch_bool (row, "loading"))
     printf (" loading");
   printf ("\n");
@@ -125,7 +126,7 @@
   size_t n_healthy = 0;
 
   printf ("\n%-20s %-8s %-8s %-8s %11s %5s  %-8s %s\n", "UPSTREAM", "ROLE", "CENTRE", "HEALTH",
-          "SLOTS USED", "OWN", "REPORT", "WHY");
+          "SLOTS USED", "OWN", "REPORT", "REASON");
   for (size_t i = 0; i < fetch_length (status, "upstreams"); i++)
     {
       json_object *row = fetch_element (status, "upstreams", i);
@@ -137,7 +138,7 @@
   if (n_healthy > HEALTHY_ROWS_MAX)
     printf ("and %zu more that are ok\n", n_healthy - HEALTHY_ROWS_MAX);
   if (fetch_number (status, "upstreams_total") > fetch_length (status, "upstreams"))
-    printf ("and %llu more of the text, that this instance does not use\n",
+    printf ("and %llu more in the operators' text that this instance does not use\n",
             (unsigned long long)fetch_number (status, "upstreams_total")
                 - (unsigned long long)fetch_length (status, "upstreams"));
 }
@@ -148,7 +149,7 @@
   size_t n_alive = 0;
 
   printf ("\n%-20s %-8s %-8s %-6s %-6s %-6s %-8s %s\n", "INSTANCE", "CENTRE", "STATE", "LINKED",
-          "LISTED", "VOTES", "HEARD", "INCARNATION");
+          "LISTED", "VOTES", "SEEN", "INCARNATION");
   for (size_t i = 0; i < fetch_length (status, "instances"); i++)
     {
       json_object *row = fetch_element (status, "instances", i);
