--- a/cli/fetch.h
+++ b/cli/fetch.h
@@ -13,7 +13,7 @@
  * escaped. */
 json_object *fetch_json (const char *url, const char *path);
 /* Escapes one segment of a URL path. The caller frees the result; NULL when out of memory. */
-char *fetch_escape (const char *part);
+char *fetch_escape (const char *segment);
 
 /* Value of a key; 0, "" or NULL when the key is absent or null. */
 uint64_t fetch_number (json_object *object, const char *key);
--- a/cli/status.c
+++ b/cli/status.c
@@ -22,17 +22,17 @@
   json_object *config = fetch_object (status, "config");
   json_object *refused = fetch_object (config, "refused");
   char age[AGE_BYTES];
-  char last_report[AGE_BYTES];
+  char platform_age[AGE_BYTES];
 
   fetch_age (age, sizeof age, config, "age_s");
-  fetch_age (last_report, sizeof last_report, config, "platform_heard_s");
+  fetch_age (platform_age, sizeof platform_age, config, "platform_heard_s");
   if (fetch_number (config, "revision") == 0)
     printf ("no operators' text is in force yet; age of the last platform answer: %s\n",
-            last_report);
+            platform_age);
   else
     printf ("revision %llu in force for %s, from the %s; age of the last platform answer: %s\n",
             (unsigned long long)fetch_number (config, "revision"), age,
-            fetch_text (config, "source"), last_report);
+            fetch_text (config, "source"), platform_age);
   if (refused != NULL)
     {
       fetch_age (age, sizeof age, refused, "age_s");
@@ -153,16 +153,15 @@
   for (size_t i = 0; i < fetch_length (status, "instances"); i++)
     {
       json_object *row = fetch_element (status, "instances", i);
-      char last_report[AGE_BYTES];
+      char last_seen[AGE_BYTES];
 
       if (strcmp (fetch_text (row, "state"), "alive") == 0 && n_alive++ >= HEALTHY_ROWS_MAX)
         continue;
-      fetch_age (last_report, sizeof last_report, row, "heard_s");
+      fetch_age (last_seen, sizeof last_seen, row, "heard_s");
       printf ("%-20.20s %-8.8s %-8s %-6s %-6s %-6s %-8s %s\n", fetch_text (row, "instance"),
               fetch_text (row, "data_centre"), fetch_text (row, "state"),
               fetch_bool (row, "linked") ? "yes" : "no", fetch_bool (row, "listed") ? "yes" : "no",
-              fetch_bool (row, "votes") ? "yes" : "no", last_report,
-              fetch_text (row, "incarnation"));
+              fetch_bool (row, "votes") ? "yes" : "no", last_seen, fetch_text (row, "incarnation"));
     }
   if (n_alive > HEALTHY_ROWS_MAX)
     printf ("and %zu more that are alive\n", n_alive - HEALTHY_ROWS_MAX);
