--- a/bench/relay_client.c
+++ b/bench/relay_client.c
@@ -19,12 +19,12 @@
 struct RelayClient
 {
   struct ev_loop *loop;
-  RelayHooks hooks;
+  RelayClientCallbacks callbacks;
   void *data;
   ev_io read;
   bool stream;
   bool busy;
-  bool first_seen;
+  bool first_token_seen;
   uint64_t n_tokens;
   char tail[64];
   size_t tail_bytes;
@@ -41,7 +41,7 @@
 
 /* Counts the marks in new bytes; at most one mark can straddle the kept tail. */
 static uint64_t
-marks_count (const char *data, size_t data_bytes)
+count_token_marks (const char *data, size_t data_bytes)
 {
   uint64_t n = 0;
   const char *end = data + data_bytes;
@@ -81,23 +81,23 @@
   if (n <= 0)
     {
       ev_io_stop (client->loop, &client->read);
-      client->hooks.on_broken (client, client->data);
+      client->callbacks.on_failure (client, client->data);
       return;
     }
   total = client->tail_bytes + (size_t)n;
-  before = marks_count (data, client->tail_bytes);
-  client->n_tokens += marks_count (data, total) - before;
-  if (!client->first_seen && client->busy && marks_count (data, total) > 0)
+  before = count_token_marks (data, client->tail_bytes);
+  client->n_tokens += count_token_marks (data, total) - before;
+  if (!client->first_token_seen && client->busy && count_token_marks (data, total) > 0)
     {
-      client->first_seen = true;
-      if (client->hooks.on_first != NULL)
-        client->hooks.on_first (client, client->data);
+      client->first_token_seen = true;
+      if (client->callbacks.on_first_token != NULL)
+        client->callbacks.on_first_token (client, client->data);
     }
   if (client->busy && answer_ended (client, data, total))
     {
       client->busy = false;
       client->tail_bytes = 0;
-      client->hooks.on_done (client, client->data);
+      client->callbacks.on_complete (client, client->data);
       return;
     }
   client->tail_bytes = total < TAIL_BYTES ? total : TAIL_BYTES;
@@ -105,7 +105,8 @@
 }
 
 RelayClient *
-relay_client_new (struct ev_loop *loop, uint16_t port, const RelayHooks *hooks, void *data)
+relay_client_new (struct ev_loop *loop, uint16_t port, const RelayClientCallbacks *callbacks,
+                  void *data)
 {
   RelayClient *client = calloc (1, sizeof *client);
   MfError error = { 0 };
@@ -120,7 +121,7 @@
       exit (1);
     }
   client->loop = loop;
-  client->hooks = *hooks;
+  client->callbacks = *callbacks;
   client->data = data;
   ev_io_init (&client->read, client_readable, fd, EV_READ);
   client->read.data = client;
@@ -148,7 +149,7 @@
 
   client->stream = stream;
   client->busy = true;
-  client->first_seen = false;
+  client->first_token_seen = false;
   client->tail_bytes = 0;
   for (int i = 0; i < 1000 && sent < 0; i++)
     {
--- a/cli/serve.c
+++ b/cli/serve.c
@@ -13,7 +13,7 @@
 } ServeArguments;
 
 static const struct argp_option options[] = {
-  { .name = "config", .key = 'c', .arg = "FILE", .doc = "Settings of this process" },
+  { .name = "config", .key = 'c', .arg = "FILE", .doc = "Settings file of this process" },
   { 0 },
 };
 
@@ -39,7 +39,7 @@
 static const struct argp parser = {
   .options = options,
   .parser = parse_option,
-  .doc = "Serves callers until SIGTERM or SIGINT. SIGHUP reads the key files again.",
+  .doc = "Serves callers until SIGTERM or SIGINT. SIGHUP reloads the key files.",
 };
 
 int
@@ -51,16 +51,15 @@
   MfServer *server;
   size_t text_bytes = 0;
   char *text;
-  bool good;
+  bool ok;
 
   argp_parse (&parser, argc, argv, 0, NULL, &arguments);
   text = command_read_file (arguments.path, &text_bytes);
   if (text == NULL)
     return EXIT_FAULTY;
-  good = mf_settings_parse (text, text_bytes, &settings, command_print_fault,
-                            (void *)arguments.path);
+  ok = mf_settings_parse (text, text_bytes, &settings, command_print_fault, (void *)arguments.path);
   free (text);
-  if (!good)
+  if (!ok)
     return EXIT_FAULTY;
   server = mf_server_new (&settings, &error);
   if (server == NULL)
