--- a/tests/fakes/cores.c
+++ b/tests/fakes/cores.c
@@ -8,25 +8,25 @@
 #include <string.h>
 #include <time.h>
 
-#define START_US (1000 * MF_US_PER_S)
-#define WALL_MS UINT64_C (1700000000000)
+#define CLOCK_START_US (1000 * MF_US_PER_S)
+#define WALL_START_MS UINT64_C (1700000000000)
 #define LINKS_MAX 65536
-#define WATCH_US (60 * MF_US_PER_S)
-#define OPEN_TIMEOUT_US MF_US_PER_S
-#define ORDER_BITS 24
+#define WATCH_WAIT_US (60 * MF_US_PER_S)
+#define CONNECT_TIMEOUT_US MF_US_PER_S
+#define SEQUENCE_BITS 24
 
 /* Something that will happen to one incarnation of a slot. */
 typedef struct
 {
   MfHeapNode node; /* first member */
   uint64_t at_us;
-  uint32_t slot;
+  uint32_t instance;
   uint64_t incarnation;
   MfEvent event;
   MfFrame *frame;
-  bool watch; /* a platform answer that was waiting for a change */
-  uint32_t watch_number;
-} Post;
+  bool is_watch; /* a platform answer that was waiting for a change */
+  uint32_t watch_id;
+} PendingEvent;
 
 typedef struct
 {
@@ -34,15 +34,15 @@
   uint64_t incarnation;
   uint64_t paused_until_us;
   FakePlatform platform;
-  uint32_t text_watch; /* number of the waiting read, 0 for none */
-  uint64_t bytes_out;
-  uint64_t n_messages;
+  uint32_t text_watch_id; /* number of the waiting read, 0 for none */
+  uint64_t bytes_sent;
+  uint64_t n_messages_sent;
   MfListedInstance listed;
-} Slot;
+} Instance;
 
 typedef struct
 {
-  uint32_t slots[2];
+  uint32_t instances[2];
   uint64_t incarnations[2];
 } Link;
 
@@ -52,7 +52,7 @@
   uint64_t now_us;
   uint64_t sequence;
   MfHeap heap;
-  Slot *slots;
+  Instance *instances;
   bool *cut; /* from * n_slots + to */
   Link links[LINKS_MAX];
   uint32_t n_links;
@@ -61,44 +61,44 @@
   uint32_t n_texts;
   uint32_t n_watches;
   uint64_t n_platform_calls;
-  uint64_t timed_ns; /* spent in slot 0 and its codec */
+  uint64_t busy_ns; /* spent in slot 0 and its codec */
 };
 
 /* One slot as the action function's data. */
 typedef struct
 {
   FakeCores *cores;
-  uint32_t slot;
-} Self;
+  uint32_t instance;
+} ActionContext;
 
 /* Equal times keep their order: they are the order of messages on a link. */
 static void
-heap_push (FakeCores *cores, Post *it, uint64_t at_us)
+queue_push (FakeCores *cores, PendingEvent *pending, uint64_t at_us)
 {
-  it->at_us = at_us;
-  mf_heap_set (&cores->heap, &it->node, (at_us << ORDER_BITS) + ++cores->sequence);
+  pending->at_us = at_us;
+  mf_heap_set (&cores->heap, &pending->node, (at_us << SEQUENCE_BITS) + ++cores->sequence);
 }
 
-static Post *
-post (FakeCores *cores, uint32_t slot, uint64_t delay_us, const MfEvent *event)
+static PendingEvent *
+schedule_event (FakeCores *cores, uint32_t instance, uint64_t delay_us, const MfEvent *event)
 {
-  Post *it = calloc (1, sizeof *it);
+  PendingEvent *pending = calloc (1, sizeof *pending);
 
-  it->node.position = MF_HEAP_NO_POSITION;
-  it->slot = slot;
-  it->incarnation = cores->slots[slot].incarnation;
-  it->event = *event;
-  heap_push (cores, it, cores->now_us + delay_us);
-  return it;
+  pending->node.position = MF_HEAP_NO_POSITION;
+  pending->instance = instance;
+  pending->incarnation = cores->instances[instance].incarnation;
+  pending->event = *event;
+  queue_push (cores, pending, cores->now_us + delay_us);
+  return pending;
 }
 
 static void
-post_free (Post *it)
+pending_event_free (PendingEvent *pending)
 {
-  if (it->frame != NULL)
-    mf_frame_clear (it->frame);
-  free (it->frame);
-  free (it);
+  if (pending->frame != NULL)
+    mf_frame_clear (pending->frame);
+  free (pending->frame);
+  free (pending);
 }
 
 static uint64_t
@@ -111,22 +111,22 @@
 }
 
 static void
-slot_owner (const FakeCores *cores, uint32_t slot, MfInstanceId *owner)
+instance_id (const FakeCores *cores, uint32_t instance, MfInstanceId *id)
 {
-  owner->incarnation = cores->slots[slot].incarnation;
-  snprintf (owner->name, sizeof owner->name, "n%u", slot);
+  id->incarnation = cores->instances[instance].incarnation;
+  snprintf (id->name, sizeof id->name, "n%u", instance);
 }
 
 static void
-post_peer (FakeCores *cores, uint32_t slot, uint32_t other, MfEventType type, uint32_t link_id,
-           uint64_t delay_us)
+schedule_peer_event (FakeCores *cores, uint32_t instance, uint32_t other, MfEventType type,
+                     uint32_t link_id, uint64_t delay_us)
 {
   MfEvent event = { .type = type, .peer = { .link_id = link_id } };
 
-  slot_owner (cores, other, &event.peer.peer);
+  instance_id (cores, other, &event.peer.peer);
   if (type == MF_EVENT_PEER_UP)
-    memcpy (event.peer.address, cores->slots[other].listed.address, MF_ADDRESS_BYTES);
-  post (cores, slot, delay_us, &event);
+    memcpy (event.peer.address, cores->instances[other].listed.address, MF_ADDRESS_BYTES);
+  schedule_event (cores, instance, delay_us, &event);
 }
 
 static bool
@@ -136,143 +136,145 @@
 }
 
 static void
-peer_open (FakeCores *cores, uint32_t slot, const char *name)
+open_link (FakeCores *cores, uint32_t instance, const char *name)
 {
   uint32_t other = (uint32_t)strtoul (name + 1, NULL, 10);
   uint64_t delay_us = cores->options.delay_us;
   Link *link = &cores->links[cores->n_links];
 
-  if (other >= cores->options.n_slots || is_cut (cores, slot, other) || is_cut (cores, other, slot)
-      || cores->slots[other].paused_until_us > cores->now_us)
-    post_peer (cores, slot, other, MF_EVENT_PEER_DOWN, 0, OPEN_TIMEOUT_US);
-  else if (cores->slots[other].core == NULL || cores->n_links + 1 == LINKS_MAX)
-    post_peer (cores, slot, other, MF_EVENT_PEER_DOWN, 0, 2 * delay_us);
+  if (other >= cores->options.n_slots || is_cut (cores, instance, other)
+      || is_cut (cores, other, instance) || cores->instances[other].paused_until_us > cores->now_us)
+    schedule_peer_event (cores, instance, other, MF_EVENT_PEER_DOWN, 0, CONNECT_TIMEOUT_US);
+  else if (cores->instances[other].core == NULL || cores->n_links + 1 == LINKS_MAX)
+    schedule_peer_event (cores, instance, other, MF_EVENT_PEER_DOWN, 0, 2 * delay_us);
   else
     {
-      *link = (Link){ .slots = { slot, other },
-                      .incarnations
-                      = { cores->slots[slot].incarnation, cores->slots[other].incarnation } };
+      *link = (Link){ .instances = { instance, other },
+                      .incarnations = { cores->instances[instance].incarnation,
+                                        cores->instances[other].incarnation } };
       cores->n_links++;
-      post_peer (cores, other, slot, MF_EVENT_PEER_UP, cores->n_links, delay_us);
-      post_peer (cores, slot, other, MF_EVENT_PEER_UP, cores->n_links, 2 * delay_us);
+      schedule_peer_event (cores, other, instance, MF_EVENT_PEER_UP, cores->n_links, delay_us);
+      schedule_peer_event (cores, instance, other, MF_EVENT_PEER_UP, cores->n_links, 2 * delay_us);
     }
 }
 
 /* Returns the other end of a link, or -1 when that incarnation has ended. */
 static int64_t
-link_other (const FakeCores *cores, uint32_t slot, uint32_t link_id)
+link_other (const FakeCores *cores, uint32_t instance, uint32_t link_id)
 {
   const Link *link = &cores->links[link_id - 1];
-  uint32_t end = link->slots[0] == slot;
+  uint32_t end = link->instances[0] == instance;
 
-  return cores->slots[link->slots[end]].incarnation == link->incarnations[end]
-             ? (int64_t)link->slots[end]
+  return cores->instances[link->instances[end]].incarnation == link->incarnations[end]
+             ? (int64_t)link->instances[end]
              : -1;
 }
 
 static void
-peer_send (FakeCores *cores, uint32_t slot, const MfPeerAction *action)
+send_message (FakeCores *cores, uint32_t instance, const MfPeerAction *action)
 {
-  int64_t other = link_other (cores, slot, action->link_id);
+  int64_t other = link_other (cores, instance, action->link_id);
   MfError error = { 0 };
   size_t n_bytes;
   uint8_t *bytes = mf_frame_encode (action->message, &n_bytes, &error);
   MfEvent event = { .type = MF_EVENT_PEER_MESSAGE, .peer = { .link_id = action->link_id } };
   MfFrame *frame = calloc (1, sizeof *frame);
-  uint64_t begun_ns = clock_ns ();
+  uint64_t start_ns = clock_ns ();
 
-  cores->slots[slot].bytes_out += n_bytes;
-  cores->slots[slot].n_messages++;
-  if (other < 0 || is_cut (cores, slot, (uint32_t)other)
+  cores->instances[instance].bytes_sent += n_bytes;
+  cores->instances[instance].n_messages_sent++;
+  if (other < 0 || is_cut (cores, instance, (uint32_t)other)
       || !mf_frame_decode (bytes + MF_FRAME_LENGTH_BYTES, n_bytes - MF_FRAME_LENGTH_BYTES, frame,
                            &error))
     free (frame);
   else
     {
-      slot_owner (cores, slot, &event.peer.peer);
+      instance_id (cores, instance, &event.peer.peer);
       event.peer.message = &frame->message;
       if (other == 0)
-        cores->timed_ns += clock_ns () - begun_ns;
-      post (cores, (uint32_t)other, cores->options.delay_us, &event)->frame = frame;
+        cores->busy_ns += clock_ns () - start_ns;
+      schedule_event (cores, (uint32_t)other, cores->options.delay_us, &event)->frame = frame;
     }
   free (bytes);
 }
 
 static void
-fill_text (const FakeCores *cores, uint32_t slot, MfPlatformTextEvent *text)
+fill_text (const FakeCores *cores, uint32_t instance, MfPlatformTextEvent *text)
 {
-  uint32_t i = cores->slots[slot].platform == FAKE_PLATFORM_STALE ? 0 : cores->n_texts - 1;
+  uint32_t i = cores->instances[instance].platform == FAKE_PLATFORM_STALE ? 0 : cores->n_texts - 1;
 
   *text = (MfPlatformTextEvent){ cores->revisions[i], cores->texts[i], strlen (cores->texts[i]) };
 }
 
 static void
-platform_read (FakeCores *cores, uint32_t slot, const MfAction *action)
+read_platform (FakeCores *cores, uint32_t instance, const MfAction *action)
 {
   MfEvent event = { .type = MF_EVENT_PLATFORM_TEXT };
   uint64_t delay_us = cores->options.delay_us;
-  Slot *self = &cores->slots[slot];
+  Instance *reader = &cores->instances[instance];
   bool text = action->type == MF_ACTION_PLATFORM_READ_TEXT;
 
   cores->n_platform_calls++;
-  if (self->platform == FAKE_PLATFORM_DOWN || (text && cores->n_texts == 0))
+  if (reader->platform == FAKE_PLATFORM_DOWN || (text && cores->n_texts == 0))
     {
       event.type = MF_EVENT_PLATFORM_FAILED;
       event.platform_failed = (MfPlatformFailedEvent){ .text = text, .list = !text };
-      post (cores, slot, delay_us, &event);
+      schedule_event (cores, instance, delay_us, &event);
     }
   else if (!text)
     {
       event.type = MF_EVENT_PLATFORM_LIST;
       event.list.index = 1;
-      post (cores, slot, action->platform_index >= 1 ? WATCH_US : delay_us, &event);
+      schedule_event (cores, instance, action->platform_index >= 1 ? WATCH_WAIT_US : delay_us,
+                      &event);
     }
   else
     {
-      Post *it;
-
-      fill_text (cores, slot, &event.text);
-      it = post (cores, slot, action->platform_index >= event.text.revision ? WATCH_US : delay_us,
-                 &event);
-      it->watch = it->at_us == cores->now_us + WATCH_US;
-      it->watch_number = it->watch ? ++cores->n_watches : 0;
-      self->text_watch = it->watch_number;
+      PendingEvent *pending;
+
+      fill_text (cores, instance, &event.text);
+      pending = schedule_event (
+          cores, instance, action->platform_index >= event.text.revision ? WATCH_WAIT_US : delay_us,
+          &event);
+      pending->is_watch = pending->at_us == cores->now_us + WATCH_WAIT_US;
+      pending->watch_id = pending->is_watch ? ++cores->n_watches : 0;
+      reader->text_watch_id = pending->watch_id;
     }
 }
 
 static void
 on_action (const MfAction *action, void *data)
 {
-  const Self *self = data;
-  FakeCores *cores = self->cores;
+  const ActionContext *context = data;
+  FakeCores *cores = context->cores;
   int64_t other;
 
   switch (action->type)
     {
     case MF_ACTION_PEER_OPEN:
-      peer_open (cores, self->slot, action->peer.name);
+      open_link (cores, context->instance, action->peer.name);
       break;
     case MF_ACTION_PEER_CLOSE:
-      other = link_other (cores, self->slot, action->peer.link_id);
+      other = link_other (cores, context->instance, action->peer.link_id);
       if (other >= 0)
-        post_peer (cores, (uint32_t)other, self->slot, MF_EVENT_PEER_DOWN, action->peer.link_id,
-                   cores->options.delay_us);
+        schedule_peer_event (cores, (uint32_t)other, context->instance, MF_EVENT_PEER_DOWN,
+                             action->peer.link_id, cores->options.delay_us);
       break;
     case MF_ACTION_PEER_SEND:
-      peer_send (cores, self->slot, &action->peer);
+      send_message (cores, context->instance, &action->peer);
       break;
     case MF_ACTION_PLATFORM_READ_TEXT:
     case MF_ACTION_PLATFORM_READ_LIST:
-      platform_read (cores, self->slot, action);
+      read_platform (cores, context->instance, action);
       break;
     case MF_ACTION_CALL_START:
       if (cores->options.on_call != NULL)
-        cores->options.on_call (cores, self->slot, &action->call, cores->options.data);
+        cores->options.on_call (cores, context->instance, &action->call, cores->options.data);
       break;
     case MF_ACTION_ANSWER_PLAIN:
     case MF_ACTION_ANSWER_REFUSE:
       if (cores->options.on_answer != NULL)
-        cores->options.on_answer (cores, self->slot, action, cores->options.data);
+        cores->options.on_answer (cores, context->instance, action, cores->options.data);
       break;
     default:
       break;
@@ -285,12 +287,12 @@
   FakeCores *cores = calloc (1, sizeof *cores);
 
   cores->options = *options;
-  cores->now_us = START_US;
-  cores->slots = calloc (options->n_slots, sizeof *cores->slots);
+  cores->now_us = CLOCK_START_US;
+  cores->instances = calloc (options->n_slots, sizeof *cores->instances);
   cores->cut = calloc ((size_t)options->n_slots * options->n_slots, sizeof *cores->cut);
   for (uint32_t i = 0; i < options->n_slots; i++)
     {
-      MfListedInstance *listed = &cores->slots[i].listed;
+      MfListedInstance *listed = &cores->instances[i].listed;
 
       snprintf (listed->name, sizeof listed->name, "n%u", i);
       snprintf (listed->address, sizeof listed->address, "127.0.0.1:%u", 10000 + i);
@@ -301,80 +303,81 @@
 }
 
 static void
-slot_free (Slot *slot)
+instance_free (Instance *instance)
 {
-  Self *self = slot->core != NULL ? slot->core->action_data : NULL;
+  ActionContext *context = instance->core != NULL ? instance->core->action_data : NULL;
 
-  mf_core_free (slot->core);
-  free (self);
-  slot->core = NULL;
+  mf_core_free (instance->core);
+  free (context);
+  instance->core = NULL;
 }
 
 void
 fake_cores_free (FakeCores *cores)
 {
-  Post *it;
+  PendingEvent *pending;
 
-  while ((it = (Post *)mf_heap_first (&cores->heap)) != NULL)
+  while ((pending = (PendingEvent *)mf_heap_first (&cores->heap)) != NULL)
     {
-      mf_heap_remove (&cores->heap, &it->node);
-      post_free (it);
+      mf_heap_remove (&cores->heap, &pending->node);
+      pending_event_free (pending);
     }
   mf_heap_clear (&cores->heap);
   for (uint32_t i = 0; i < cores->options.n_slots; i++)
-    slot_free (&cores->slots[i]);
+    instance_free (&cores->instances[i]);
   for (uint32_t i = 0; i < cores->n_texts; i++)
     free (cores->texts[i]);
-  free (cores->slots);
+  free (cores->instances);
   free (cores->cut);
   free (cores);
 }
 
 void
-fake_cores_start (FakeCores *cores, uint32_t slot)
+fake_cores_start (FakeCores *cores, uint32_t instance)
 {
-  Slot *it = &cores->slots[slot];
-  Self *self = calloc (1, sizeof *self);
+  Instance *starting = &cores->instances[instance];
+  ActionContext *context = calloc (1, sizeof *context);
   MfError error = { 0 };
   MfOptions options;
 
-  fake_cores_kill (cores, slot, false);
+  fake_cores_kill (cores, instance, false);
   mf_core_options (&options);
-  it->incarnation = WALL_MS + cores->now_us / MF_US_PER_MS + ++cores->sequence;
-  it->paused_until_us = 0;
-  slot_owner (cores, slot, &options.self);
-  memcpy (options.address, it->listed.address, sizeof options.address);
-  memcpy (options.data_centre, it->listed.data_centre, sizeof options.data_centre);
-  options.seed = cores->options.seed * 1000 + slot + it->incarnation;
+  starting->incarnation = WALL_START_MS + cores->now_us / MF_US_PER_MS + ++cores->sequence;
+  starting->paused_until_us = 0;
+  instance_id (cores, instance, &options.self);
+  memcpy (options.address, starting->listed.address, sizeof options.address);
+  memcpy (options.data_centre, starting->listed.data_centre, sizeof options.data_centre);
+  options.seed = cores->options.seed * 1000 + instance + starting->incarnation;
   if (cores->options.links_max > 0)
     options.links_max = cores->options.links_max;
-  *self = (Self){ cores, slot };
-  it->core = mf_core_new (&options, cores->now_us, WALL_MS + cores->now_us / MF_US_PER_MS,
-                          on_action, self, &error);
+  *context = (ActionContext){ cores, instance };
+  starting->core
+      = mf_core_new (&options, cores->now_us, WALL_START_MS + cores->now_us / MF_US_PER_MS,
+                     on_action, context, &error);
 }
 
 void
-fake_cores_kill (FakeCores *cores, uint32_t slot, bool silent)
+fake_cores_kill (FakeCores *cores, uint32_t instance, bool silent)
 {
   for (uint32_t i = 0; i < cores->n_links && !silent; i++)
     {
       const Link *link = &cores->links[i];
-      uint32_t end = link->slots[1] == slot;
+      uint32_t end = link->instances[1] == instance;
 
-      if (cores->slots[slot].core == NULL || link->slots[end] != slot
-          || link->incarnations[end] != cores->slots[slot].incarnation
-          || link_other (cores, slot, i + 1) < 0)
+      if (cores->instances[instance].core == NULL || link->instances[end] != instance
+          || link->incarnations[end] != cores->instances[instance].incarnation
+          || link_other (cores, instance, i + 1) < 0)
         continue;
-      post_peer (cores, link->slots[1 - end], slot, MF_EVENT_PEER_DOWN, i + 1,
-                 cores->options.delay_us);
+      schedule_peer_event (cores, link->instances[1 - end], instance, MF_EVENT_PEER_DOWN, i + 1,
+                           cores->options.delay_us);
     }
-  slot_free (&cores->slots[slot]);
+  instance_free (&cores->instances[instance]);
 }
 
 void
-fake_cores_pause (FakeCores *cores, uint32_t slot, uint64_t for_us)
+fake_cores_pause (FakeCores *cores, uint32_t instance, uint64_t for_us)
 {
-  cores->slots[slot].paused_until_us = cores->now_us + for_us;
+  cores->instances[instance].paused_until_us = cores->now_us + for_us;
 }
 
 void
@@ -384,9 +387,9 @@
 }
 
 void
-fake_cores_platform (FakeCores *cores, uint32_t slot, FakePlatform platform)
+fake_cores_platform (FakeCores *cores, uint32_t instance, FakePlatform platform)
 {
-  cores->slots[slot].platform = platform;
+  cores->instances[instance].platform = platform;
 }
 
 void
@@ -398,68 +401,70 @@
   cores->texts[cores->n_texts++] = strdup (text);
   for (uint32_t i = 0; i < cores->options.n_slots; i++)
     {
-      if (cores->slots[i].text_watch == 0 || cores->slots[i].platform != FAKE_PLATFORM_UP)
+      if (cores->instances[i].text_watch_id == 0
+          || cores->instances[i].platform != FAKE_PLATFORM_UP)
         continue;
-      cores->slots[i].text_watch = 0;
+      cores->instances[i].text_watch_id = 0;
       fill_text (cores, i, &event.text);
-      post (cores, i, cores->options.delay_us, &event);
+      schedule_event (cores, i, cores->options.delay_us, &event);
     }
 }
 
 static void
-step (FakeCores *cores, uint32_t slot, MfEvent *event)
+step (FakeCores *cores, uint32_t instance, MfEvent *event)
 {
   static const size_t list_max = 512;
   MfListedInstance *listed = NULL;
-  uint64_t begun_ns;
+  uint64_t start_ns;
 
   event->now_us = cores->now_us;
-  event->wall_ms = WALL_MS + cores->now_us / MF_US_PER_MS;
+  event->wall_ms = WALL_START_MS + cores->now_us / MF_US_PER_MS;
   if (event->type == MF_EVENT_PLATFORM_LIST)
     {
       listed = calloc (list_max, sizeof *listed);
       event->list.n_listed = cores->options.n_slots;
       event->list.listed = listed;
       for (uint32_t i = 0; i < cores->options.n_slots; i++)
-        listed[i] = cores->slots[i].listed;
+        listed[i] = cores->instances[i].listed;
     }
-  begun_ns = clock_ns ();
-  mf_core_step (cores->slots[slot].core, event);
-  if (slot == 0)
-    cores->timed_ns += clock_ns () - begun_ns;
+  start_ns = clock_ns ();
+  mf_core_step (cores->instances[instance].core, event);
+  if (instance == 0)
+    cores->busy_ns += clock_ns () - start_ns;
   free (listed);
 }
 
 void
-fake_cores_event (FakeCores *cores, uint32_t slot, MfEvent *event)
+fake_cores_event (FakeCores *cores, uint32_t instance, MfEvent *event)
 {
-  step (cores, slot, event);
+  step (cores, instance, event);
 }
 
 /* When a slot next has to be ticked. */
 static uint64_t
-slot_next_us (const Slot *slot)
+instance_next_us (const Instance *instance)
 {
-  uint64_t next_us = slot->core != NULL ? mf_core_next_us (slot->core) : UINT64_MAX;
+  uint64_t next_us = instance->core != NULL ? mf_core_next_us (instance->core) : UINT64_MAX;
 
-  return next_us != UINT64_MAX && next_us < slot->paused_until_us ? slot->paused_until_us : next_us;
+  return next_us != UINT64_MAX && next_us < instance->paused_until_us ? instance->paused_until_us
+                                                                      : next_us;
 }
 
 static void
-deliver (FakeCores *cores, Post *it)
+deliver (FakeCores *cores, PendingEvent *pending)
 {
-  Slot *slot = &cores->slots[it->slot];
+  Instance *instance = &cores->instances[pending->instance];
 
-  if (slot->core != NULL && slot->incarnation == it->incarnation
-      && slot->paused_until_us > cores->now_us)
+  if (instance->core != NULL && instance->incarnation == pending->incarnation
+      && instance->paused_until_us > cores->now_us)
     {
-      heap_push (cores, it, slot->paused_until_us);
+      queue_push (cores, pending, instance->paused_until_us);
       return;
     }
-  if (slot->core != NULL && slot->incarnation == it->incarnation
-      && (!it->watch || it->watch_number == slot->text_watch))
-    step (cores, it->slot, &it->event);
-  post_free (it);
+  if (instance->core != NULL && instance->incarnation == pending->incarnation
+      && (!pending->is_watch || pending->watch_id == instance->text_watch_id))
+    step (cores, pending->instance, &pending->event);
+  pending_event_free (pending);
 }
 
 void
@@ -470,17 +475,17 @@
   for (;;)
     {
       MfEvent tick = { .type = MF_EVENT_TICK };
-      Post *it = (Post *)mf_heap_first (&cores->heap);
-      uint64_t next_us = it != NULL ? it->at_us : UINT64_MAX;
+      PendingEvent *pending = (PendingEvent *)mf_heap_first (&cores->heap);
+      uint64_t next_us = pending != NULL ? pending->at_us : UINT64_MAX;
       uint32_t due = MF_NONE;
 
       for (uint32_t i = 0; i < cores->options.n_slots; i++)
         {
-          uint64_t slot_us = slot_next_us (&cores->slots[i]);
+          uint64_t tick_us = instance_next_us (&cores->instances[i]);
 
-          if (slot_us < next_us)
+          if (tick_us < next_us)
             {
-              next_us = slot_us;
+              next_us = tick_us;
               due = i;
             }
         }
@@ -490,19 +495,19 @@
         cores->now_us = next_us;
       if (due != MF_NONE)
         step (cores, due, &tick);
-      else if (it != NULL)
+      else if (pending != NULL)
         {
-          mf_heap_remove (&cores->heap, &it->node);
-          deliver (cores, it);
+          mf_heap_remove (&cores->heap, &pending->node);
+          deliver (cores, pending);
         }
     }
   cores->now_us = end_us;
 }
 
 MfCore *
-fake_cores_core (FakeCores *cores, uint32_t slot)
+fake_cores_core (FakeCores *cores, uint32_t instance)
 {
-  return cores->slots[slot].core;
+  return cores->instances[instance].core;
 }
 
 uint64_t
@@ -512,21 +517,21 @@
 }
 
 uint64_t
-fake_cores_bytes_out (const FakeCores *cores, uint32_t slot)
+fake_cores_bytes_out (const FakeCores *cores, uint32_t instance)
 {
-  return cores->slots[slot].bytes_out;
+  return cores->instances[instance].bytes_sent;
 }
 
 uint64_t
-fake_cores_messages_out (const FakeCores *cores, uint32_t slot)
+fake_cores_messages_out (const FakeCores *cores, uint32_t instance)
 {
-  return cores->slots[slot].n_messages;
+  return cores->instances[instance].n_messages_sent;
 }
 
 uint64_t
 fake_cores_timed_ns (const FakeCores *cores)
 {
-  return cores->timed_ns;
+  return cores->busy_ns;
 }
 
 uint64_t
--- a/tests/fakes/cores.h
+++ b/tests/fakes/cores.h
@@ -7,10 +7,10 @@
  * platform's reads; every message goes through the frame codec. Slots are named "n0", "n1", ... */
 typedef struct FakeCores FakeCores;
 
-typedef void (*FakeCallFunc) (FakeCores *cores, uint32_t slot, const MfCallAction *call,
+typedef void (*FakeCallFunc) (FakeCores *cores, uint32_t instance, const MfCallAction *call,
                               void *data);
 
-typedef void (*FakeAnswerFunc) (FakeCores *cores, uint32_t slot, const MfAction *action,
+typedef void (*FakeAnswerFunc) (FakeCores *cores, uint32_t instance, const MfAction *action,
                                 void *data);
 
 typedef struct
@@ -36,22 +36,22 @@
 FakeCores *fake_cores_new (const FakeCoresOptions *options);
 void fake_cores_free (FakeCores *cores);
 /* Starts a slot with a new incarnation, ending the one that runs. */
-void fake_cores_start (FakeCores *cores, uint32_t slot);
+void fake_cores_start (FakeCores *cores, uint32_t instance);
 /* Ends a slot; when silent its links stay up and say nothing, as when the machine loses power. */
-void fake_cores_kill (FakeCores *cores, uint32_t slot, bool silent);
-void fake_cores_pause (FakeCores *cores, uint32_t slot, uint64_t for_us);
+void fake_cores_kill (FakeCores *cores, uint32_t instance, bool silent);
+void fake_cores_pause (FakeCores *cores, uint32_t instance, uint64_t for_us);
 /* Drops everything that goes one way from a slot to another. */
 void fake_cores_cut (FakeCores *cores, uint32_t from, uint32_t to, bool cut);
-void fake_cores_platform (FakeCores *cores, uint32_t slot, FakePlatform platform);
+void fake_cores_platform (FakeCores *cores, uint32_t instance, FakePlatform platform);
 void fake_cores_publish (FakeCores *cores, uint64_t revision, const char *text);
-void fake_cores_event (FakeCores *cores, uint32_t slot, MfEvent *event);
+void fake_cores_event (FakeCores *cores, uint32_t instance, MfEvent *event);
 void fake_cores_run (FakeCores *cores, uint64_t for_us);
 
-MfCore *fake_cores_core (FakeCores *cores, uint32_t slot); /* NULL when it is not running */
+MfCore *fake_cores_core (FakeCores *cores, uint32_t instance); /* NULL when it is not running */
 uint64_t fake_cores_now_us (const FakeCores *cores);
-uint64_t fake_cores_bytes_out (const FakeCores *cores, uint32_t slot);
+uint64_t fake_cores_bytes_out (const FakeCores *cores, uint32_t instance);
 uint64_t fake_cores_platform_calls (const FakeCores *cores);
-uint64_t fake_cores_messages_out (const FakeCores *cores, uint32_t slot);
+uint64_t fake_cores_messages_out (const FakeCores *cores, uint32_t instance);
 /* Time that slot 0's steps and its codec took, for benches. */
 uint64_t fake_cores_timed_ns (const FakeCores *cores);
 
--- a/tests/fakes/engine_http.c
+++ b/tests/fakes/engine_http.c
@@ -11,7 +11,7 @@
 #include "libmangofork/table.h"
 #include <xxhash.h>
 
-#define TOKEN_BYTES 4
+#define PROMPT_BYTES_PER_TOKEN 4
 #define ANSWER_TOKENS_DEFAULT 32
 #define MAX_TOKENS_DEFAULT 256
 #define CACHE_EVENTS_MAX 256
@@ -37,8 +37,8 @@
   struct ev_loop *loop;
   FakeEngine *model;
   FakeHttp *http;
-  ev_timer due;
-  ev_timer restart;
+  ev_timer run_timer;
+  ev_timer restart_timer;
   uint64_t restart_us;        /* after a death; 0 for never */
   char poison[MF_NAME_BYTES]; /* a prompt that holds this kills the engine */
   bool silent;                /* takes requests and never answers */
@@ -57,21 +57,21 @@
 
 /* Sets the timer of every engine: work on one may change when another is due. */
 static void
-rearm (FakeEngineHttp *engine)
+update_timers (FakeEngineHttp *engine)
 {
   uint64_t now_us = fake_now_us ();
 
   for (engine = *engine->list; engine != NULL; engine = engine->next)
     {
       uint64_t next_us = fake_engine_next_us (engine->model);
-      double after_s = next_us <= now_us ? 0.0 : (double)(next_us - now_us) / 1e6;
+      double delay_s = next_us <= now_us ? 0.0 : (double)(next_us - now_us) / 1e6;
 
-      ev_timer_stop (engine->loop, &engine->due);
+      ev_timer_stop (engine->loop, &engine->run_timer);
       if (next_us == UINT64_MAX)
         continue;
       ev_now_update (engine->loop);
-      ev_timer_set (&engine->due, after_s, 0.0);
-      ev_timer_start (engine->loop, &engine->due);
+      ev_timer_set (&engine->run_timer, delay_s, 0.0);
+      ev_timer_start (engine->loop, &engine->run_timer);
     }
 }
 
@@ -85,7 +85,7 @@
 }
 
 static void
-work_drop (FakeEngineHttp *engine, Work *work)
+work_free (FakeEngineHttp *engine, Work *work)
 {
   HASH_DEL (engine->works, work);
   free (work);
@@ -93,7 +93,7 @@
 
 /* Forgets all work; what is connected is reset. */
 static void
-drop_all (FakeEngineHttp *engine)
+drop_all_work (FakeEngineHttp *engine)
 {
   Work *work = engine->works;
 
@@ -164,12 +164,12 @@
 }
 
 static void
-answer_refused (FakeConn *conn, FakeVerdict verdict)
+answer_refused (FakeConn *conn, FakeVerdict result)
 {
-  const char *headers = verdict == FAKE_LEAVING ? "Mangofork-Ran: no\r\nMangofork-Leaving: yes\r\n"
-                                                : "Mangofork-Ran: no\r\n";
+  const char *headers = result == FAKE_LEAVING ? "Mangofork-Ran: no\r\nMangofork-Leaving: yes\r\n"
+                                               : "Mangofork-Ran: no\r\n";
 
-  if (verdict == FAKE_GONE)
+  if (result == FAKE_GONE)
     answer_status (conn, 410);
   else
     fake_conn_answer (conn, 503, headers, "{}", 2);
@@ -177,7 +177,7 @@
 
 /* The prompt of a completion, or the contents of a chat's messages one after another. */
 static void
-prompt_of (json_object *body, MfBuffer *prompt, bool *chat)
+read_prompt (json_object *body, MfBuffer *prompt, bool *chat)
 {
   json_object *text = json_object_object_get (body, "prompt");
   json_object *messages = json_object_object_get (body, "messages");
@@ -198,17 +198,17 @@
 
 /* Reads `[key value]` out of a prompt. */
 static bool
-prompt_mark (const char *prompt, const char *key, char *value, size_t value_bytes)
+read_prompt_option (const char *prompt, const char *key, char *value, size_t value_bytes)
 {
-  char open[24];
+  char prefix[24];
   const char *at;
   size_t n;
 
-  snprintf (open, sizeof open, "[%s ", key);
-  at = strstr (prompt, open);
+  snprintf (prefix, sizeof prefix, "[%s ", key);
+  at = strstr (prompt, prefix);
   if (at == NULL)
     return false;
-  at += strlen (open);
+  at += strlen (prefix);
   n = strcspn (at, "]");
   n = n < value_bytes ? n : value_bytes - 1;
   memcpy (value, at, n);
@@ -219,7 +219,7 @@
 /* Makes a piece of work of a completion's body. hashes must outlive it. */
 static Work *
 read_work (FakeEngineHttp *engine, const FakeHttpRequest *request, json_object *body,
-           FakeWork *wanted, uint64_t hashes[MF_PREFIX_HASHES_MAX])
+           FakeWork *model_work, uint64_t hashes[MF_PREFIX_HASHES_MAX])
 {
   Work *work = calloc (1, sizeof *work);
   MfBuffer prompt = { 0 };
@@ -229,15 +229,15 @@
 
   if (work == NULL)
     abort ();
-  prompt_of (body, &prompt, &work->chat);
+  read_prompt (body, &prompt, &work->chat);
   text = mf_buffer_data (&prompt);
   mf_name_set (work->rid, sizeof work->rid, request->request_id);
   parse_rid (work->rid, &work->id);
   work->max_tokens = (uint32_t)fake_setting (body, "max_tokens", MAX_TOKENS_DEFAULT);
-  *wanted = (FakeWork){
+  *model_work = (FakeWork){
     .id = work->id,
     .digest = XXH3_64bits (text, strlen (text)),
-    .prompt_tokens = (uint32_t)(strlen (text) / TOKEN_BYTES) + 1,
+    .prompt_tokens = (uint32_t)(strlen (text) / PROMPT_BYTES_PER_TOKEN) + 1,
     .from_token = (uint32_t)fake_setting (resume, "from_token", 0),
     .max_tokens = work->max_tokens,
     .answer_tokens = ANSWER_TOKENS_DEFAULT,
@@ -246,12 +246,12 @@
     .prefix_hashes = hashes,
     .n_prefix_hashes = mf_intake_prefix_hashes (request->body, request->body_bytes, hashes),
   };
-  snprintf (work->tag, sizeof work->tag, "%04x", (unsigned)(wanted->digest & 0xffff));
-  prompt_mark (text, "tag", work->tag, sizeof work->tag);
-  if (prompt_mark (text, "answer", answer_tokens, sizeof answer_tokens))
-    wanted->answer_tokens = (uint32_t)strtoul (answer_tokens, NULL, 10);
+  snprintf (work->tag, sizeof work->tag, "%04x", (unsigned)(model_work->digest & 0xffff));
+  read_prompt_option (text, "tag", work->tag, sizeof work->tag);
+  if (read_prompt_option (text, "answer", answer_tokens, sizeof answer_tokens))
+    model_work->answer_tokens = (uint32_t)strtoul (answer_tokens, NULL, 10);
   if (engine->poison[0] != '\0' && strstr (text, engine->poison) != NULL)
-    wanted->digest = POISON_DIGEST;
+    model_work->digest = POISON_DIGEST;
   mf_buffer_clear (&prompt);
   return work;
 }
@@ -273,28 +273,28 @@
   uint64_t hashes[MF_PREFIX_HASHES_MAX];
   json_object *body = json_tokener_parse (request->body);
   json_object *transfer = json_object_object_get (body, "kv_transfer_params");
-  FakeWork wanted;
-  Work *work = read_work (engine, request, body, &wanted, hashes);
-  FakeVerdict verdict;
+  FakeWork model_work;
+  Work *work = read_work (engine, request, body, &model_work, hashes);
+  FakeVerdict result;
 
   work->conn = conn;
   work->decode = json_object_get_boolean (json_object_object_get (transfer, "do_remote_prefill"));
   engine->n_calls[work->decode ? MF_CALL_DECODE : MF_CALL_PREFILL]++;
   if (work_find (engine, work->rid) != NULL)
-    verdict = FAKE_REFUSED;
+    result = FAKE_REFUSED;
   else if (work->decode)
-    verdict = fake_engine_decode (
-        engine->model, &wanted,
+    result = fake_engine_decode (
+        engine->model, &model_work,
         find_source (engine, fake_setting_text (transfer, "remote_engine_id", "")),
         fake_setting (transfer, "remote_handle", 0), fake_now_us ());
   else
-    verdict = fake_engine_prefill (engine->model, &wanted, fake_now_us ());
+    result = fake_engine_prefill (engine->model, &model_work, fake_now_us ());
   json_object_put (body);
-  if (verdict != FAKE_ACCEPTED)
+  if (result != FAKE_ACCEPTED)
     {
       engine->n_refused++;
       free (work);
-      answer_refused (conn, verdict);
+      answer_refused (conn, result);
       return;
     }
   HASH_ADD_STR (engine->works, rid, work);
@@ -322,11 +322,11 @@
 
 /* Ends the connection of work that is freed under it. */
 static void
-work_cut (FakeEngineHttp *engine, Work *work)
+work_disconnect (FakeEngineHttp *engine, Work *work)
 {
   if (work->conn != NULL)
     fake_conn_close (work->conn, true);
-  work_drop (engine, work);
+  work_free (engine, work);
 }
 
 static void
@@ -343,7 +343,7 @@
     {
       engine->n_calls[MF_CALL_CANCEL]++;
       if (work != NULL)
-        work_cut (engine, work);
+        work_disconnect (engine, work);
       answer_status (conn,
                      parse_rid (rid, &id) && fake_engine_cancel (engine->model, &id, fake_now_us ())
                          ? 200
@@ -360,7 +360,7 @@
   {
     if (work->id.owner.incarnation == owner.incarnation
         && strcmp (work->id.owner.name, owner.name) == 0)
-      work_cut (engine, work);
+      work_disconnect (engine, work);
   }
   n = fake_engine_cancel_owner (engine->model, &owner, fake_now_us ());
   body = json_object_new_object ();
@@ -442,17 +442,17 @@
 {
   for (size_t i = 0; i < MF_ARRAY_LEN (orders); i++)
     {
-      FakeVerdict verdict;
+      FakeVerdict result;
 
       if (strcmp (request->path, orders[i].path) != 0)
         continue;
       engine->n_calls[MF_CALL_ORDER]++;
-      verdict = fake_engine_order (engine->model, orders[i].kind,
-                                   fake_setting_text (body, orders[i].field, ""),
-                                   strtoull (request->fence, NULL, 10), fake_now_us ());
-      if (verdict == FAKE_ACCEPTED)
-        drop_all (engine);
-      answer_status (conn, verdict == FAKE_ACCEPTED ? 200 : 412);
+      result = fake_engine_order (engine->model, orders[i].kind,
+                                  fake_setting_text (body, orders[i].field, ""),
+                                  strtoull (request->fence, NULL, 10), fake_now_us ());
+      if (result == FAKE_ACCEPTED)
+        drop_all_work (engine);
+      answer_status (conn, result == FAKE_ACCEPTED ? 200 : 412);
       return true;
     }
   return false;
@@ -478,7 +478,7 @@
   else if (!on_order (engine, conn, request, body))
     answer_status (conn, 404);
   json_object_put (body);
-  rearm (engine);
+  update_timers (engine);
 }
 
 static void
@@ -495,7 +495,7 @@
     work->conn = NULL;
     fake_engine_detach (engine->model, &work->id, fake_now_us ());
   }
-  rearm (engine);
+  update_timers (engine);
 }
 
 static void
@@ -567,12 +567,12 @@
 on_death (FakeEngineHttp *engine)
 {
   fake_http_stop (engine->http);
-  drop_all (engine);
+  drop_all_work (engine);
   if (engine->restart_us == 0)
     return;
-  ev_timer_stop (engine->loop, &engine->restart);
-  ev_timer_set (&engine->restart, (double)engine->restart_us / 1e6, 0.0);
-  ev_timer_start (engine->loop, &engine->restart);
+  ev_timer_stop (engine->loop, &engine->restart_timer);
+  ev_timer_set (&engine->restart_timer, (double)engine->restart_us / 1e6, 0.0);
+  ev_timer_start (engine->loop, &engine->restart_timer);
 }
 
 static void
@@ -595,38 +595,38 @@
   if (work->conn != NULL)
     send_event (engine, work, event);
   if (event->type == FAKE_PREFILLED || event->type == FAKE_FINISHED || event->type == FAKE_EXPIRED)
-    work_drop (engine, work);
+    work_free (engine, work);
 }
 
 static void
-on_due (struct ev_loop *loop, ev_timer *timer, int events)
+on_run_timer (struct ev_loop *loop, ev_timer *timer, int events)
 {
   FakeEngineHttp *engine = timer->data;
 
   (void)loop;
   (void)events;
   fake_engine_run (engine->model, fake_now_us (), on_model_event, engine);
-  rearm (engine);
+  update_timers (engine);
 }
 
 static void
-do_restart (FakeEngineHttp *engine)
+restart_engine (FakeEngineHttp *engine)
 {
   if (!fake_engine_is_dead (engine->model))
     return;
   fake_engine_run (engine->model, fake_now_us (), on_model_event, engine);
-  ev_timer_stop (engine->loop, &engine->restart);
+  ev_timer_stop (engine->loop, &engine->restart_timer);
   fake_engine_restart (engine->model, fake_now_us ());
   fake_http_start (engine->http);
-  rearm (engine);
+  update_timers (engine);
 }
 
 static void
-on_restart (struct ev_loop *loop, ev_timer *timer, int events)
+on_restart_timer (struct ev_loop *loop, ev_timer *timer, int events)
 {
   (void)loop;
   (void)events;
-  do_restart (timer->data);
+  restart_engine (timer->data);
 }
 
 bool
@@ -637,7 +637,7 @@
   if (strcmp (kind, "kill") == 0)
     fake_engine_kill (engine->model, now_us);
   else if (strcmp (kind, "restart") == 0)
-    do_restart (engine);
+    restart_engine (engine);
   else if (strcmp (kind, "stall") == 0)
     fake_engine_stall (engine->model, now_us, now_us + value * MF_US_PER_MS);
   else if (strcmp (kind, "stall-link") == 0)
@@ -656,12 +656,12 @@
     engine->silent = value != 0;
   else
     return false;
-  rearm (engine);
+  update_timers (engine);
   return true;
 }
 
 static bool
-add_held (const FakeHeld *held, void *data)
+add_kv_entry (const FakeHeld *held, void *data)
 {
   json_object *row = json_object_new_object ();
   char rid[RID_BYTES];
@@ -682,7 +682,7 @@
   json_object *row = json_object_new_object ();
   json_object *held = json_object_new_array ();
 
-  fake_engine_held (engine->model, add_held, held);
+  fake_engine_held (engine->model, add_kv_entry, held);
   fake_add_text (row, "name", fake_engine_http_name (engine));
   json_object_object_add (row, "dead",
                           json_object_new_boolean (fake_engine_is_dead (engine->model)));
@@ -738,7 +738,7 @@
 FakeEngineHttp *
 fake_engine_http_new (struct ev_loop *loop, FakeEngineHttp **list, json_object *settings)
 {
-  static const FakeHttpHooks hooks = { .on_request = on_request, .on_closed = on_closed };
+  static const FakeHttpHooks callbacks = { .on_request = on_request, .on_closed = on_closed };
   FakeEngineOptions options = read_options (settings);
   FakeEngineHttp *engine = calloc (1, sizeof *engine);
 
@@ -752,12 +752,12 @@
   engine->restart_us = fake_setting (settings, "restart_ms", 0) * MF_US_PER_MS;
   mf_name_set (engine->poison, sizeof engine->poison,
                fake_setting_text (settings, "poison", "POISON"));
-  ev_timer_init (&engine->due, on_due, 0.0, 0.0);
-  ev_timer_init (&engine->restart, on_restart, 0.0, 0.0);
-  engine->due.data = engine;
-  engine->restart.data = engine;
+  ev_timer_init (&engine->run_timer, on_run_timer, 0.0, 0.0);
+  ev_timer_init (&engine->restart_timer, on_restart_timer, 0.0, 0.0);
+  engine->run_timer.data = engine;
+  engine->restart_timer.data = engine;
   engine->http = fake_http_new (loop, fake_setting_text (settings, "address", "127.0.0.1:0"),
-                                &hooks, engine);
+                                &callbacks, engine);
   return engine;
 }
 
@@ -765,9 +765,9 @@
 fake_engine_http_free (FakeEngineHttp *engine)
 {
   fake_http_free (engine->http);
-  drop_all (engine);
-  ev_timer_stop (engine->loop, &engine->due);
-  ev_timer_stop (engine->loop, &engine->restart);
+  drop_all_work (engine);
+  ev_timer_stop (engine->loop, &engine->run_timer);
+  ev_timer_stop (engine->loop, &engine->restart_timer);
   fake_engine_free (engine->model);
   free (engine);
 }
--- a/tests/fakes/engine_model.c
+++ b/tests/fakes/engine_model.c
@@ -28,15 +28,15 @@
   uint32_t pieces;
   uint32_t computed_tokens; /* prefill: without the cached ones */
   uint64_t started_us;
-  uint64_t due_us;    /* prefilling, importing: when done; exporting, detached: when dropped */
-  uint64_t handle;    /* exporting */
-  bool taken;         /* exporting: a decode engine reads it */
-  FakeEngine *source; /* importing */
+  uint64_t due_us;     /* prefilling, importing: when done; exporting, detached: when dropped */
+  uint64_t kv_handle;  /* exporting */
+  bool import_started; /* exporting: a decode engine reads it */
+  FakeEngine *source;  /* importing */
   uint64_t source_incarnation;
-  bool stall_counted;
-  bool too_late; /* importing: the link is not free before the KV expires */
+  bool link_stall_applied;
+  bool misses_expiry; /* importing: the link is not free before the KV expires */
   uint32_t next_token;
-  uint32_t made;
+  uint32_t n_tokens_made;
   uint64_t prefix_hashes[MF_PREFIX_HASHES_MAX];
 } Work;
 
@@ -63,7 +63,7 @@
   MfRole role;
   bool dead;
   bool leaving;
-  bool died_pending; /* FAKE_DIED has still to be told */
+  bool death_event_pending; /* FAKE_DIED has still to be told */
   uint64_t incarnation;
   uint64_t stall_until_us;
   uint64_t link_free_us;
@@ -72,20 +72,20 @@
   uint32_t speed_percent;
   Work *works;
   uint32_t n_works;
-  uint32_t works_size;
+  uint32_t n_works_max;
   uint32_t pieces_used;
   uint64_t next_sequence;
   uint64_t next_handle;
   uint64_t step_due_us; /* 0 when nothing decodes */
-  uint64_t step_began_us;
+  uint64_t step_start_us;
   uint64_t *cache; /* salted hashes, least recently used first */
   uint32_t n_cache;
   CacheEvent events[CACHE_EVENTS];
-  uint64_t next_event; /* number of the next cache event */
-  uint64_t n_events;   /* written to the ring */
+  uint64_t next_event_number; /* number of the next cache event */
+  uint64_t n_events;          /* written to the ring */
   Snapshot snapshots[SNAPSHOTS];
   uint64_t n_snapshots;
-  uint64_t random;
+  uint64_t random_state;
   char model[MF_NAME_BYTES];
   char adapter[MF_NAME_BYTES];
   char version[MF_NAME_BYTES];
@@ -97,7 +97,7 @@
 static uint64_t
 random_next (FakeEngine *engine)
 {
-  uint64_t z = (engine->random += UINT64_C (0x9e3779b97f4a7c15));
+  uint64_t z = (engine->random_state += UINT64_C (0x9e3779b97f4a7c15));
 
   z = (z ^ (z >> 30)) * UINT64_C (0xbf58476d1ce4e5b9);
   z = (z ^ (z >> 27)) * UINT64_C (0x94d049bb133111eb);
@@ -105,13 +105,13 @@
 }
 
 static uint32_t
-pieces_of (uint64_t tokens)
+pieces_for_tokens (uint64_t tokens)
 {
   return (uint32_t)((tokens + MF_PIECE_TOKENS - 1) / MF_PIECE_TOKENS);
 }
 
 static bool
-id_equal (const FakeWorkId *a, const FakeWorkId *b)
+work_id_equal (const FakeWorkId *a, const FakeWorkId *b)
 {
   return a->request_id == b->request_id && a->attempt == b->attempt
          && a->owner.incarnation == b->owner.incarnation
@@ -119,13 +119,13 @@
 }
 
 static uint64_t
-slowed (const FakeEngine *engine, uint64_t cost_us)
+cost_at_speed_us (const FakeEngine *engine, uint64_t cost_us)
 {
   return cost_us * FULL_SPEED_PERCENT / engine->speed_percent;
 }
 
 static bool
-takes_slot (const Work *work)
+uses_slot (const Work *work)
 {
   return work->state != WORK_WAITING && work->state != WORK_EXPORTING;
 }
@@ -136,7 +136,7 @@
   uint32_t n = 0;
 
   for (uint32_t i = 0; i < engine->n_works; i++)
-    n += takes_slot (&engine->works[i]);
+    n += uses_slot (&engine->works[i]);
   return n;
 }
 
@@ -151,7 +151,7 @@
 }
 
 static uint64_t
-queued_tokens (const FakeEngine *engine)
+n_queued_tokens (const FakeEngine *engine)
 {
   uint64_t n = 0;
 
@@ -167,7 +167,7 @@
 
 /* Remembers the load as it is now, for reports that lag. */
 static void
-take_snapshot (FakeEngine *engine, uint64_t now_us)
+snapshot_add (FakeEngine *engine, uint64_t now_us)
 {
   uint64_t last = engine->n_snapshots - 1;
   Snapshot *snapshot;
@@ -181,14 +181,14 @@
     .slots_used = slots_used (engine),
     .queued = count_state (engine, WORK_WAITING),
     .pieces_used = engine->pieces_used,
-    .prefill_tokens_queued = queued_tokens (engine),
+    .prefill_tokens_queued = n_queued_tokens (engine),
   };
 }
 
 static void
 cache_event_add (FakeEngine *engine, uint64_t hash, bool stored, uint64_t now_us)
 {
-  uint64_t number = engine->next_event++;
+  uint64_t number = engine->next_event_number++;
 
   if (random_next (engine) % PPM < engine->options.cache_gap_ppm)
     return;
@@ -251,7 +251,7 @@
 {
   for (uint32_t i = 0; i < engine->n_works; i++)
     {
-      if (id_equal (&engine->works[i].work.id, id))
+      if (work_id_equal (&engine->works[i].work.id, id))
         return &engine->works[i];
     }
   return NULL;
@@ -263,15 +263,15 @@
 {
   Work *work;
 
-  if (engine->n_works == engine->works_size)
+  if (engine->n_works == engine->n_works_max)
     {
-      uint32_t size = engine->works_size * 2 + 16;
+      uint32_t size = engine->n_works_max * 2 + 16;
       Work *works = realloc (engine->works, size * sizeof *works);
 
       if (works == NULL)
         abort ();
       engine->works = works;
-      engine->works_size = size;
+      engine->n_works_max = size;
     }
   work = &engine->works[engine->n_works++];
   *work = (Work){
@@ -291,11 +291,11 @@
 
 /* Counts the prefill that went into this work as wasted when no decode has used it. */
 static void
-count_waste (FakeEngine *engine, const Work *work, uint64_t now_us)
+count_wasted_tokens (FakeEngine *engine, const Work *work, uint64_t now_us)
 {
   if (work->state == WORK_IMPORTING)
     work->source->ledger.wasted_prefill_tokens += work->computed_tokens;
-  else if (work->state == WORK_EXPORTING && !work->taken)
+  else if (work->state == WORK_EXPORTING && !work->import_started)
     engine->ledger.wasted_prefill_tokens += work->computed_tokens;
   else if (work->state == WORK_PREFILLING && work->due_us > work->started_us)
     {
@@ -317,25 +317,25 @@
 }
 
 static void
-drop_all (FakeEngine *engine, uint64_t now_us)
+drop_all_work (FakeEngine *engine, uint64_t now_us)
 {
   while (engine->n_works > 0)
     {
-      count_waste (engine, &engine->works[0], now_us);
+      count_wasted_tokens (engine, &engine->works[0], now_us);
       work_remove (engine, &engine->works[0]);
     }
   engine->step_due_us = 0;
 }
 
 static bool
-accepts (const FakeEngine *engine, MfRole role, uint64_t now_us, FakeVerdict *verdict)
+can_accept (const FakeEngine *engine, MfRole role, uint64_t now_us, FakeVerdict *result)
 {
   if (engine->dead)
-    *verdict = FAKE_GONE;
+    *result = FAKE_GONE;
   else if (engine->leaving)
-    *verdict = FAKE_LEAVING;
+    *result = FAKE_LEAVING;
   else if (engine->role != role || now_us < engine->loading_until_us)
-    *verdict = FAKE_REFUSED;
+    *result = FAKE_REFUSED;
   else
     return true;
   return false;
@@ -376,9 +376,9 @@
   best->state = WORK_PREFILLING;
   best->started_us = now_us > engine->stall_until_us ? now_us : engine->stall_until_us;
   best->due_us = best->started_us
-                 + slowed (engine, engine->options.prefill_base_us
-                                       + best->computed_tokens * MF_US_PER_S
-                                             / engine->options.prefill_tokens_per_s);
+                 + cost_at_speed_us (engine, engine->options.prefill_base_us
+                                                 + best->computed_tokens * MF_US_PER_S
+                                                       / engine->options.prefill_tokens_per_s);
   engine->ledger.prefill_tokens += best->computed_tokens;
   engine->ledger.cached_tokens += cached;
 }
@@ -398,7 +398,7 @@
 
   engine->ledger.busy_us += at_us - work->started_us;
   work->state = WORK_EXPORTING;
-  work->handle = ++engine->next_handle;
+  work->kv_handle = ++engine->next_handle;
   work->due_us = at_us + engine->options.result_life_us;
   for (uint32_t i = 0; i < work->work.n_prefix_hashes; i++)
     cache_store (engine, work->prefix_hashes[i] ^ work->work.cache_salt, at_us);
@@ -406,7 +406,7 @@
     .type = FAKE_PREFILLED,
     .id = work->work.id,
     .at_us = at_us,
-    .n = work->handle,
+    .n = work->kv_handle,
     .bytes = kv_bytes (engine, work),
     .until_us = work->due_us,
   };
@@ -419,21 +419,21 @@
 {
   uint32_t n = count_state (engine, WORK_DECODING);
 
-  return slowed (engine, engine->options.step_us + n * engine->options.step_stream_us);
+  return cost_at_speed_us (engine, engine->options.step_us + n * engine->options.step_stream_us);
 }
 
 static void
-step_begin (FakeEngine *engine, uint64_t now_us)
+step_start (FakeEngine *engine, uint64_t now_us)
 {
-  uint64_t began_us = now_us > engine->stall_until_us ? now_us : engine->stall_until_us;
+  uint64_t start_us = now_us > engine->stall_until_us ? now_us : engine->stall_until_us;
 
   if (count_state (engine, WORK_DECODING) == 0)
     {
       engine->step_due_us = 0;
       return;
     }
-  engine->step_began_us = began_us;
-  engine->step_due_us = began_us + step_cost_us (engine);
+  engine->step_start_us = start_us;
+  engine->step_due_us = start_us + step_cost_us (engine);
 }
 
 static void
@@ -441,10 +441,11 @@
 {
   FakeEvent event = { .type = FAKE_IMPORTED, .id = work->work.id, .at_us = work->due_us };
 
-  if (work->too_late || work->source->dead || work->source->incarnation != work->source_incarnation)
+  if (work->misses_expiry || work->source->dead
+      || work->source->incarnation != work->source_incarnation)
     {
       event.type = FAKE_EXPIRED;
-      count_waste (engine, work, work->due_us);
+      count_wasted_tokens (engine, work, work->due_us);
       work_remove (engine, work);
     }
   else
@@ -452,7 +453,7 @@
       work->state = WORK_DECODING;
       work->started_us = work->due_us;
       if (engine->step_due_us == 0)
-        step_begin (engine, work->due_us);
+        step_start (engine, work->due_us);
     }
   func (engine, &event, data);
 }
@@ -464,10 +465,10 @@
   FakeEngine *source = work->source;
   uint64_t from_us = source->link_stall_from_us;
 
-  if (work->stall_counted || work->too_late || source->link_stall_until_us <= work->started_us
-      || from_us >= work->due_us)
+  if (work->link_stall_applied || work->misses_expiry
+      || source->link_stall_until_us <= work->started_us || from_us >= work->due_us)
     return false;
-  work->stall_counted = true;
+  work->link_stall_applied = true;
   if (from_us < work->started_us)
     from_us = work->started_us;
   work->due_us += source->link_stall_until_us - from_us;
@@ -480,27 +481,28 @@
 {
   uint64_t at_us = engine->step_due_us;
 
-  engine->ledger.busy_us += at_us - engine->step_began_us;
+  engine->ledger.busy_us += at_us - engine->step_start_us;
   for (uint32_t i = engine->n_works; i-- > 0;)
     {
       Work *work = &engine->works[i];
       FakeEvent event;
 
-      if (work->state != WORK_DECODING || work->started_us > engine->step_began_us)
+      if (work->state != WORK_DECODING || work->started_us > engine->step_start_us)
         continue;
       event = (FakeEvent){
         .type = FAKE_TOKEN, .id = work->work.id, .at_us = at_us, .n = work->next_token++
       };
-      work->made++;
+      work->n_tokens_made++;
       engine->ledger.tokens++;
       func (engine, &event, data);
-      if (work->next_token < work->work.answer_tokens && work->made < work->work.max_tokens)
+      if (work->next_token < work->work.answer_tokens
+          && work->n_tokens_made < work->work.max_tokens)
         continue;
       event.type = FAKE_FINISHED;
       work_remove (engine, work);
       func (engine, &event, data);
     }
-  step_begin (engine, at_us);
+  step_start (engine, at_us);
 }
 
 FakeEngine *
@@ -514,12 +516,12 @@
   engine->role = options->role;
   engine->speed_percent = FULL_SPEED_PERCENT;
   engine->incarnation = now_us + 1;
-  engine->next_event = 1;
-  engine->random = options->seed;
+  engine->next_event_number = 1;
+  engine->random_state = options->seed;
   engine->cache = calloc (options->cache_pieces + 1, sizeof engine->cache[0]);
   if (engine->cache == NULL)
     abort ();
-  take_snapshot (engine, now_us);
+  snapshot_add (engine, now_us);
   return engine;
 }
 
@@ -542,11 +544,11 @@
 FakeVerdict
 fake_engine_prefill (FakeEngine *engine, const FakeWork *work, uint64_t now_us)
 {
-  uint32_t pieces = pieces_of ((uint64_t)work->prompt_tokens + work->from_token);
-  FakeVerdict verdict;
+  uint32_t pieces = pieces_for_tokens ((uint64_t)work->prompt_tokens + work->from_token);
+  FakeVerdict result;
 
-  if (!accepts (engine, MF_ROLE_PREFILL, now_us, &verdict))
-    return verdict;
+  if (!can_accept (engine, MF_ROLE_PREFILL, now_us, &result))
+    return result;
   if (count_state (engine, WORK_WAITING) >= engine->options.queue
       || engine->pieces_used + pieces > engine->options.pieces)
     {
@@ -555,18 +557,18 @@
     }
   work_add (engine, work, WORK_WAITING, pieces, now_us);
   prefill_next (engine, now_us);
-  take_snapshot (engine, now_us);
+  snapshot_add (engine, now_us);
   return FAKE_ACCEPTED;
 }
 
 static Work *
-export_find (FakeEngine *engine, uint64_t handle)
+export_find (FakeEngine *engine, uint64_t kv_handle)
 {
   for (uint32_t i = 0; i < engine->n_works; i++)
     {
       Work *work = &engine->works[i];
 
-      if (work->state == WORK_EXPORTING && work->handle == handle && !work->taken)
+      if (work->state == WORK_EXPORTING && work->kv_handle == kv_handle && !work->import_started)
         return work;
     }
   return NULL;
@@ -576,18 +578,18 @@
 static void
 schedule_import (FakeEngine *source, Work *export, Work *import, uint64_t now_us)
 {
-  uint64_t begin_us = now_us > source->link_free_us ? now_us : source->link_free_us;
+  uint64_t start_us = now_us > source->link_free_us ? now_us : source->link_free_us;
   uint64_t cost_us = kv_bytes (source, export) * MF_US_PER_S / source->options.link_bytes_per_s;
 
   import->source = source;
   import->source_incarnation = source->incarnation;
   import->computed_tokens = export->computed_tokens;
-  import->started_us = begin_us;
-  import->due_us = begin_us + cost_us;
-  export->taken = true;
-  if (begin_us > export->due_us)
+  import->started_us = start_us;
+  import->due_us = start_us + cost_us;
+  export->import_started = true;
+  if (start_us > export->due_us)
     {
-      import->too_late = true;
+      import->misses_expiry = true;
       import->due_us = export->due_us;
       return;
     }
@@ -600,12 +602,12 @@
                     uint64_t kv_handle, uint64_t now_us)
 {
   uint64_t tokens = (uint64_t)work->prompt_tokens + work->from_token + work->max_tokens;
-  uint32_t pieces = pieces_of (tokens);
-  FakeVerdict verdict;
+  uint32_t pieces = pieces_for_tokens (tokens);
+  FakeVerdict result;
   Work *export;
 
-  if (!accepts (engine, MF_ROLE_DECODE, now_us, &verdict))
-    return verdict;
+  if (!can_accept (engine, MF_ROLE_DECODE, now_us, &result))
+    return result;
   if (slots_used (engine) >= engine->options.slots
       || engine->pieces_used + pieces > engine->options.pieces)
     {
@@ -616,7 +618,7 @@
   if (export == NULL || export->due_us < now_us)
     return FAKE_GONE;
   schedule_import (source, export, work_add (engine, work, WORK_IMPORTING, pieces, now_us), now_us);
-  take_snapshot (engine, now_us);
+  snapshot_add (engine, now_us);
   return FAKE_ACCEPTED;
 }
 
@@ -627,12 +629,12 @@
 
   if (work == NULL || work->state != WORK_DETACHED || from_token > work->next_token)
     return FAKE_GONE;
-  work->made -= work->next_token - from_token;
+  work->n_tokens_made -= work->next_token - from_token;
   work->next_token = from_token;
   work->state = WORK_DECODING;
   work->started_us = now_us;
   if (engine->step_due_us == 0)
-    step_begin (engine, now_us);
+    step_start (engine, now_us);
   return FAKE_ACCEPTED;
 }
 
@@ -654,11 +656,11 @@
 
   if (work == NULL)
     return false;
-  count_waste (engine, work, now_us);
+  count_wasted_tokens (engine, work, now_us);
   work_remove (engine, work);
   engine->ledger.cancelled++;
   prefill_next (engine, now_us);
-  take_snapshot (engine, now_us);
+  snapshot_add (engine, now_us);
   return true;
 }
 
@@ -669,17 +671,18 @@
 
   for (uint32_t i = engine->n_works; i-- > 0;)
     {
-      const MfInstanceId *held = &engine->works[i].work.id.owner;
+      const MfInstanceId *work_owner = &engine->works[i].work.id.owner;
 
-      if (held->incarnation != owner->incarnation || strcmp (held->name, owner->name) != 0)
+      if (work_owner->incarnation != owner->incarnation
+          || strcmp (work_owner->name, owner->name) != 0)
         continue;
-      count_waste (engine, &engine->works[i], now_us);
+      count_wasted_tokens (engine, &engine->works[i], now_us);
       work_remove (engine, &engine->works[i]);
       engine->ledger.cancelled++;
       n++;
     }
   prefill_next (engine, now_us);
-  take_snapshot (engine, now_us);
+  snapshot_add (engine, now_us);
   return n;
 }
 
@@ -688,7 +691,7 @@
 {
   uint64_t next_us = engine->step_due_us != 0 ? engine->step_due_us : UINT64_MAX;
 
-  if (engine->died_pending)
+  if (engine->death_event_pending)
     return 0;
   for (uint32_t i = 0; i < engine->n_works; i++)
     {
@@ -705,7 +708,7 @@
 work_run (FakeEngine *engine, Work *work, FakeEventFunc func, void *data)
 {
   FakeEvent event = { .type = FAKE_EXPIRED, .id = work->work.id, .at_us = work->due_us };
-  bool silent = work->state == WORK_EXPORTING && work->taken;
+  bool is_import_source = work->state == WORK_EXPORTING && work->import_started;
 
   if (work->state == WORK_PREFILLING)
     finish_prefill (engine, work, func, data);
@@ -713,15 +716,15 @@
     finish_import (engine, work, func, data);
   else if (work->state == WORK_EXPORTING || work->state == WORK_DETACHED)
     {
-      count_waste (engine, work, work->due_us);
+      count_wasted_tokens (engine, work, work->due_us);
       work_remove (engine, work);
-      if (!silent)
+      if (!is_import_source)
         func (engine, &event, data);
     }
 }
 
 static Work *
-work_due (FakeEngine *engine, uint64_t now_us)
+first_due_work (FakeEngine *engine, uint64_t now_us)
 {
   Work *first = NULL;
 
@@ -744,25 +747,25 @@
     {
       Work *work;
 
-      if (engine->died_pending)
+      if (engine->death_event_pending)
         {
           FakeEvent event = { .type = FAKE_DIED, .at_us = now_us };
 
-          engine->died_pending = false;
+          engine->death_event_pending = false;
           func (engine, &event, data);
         }
       if (engine->dead)
         return;
-      work = work_due (engine, now_us);
+      work = first_due_work (engine, now_us);
       if (engine->step_due_us != 0 && engine->step_due_us <= now_us
           && (work == NULL || engine->step_due_us <= work->due_us))
         finish_step (engine, func, data);
       else if (work != NULL)
         work_run (engine, work, func, data);
-      else if (!engine->died_pending)
+      else if (!engine->death_event_pending)
         break;
     }
-  take_snapshot (engine, now_us);
+  snapshot_add (engine, now_us);
 }
 
 void
@@ -836,7 +839,7 @@
   if (fence > engine->fence_seen)
     engine->fence_seen = fence;
   engine->ledger.orders_obeyed++;
-  drop_all (engine, now_us);
+  drop_all_work (engine, now_us);
   if (kind == MF_ORDER_MODEL)
     mf_name_set (engine->model, sizeof engine->model, value);
   else if (kind == MF_ORDER_ADAPTER)
@@ -847,7 +850,7 @@
     engine->role = strcmp (value, "prefill") == 0 ? MF_ROLE_PREFILL : MF_ROLE_DECODE;
   if (kind != MF_ORDER_ROLE)
     engine->loading_until_us = now_us + engine->options.load_model_us;
-  take_snapshot (engine, now_us);
+  snapshot_add (engine, now_us);
   return FAKE_ACCEPTED;
 }
 
@@ -856,9 +859,9 @@
 {
   if (engine->dead)
     return;
-  drop_all (engine, now_us);
+  drop_all_work (engine, now_us);
   engine->dead = true;
-  engine->died_pending = true;
+  engine->death_event_pending = true;
   engine->ledger.deaths++;
   engine->n_cache = 0;
 }
@@ -874,21 +877,21 @@
   engine->stall_until_us = 0;
   engine->link_free_us = now_us;
   engine->speed_percent = FULL_SPEED_PERCENT;
-  take_snapshot (engine, now_us);
+  snapshot_add (engine, now_us);
 }
 
 void
 fake_engine_stall (FakeEngine *engine, uint64_t now_us, uint64_t until_us)
 {
-  uint64_t length_us = until_us > now_us ? until_us - now_us : 0;
+  uint64_t stall_us = until_us > now_us ? until_us - now_us : 0;
 
   engine->stall_until_us = until_us;
   if (engine->step_due_us != 0)
-    engine->step_due_us += length_us;
+    engine->step_due_us += stall_us;
   for (uint32_t i = 0; i < engine->n_works; i++)
     {
       if (engine->works[i].state == WORK_PREFILLING)
-        engine->works[i].due_us += length_us;
+        engine->works[i].due_us += stall_us;
     }
 }
 
@@ -927,14 +930,14 @@
   for (uint32_t i = 0; i < engine->n_works; i++)
     {
       const Work *work = &engine->works[i];
-      FakeHeld held = {
+      FakeHeld entry = {
         .id = work->work.id,
         .pieces = work->pieces,
         .decoding = work->state >= WORK_IMPORTING,
         .exporting = work->state == WORK_EXPORTING,
       };
 
-      if (!func (&held, data))
+      if (!func (&entry, data))
         return;
     }
 }
--- a/tests/fakes/fakes.h
+++ b/tests/fakes/fakes.h
@@ -50,7 +50,7 @@
 void fake_add_text (json_object *object, const char *key, const char *value);
 
 /* Values of a stand-in's settings, with a default. */
-uint64_t fake_setting (json_object *settings, const char *key, uint64_t otherwise);
-const char *fake_setting_text (json_object *settings, const char *key, const char *otherwise);
+uint64_t fake_setting (json_object *settings, const char *key, uint64_t default_value);
+const char *fake_setting_text (json_object *settings, const char *key, const char *default_value);
 
 #endif
--- a/tests/fakes/http.c
+++ b/tests/fakes/http.c
@@ -19,13 +19,13 @@
 struct FakeConn
 {
   FakeHttp *http;
-  ev_io readable;
-  ev_io writable;
+  ev_io read_watcher;
+  ev_io write_watcher;
   MfBuffer in;
   MfBuffer out;
-  bool busy;   /* a request is being answered */
-  bool broken; /* to be closed from the loop */
-  bool reset;  /* by a reset rather than an orderly end */
+  bool answering; /* a request is being answered */
+  bool closing;   /* to be closed from the loop */
+  bool reset;     /* by a reset rather than an orderly end */
   FakeConn *next;
   FakeConn *previous;
 };
@@ -34,9 +34,9 @@
 {
   struct ev_loop *loop;
   char address[MF_ADDRESS_BYTES];
-  FakeHttpHooks hooks;
+  FakeHttpHooks callbacks;
   void *data;
-  ev_io accepting;
+  ev_io accept_watcher;
   int fd; /* -1 while stopped */
   uint16_t port;
   FakeConn *conns;
@@ -45,12 +45,12 @@
 static void
 conn_free (FakeConn *conn, bool reset)
 {
-  struct linger now = { .l_onoff = 1, .l_linger = 0 };
+  struct linger linger = { .l_onoff = 1, .l_linger = 0 };
   FakeHttp *http = conn->http;
-  int fd = conn->readable.fd;
+  int fd = conn->read_watcher.fd;
 
-  ev_io_stop (http->loop, &conn->readable);
-  ev_io_stop (http->loop, &conn->writable);
+  ev_io_stop (http->loop, &conn->read_watcher);
+  ev_io_stop (http->loop, &conn->write_watcher);
   if (conn->next != NULL)
     conn->next->previous = conn->previous;
   if (conn->previous != NULL)
@@ -58,7 +58,7 @@
   else
     http->conns = conn->next;
   if (reset)
-    setsockopt (fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
+    setsockopt (fd, SOL_SOCKET, SO_LINGER, &linger, sizeof linger);
   close (fd);
   mf_buffer_clear (&conn->in);
   mf_buffer_clear (&conn->out);
@@ -66,10 +66,10 @@
 }
 
 static void
-conn_lost (FakeConn *conn, bool reset)
+conn_close (FakeConn *conn, bool reset)
 {
-  if (conn->busy)
-    conn->http->hooks.on_closed (conn, conn->http->data);
+  if (conn->answering)
+    conn->http->callbacks.on_closed (conn, conn->http->data);
   conn_free (conn, reset);
 }
 
@@ -79,7 +79,7 @@
 {
   while (mf_buffer_bytes (&conn->out) > 0)
     {
-      ssize_t n = send (conn->readable.fd, mf_buffer_data (&conn->out),
+      ssize_t n = send (conn->read_watcher.fd, mf_buffer_data (&conn->out),
                         mf_buffer_bytes (&conn->out), MSG_NOSIGNAL | MSG_DONTWAIT);
 
       if (n <= 0)
@@ -87,24 +87,24 @@
       mf_buffer_take (&conn->out, (size_t)n);
     }
   if (mf_buffer_bytes (&conn->out) > 0)
-    ev_io_start (conn->http->loop, &conn->writable);
+    ev_io_start (conn->http->loop, &conn->write_watcher);
   else
-    ev_io_stop (conn->http->loop, &conn->writable);
+    ev_io_stop (conn->http->loop, &conn->write_watcher);
 }
 
 void
 fake_conn_raw (FakeConn *conn, const char *data, size_t data_bytes)
 {
   mf_buffer_add (&conn->out, data, data_bytes);
-  ev_feed_event (conn->http->loop, &conn->writable, EV_WRITE);
+  ev_feed_event (conn->http->loop, &conn->write_watcher, EV_WRITE);
 }
 
 static void
-conn_next (FakeConn *conn)
+conn_finish_request (FakeConn *conn)
 {
-  conn->busy = false;
+  conn->answering = false;
   if (mf_buffer_bytes (&conn->in) > 0)
-    ev_feed_event (conn->http->loop, &conn->readable, EV_READ);
+    ev_feed_event (conn->http->loop, &conn->read_watcher, EV_READ);
 }
 
 void
@@ -121,7 +121,7 @@
   mf_buffer_add_number (out, body_bytes);
   mf_buffer_add_text (out, "\r\n\r\n");
   fake_conn_raw (conn, body, body_bytes);
-  conn_next (conn);
+  conn_finish_request (conn);
 }
 
 void
@@ -148,16 +148,16 @@
 fake_conn_end (FakeConn *conn)
 {
   fake_conn_raw (conn, "0\r\n\r\n", 5);
-  conn_next (conn);
+  conn_finish_request (conn);
 }
 
 void
 fake_conn_close (FakeConn *conn, bool reset)
 {
-  conn->busy = false;
-  conn->broken = true;
+  conn->answering = false;
+  conn->closing = true;
   conn->reset = reset;
-  ev_feed_event (conn->http->loop, &conn->readable, EV_READ);
+  ev_feed_event (conn->http->loop, &conn->read_watcher, EV_READ);
 }
 
 /* Copies a header's value; "" when it is not there. */
@@ -208,7 +208,7 @@
 
 /* Hands on a request whose head, closed by NUL, and body have arrived. */
 static void
-conn_request (FakeConn *conn, char *head, const char *body, size_t body_bytes)
+conn_handle_request (FakeConn *conn, char *head, const char *body, size_t body_bytes)
 {
   char request_id[HEADER_VALUE_BYTES];
   char fence[HEADER_VALUE_BYTES];
@@ -221,25 +221,25 @@
     .body_bytes = body_bytes,
     .query = "",
   };
-  char *rest = head;
+  char *cursor = head;
   char *query;
 
   header_get (head, "X-Request-Id", request_id);
   header_get (head, "X-Fence", fence);
   header_get (head, "X-Consul-Token", token);
-  request.method = strsep (&rest, " ");
-  request.path = strsep (&rest, " ");
+  request.method = strsep (&cursor, " ");
+  request.path = strsep (&cursor, " ");
   query = request.path != NULL ? strchr (request.path, '?') : NULL;
   if (query != NULL)
     {
       *query = '\0';
       request.query = query + 1;
     }
-  conn->busy = true;
+  conn->answering = true;
   if (request.path == NULL)
     fake_conn_answer (conn, 400, "", "", 0);
   else
-    conn->http->hooks.on_request (conn, &request, conn->http->data);
+    conn->http->callbacks.on_request (conn, &request, conn->http->data);
 }
 
 /* Takes one whole request out of what has been read. Returns false when there is none. */
@@ -269,7 +269,7 @@
     }
   body = strndup (data + head_bytes, body_bytes);
   mf_buffer_take (&conn->in, head_bytes + body_bytes);
-  conn_request (conn, head, body, body_bytes);
+  conn_handle_request (conn, head, body, body_bytes);
   free (head);
   free (body);
   return true;
@@ -286,12 +286,12 @@
   (void)events;
   if (n > 0)
     mf_buffer_add (&conn->in, data, (size_t)n);
-  while (!conn->busy && !conn->broken && conn_parse (conn))
+  while (!conn->answering && !conn->closing && conn_parse (conn))
     continue;
-  if (conn->broken)
+  if (conn->closing)
     conn_flush (conn);
-  if (conn->broken || n == 0 || (n < 0 && errno != EAGAIN))
-    conn_lost (conn, conn->reset);
+  if (conn->closing || n == 0 || (n < 0 && errno != EAGAIN))
+    conn_close (conn, conn->reset);
 }
 
 static void
@@ -322,11 +322,11 @@
   if (conn->next != NULL)
     conn->next->previous = conn;
   http->conns = conn;
-  ev_io_init (&conn->readable, on_readable, fd, EV_READ);
-  ev_io_init (&conn->writable, on_writable, fd, EV_WRITE);
-  conn->readable.data = conn;
-  conn->writable.data = conn;
-  ev_io_start (loop, &conn->readable);
+  ev_io_init (&conn->read_watcher, on_readable, fd, EV_READ);
+  ev_io_init (&conn->write_watcher, on_writable, fd, EV_WRITE);
+  conn->read_watcher.data = conn;
+  conn->write_watcher.data = conn;
+  ev_io_start (loop, &conn->read_watcher);
 }
 
 void
@@ -344,9 +344,9 @@
     }
   http->port = mf_socket_port (http->fd);
   snprintf (strrchr (http->address, ':'), 7, ":%u", http->port);
-  ev_io_init (&http->accepting, on_accept, http->fd, EV_READ);
-  http->accepting.data = http;
-  ev_io_start (http->loop, &http->accepting);
+  ev_io_init (&http->accept_watcher, on_accept, http->fd, EV_READ);
+  http->accept_watcher.data = http;
+  ev_io_start (http->loop, &http->accept_watcher);
 }
 
 void
@@ -354,14 +354,14 @@
 {
   if (http->fd < 0)
     return;
-  ev_io_stop (http->loop, &http->accepting);
+  ev_io_stop (http->loop, &http->accept_watcher);
   close (http->fd);
   http->fd = -1;
   for (FakeConn *conn = http->conns; conn != NULL;)
     {
       FakeConn *next = conn->next;
 
-      conn_lost (conn, true);
+      conn_close (conn, true);
       conn = next;
     }
 }
@@ -373,14 +373,15 @@
 }
 
 FakeHttp *
-fake_http_new (struct ev_loop *loop, const char *address, const FakeHttpHooks *hooks, void *data)
+fake_http_new (struct ev_loop *loop, const char *address, const FakeHttpHooks *callbacks,
+               void *data)
 {
   FakeHttp *http = calloc (1, sizeof *http);
 
   if (http == NULL)
     abort ();
   http->loop = loop;
-  http->hooks = *hooks;
+  http->callbacks = *callbacks;
   http->data = data;
   http->fd = -1;
   mf_name_set (http->address, sizeof http->address, address);
--- a/tests/fakes/http.h
+++ b/tests/fakes/http.h
@@ -31,7 +31,7 @@
   void (*on_closed) (FakeConn *conn, void *data);
 } FakeHttpHooks;
 
-FakeHttp *fake_http_new (struct ev_loop *loop, const char *address, const FakeHttpHooks *hooks,
+FakeHttp *fake_http_new (struct ev_loop *loop, const char *address, const FakeHttpHooks *callbacks,
                          void *data);
 void fake_http_free (FakeHttp *http);
 /* Closes the port and resets every connection. */
--- a/tests/fakes/main.c
+++ b/tests/fakes/main.c
@@ -40,7 +40,7 @@
 }
 
 static bool
-fault (Fakes *fakes, const char *query)
+set_fault (Fakes *fakes, const char *query)
 {
   char target[MF_NAME_BYTES];
   char kind[MF_NAME_BYTES];
@@ -75,10 +75,10 @@
 }
 
 static bool
-post (Fakes *fakes, const FakeHttpRequest *request)
+handle_post (Fakes *fakes, const FakeHttpRequest *request)
 {
   if (strcmp (request->path, "/fault") == 0)
-    return fault (fakes, request->query);
+    return set_fault (fakes, request->query);
   if (fakes->platform == NULL)
     return false;
   if (strcmp (request->path, "/list") == 0)
@@ -104,7 +104,7 @@
       json_object_put (ledger);
       return;
     }
-  fake_conn_answer (conn, post (fakes, request) ? 200 : 400, "", "{}\n", 3);
+  fake_conn_answer (conn, handle_post (fakes, request) ? 200 : 400, "", "{}\n", 3);
 }
 
 static void
@@ -154,9 +154,9 @@
 }
 
 static void
-start (Fakes *fakes, json_object *settings)
+start_fakes (Fakes *fakes, json_object *settings)
 {
-  static const FakeHttpHooks hooks = { .on_request = on_request, .on_closed = on_closed };
+  static const FakeHttpHooks callbacks = { .on_request = on_request, .on_closed = on_closed };
   json_object *engines = json_object_object_get (settings, "engines");
   json_object *plains = json_object_object_get (settings, "plain");
   json_object *relays = json_object_object_get (settings, "relays");
@@ -169,13 +169,13 @@
     fake_relay_new (fakes->loop, &fakes->relays, json_object_array_get_idx (relays, i));
   start_platform (fakes, json_object_object_get (settings, "platform"));
   fakes->control = fake_http_new (
-      fakes->loop, fake_setting_text (settings, "control", "127.0.0.1:0"), &hooks, fakes);
+      fakes->loop, fake_setting_text (settings, "control", "127.0.0.1:0"), &callbacks, fakes);
   printf ("control 127.0.0.1:%u\n", fake_http_port (fakes->control));
   fflush (stdout);
 }
 
 static void
-stop (Fakes *fakes)
+stop_fakes (Fakes *fakes)
 {
   fake_http_free (fakes->control);
   while (fakes->engines != NULL)
@@ -230,9 +230,9 @@
   ev_signal_start (fakes.loop, &term);
   ev_signal_init (&interrupt, on_signal, SIGINT);
   ev_signal_start (fakes.loop, &interrupt);
-  start (&fakes, settings);
+  start_fakes (&fakes, settings);
   ev_run (fakes.loop, 0);
-  stop (&fakes);
+  stop_fakes (&fakes);
   json_object_put (settings);
   ev_loop_destroy (fakes.loop);
   return 0;
--- a/tests/fakes/plain_http.c
+++ b/tests/fakes/plain_http.c
@@ -13,17 +13,17 @@
   char key[KEY_BYTES];
   uint64_t n_runs;
   UT_hash_handle hh;
-} Run;
+} RunCount;
 
 /* One call that is being worked on. It runs to its end whether or not its caller stays. */
-typedef struct Pending Pending;
-struct Pending
+typedef struct PendingCall PendingCall;
+struct PendingCall
 {
   FakePlain *plain;
   FakeConn *conn; /* NULL once the connection is gone */
   ev_timer timer;
   char key[KEY_BYTES]; /* "" for a read */
-  Pending *next;
+  PendingCall *next;
 };
 
 /* What happens to the next calls. */
@@ -51,26 +51,26 @@
   FakeHttp *http;
   uint64_t work_us;
   PlainFault fault;
-  uint64_t n_faults; /* calls it still befalls */
+  uint64_t n_faults_left; /* calls it still befalls */
   bool leaving;
   bool silent;
   uint64_t n_calls;
   uint64_t n_reads;
   uint64_t n_refused;
-  Run *runs;
-  Pending *pending;
+  RunCount *run_counts;
+  PendingCall *pending;
   FakePlain *next;
 };
 
 static void
 pending_drop_all (FakePlain *plain)
 {
-  Pending *pending = plain->pending;
+  PendingCall *pending = plain->pending;
 
   plain->pending = NULL;
   while (pending != NULL)
     {
-      Pending *next = pending->next;
+      PendingCall *next = pending->next;
 
       ev_timer_stop (plain->loop, &pending->timer);
       free (pending);
@@ -79,9 +79,9 @@
 }
 
 static void
-pending_free (Pending *pending)
+pending_free (PendingCall *pending)
 {
-  Pending **at = &pending->plain->pending;
+  PendingCall **at = &pending->plain->pending;
 
   while (*at != pending)
     at = &(*at)->next;
@@ -90,63 +90,63 @@
   free (pending);
 }
 
-static Run *
-run_add (FakePlain *plain, const char *key)
+static RunCount *
+run_count_add (FakePlain *plain, const char *key)
 {
-  Run *run = calloc (1, sizeof *run);
+  RunCount *run_count = calloc (1, sizeof *run_count);
 
-  if (run == NULL)
+  if (run_count == NULL)
     abort ();
-  mf_name_set (run->key, sizeof run->key, key);
-  HASH_ADD_STR (plain->runs, key, run);
-  return run;
+  mf_name_set (run_count->key, sizeof run_count->key, key);
+  HASH_ADD_STR (plain->run_counts, key, run_count);
+  return run_count;
 }
 
 static uint64_t
 count_run (FakePlain *plain, const char *key)
 {
-  Run *run = NULL;
+  RunCount *run_count = NULL;
 
   if (*key == '\0')
     {
       plain->n_reads++;
       return 0;
     }
-  HASH_FIND_STR (plain->runs, key, run);
-  if (run == NULL)
-    run = run_add (plain, key);
-  return ++run->n_runs;
+  HASH_FIND_STR (plain->run_counts, key, run_count);
+  if (run_count == NULL)
+    run_count = run_count_add (plain, key);
+  return ++run_count->n_runs;
 }
 
 static PlainFault
-take_fault (FakePlain *plain)
+consume_fault (FakePlain *plain)
 {
-  if (plain->n_faults == 0)
+  if (plain->n_faults_left == 0)
     return PLAIN_FAULT_NONE;
-  plain->n_faults--;
+  plain->n_faults_left--;
   return plain->fault;
 }
 
 static void
-cut_answer (FakeConn *conn, const char *body)
+send_truncated_answer (FakeConn *conn, const char *body)
 {
-  char half[512];
-  int n = snprintf (half, sizeof half, "HTTP/1.1 200 OK\r\nContent-Length: %zu\r\n\r\n%.8s",
+  char text[512];
+  int n = snprintf (text, sizeof text, "HTTP/1.1 200 OK\r\nContent-Length: %zu\r\n\r\n%.8s",
                     strlen (body), body);
 
-  fake_conn_raw (conn, half, (size_t)n);
+  fake_conn_raw (conn, text, (size_t)n);
   fake_conn_close (conn, false);
 }
 
 /* The call has run; its answer goes out, whole or not. */
 static void
-on_worked (struct ev_loop *loop, ev_timer *timer, int events)
+on_work_timer (struct ev_loop *loop, ev_timer *timer, int events)
 {
   static const char headers[] = "Content-Type: application/json\r\n";
-  Pending *pending = timer->data;
+  PendingCall *pending = timer->data;
   FakePlain *plain = pending->plain;
   FakeConn *conn = pending->conn;
-  PlainFault fault = take_fault (plain);
+  PlainFault fault = consume_fault (plain);
   uint64_t n_runs = count_run (plain, pending->key);
   char body[KEY_BYTES + MF_NAME_BYTES + 64];
   int n;
@@ -161,7 +161,7 @@
   if (fault == PLAIN_FAULT_DIE_AFTER)
     fake_conn_close (conn, true);
   else if (fault == PLAIN_FAULT_CUT)
-    cut_answer (conn, body);
+    send_truncated_answer (conn, body);
   else
     fake_conn_answer (conn, fault == PLAIN_FAULT_ERROR ? 500 : 200, headers, body, (size_t)n);
 }
@@ -182,20 +182,20 @@
   FakePlain *plain = data;
   bool is_order = strcmp (request->method, "POST") == 0;
   json_object *body = is_order ? json_tokener_parse (request->body) : NULL;
-  Pending *pending;
+  PendingCall *pending;
 
   plain->n_calls++;
   if (plain->silent)
     return;
-  if (plain->leaving || (plain->n_faults > 0 && plain->fault == PLAIN_FAULT_REFUSE))
+  if (plain->leaving || (plain->n_faults_left > 0 && plain->fault == PLAIN_FAULT_REFUSE))
     {
-      take_fault (plain);
+      consume_fault (plain);
       refuse (plain, conn);
       return;
     }
-  if (plain->n_faults > 0 && plain->fault == PLAIN_FAULT_DIE_BEFORE)
+  if (plain->n_faults_left > 0 && plain->fault == PLAIN_FAULT_DIE_BEFORE)
     {
-      take_fault (plain);
+      consume_fault (plain);
       fake_conn_close (conn, true);
       return;
     }
@@ -208,7 +208,7 @@
     mf_name_set (pending->key, sizeof pending->key, fake_setting_text (body, "order", "unnamed"));
   pending->next = plain->pending;
   plain->pending = pending;
-  ev_timer_init (&pending->timer, on_worked, (double)plain->work_us / 1e6, 0.0);
+  ev_timer_init (&pending->timer, on_work_timer, (double)plain->work_us / 1e6, 0.0);
   pending->timer.data = pending;
   ev_timer_start (plain->loop, &pending->timer);
   json_object_put (body);
@@ -219,7 +219,7 @@
 {
   FakePlain *plain = data;
 
-  for (Pending *pending = plain->pending; pending != NULL; pending = pending->next)
+  for (PendingCall *pending = plain->pending; pending != NULL; pending = pending->next)
     {
       if (pending->conn == conn)
         pending->conn = NULL;
@@ -234,7 +234,7 @@
       if (strcmp (kind, fault_names[fault]) != 0)
         continue;
       plain->fault = fault;
-      plain->n_faults = value;
+      plain->n_faults_left = value;
       return true;
     }
   if (strcmp (kind, "slow") == 0)
@@ -260,22 +260,23 @@
 fake_plain_ledger (const FakePlain *plain)
 {
   json_object *row = json_object_new_object ();
-  json_object *runs = json_object_new_object ();
+  json_object *run_counts = json_object_new_object ();
 
-  for (const Run *run = plain->runs; run != NULL; run = run->hh.next)
-    fake_add_number (runs, run->key, run->n_runs);
+  for (const RunCount *run_count = plain->run_counts; run_count != NULL;
+       run_count = run_count->hh.next)
+    fake_add_number (run_counts, run_count->key, run_count->n_runs);
   fake_add_text (row, "name", plain->name);
   fake_add_number (row, "calls", plain->n_calls);
   fake_add_number (row, "reads", plain->n_reads);
   fake_add_number (row, "refused", plain->n_refused);
-  json_object_object_add (row, "runs", runs);
+  json_object_object_add (row, "runs", run_counts);
   return row;
 }
 
 FakePlain *
 fake_plain_new (struct ev_loop *loop, FakePlain **list, json_object *settings)
 {
-  static const FakeHttpHooks hooks = { .on_request = on_request, .on_closed = on_closed };
+  static const FakeHttpHooks callbacks = { .on_request = on_request, .on_closed = on_closed };
   FakePlain *plain = calloc (1, sizeof *plain);
 
   if (plain == NULL)
@@ -283,8 +284,8 @@
   plain->loop = loop;
   mf_name_set (plain->name, sizeof plain->name, fake_setting_text (settings, "name", "plain"));
   plain->work_us = fake_setting (settings, "work_ms", 2) * MF_US_PER_MS;
-  plain->http
-      = fake_http_new (loop, fake_setting_text (settings, "address", "127.0.0.1:0"), &hooks, plain);
+  plain->http = fake_http_new (loop, fake_setting_text (settings, "address", "127.0.0.1:0"),
+                               &callbacks, plain);
   plain->next = *list;
   *list = plain;
   return plain;
@@ -293,17 +294,17 @@
 void
 fake_plain_free (FakePlain *plain)
 {
-  Run *run = plain->runs;
+  RunCount *run_count = plain->run_counts;
 
   fake_http_free (plain->http);
   pending_drop_all (plain);
-  HASH_CLEAR (hh, plain->runs);
-  while (run != NULL)
+  HASH_CLEAR (hh, plain->run_counts);
+  while (run_count != NULL)
     {
-      Run *next = run->hh.next;
+      RunCount *next = run_count->hh.next;
 
-      free (run);
-      run = next;
+      free (run_count);
+      run_count = next;
     }
   free (plain);
 }
--- a/tests/fakes/platform_http.c
+++ b/tests/fakes/platform_http.c
@@ -20,19 +20,19 @@
 {
   Value values[VALUES_MAX];
   uint32_t n_values;
-  uint32_t served; /* place of the value served now */
-  bool frozen;     /* new values are not served */
+  uint32_t served_index; /* place of the value served now */
+  bool frozen;           /* new values are not served */
 } Key;
 
-typedef struct Waiting Waiting;
-struct Waiting
+typedef struct BlockingQuery BlockingQuery;
+struct BlockingQuery
 {
   FakePlatform *platform;
   FakeConn *conn;
   Key *key;
   uint64_t index;
   ev_timer timer;
-  Waiting *next;
+  BlockingQuery *next;
 };
 
 struct FakePlatform
@@ -48,25 +48,25 @@
   uint64_t n_calls;
   uint64_t n_forbidden;
   bool garbled;
-  Waiting *waiting;
+  BlockingQuery *queries;
 };
 
 static const Value *
 key_value (const Key *key)
 {
-  return key->n_values == 0 ? NULL : &key->values[key->served];
+  return key->n_values == 0 ? NULL : &key->values[key->served_index];
 }
 
 static void
-waiting_free (Waiting *waiting)
+query_free (BlockingQuery *queries)
 {
-  Waiting **at = &waiting->platform->waiting;
+  BlockingQuery **at = &queries->platform->queries;
 
-  while (*at != waiting)
+  while (*at != queries)
     at = &(*at)->next;
-  *at = waiting->next;
-  ev_timer_stop (waiting->platform->loop, &waiting->timer);
-  free (waiting);
+  *at = queries->next;
+  ev_timer_stop (queries->platform->loop, &queries->timer);
+  free (queries);
 }
 
 static char *
@@ -110,37 +110,37 @@
 }
 
 static void
-on_waited (struct ev_loop *loop, ev_timer *timer, int events)
+on_query_timer (struct ev_loop *loop, ev_timer *timer, int events)
 {
-  Waiting *waiting = timer->data;
+  BlockingQuery *queries = timer->data;
 
   (void)loop;
   (void)events;
-  answer_key (waiting->platform, waiting->conn, waiting->key);
-  waiting_free (waiting);
+  answer_key (queries->platform, queries->conn, queries->key);
+  query_free (queries);
 }
 
 /* Answers every read that waited for this. */
 static void
-wake (FakePlatform *platform, const Key *key)
+answer_queries (FakePlatform *platform, const Key *key)
 {
-  Waiting *waiting = platform->waiting;
+  BlockingQuery *queries = platform->queries;
 
-  while (waiting != NULL)
+  while (queries != NULL)
     {
-      Waiting *next = waiting->next;
+      BlockingQuery *next = queries->next;
 
-      if (waiting->key == key && key_value (key)->index != waiting->index)
+      if (queries->key == key && key_value (key)->index != queries->index)
         {
-          answer_key (platform, waiting->conn, key);
-          waiting_free (waiting);
+          answer_key (platform, queries->conn, key);
+          query_free (queries);
         }
-      waiting = next;
+      queries = next;
     }
 }
 
 static uint64_t
-wait_us (const char *query)
+query_wait_us (const char *query)
 {
   char wait[24];
   char *unit;
@@ -154,21 +154,21 @@
 }
 
 static void
-wait_for (FakePlatform *platform, FakeConn *conn, Key *key, uint64_t index, const char *query)
+query_add (FakePlatform *platform, FakeConn *conn, Key *key, uint64_t index, const char *query)
 {
-  Waiting *waiting = calloc (1, sizeof *waiting);
+  BlockingQuery *queries = calloc (1, sizeof *queries);
 
-  if (waiting == NULL)
+  if (queries == NULL)
     abort ();
-  waiting->platform = platform;
-  waiting->conn = conn;
-  waiting->key = key;
-  waiting->index = index;
-  waiting->next = platform->waiting;
-  platform->waiting = waiting;
-  ev_timer_init (&waiting->timer, on_waited, (double)wait_us (query) / 1e6, 0.0);
-  waiting->timer.data = waiting;
-  ev_timer_start (platform->loop, &waiting->timer);
+  queries->platform = platform;
+  queries->conn = conn;
+  queries->key = key;
+  queries->index = index;
+  queries->next = platform->queries;
+  platform->queries = queries;
+  ev_timer_init (&queries->timer, on_query_timer, (double)query_wait_us (query) / 1e6, 0.0);
+  queries->timer.data = queries;
+  ev_timer_start (platform->loop, &queries->timer);
 }
 
 static void
@@ -200,7 +200,7 @@
   index = strtoull (text, NULL, 10);
   value = key_value (key);
   if (index != 0 && value != NULL && value->index <= index)
-    wait_for (platform, conn, key, index, request->query);
+    query_add (platform, conn, key, index, request->query);
   else
     answer_key (platform, conn, key);
 }
@@ -209,15 +209,15 @@
 on_closed (FakeConn *conn, void *data)
 {
   FakePlatform *platform = data;
-  Waiting *waiting = platform->waiting;
+  BlockingQuery *queries = platform->queries;
 
-  while (waiting != NULL)
+  while (queries != NULL)
     {
-      Waiting *next = waiting->next;
+      BlockingQuery *next = queries->next;
 
-      if (waiting->conn == conn)
-        waiting_free (waiting);
-      waiting = next;
+      if (queries->conn == conn)
+        query_free (queries);
+      queries = next;
     }
 }
 
@@ -232,8 +232,8 @@
   key->values[key->n_values++] = (Value){ .index = ++platform->index, .value = strdup (value) };
   if (key->frozen)
     return;
-  key->served = key->n_values - 1;
-  wake (platform, key);
+  key->served_index = key->n_values - 1;
+  answer_queries (platform, key);
 }
 
 void
@@ -297,12 +297,12 @@
 
 /* Serves an earlier value, or thaws the key and serves the last. */
 static void
-serve (FakePlatform *platform, Key *key, uint64_t n_back)
+serve_earlier_value (FakePlatform *platform, Key *key, uint64_t n_back)
 {
   if (key->n_values == 0)
     return;
-  key->served = key->n_values - 1 - (n_back < key->n_values ? (uint32_t)n_back : 0);
-  wake (platform, key);
+  key->served_index = key->n_values - 1 - (n_back < key->n_values ? (uint32_t)n_back : 0);
+  answer_queries (platform, key);
 }
 
 bool
@@ -320,10 +320,10 @@
 
       key->frozen = value != 0;
       if (!key->frozen)
-        serve (platform, key, 0);
+        serve_earlier_value (platform, key, 0);
     }
   else if (strcmp (kind, "revert") == 0)
-    serve (platform, &platform->text, value);
+    serve_earlier_value (platform, &platform->text, value);
   else
     return false;
   return true;
@@ -333,12 +333,12 @@
 fake_platform_ledger (const FakePlatform *platform)
 {
   json_object *row = json_object_new_object ();
-  uint64_t n_waiting = 0;
+  uint64_t n_queries = 0;
 
-  for (const Waiting *waiting = platform->waiting; waiting != NULL; waiting = waiting->next)
-    n_waiting++;
+  for (const BlockingQuery *queries = platform->queries; queries != NULL; queries = queries->next)
+    n_queries++;
   fake_add_number (row, "calls", platform->n_calls);
-  fake_add_number (row, "waiting", n_waiting);
+  fake_add_number (row, "waiting", n_queries);
   fake_add_number (row, "forbidden", platform->n_forbidden);
   fake_add_number (row, "index", platform->index);
   return row;
@@ -347,7 +347,7 @@
 FakePlatform *
 fake_platform_new (struct ev_loop *loop, json_object *settings)
 {
-  static const FakeHttpHooks hooks = { .on_request = on_request, .on_closed = on_closed };
+  static const FakeHttpHooks callbacks = { .on_request = on_request, .on_closed = on_closed };
   FakePlatform *platform = calloc (1, sizeof *platform);
   json_object *instances = json_object_object_get (settings, "instances");
 
@@ -361,7 +361,7 @@
             fake_setting_text (settings, "service", "mangofork"));
   mf_name_set (platform->token, sizeof platform->token, fake_setting_text (settings, "token", ""));
   platform->http = fake_http_new (loop, fake_setting_text (settings, "address", "127.0.0.1:0"),
-                                  &hooks, platform);
+                                  &callbacks, platform);
   if (json_object_is_type (instances, json_type_array))
     set_list (platform, instances);
   return platform;
--- a/tests/fakes/relay.c
+++ b/tests/fakes/relay.c
@@ -36,25 +36,25 @@
   Rule rule;
 } RuleRow;
 
-typedef struct Pair Pair;
+typedef struct ProxyConn ProxyConn;
 
 /* One direction of a relayed connection: bytes read from its socket wait to be written to the
  * other's. */
 typedef struct
 {
-  Pair *pair;
-  ev_io readable;
-  ev_io writable;
+  ProxyConn *conn;
+  ev_io read_watcher;
+  ev_io write_watcher;
   MfBuffer pending; /* to be written to this side's socket */
 } Side;
 
-struct Pair
+struct ProxyConn
 {
   FakeRelay *relay;
   Side opener;
   Side target;
   char from[MF_NAME_BYTES]; /* who opened it, from the first bytes; "" before */
-  Pair *next;
+  ProxyConn *next;
 };
 
 struct FakeRelay
@@ -63,34 +63,34 @@
   char name[MF_NAME_BYTES];
   char address[MF_ADDRESS_BYTES];
   char to[MF_ADDRESS_BYTES];
-  ev_io accepting;
+  ev_io accept_watcher;
   RuleRow rules[RULES_MAX];
   uint32_t n_rules;
-  Pair *pairs;
+  ProxyConn *conns;
   FakeRelay *next;
 };
 
 static void
 side_close (struct ev_loop *loop, Side *side)
 {
-  ev_io_stop (loop, &side->readable);
-  ev_io_stop (loop, &side->writable);
-  close (side->readable.fd);
+  ev_io_stop (loop, &side->read_watcher);
+  ev_io_stop (loop, &side->write_watcher);
+  close (side->read_watcher.fd);
   mf_buffer_clear (&side->pending);
 }
 
 static void
-pair_close (Pair *pair)
+conn_close (ProxyConn *conn)
 {
-  FakeRelay *relay = pair->relay;
-  Pair **at = &relay->pairs;
+  FakeRelay *relay = conn->relay;
+  ProxyConn **at = &relay->conns;
 
-  while (*at != pair)
+  while (*at != conn)
     at = &(*at)->next;
-  *at = pair->next;
-  side_close (relay->loop, &pair->opener);
-  side_close (relay->loop, &pair->target);
-  free (pair);
+  *at = conn->next;
+  side_close (relay->loop, &conn->opener);
+  side_close (relay->loop, &conn->target);
+  free (conn);
 }
 
 static Rule
@@ -106,51 +106,51 @@
 
 /* Whether bytes may now be written to this side. */
 static bool
-side_flows (const Side *side)
+side_can_write (const Side *side)
 {
-  Rule rule = rule_for (side->pair->relay, side->pair->from);
+  Rule rule = rule_for (side->conn->relay, side->conn->from);
 
-  return side == &side->pair->target ? rule != RULE_HOLD_IN : rule != RULE_HOLD_OUT;
+  return side == &side->conn->target ? rule != RULE_HOLD_IN : rule != RULE_HOLD_OUT;
 }
 
 static void
 side_flush (Side *side)
 {
-  struct ev_loop *loop = side->pair->relay->loop;
+  struct ev_loop *loop = side->conn->relay->loop;
 
-  while (mf_buffer_bytes (&side->pending) > 0 && side_flows (side))
+  while (mf_buffer_bytes (&side->pending) > 0 && side_can_write (side))
     {
-      ssize_t n = send (side->writable.fd, mf_buffer_data (&side->pending),
+      ssize_t n = send (side->write_watcher.fd, mf_buffer_data (&side->pending),
                         mf_buffer_bytes (&side->pending), MSG_NOSIGNAL | MSG_DONTWAIT);
 
       if (n <= 0)
         break;
       mf_buffer_take (&side->pending, (size_t)n);
     }
-  if (mf_buffer_bytes (&side->pending) > 0 && side_flows (side))
-    ev_io_start (loop, &side->writable);
+  if (mf_buffer_bytes (&side->pending) > 0 && side_can_write (side))
+    ev_io_start (loop, &side->write_watcher);
   else
-    ev_io_stop (loop, &side->writable);
+    ev_io_stop (loop, &side->write_watcher);
 }
 
 /* The first message of a link names who opened it, in the clear. */
 static void
-read_opener (Pair *pair, const char *data, size_t data_bytes)
+read_opener_name (ProxyConn *conn, const char *data, size_t data_bytes)
 {
   const char *name = memmem (data, data_bytes, "entry-", 6);
   size_t n = name == NULL ? 0 : 7;
 
-  if (pair->from[0] != '\0' || n == 0 || (size_t)(name - data) + n > data_bytes)
+  if (conn->from[0] != '\0' || n == 0 || (size_t)(name - data) + n > data_bytes)
     return;
-  memcpy (pair->from, name, n);
+  memcpy (conn->from, name, n);
 }
 
 static void
 on_readable (struct ev_loop *loop, ev_io *io, int events)
 {
   Side *side = io->data;
-  Pair *pair = side->pair;
-  Side *other = side == &pair->opener ? &pair->target : &pair->opener;
+  ProxyConn *conn = side->conn;
+  Side *other = side == &conn->opener ? &conn->target : &conn->opener;
   char data[READ_BYTES];
   ssize_t n = recv (io->fd, data, sizeof data, MSG_DONTWAIT);
 
@@ -159,10 +159,10 @@
   if (n < 0 && errno == EAGAIN)
     return;
   if (n > 0)
-    read_opener (pair, data, (size_t)n);
-  if (n <= 0 || rule_for (pair->relay, pair->from) == RULE_CUT)
+    read_opener_name (conn, data, (size_t)n);
+  if (n <= 0 || rule_for (conn->relay, conn->from) == RULE_CUT)
     {
-      pair_close (pair);
+      conn_close (conn);
       return;
     }
   mf_buffer_add (&other->pending, data, (size_t)n);
@@ -178,14 +178,14 @@
 }
 
 static void
-side_open (Pair *pair, Side *side, int fd)
+side_open (ProxyConn *conn, Side *side, int fd)
 {
-  side->pair = pair;
-  ev_io_init (&side->readable, on_readable, fd, EV_READ);
-  ev_io_init (&side->writable, on_writable, fd, EV_WRITE);
-  side->readable.data = side;
-  side->writable.data = side;
-  ev_io_start (pair->relay->loop, &side->readable);
+  side->conn = conn;
+  ev_io_init (&side->read_watcher, on_readable, fd, EV_READ);
+  ev_io_init (&side->write_watcher, on_writable, fd, EV_WRITE);
+  side->read_watcher.data = side;
+  side->write_watcher.data = side;
+  ev_io_start (conn->relay->loop, &side->read_watcher);
 }
 
 static void
@@ -195,7 +195,7 @@
   MfError error = { 0 };
   int opener = accept4 (io->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
   int target = opener < 0 ? -1 : mf_socket_connect (relay->to, &error);
-  Pair *pair;
+  ProxyConn *conn;
 
   (void)loop;
   (void)events;
@@ -204,14 +204,14 @@
       close (opener);
       return;
     }
-  pair = calloc (1, sizeof *pair);
-  if (pair == NULL)
+  conn = calloc (1, sizeof *conn);
+  if (conn == NULL)
     abort ();
-  pair->relay = relay;
-  pair->next = relay->pairs;
-  relay->pairs = pair;
-  side_open (pair, &pair->opener, opener);
-  side_open (pair, &pair->target, target);
+  conn->relay = relay;
+  conn->next = relay->conns;
+  relay->conns = conn;
+  side_open (conn, &conn->opener, opener);
+  side_open (conn, &conn->target, target);
 }
 
 static RuleRow *
@@ -239,18 +239,18 @@
   if (rule == RULE_COUNT)
     return false;
   rule_row (relay, from)->rule = rule;
-  for (Pair *pair = relay->pairs; pair != NULL;)
+  for (ProxyConn *conn = relay->conns; conn != NULL;)
     {
-      Pair *next = pair->next;
+      ProxyConn *next = conn->next;
 
-      if (rule_for (relay, pair->from) == RULE_CUT)
-        pair_close (pair);
+      if (rule_for (relay, conn->from) == RULE_CUT)
+        conn_close (conn);
       else
         {
-          side_flush (&pair->opener);
-          side_flush (&pair->target);
+          side_flush (&conn->opener);
+          side_flush (&conn->target);
         }
-      pair = next;
+      conn = next;
     }
   return true;
 }
@@ -266,30 +266,31 @@
       fprintf (stderr, "fakes: %s\n", error.text);
       exit (1);
     }
-  ev_io_init (&relay->accepting, on_accept, fd, EV_READ);
-  relay->accepting.data = relay;
-  ev_io_start (relay->loop, &relay->accepting);
+  ev_io_init (&relay->accept_watcher, on_accept, fd, EV_READ);
+  relay->accept_watcher.data = relay;
+  ev_io_start (relay->loop, &relay->accept_watcher);
 }
 
 void
 fake_relay_refuse (FakeRelay *relay, bool refuses)
 {
-  static const struct linger hard = { .l_onoff = 1, .l_linger = 0 };
+  static const struct linger linger = { .l_onoff = 1, .l_linger = 0 };
 
-  if (refuses == (relay->accepting.fd < 0))
+  if (refuses == (relay->accept_watcher.fd < 0))
     return;
   if (!refuses)
     {
       relay_listen (relay);
       return;
     }
-  ev_io_stop (relay->loop, &relay->accepting);
-  close (relay->accepting.fd);
-  relay->accepting.fd = -1;
-  while (relay->pairs != NULL)
+  ev_io_stop (relay->loop, &relay->accept_watcher);
+  close (relay->accept_watcher.fd);
+  relay->accept_watcher.fd = -1;
+  while (relay->conns != NULL)
     {
-      setsockopt (relay->pairs->opener.readable.fd, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
-      pair_close (relay->pairs);
+      setsockopt (relay->conns->opener.read_watcher.fd, SOL_SOCKET, SO_LINGER, &linger,
+                  sizeof linger);
+      conn_close (relay->conns);
     }
 }
 
@@ -314,17 +315,17 @@
 void
 fake_relay_free (FakeRelay *relay)
 {
-  for (Pair *pair = relay->pairs; pair != NULL;)
+  for (ProxyConn *conn = relay->conns; conn != NULL;)
     {
-      Pair *next = pair->next;
+      ProxyConn *next = conn->next;
 
-      pair_close (pair);
-      pair = next;
+      conn_close (conn);
+      conn = next;
     }
-  if (relay->accepting.fd >= 0)
+  if (relay->accept_watcher.fd >= 0)
     {
-      ev_io_stop (relay->loop, &relay->accepting);
-      close (relay->accepting.fd);
+      ev_io_stop (relay->loop, &relay->accept_watcher);
+      close (relay->accept_watcher.fd);
     }
   free (relay);
 }
--- a/tests/fakes/rig.c
+++ b/tests/fakes/rig.c
@@ -11,43 +11,43 @@
 #define TTFT_TARGET_US (1500 * MF_US_PER_MS)
 #define TBT_TARGET_US (30 * MF_US_PER_MS)
 #define WALL_START_MS UINT64_C (1800000000000)
-#define TOKEN_BYTES 40
+#define TOKEN_TEXT_BYTES 40
 #define CACHE_EVENTS_MAX 64
 #define LINKS_MAX 256
-#define RUN_RESOLUTION_US 1
+#define TICK_INTERVAL_MIN_US 1
 
 typedef enum
 {
-  DUE_CORE_EVENT, /* an event for a core */
-  DUE_CALL,       /* a call reaches its upstream */
-  DUE_ABORT,      /* the end of a call's connection reaches it */
-  DUE_ENGINE,     /* an engine has something to do */
-  DUE_PLAIN,      /* a plain call is done */
-  DUE_TIMEOUT,    /* the adapter's own time limit */
-} DueType;
+  ITEM_CORE_EVENT, /* an event for a core */
+  ITEM_CALL,       /* a call reaches its upstream */
+  ITEM_ABORT,      /* the end of a call's connection reaches it */
+  ITEM_ENGINE,     /* an engine has something to do */
+  ITEM_PLAIN,      /* a plain call is done */
+  ITEM_TIMEOUT,    /* the adapter's own time limit */
+} QueueItemType;
 
 typedef struct
 {
   uint64_t at_us;
   uint64_t sequence;
-  DueType type;
+  QueueItemType type;
   uint32_t core;
   uint32_t engine;
   uint64_t call_id;
   MfEvent event;
-  char data[TOKEN_BYTES];
+  char data[TOKEN_TEXT_BYTES];
   uint64_t *hashes; /* cache events; owned */
   bool *stored;
   MfFrame *frame; /* peer messages; owned */
-} Due;
+} QueueItem;
 
 /* One call of a core, as the adapter would keep it. */
 typedef struct
 {
   uint64_t key[2]; /* core, call_id */
   MfCallAction call;
-  bool ended; /* nothing more is said of it */
-  bool begun; /* the upstream has it */
+  bool ended;   /* nothing more is said of it */
+  bool arrived; /* the upstream has it */
   bool aborted;
   uint64_t kv_handle;
   uint32_t kv_engine;
@@ -74,16 +74,16 @@
   uint64_t now_us;
   uint64_t sequence;
   uint64_t random;
-  Due **dues;
-  uint32_t n_dues;
-  uint32_t n_dues_max;
+  QueueItem **queue;
+  uint32_t n_queued;
+  uint32_t n_queued_max;
   MfCore *cores[RIG_CORES_MAX];
   uint64_t core_due_us[RIG_CORES_MAX];
   bool exited[RIG_CORES_MAX];
-  uint32_t acting; /* the core that is being stepped */
+  uint32_t current_core; /* the core that is being stepped */
   FakeEngine *engines[RIG_ENGINES_MAX];
   uint64_t engine_due_us[RIG_ENGINES_MAX];
-  uint64_t frozen_until_us[RIG_ENGINES_MAX];
+  uint64_t paused_until_us[RIG_ENGINES_MAX];
   uint32_t n_engines;
   RigPlain plains[RIG_PLAINS_MAX];
   struct
@@ -92,7 +92,7 @@
     uint64_t call_id[4096];
     uint32_t first;
     uint32_t n;
-  } waiting[RIG_PLAINS_MAX];
+  } plain_queues[RIG_PLAINS_MAX];
   Call *calls;
   WorkCall *work_calls;
   RigRequest *requests;
@@ -116,79 +116,80 @@
 }
 
 static bool
-due_before (const Due *a, const Due *b)
+queue_item_is_before (const QueueItem *a, const QueueItem *b)
 {
   return a->at_us < b->at_us || (a->at_us == b->at_us && a->sequence < b->sequence);
 }
 
-static Due *
-due_add (Rig *rig, DueType type, uint64_t at_us)
+static QueueItem *
+queue_add (Rig *rig, QueueItemType type, uint64_t at_us)
 {
-  Due *due = calloc (1, sizeof *due);
-  uint32_t i = rig->n_dues++;
+  QueueItem *item = calloc (1, sizeof *item);
+  uint32_t i = rig->n_queued++;
 
-  if (rig->n_dues > rig->n_dues_max)
+  if (rig->n_queued > rig->n_queued_max)
     {
-      rig->n_dues_max = rig->n_dues_max * 2 + 1024;
-      rig->dues = realloc (rig->dues, rig->n_dues_max * sizeof (Due *));
+      rig->n_queued_max = rig->n_queued_max * 2 + 1024;
+      rig->queue = realloc (rig->queue, rig->n_queued_max * sizeof (QueueItem *));
     }
-  if (due == NULL || rig->dues == NULL)
+  if (item == NULL || rig->queue == NULL)
     abort ();
-  due->type = type;
-  due->at_us = at_us;
-  due->sequence = rig->sequence++;
-  while (i > 0 && due_before (due, rig->dues[(i - 1) / 2]))
+  item->type = type;
+  item->at_us = at_us;
+  item->sequence = rig->sequence++;
+  while (i > 0 && queue_item_is_before (item, rig->queue[(i - 1) / 2]))
     {
-      rig->dues[i] = rig->dues[(i - 1) / 2];
+      rig->queue[i] = rig->queue[(i - 1) / 2];
       i = (i - 1) / 2;
     }
-  rig->dues[i] = due;
-  return due;
+  rig->queue[i] = item;
+  return item;
 }
 
-static Due *
-due_take (Rig *rig)
+static QueueItem *
+queue_pop (Rig *rig)
 {
-  Due *first = rig->dues[0];
-  Due *last = rig->dues[--rig->n_dues];
+  QueueItem *first = rig->queue[0];
+  QueueItem *last = rig->queue[--rig->n_queued];
   uint32_t i = 0;
 
   for (;;)
     {
       uint32_t child = i * 2 + 1;
 
-      if (child >= rig->n_dues)
+      if (child >= rig->n_queued)
         break;
-      if (child + 1 < rig->n_dues && due_before (rig->dues[child + 1], rig->dues[child]))
+      if (child + 1 < rig->n_queued
+          && queue_item_is_before (rig->queue[child + 1], rig->queue[child]))
         child++;
-      if (!due_before (rig->dues[child], last))
+      if (!queue_item_is_before (rig->queue[child], last))
         break;
-      rig->dues[i] = rig->dues[child];
+      rig->queue[i] = rig->queue[child];
       i = child;
     }
-  rig->dues[i] = last;
+  rig->queue[i] = last;
   return first;
 }
 
 static void
-due_free (Due *due)
-{
-  if (due->frame != NULL)
-    mf_frame_clear (due->frame);
-  free (due->frame);
-  free (due->hashes);
-  free (due->stored);
-  free (due);
+queue_item_free (QueueItem *item)
+{
+  if (item->frame != NULL)
+    mf_frame_clear (item->frame);
+  free (item->frame);
+  free (item->hashes);
+  free (item->stored);
+  free (item);
 }
 
-static Due *
-event_add (Rig *rig, uint32_t core, MfEventType type, uint64_t at_us)
+static QueueItem *
+queue_core_event (Rig *rig, uint32_t core, MfEventType type, uint64_t at_us)
 {
-  Due *due = due_add (rig, DUE_CORE_EVENT, at_us);
+  QueueItem *item = queue_add (rig, ITEM_CORE_EVENT, at_us);
 
-  due->core = core;
-  due->event.type = type;
-  return due;
+  item->core = core;
+  item->event.type = type;
+  return item;
 }
 
 static Call *
@@ -201,14 +202,14 @@
   return call;
 }
 
-static Due *
-call_event (Rig *rig, const Call *call, MfEventType type, uint64_t at_us)
+static QueueItem *
+queue_call_event (Rig *rig, const Call *call, MfEventType type, uint64_t at_us)
 {
-  Due *due = event_add (rig, (uint32_t)call->key[0], type, at_us);
+  QueueItem *item = queue_core_event (rig, (uint32_t)call->key[0], type, at_us);
 
-  due->event.call.call_id = call->key[1];
-  due->call_id = call->key[1];
-  return due;
+  item->event.call.call_id = call->key[1];
+  item->call_id = call->key[1];
+  return item;
 }
 
 static void
@@ -218,7 +219,7 @@
     return;
   event->now_us = rig->now_us;
   event->wall_ms = WALL_START_MS + rig->now_us / MF_US_PER_MS;
-  rig->acting = core;
+  rig->current_core = core;
   mf_core_step (rig->cores[core], event);
   rig->core_due_us[core] = mf_core_next_us (rig->cores[core]);
 }
@@ -235,29 +236,29 @@
 bind_work (Rig *rig, uint32_t engine, const Call *call)
 {
   uint64_t key[4] = { engine, call->key[0], call->call.request_id, call->call.attempt };
-  WorkCall *bound;
+  WorkCall *binding;
 
-  HASH_FIND (hh, rig->work_calls, key, sizeof key, bound);
-  if (bound == NULL)
+  HASH_FIND (hh, rig->work_calls, key, sizeof key, binding);
+  if (binding == NULL)
     {
-      bound = calloc (1, sizeof *bound);
-      if (bound == NULL)
+      binding = calloc (1, sizeof *binding);
+      if (binding == NULL)
         abort ();
-      memcpy (bound->key, key, sizeof key);
-      HASH_ADD (hh, rig->work_calls, key, sizeof bound->key, bound);
+      memcpy (binding->key, key, sizeof key);
+      HASH_ADD (hh, rig->work_calls, key, sizeof binding->key, binding);
     }
-  bound->call_id = call->key[1];
+  binding->call_id = call->key[1];
 }
 
 static Call *
-call_of_work (Rig *rig, uint32_t engine, const FakeWorkId *id)
+find_call_of_work (Rig *rig, uint32_t engine, const FakeWorkId *id)
 {
   uint64_t key[4] = { engine, 0, id->request_id, id->attempt };
-  WorkCall *bound;
+  WorkCall *binding;
 
   key[1] = (uint64_t)(id->owner.name[strlen (id->owner.name) - 1] - '1');
-  HASH_FIND (hh, rig->work_calls, key, sizeof key, bound);
-  return bound == NULL ? NULL : call_find (rig, (uint32_t)key[1], bound->call_id);
+  HASH_FIND (hh, rig->work_calls, key, sizeof key, binding);
+  return binding == NULL ? NULL : call_find (rig, (uint32_t)key[1], binding->call_id);
 }
 
 static void
@@ -270,53 +271,53 @@
   if (next_us >= rig->engine_due_us[engine])
     return;
   rig->engine_due_us[engine] = next_us;
-  due_add (rig, DUE_ENGINE, next_us)->engine = engine;
+  queue_add (rig, ITEM_ENGINE, next_us)->engine = engine;
 }
 
 /* The whole call has failed or ended. */
 static void
 end_call (Rig *rig, Call *call, MfEventType type, const MfCallEvent *event)
 {
-  Due *due;
+  QueueItem *item;
 
   if (call->ended)
     return;
   call->ended = true;
-  due = call_event (rig, call, type, rig->now_us + rig->options.hop_us);
-  due->event.call = *event;
-  due->event.call.call_id = call->key[1];
+  item = queue_call_event (rig, call, type, rig->now_us + rig->options.hop_us);
+  item->event.call = *event;
+  item->event.call.call_id = call->key[1];
 }
 
 /* Every call on a dead engine sees its connection break. */
 static void
-break_calls (Rig *rig, uint32_t upstream)
+fail_calls (Rig *rig, uint32_t upstream)
 {
   Call *call;
   Call *next;
 
   HASH_ITER (hh, rig->calls, call, next)
   {
-    if (call->call.upstream == upstream && call->begun && !call->ended)
+    if (call->call.upstream == upstream && call->arrived && !call->ended)
       end_call (rig, call, MF_EVENT_CALL_FAILED, &(MfCallEvent){ .sent = true });
   }
 }
 
 static void
-on_engine (FakeEngine *model, const FakeEvent *event, void *data)
+on_engine_event (FakeEngine *model, const FakeEvent *event, void *data)
 {
   Rig *rig = data;
   uint32_t engine = 0;
   Call *call;
-  Due *due;
+  QueueItem *item;
 
   while (rig->engines[engine] != model)
     engine++;
   if (event->type == FAKE_DIED)
     {
-      break_calls (rig, engine);
+      fail_calls (rig, engine);
       return;
     }
-  call = call_of_work (rig, engine, &event->id);
+  call = find_call_of_work (rig, engine, &event->id);
   if (call == NULL || call->ended)
     return;
   switch (event->type)
@@ -324,20 +325,21 @@
     case FAKE_PREFILLED:
       call->kv_handle = event->n;
       call->kv_engine = engine;
-      due = call_event (rig, call, MF_EVENT_CALL_PREFILLED, event->at_us + rig->options.hop_us);
-      due->event.call.expires_us = event->until_us;
-      due->event.call.kv_bytes = event->bytes;
+      item = queue_call_event (rig, call, MF_EVENT_CALL_PREFILLED,
+                               event->at_us + rig->options.hop_us);
+      item->event.call.expires_us = event->until_us;
+      item->event.call.kv_bytes = event->bytes;
       end_call (rig, call, MF_EVENT_CALL_DONE, &(MfCallEvent){ .status = 200 });
       break;
     case FAKE_IMPORTED:
-      call_event (rig, call, MF_EVENT_CALL_IMPORTED, event->at_us + rig->options.hop_us);
+      queue_call_event (rig, call, MF_EVENT_CALL_IMPORTED, event->at_us + rig->options.hop_us);
       break;
     case FAKE_TOKEN:
-      due = call_event (rig, call, MF_EVENT_CALL_TOKENS, event->at_us + rig->options.hop_us);
-      due->event.call.first_index = (uint32_t)event->n;
-      due->event.call.n_tokens = 1;
-      snprintf (due->data, sizeof due->data, "%llu:%llu", (unsigned long long)call->call.request_id,
-                (unsigned long long)event->n);
+      item = queue_call_event (rig, call, MF_EVENT_CALL_TOKENS, event->at_us + rig->options.hop_us);
+      item->event.call.first_index = (uint32_t)event->n;
+      item->event.call.n_tokens = 1;
+      snprintf (item->data, sizeof item->data, "%llu:%llu",
+                (unsigned long long)call->call.request_id, (unsigned long long)event->n);
       break;
     case FAKE_FINISHED:
       end_call (rig, call, MF_EVENT_CALL_DONE, &(MfCallEvent){ .status = 200, .stopped = true });
@@ -354,24 +356,24 @@
 run_engine (Rig *rig, uint32_t engine)
 {
   rig->engine_due_us[engine] = UINT64_MAX;
-  fake_engine_run (rig->engines[engine], rig->now_us, on_engine, rig);
+  fake_engine_run (rig->engines[engine], rig->now_us, on_engine_event, rig);
   schedule_engine (rig, engine);
 }
 
 static void
-answer_verdict (Rig *rig, Call *call, FakeVerdict verdict)
+answer_result (Rig *rig, Call *call, FakeVerdict result)
 {
-  if (verdict == FAKE_REFUSED)
+  if (result == FAKE_REFUSED)
     end_call (rig, call, MF_EVENT_CALL_DONE, &(MfCallEvent){ .status = 503, .refused = true });
-  else if (verdict == FAKE_LEAVING)
+  else if (result == FAKE_LEAVING)
     end_call (rig, call, MF_EVENT_CALL_DONE,
               &(MfCallEvent){ .status = 503, .refused = true, .leaving = true });
-  else if (verdict == FAKE_GONE)
+  else if (result == FAKE_GONE)
     end_call (rig, call, MF_EVENT_CALL_DONE, &(MfCallEvent){ .status = 404 });
 }
 
 static void
-engine_work (Rig *rig, Call *call)
+engine_start_work (Rig *rig, Call *call)
 {
   FakeEngine *engine = rig->engines[call->call.upstream];
   RigRequest *request = &rig->requests[call->call.request_id - 1];
@@ -388,24 +390,24 @@
     .n_prefix_hashes = request->n_prefix_hashes,
   };
   const Call *prefill;
-  FakeVerdict verdict;
+  FakeVerdict result;
 
   bind_work (rig, call->call.upstream, call);
   if (call->call.kind == MF_CALL_PREFILL)
-    verdict = fake_engine_prefill (engine, &work, rig->now_us);
+    result = fake_engine_prefill (engine, &work, rig->now_us);
   else if (call->call.kind == MF_CALL_RESUME)
-    verdict = fake_engine_resume (engine, &work.id, call->call.from_token, rig->now_us);
+    result = fake_engine_resume (engine, &work.id, call->call.from_token, rig->now_us);
   else
     {
       prefill = call_find (rig, (uint32_t)call->key[0], call->call.prefill_call_id);
-      verdict = prefill == NULL
-                    ? FAKE_GONE
-                    : fake_engine_decode (engine, &work, rig->engines[prefill->kv_engine],
-                                          prefill->kv_handle, rig->now_us);
+      result = prefill == NULL
+                   ? FAKE_GONE
+                   : fake_engine_decode (engine, &work, rig->engines[prefill->kv_engine],
+                                         prefill->kv_handle, rig->now_us);
     }
-  if (verdict == FAKE_ACCEPTED)
+  if (result == FAKE_ACCEPTED)
     request->ran = true;
-  answer_verdict (rig, call, verdict);
+  answer_result (rig, call, result);
 }
 
 static void
@@ -414,23 +416,23 @@
   uint32_t engine = call->call.upstream;
   uint64_t at_us = rig->now_us + rig->options.hop_us;
   uint64_t incarnation;
-  Due *due = event_add (rig, (uint32_t)call->key[0], MF_EVENT_LOAD, at_us);
-
-  fake_engine_load (rig->engines[engine], rig->now_us, &due->event.load);
-  due->event.load.upstream = engine;
-  incarnation = due->event.load.incarnation;
-  due = event_add (rig, (uint32_t)call->key[0], MF_EVENT_CACHE, at_us);
-  due->hashes = calloc (CACHE_EVENTS_MAX, sizeof *due->hashes);
-  due->stored = calloc (CACHE_EVENTS_MAX, sizeof *due->stored);
-  if (due->hashes == NULL || due->stored == NULL)
+  QueueItem *item = queue_core_event (rig, (uint32_t)call->key[0], MF_EVENT_LOAD, at_us);
+
+  fake_engine_load (rig->engines[engine], rig->now_us, &item->event.load);
+  item->event.load.upstream = engine;
+  incarnation = item->event.load.incarnation;
+  item = queue_core_event (rig, (uint32_t)call->key[0], MF_EVENT_CACHE, at_us);
+  item->hashes = calloc (CACHE_EVENTS_MAX, sizeof *item->hashes);
+  item->stored = calloc (CACHE_EVENTS_MAX, sizeof *item->stored);
+  if (item->hashes == NULL || item->stored == NULL)
     abort ();
-  due->event.cache.upstream = engine;
-  due->event.cache.incarnation = incarnation;
-  due->event.cache.hashes = due->hashes;
-  due->event.cache.stored = due->stored;
-  due->event.cache.n = fake_engine_cache_events (rig->engines[engine], rig->now_us,
-                                                 call->call.cache_after, &due->event.cache.first,
-                                                 due->hashes, due->stored, CACHE_EVENTS_MAX);
+  item->event.cache.upstream = engine;
+  item->event.cache.incarnation = incarnation;
+  item->event.cache.hashes = item->hashes;
+  item->event.cache.stored = item->stored;
+  item->event.cache.n = fake_engine_cache_events (rig->engines[engine], rig->now_us,
+                                                  call->call.cache_after, &item->event.cache.first,
+                                                  item->hashes, item->stored, CACHE_EVENTS_MAX);
   end_call (rig, call, MF_EVENT_CALL_DONE, &(MfCallEvent){ .status = 200 });
 }
 
@@ -450,17 +452,18 @@
 }
 
 static void
-plain_begin (Rig *rig, uint32_t plain, uint32_t core, uint64_t call_id)
+plain_start (Rig *rig, uint32_t plain, uint32_t core, uint64_t call_id)
 {
   RigPlain *row = &rig->plains[plain];
-  uint64_t half = row->serve_us / 2;
-  uint64_t serve_us = (half + random_next (rig) % (row->serve_us + 1)) * 100 / row->speed_percent;
-  Due *due = due_add (rig, DUE_PLAIN, rig->now_us + serve_us);
+  uint64_t half_us = row->serve_us / 2;
+  uint64_t serve_us
+      = (half_us + random_next (rig) % (row->serve_us + 1)) * 100 / row->speed_percent;
+  QueueItem *item = queue_add (rig, ITEM_PLAIN, rig->now_us + serve_us);
 
   row->busy++;
-  due->engine = plain;
-  due->core = core;
-  due->call_id = call_id;
+  item->engine = plain;
+  item->core = core;
+  item->call_id = call_id;
 }
 
 static void
@@ -472,24 +475,24 @@
   request->n_sent++;
   if (rig->plains[plain].busy < rig->plains[plain].workers)
     {
-      plain_begin (rig, plain, (uint32_t)call->key[0], call->key[1]);
+      plain_start (rig, plain, (uint32_t)call->key[0], call->key[1]);
       return;
     }
-  if (rig->waiting[plain].n == MF_ARRAY_LEN (rig->waiting[plain].core))
+  if (rig->plain_queues[plain].n == MF_ARRAY_LEN (rig->plain_queues[plain].core))
     {
       end_call (rig, call, MF_EVENT_CALL_DONE, &(MfCallEvent){ .status = 503, .refused = true });
       return;
     }
-  uint32_t at = (rig->waiting[plain].first + rig->waiting[plain].n++) % 4096;
-  rig->waiting[plain].core[at] = (uint32_t)call->key[0];
-  rig->waiting[plain].call_id[at] = call->key[1];
+  uint32_t at = (rig->plain_queues[plain].first + rig->plain_queues[plain].n++) % 4096;
+  rig->plain_queues[plain].core[at] = (uint32_t)call->key[0];
+  rig->plain_queues[plain].call_id[at] = call->key[1];
 }
 
 static void
-plain_done (Rig *rig, const Due *due)
+plain_done (Rig *rig, const QueueItem *item)
 {
-  uint32_t plain = due->engine;
-  Call *call = call_find (rig, due->core, due->call_id);
+  uint32_t plain = item->engine;
+  Call *call = call_find (rig, item->core, item->call_id);
   RigRequest *request = &rig->requests[call->call.request_id - 1];
   MfCallEvent event = { .status = 200, .data = "done", .data_bytes = 4 };
 
@@ -501,13 +504,14 @@
       rig->plains[plain].n_runs++;
       end_call (rig, call, MF_EVENT_CALL_DONE, &event);
     }
-  if (rig->waiting[plain].n > 0 && !rig->plains[plain].dead)
+  if (rig->plain_queues[plain].n > 0 && !rig->plains[plain].dead)
     {
-      uint32_t at = rig->waiting[plain].first;
+      uint32_t at = rig->plain_queues[plain].first;
 
-      rig->waiting[plain].first = (at + 1) % 4096;
-      rig->waiting[plain].n--;
-      plain_begin (rig, plain, rig->waiting[plain].core[at], rig->waiting[plain].call_id[at]);
+      rig->plain_queues[plain].first = (at + 1) % 4096;
+      rig->plain_queues[plain].n--;
+      plain_start (rig, plain, rig->plain_queues[plain].core[at],
+                   rig->plain_queues[plain].call_id[at]);
     }
 }
 
@@ -527,17 +531,17 @@
       end_call (rig, call, MF_EVENT_CALL_FAILED, &(MfCallEvent){ .connect_failed = true });
       return;
     }
-  if (!plain && rig->frozen_until_us[upstream] > rig->now_us)
+  if (!plain && rig->paused_until_us[upstream] > rig->now_us)
     {
-      Due *due = due_add (rig, DUE_CALL, rig->frozen_until_us[upstream]);
+      QueueItem *item = queue_add (rig, ITEM_CALL, rig->paused_until_us[upstream]);
 
-      due->core = (uint32_t)call->key[0];
-      due->call_id = call->key[1];
+      item->core = (uint32_t)call->key[0];
+      item->call_id = call->key[1];
       return;
     }
-  call->begun = true;
+  call->arrived = true;
   if (call->call.request_id != 0 && call->call.kind <= MF_CALL_PLAIN)
-    call_event (rig, call, MF_EVENT_CALL_SENT, rig->now_us);
+    queue_call_event (rig, call, MF_EVENT_CALL_SENT, rig->now_us);
   if (plain)
     plain_call (rig, call);
   else if (call->call.kind == MF_CALL_LOAD)
@@ -545,7 +549,7 @@
   else if (call->call.kind == MF_CALL_CANCEL || call->call.kind == MF_CALL_CANCEL_OWNER)
     engine_cancel (rig, call);
   else
-    engine_work (rig, call);
+    engine_start_work (rig, call);
   if (!plain)
     schedule_engine (rig, upstream);
 }
@@ -554,42 +558,42 @@
 start_call (Rig *rig, const MfCallAction *action)
 {
   Call *call = calloc (1, sizeof *call);
-  Due *due;
+  QueueItem *item;
 
   if (call == NULL)
     abort ();
-  call->key[0] = rig->acting;
+  call->key[0] = rig->current_core;
   call->key[1] = action->call_id;
   call->call = *action;
   HASH_ADD (hh, rig->calls, key, sizeof call->key, call);
-  due = due_add (rig, DUE_CALL, rig->now_us + rig->options.hop_us);
-  due->core = rig->acting;
-  due->call_id = action->call_id;
+  item = queue_add (rig, ITEM_CALL, rig->now_us + rig->options.hop_us);
+  item->core = rig->current_core;
+  item->call_id = action->call_id;
   if (action->timeout_us > 0)
     {
-      due = due_add (rig, DUE_TIMEOUT, rig->now_us + action->timeout_us);
-      due->core = rig->acting;
-      due->call_id = action->call_id;
+      item = queue_add (rig, ITEM_TIMEOUT, rig->now_us + action->timeout_us);
+      item->core = rig->current_core;
+      item->call_id = action->call_id;
     }
 }
 
 static void
 abort_call (Rig *rig, uint64_t call_id)
 {
-  Call *call = call_find (rig, rig->acting, call_id);
-  Due *due;
+  Call *call = call_find (rig, rig->current_core, call_id);
+  QueueItem *item;
 
   if (call == NULL)
     return;
   call->ended = true;
   call->aborted = true;
-  due = due_add (rig, DUE_ABORT, rig->now_us + rig->options.hop_us);
-  due->core = rig->acting;
-  due->call_id = call_id;
+  item = queue_add (rig, ITEM_ABORT, rig->now_us + rig->options.hop_us);
+  item->core = rig->current_core;
+  item->call_id = call_id;
 }
 
 static void
-note_end (Rig *rig, const MfAnswerAction *answer, MfCode code)
+record_end (Rig *rig, const MfAnswerAction *answer, MfCode code)
 {
   RigRequest *request = &rig->requests[answer->request_id - 1];
 
@@ -603,14 +607,14 @@
 }
 
 static void
-note_tokens (Rig *rig, const MfAnswerAction *answer)
+record_tokens (Rig *rig, const MfAnswerAction *answer)
 {
   RigRequest *request = &rig->requests[answer->request_id - 1];
-  char want[TOKEN_BYTES];
+  char expected[TOKEN_TEXT_BYTES];
 
-  snprintf (want, sizeof want, "%llu:%u", (unsigned long long)answer->request_id,
+  snprintf (expected, sizeof expected, "%llu:%u", (unsigned long long)answer->request_id,
             request->n_tokens);
-  if (request->n_ends > 0 || strcmp (want, answer->data) != 0)
+  if (request->n_ends > 0 || strcmp (expected, answer->data) != 0)
     request->garbled = true;
   if (request->n_tokens++ == 0)
     request->first_us = rig->now_us;
@@ -627,19 +631,19 @@
 {
   for (uint32_t i = 0; i < rig->options.n_cores; i++)
     {
-      if (i == rig->acting || rig->n_links == LINKS_MAX
+      if (i == rig->current_core || rig->n_links == LINKS_MAX
           || strcmp (rig->cores[i]->board.options.address, action->address) != 0)
         continue;
-      rig->links[rig->n_links] = (Link){ .core = { rig->acting, i }, .up = true };
+      rig->links[rig->n_links] = (Link){ .core = { rig->current_core, i }, .up = true };
       for (uint32_t side = 0; side < 2; side++)
         {
           uint32_t other = rig->links[rig->n_links].core[1 - side];
-          Due *due = event_add (rig, rig->links[rig->n_links].core[side], MF_EVENT_PEER_UP,
-                                rig->now_us + PEER_HOP_US);
+          QueueItem *item = queue_core_event (rig, rig->links[rig->n_links].core[side],
+                                              MF_EVENT_PEER_UP, rig->now_us + PEER_HOP_US);
 
-          due->event.peer.link_id = rig->n_links + 1;
-          due->event.peer.peer = rig->cores[other]->board.options.self;
-          mf_name_set (due->event.peer.address, MF_ADDRESS_BYTES,
+          item->event.peer.link_id = rig->n_links + 1;
+          item->event.peer.peer = rig->cores[other]->board.options.self;
+          mf_name_set (item->event.peer.address, MF_ADDRESS_BYTES,
                        rig->cores[other]->board.options.address);
         }
       rig->n_links++;
@@ -651,21 +655,21 @@
 peer_send (Rig *rig, const MfPeerAction *action)
 {
   const Link *link = &rig->links[action->link_id - 1];
-  uint32_t other = link->core[0] == rig->acting ? link->core[1] : link->core[0];
+  uint32_t other = link->core[0] == rig->current_core ? link->core[1] : link->core[0];
   MfError error = { 0 };
   size_t n_bytes;
   uint8_t *bytes = mf_frame_encode (action->message, &n_bytes, &error);
   MfFrame *frame = calloc (1, sizeof *frame);
-  Due *due;
+  QueueItem *item;
 
   if (bytes == NULL || frame == NULL || !mf_frame_decode (bytes + 4, n_bytes - 4, frame, &error))
     abort ();
   free (bytes);
-  due = event_add (rig, other, MF_EVENT_PEER_MESSAGE, rig->now_us + PEER_HOP_US);
-  due->frame = frame;
-  due->event.peer.link_id = action->link_id;
-  due->event.peer.peer = rig->cores[rig->acting]->board.options.self;
-  due->event.peer.message = &frame->message;
+  item = queue_core_event (rig, other, MF_EVENT_PEER_MESSAGE, rig->now_us + PEER_HOP_US);
+  item->frame = frame;
+  item->event.peer.link_id = action->link_id;
+  item->event.peer.peer = rig->cores[rig->current_core]->board.options.self;
+  item->event.peer.message = &frame->message;
 }
 
 static void
@@ -682,14 +686,14 @@
       abort_call (rig, action->call_id);
       break;
     case MF_ACTION_ANSWER_TOKENS:
-      note_tokens (rig, &action->answer);
+      record_tokens (rig, &action->answer);
       break;
     case MF_ACTION_ANSWER_END:
     case MF_ACTION_ANSWER_PLAIN:
-      note_end (rig, &action->answer, MF_CODE_OK);
+      record_end (rig, &action->answer, MF_CODE_OK);
       break;
     case MF_ACTION_ANSWER_REFUSE:
-      note_end (rig, &action->answer, action->answer.code);
+      record_end (rig, &action->answer, action->answer.code);
       break;
     case MF_ACTION_PEER_OPEN:
       peer_open (rig, &action->peer);
@@ -698,11 +702,12 @@
       peer_send (rig, &action->peer);
       break;
     case MF_ACTION_EXIT:
-      rig->exited[rig->acting] = true;
+      rig->exited[rig->current_core] = true;
       break;
     case MF_ACTION_PLATFORM_READ_LIST:
       if (action->platform_index == 0)
-        event_add (rig, rig->acting, MF_EVENT_PLATFORM_LIST, rig->now_us + PEER_HOP_US);
+        queue_core_event (rig, rig->current_core, MF_EVENT_PLATFORM_LIST,
+                          rig->now_us + PEER_HOP_US);
       break;
     default:
       break;
@@ -710,7 +715,7 @@
 }
 
 static void
-give_list (Rig *rig, MfEvent *event)
+fill_list (Rig *rig, MfEvent *event)
 {
   static MfListedInstance listed[RIG_CORES_MAX];
 
@@ -734,30 +739,30 @@
 }
 
 static void
-deliver (Rig *rig, Due *due)
+deliver (Rig *rig, QueueItem *item)
 {
   const Call *call;
 
-  if (is_call_event (&due->event))
+  if (is_call_event (&item->event))
     {
-      call = call_find (rig, due->core, due->call_id);
+      call = call_find (rig, item->core, item->call_id);
       if (call == NULL || call->aborted)
         return;
-      if (due->data[0] != '\0')
+      if (item->data[0] != '\0')
         {
-          due->event.call.data = due->data;
-          due->event.call.data_bytes = strlen (due->data);
+          item->event.call.data = item->data;
+          item->event.call.data_bytes = strlen (item->data);
         }
     }
-  else if (due->event.type == MF_EVENT_PLATFORM_LIST)
-    give_list (rig, &due->event);
-  core_step (rig, due->core, &due->event);
+  else if (item->event.type == MF_EVENT_PLATFORM_LIST)
+    fill_list (rig, &item->event);
+  core_step (rig, item->core, &item->event);
 }
 
 static void
-abort_arrives (Rig *rig, const Due *due)
+abort_arrives (Rig *rig, const QueueItem *item)
 {
-  Call *call = call_find (rig, due->core, due->call_id);
+  Call *call = call_find (rig, item->core, item->call_id);
   FakeWorkId id = work_id (rig, call);
 
   if (call->call.upstream < rig->n_engines && call->call.request_id != 0)
@@ -768,42 +773,42 @@
 }
 
 static void
-time_out (Rig *rig, const Due *due)
+on_timeout (Rig *rig, const QueueItem *item)
 {
-  Call *call = call_find (rig, due->core, due->call_id);
+  Call *call = call_find (rig, item->core, item->call_id);
   bool stream = call->call.kind == MF_CALL_DECODE || call->call.kind == MF_CALL_RESUME;
 
-  if (call->ended || (stream && call->begun))
+  if (call->ended || (stream && call->arrived))
     return;
   call->ended = true;
-  Due *failed = call_event (rig, call, MF_EVENT_CALL_FAILED, rig->now_us);
+  QueueItem *failed = queue_call_event (rig, call, MF_EVENT_CALL_FAILED, rig->now_us);
   failed->event.call.timed_out = true;
-  failed->event.call.sent = call->begun;
+  failed->event.call.sent = call->arrived;
 }
 
 static void
-handle_due (Rig *rig, Due *due)
+handle_item (Rig *rig, QueueItem *item)
 {
-  switch (due->type)
+  switch (item->type)
     {
-    case DUE_CORE_EVENT:
-      deliver (rig, due);
+    case ITEM_CORE_EVENT:
+      deliver (rig, item);
       break;
-    case DUE_CALL:
-      call_arrives (rig, call_find (rig, due->core, due->call_id));
+    case ITEM_CALL:
+      call_arrives (rig, call_find (rig, item->core, item->call_id));
       break;
-    case DUE_ABORT:
-      abort_arrives (rig, due);
+    case ITEM_ABORT:
+      abort_arrives (rig, item);
       break;
-    case DUE_ENGINE:
-      if (rig->engine_due_us[due->engine] == due->at_us)
-        run_engine (rig, due->engine);
+    case ITEM_ENGINE:
+      if (rig->engine_due_us[item->engine] == item->at_us)
+        run_engine (rig, item->engine);
       break;
-    case DUE_PLAIN:
-      plain_done (rig, due);
+    case ITEM_PLAIN:
+      plain_done (rig, item);
       break;
-    case DUE_TIMEOUT:
-      time_out (rig, due);
+    case ITEM_TIMEOUT:
+      on_timeout (rig, item);
       break;
     }
 }
@@ -827,9 +832,9 @@
 {
   uint32_t core = next_core (rig);
   uint64_t tick_us = rig->core_due_us[core];
-  uint64_t due_us = rig->n_dues > 0 ? rig->dues[0]->at_us : UINT64_MAX;
+  uint64_t due_us = rig->n_queued > 0 ? rig->queue[0]->at_us : UINT64_MAX;
   MfEvent tick = { .type = MF_EVENT_TICK };
-  Due *due;
+  QueueItem *item;
 
   if (tick_us > until_us && due_us > until_us)
     {
@@ -842,14 +847,14 @@
         rig->now_us = tick_us;
       core_step (rig, core, &tick);
       if (rig->core_due_us[core] <= rig->now_us)
-        rig->core_due_us[core] = rig->now_us + RUN_RESOLUTION_US;
+        rig->core_due_us[core] = rig->now_us + TICK_INTERVAL_MIN_US;
       return true;
     }
-  due = due_take (rig);
-  if (due->at_us > rig->now_us)
-    rig->now_us = due->at_us;
-  handle_due (rig, due);
-  due_free (due);
+  item = queue_pop (rig);
+  if (item->at_us > rig->now_us)
+    rig->now_us = item->at_us;
+  handle_item (rig, item);
+  queue_item_free (item);
   return true;
 }
 
@@ -932,7 +937,7 @@
 }
 
 static void
-make_core (Rig *rig, uint32_t index)
+add_core (Rig *rig, uint32_t index)
 {
   MfOptions options;
   MfError error = { 0 };
@@ -946,7 +951,7 @@
   options.seed = rig->options.seed * 100 + index;
   options.naive = rig->options.naive;
   options.drain_grace_us = MF_US_PER_S;
-  rig->acting = index;
+  rig->current_core = index;
   rig->cores[index] = mf_core_new (&options, rig->now_us, WALL_START_MS, on_action, rig, &error);
   config = mf_config_parse (rig->text, strlen (rig->text), 1, print_fault, NULL);
   if (rig->cores[index] == NULL || config == NULL)
@@ -997,7 +1002,7 @@
     rig->plains[i] = options->plain;
   write_text (rig);
   for (uint32_t i = 0; i < options->n_cores; i++)
-    make_core (rig, i);
+    add_core (rig, i);
   return rig;
 }
 
@@ -1006,8 +1011,8 @@
 {
   Call *call;
   Call *next_call;
-  WorkCall *bound;
-  WorkCall *next_bound;
+  WorkCall *binding;
+  WorkCall *next_binding;
 
   for (uint32_t i = 0; i < rig->options.n_cores; i++)
     mf_core_free (rig->cores[i]);
@@ -1018,14 +1023,14 @@
     HASH_DEL (rig->calls, call);
     free (call);
   }
-  HASH_ITER (hh, rig->work_calls, bound, next_bound)
+  HASH_ITER (hh, rig->work_calls, binding, next_binding)
   {
-    HASH_DEL (rig->work_calls, bound);
-    free (bound);
+    HASH_DEL (rig->work_calls, binding);
+    free (binding);
   }
-  for (uint32_t i = 0; i < rig->n_dues; i++)
-    due_free (rig->dues[i]);
-  free (rig->dues);
+  for (uint32_t i = 0; i < rig->n_queued; i++)
+    queue_item_free (rig->queue[i]);
+  free (rig->queue);
   free (rig->requests);
   free (rig);
 }
@@ -1053,7 +1058,7 @@
     }
   rig->requests[index] = *request;
   rig->requests[index].sent_us = at_us;
-  event = &event_add (rig, request->core, MF_EVENT_REQUEST, at_us)->event.request;
+  event = &queue_core_event (rig, request->core, MF_EVENT_REQUEST, at_us)->event.request;
   *event = (MfRequestEvent){
     .request_id = index + 1,
     .model = request->service == 0 ? "m" : NULL,
@@ -1077,7 +1082,7 @@
 rig_depart (Rig *rig, uint32_t request, uint64_t at_us)
 {
   rig->requests[request].departed = true;
-  event_add (rig, rig->requests[request].core, MF_EVENT_DEPARTED, at_us)->event.departed_id
+  queue_core_event (rig, rig->requests[request].core, MF_EVENT_DEPARTED, at_us)->event.departed_id
       = request + 1;
 }
 
@@ -1120,7 +1125,7 @@
 void
 rig_freeze (Rig *rig, uint32_t engine, uint64_t until_us)
 {
-  rig->frozen_until_us[engine] = until_us;
+  rig->paused_until_us[engine] = until_us;
   fake_engine_stall (rig->engines[engine], rig->now_us, until_us);
   run_engine (rig, engine);
 }
@@ -1128,7 +1133,7 @@
 void
 rig_shutdown (Rig *rig, uint32_t core)
 {
-  event_add (rig, core, MF_EVENT_SHUTDOWN, rig->now_us);
+  queue_core_event (rig, core, MF_EVENT_SHUTDOWN, rig->now_us);
 }
 
 bool
@@ -1138,9 +1143,9 @@
 }
 
 static bool
-count_held (const FakeHeld *held, void *data)
+count_held (const FakeHeld *entry, void *data)
 {
-  (void)held;
+  (void)entry;
   (*(uint32_t *)data)++;
   return true;
 }
--- a/tests/fakes/setting.c
+++ b/tests/fakes/setting.c
@@ -1,19 +1,20 @@
 #include "fakes.h"
 
 uint64_t
-fake_setting (json_object *settings, const char *key, uint64_t otherwise)
+fake_setting (json_object *settings, const char *key, uint64_t default_value)
 {
   json_object *value = json_object_object_get (settings, key);
 
-  return value == NULL ? otherwise : json_object_get_uint64 (value);
+  return value == NULL ? default_value : json_object_get_uint64 (value);
 }
 
 const char *
-fake_setting_text (json_object *settings, const char *key, const char *otherwise)
+fake_setting_text (json_object *settings, const char *key, const char *default_value)
 {
   json_object *value = json_object_object_get (settings, key);
 
-  return json_object_is_type (value, json_type_string) ? json_object_get_string (value) : otherwise;
+  return json_object_is_type (value, json_type_string) ? json_object_get_string (value)
+                                                       : default_value;
 }
 
 void
--- a/tests/fakes/store.c
+++ b/tests/fakes/store.c
@@ -40,24 +40,25 @@
   Item events[EVENTS_MAX];
   uint32_t n_events;
   uint64_t revision;
-  uint64_t forgotten; /* history up to this revision is gone */
+  uint64_t dropped_revision; /* history up to this revision is gone */
   FakeStoreMood mood;
   Watch watches[WATCHES_MAX];
   uint32_t n_calls;
 };
 
 static void
-item_write (MfBuffer *out, const Item *item)
+write_item (MfBuffer *out, const Item *item)
 {
   size_t n_bytes = item->value == NULL ? 0 : strlen (item->value);
-  size_t room = sodium_base64_ENCODED_LEN (n_bytes, sodium_base64_VARIANT_ORIGINAL);
-  char *text = malloc (room);
+  size_t encoded_bytes = sodium_base64_ENCODED_LEN (n_bytes, sodium_base64_VARIANT_ORIGINAL);
+  char *text = malloc (encoded_bytes);
   char line[KEY_BYTES + 96];
 
   if (text == NULL)
     abort ();
-  sodium_bin2base64 (text, room, (const unsigned char *)(item->value == NULL ? "" : item->value),
-                     n_bytes, sodium_base64_VARIANT_ORIGINAL);
+  sodium_bin2base64 (text, encoded_bytes,
+                     (const unsigned char *)(item->value == NULL ? "" : item->value), n_bytes,
+                     sodium_base64_VARIANT_ORIGINAL);
   snprintf (line, sizeof line, "{\"key\":\"%s\",\"revision\":%llu", item->key,
             (unsigned long long)item->revision);
   mf_buffer_add_text (out, line);
@@ -90,7 +91,7 @@
 }
 
 static void
-as_of_write (const FakeStore *store, MfBuffer *body)
+write_as_of (const FakeStore *store, MfBuffer *body)
 {
   mf_buffer_add_text (body, "\"asOf\":");
   mf_buffer_add_number (body, store->revision);
@@ -106,17 +107,17 @@
     {
       if (strcmp (store->items[i].key, key) != 0 || store->items[i].value == NULL)
         continue;
-      item_write (&body, &store->items[i]);
+      write_item (&body, &store->items[i]);
       /* The item's object goes on with the revision of the read. */
       body.end--;
       mf_buffer_add_text (&body, ",");
-      as_of_write (store, &body);
+      write_as_of (store, &body);
       answer_json (conn, 200, &body);
       mf_buffer_clear (&body);
       return;
     }
   mf_buffer_add_text (&body, "{");
-  as_of_write (store, &body);
+  write_as_of (store, &body);
   answer_json (conn, 404, &body);
   mf_buffer_clear (&body);
 }
@@ -149,11 +150,11 @@
     {
       if (i > 0)
         mf_buffer_add_text (&body, ",");
-      item_write (&body, item);
+      write_item (&body, item);
       item = item_after (store, prefix, item->key);
     }
   mf_buffer_add_text (&body, item != NULL ? "],\"morePages\":true," : "],\"morePages\":false,");
-  as_of_write (store, &body);
+  write_as_of (store, &body);
   answer_json (conn, 200, &body);
   mf_buffer_clear (&body);
 }
@@ -176,11 +177,11 @@
         continue;
       if (any)
         mf_buffer_add_text (&body, ",");
-      item_write (&body, event);
+      write_item (&body, event);
       any = true;
     }
   mf_buffer_add_text (&body, "],");
-  as_of_write (store, &body);
+  write_as_of (store, &body);
   if (any || force)
     {
       ev_timer_stop (store->loop, &watch->timer);
@@ -211,7 +212,7 @@
         watch = &store->watches[i];
     }
   fake_query_get (query, "after", number, sizeof number);
-  if (watch == NULL || strtoull (number, NULL, 10) < store->forgotten)
+  if (watch == NULL || strtoull (number, NULL, 10) < store->dropped_revision)
     {
       answer_status (conn, watch == NULL ? 429 : 410);
       return;
@@ -230,7 +231,7 @@
 on_request (FakeConn *conn, const FakeHttpRequest *request, void *data)
 {
   FakeStore *store = data;
-  char first[KEY_BYTES];
+  char key[KEY_BYTES];
   char after[KEY_BYTES];
 
   store->n_calls++;
@@ -254,14 +255,14 @@
     serve_watch (store, conn, request->query);
   else if (strcmp (request->path, "/kv-range") == 0)
     {
-      fake_query_get (request->query, "pathPrefix", first, sizeof first);
+      fake_query_get (request->query, "pathPrefix", key, sizeof key);
       fake_query_get (request->query, "after", after, sizeof after);
-      serve_range (store, conn, first, after);
+      serve_range (store, conn, key, after);
     }
   else
     {
-      fake_query_get (request->query, "key", first, sizeof first);
-      serve_key (store, conn, first);
+      fake_query_get (request->query, "key", key, sizeof key);
+      serve_key (store, conn, key);
     }
 }
 
@@ -279,7 +280,7 @@
     }
 }
 
-static const FakeHttpHooks hooks = { .on_request = on_request, .on_closed = on_closed };
+static const FakeHttpHooks callbacks = { .on_request = on_request, .on_closed = on_closed };
 
 FakeStore *
 fake_store_new (struct ev_loop *loop)
@@ -290,7 +291,7 @@
     abort ();
   store->loop = loop;
   store->revision = 100;
-  store->http = fake_http_new (loop, "127.0.0.1:0", &hooks, store);
+  store->http = fake_http_new (loop, "127.0.0.1:0", &callbacks, store);
   snprintf (store->address, sizeof store->address, "127.0.0.1:%u", fake_http_port (store->http));
   return store;
 }
@@ -381,7 +382,7 @@
 void
 fake_store_forget (FakeStore *store)
 {
-  store->forgotten = store->revision;
+  store->dropped_revision = store->revision;
 }
 
 uint64_t
--- a/tests/fakes/wire.c
+++ b/tests/fakes/wire.c
@@ -11,17 +11,17 @@
 #include <unistd.h>
 
 /* Pieces of a flood sent in one turn of the loop. */
-#define FLOOD_PIECES 16
+#define FLOOD_PIECES_PER_WRITE 16
 
 struct FakeWireConn
 {
   FakeWire *wire;
   FakeWireConn *next;
   int fd;
-  ev_io reader;
-  ev_io writer;
+  ev_io read_watcher;
+  ev_io write_watcher;
   const char *flood; /* sent without end; NULL: nothing is */
-  size_t flood_at;
+  size_t flood_offset;
   size_t n_bytes;
   char bytes[FAKE_WIRE_REQUEST_BYTES];
 };
@@ -30,17 +30,17 @@
 {
   struct ev_loop *loop;
   FakeWireFunc on_request;
-  void (*on_left) (FakeWireConn *conn, void *data);
+  void (*on_closed) (FakeWireConn *conn, void *data);
   void *data;
   int fd;
-  ev_io acceptor;
+  ev_io accept_watcher;
   char address[MF_ADDRESS_BYTES];
   FakeWireConn *conns;
   FakeWireConn *last_conn;
   uint32_t n_requests;
   uint32_t n_conns;
-  uint32_t n_left;
-  char last[FAKE_WIRE_REQUEST_BYTES];
+  uint32_t n_closed;
+  char last_request[FAKE_WIRE_REQUEST_BYTES];
 };
 
 bool
@@ -68,27 +68,27 @@
 {
   FakeWire *wire = conn->wire;
 
-  for (FakeWireConn **place = &wire->conns; *place != NULL; place = &(*place)->next)
+  for (FakeWireConn **at = &wire->conns; *at != NULL; at = &(*at)->next)
     {
-      if (*place != conn)
+      if (*at != conn)
         continue;
-      *place = conn->next;
+      *at = conn->next;
       break;
     }
   if (wire->last_conn == conn)
     wire->last_conn = NULL;
-  ev_io_stop (wire->loop, &conn->reader);
-  ev_io_stop (wire->loop, &conn->writer);
+  ev_io_stop (wire->loop, &conn->read_watcher);
+  ev_io_stop (wire->loop, &conn->write_watcher);
   close (conn->fd);
   free (conn);
 }
 
 static void
-conn_left (FakeWireConn *conn)
+conn_closed (FakeWireConn *conn)
 {
-  conn->wire->n_left++;
-  if (conn->wire->on_left != NULL)
-    conn->wire->on_left (conn, conn->wire->data);
+  conn->wire->n_closed++;
+  if (conn->wire->on_closed != NULL)
+    conn->wire->on_closed (conn, conn->wire->data);
   conn_free (conn);
 }
 
@@ -100,19 +100,19 @@
 
   (void)loop;
   (void)events;
-  for (uint32_t i = 0; i < FLOOD_PIECES; i++)
+  for (uint32_t i = 0; i < FLOOD_PIECES_PER_WRITE; i++)
     {
-      ssize_t n_sent = send (conn->fd, conn->flood + conn->flood_at, n_bytes - conn->flood_at,
-                             MSG_NOSIGNAL | MSG_DONTWAIT);
+      ssize_t n_sent = send (conn->fd, conn->flood + conn->flood_offset,
+                             n_bytes - conn->flood_offset, MSG_NOSIGNAL | MSG_DONTWAIT);
 
       if (n_sent < 0 && errno == EAGAIN)
         return;
       if (n_sent < 0)
         {
-          conn_left (conn);
+          conn_closed (conn);
           return;
         }
-      conn->flood_at = (conn->flood_at + (size_t)n_sent) % n_bytes;
+      conn->flood_offset = (conn->flood_offset + (size_t)n_sent) % n_bytes;
     }
 }
 
@@ -145,7 +145,7 @@
   (void)events;
   if (n_read <= 0)
     {
-      conn_left (conn);
+      conn_closed (conn);
       return;
     }
   conn->n_bytes += (size_t)n_read;
@@ -155,15 +155,15 @@
     return;
   wire->n_requests++;
   wire->last_conn = conn;
-  memcpy (wire->last, conn->bytes, n_bytes);
-  wire->last[n_bytes] = '\0';
+  memcpy (wire->last_request, conn->bytes, n_bytes);
+  wire->last_request[n_bytes] = '\0';
   conn->n_bytes -= n_bytes;
   memmove (conn->bytes, conn->bytes + n_bytes, conn->n_bytes + 1);
-  wire->on_request (conn, wire->last, wire->data);
+  wire->on_request (conn, wire->last_request, wire->data);
 }
 
 static void
-on_acceptable (struct ev_loop *loop, ev_io *watcher, int events)
+on_accept (struct ev_loop *loop, ev_io *watcher, int events)
 {
   FakeWire *wire = watcher->data;
   int fd = accept (wire->fd, NULL, NULL);
@@ -180,11 +180,11 @@
   conn->next = wire->conns;
   wire->conns = conn;
   wire->n_conns++;
-  ev_io_init (&conn->reader, on_readable, fd, EV_READ);
-  ev_io_init (&conn->writer, on_writable, fd, EV_WRITE);
-  conn->reader.data = conn;
-  conn->writer.data = conn;
-  ev_io_start (loop, &conn->reader);
+  ev_io_init (&conn->read_watcher, on_readable, fd, EV_READ);
+  ev_io_init (&conn->write_watcher, on_writable, fd, EV_WRITE);
+  conn->read_watcher.data = conn;
+  conn->write_watcher.data = conn;
+  ev_io_start (loop, &conn->read_watcher);
 }
 
 static void
@@ -195,9 +195,9 @@
   wire->fd = mf_socket_listen (address, &error);
   if (wire->fd < 0)
     abort ();
-  ev_io_init (&wire->acceptor, on_acceptable, wire->fd, EV_READ);
-  wire->acceptor.data = wire;
-  ev_io_start (wire->loop, &wire->acceptor);
+  ev_io_init (&wire->accept_watcher, on_accept, wire->fd, EV_READ);
+  wire->accept_watcher.data = wire;
+  ev_io_start (wire->loop, &wire->accept_watcher);
 }
 
 FakeWire *
@@ -218,7 +218,7 @@
 {
   if (wire->fd < 0)
     return;
-  ev_io_stop (wire->loop, &wire->acceptor);
+  ev_io_stop (wire->loop, &wire->accept_watcher);
   close (wire->fd);
   wire->fd = -1;
   while (wire->conns != NULL)
@@ -235,7 +235,7 @@
 void
 fake_wire_on_left (FakeWire *wire, void (*func) (FakeWireConn *conn, void *data))
 {
-  wire->on_left = func;
+  wire->on_closed = func;
 }
 
 void
@@ -245,7 +245,7 @@
     conn_free (wire->conns);
   if (wire->fd >= 0)
     {
-      ev_io_stop (wire->loop, &wire->acceptor);
+      ev_io_stop (wire->loop, &wire->accept_watcher);
       close (wire->fd);
     }
   free (wire);
@@ -272,13 +272,13 @@
 uint32_t
 fake_wire_n_left (const FakeWire *wire)
 {
-  return wire->n_left;
+  return wire->n_closed;
 }
 
 const char *
 fake_wire_last (const FakeWire *wire)
 {
-  return wire->last;
+  return wire->last_request;
 }
 
 FakeWireConn *
@@ -298,15 +298,15 @@
 fake_wire_flood (FakeWireConn *conn, const char *piece)
 {
   conn->flood = piece;
-  ev_io_start (conn->wire->loop, &conn->writer);
+  ev_io_start (conn->wire->loop, &conn->write_watcher);
 }
 
 void
 fake_wire_close (FakeWireConn *conn, bool reset)
 {
-  struct linger hard = { .l_onoff = 1, .l_linger = 0 };
+  struct linger linger = { .l_onoff = 1, .l_linger = 0 };
 
   if (reset)
-    setsockopt (conn->fd, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+    setsockopt (conn->fd, SOL_SOCKET, SO_LINGER, &linger, sizeof linger);
   conn_free (conn);
 }
--- a/tests/fleet.c
+++ b/tests/fleet.c
@@ -21,13 +21,13 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define PORTS 40
+#define PORTS_PER_FLEET 40
 #define PORT_MIN 20000
 #define PORT_MAX 32000
-#define TURN_MS 10
+#define POLL_MS 10
 /* After this long a wait has come to nothing. */
-#define PATIENCE_US (60 * MF_US_PER_S)
-#define UPSTREAMS 3
+#define WAIT_MAX_US (60 * MF_US_PER_S)
+#define UPSTREAMS_PER_POOL 3
 #define TAG_BYTES 32
 #define TAIL_BYTES 400
 
@@ -90,17 +90,17 @@
 static unsigned
 find_ports (void)
 {
-  unsigned n_blocks = (PORT_MAX - PORT_MIN) / PORTS;
+  unsigned n_blocks = (PORT_MAX - PORT_MIN) / PORTS_PER_FLEET;
   unsigned block = (unsigned)getpid () % n_blocks;
 
   for (unsigned i = 0; i < n_blocks; i++, block = (block + 1) % n_blocks)
     {
-      unsigned port = PORT_MIN + block * PORTS;
+      unsigned port = PORT_MIN + block * PORTS_PER_FLEET;
       unsigned n = 0;
 
-      while (n < PORTS && port_is_free (port + n))
+      while (n < PORTS_PER_FLEET && port_is_free (port + n))
         n++;
-      if (n == PORTS)
+      if (n == PORTS_PER_FLEET)
         return port;
     }
   fail_msg ("no block of free ports");
@@ -108,7 +108,7 @@
 }
 
 static FILE *
-create (const Fleet *fleet, const char *name)
+create_file (const Fleet *fleet, const char *name)
 {
   char path[128];
   FILE *file;
@@ -120,11 +120,11 @@
 }
 
 static void
-write_pool (const Fleet *fleet, FILE *file, char letter, unsigned port, const char *more)
+write_pool (const Fleet *fleet, FILE *file, char prefix, unsigned port, const char *extra_fields)
 {
-  for (unsigned i = 1; i <= UPSTREAMS; i++)
+  for (unsigned i = 1; i <= UPSTREAMS_PER_POOL; i++)
     fprintf (file, "%s{ \"name\": \"%c%u\", \"address\": \"127.0.0.1:%u\"%s }", i > 1 ? ", " : "",
-             letter, i, fleet->port + port + i, more);
+             prefix, i, fleet->port + port + i, extra_fields);
 }
 
 static void
@@ -158,7 +158,7 @@
 static void
 write_fakes (const Fleet *fleet)
 {
-  FILE *file = create (fleet, "fakes.json");
+  FILE *file = create_file (fleet, "fakes.json");
 
   fprintf (file, "{ \"control\": \"127.0.0.1:%u\", \"engines\": [", fleet->port + PORT_CONTROL);
   write_pool (fleet, file, 'p', PORT_PREFILL, ", \"role\": \"prefill\", \"restart_ms\": 300");
@@ -191,7 +191,7 @@
   FILE *file;
 
   snprintf (name, sizeof name, "entry-%u.json", i);
-  file = create (fleet, name);
+  file = create_file (fleet, name);
   fprintf (file,
            "{ \"name\": \"entry-%u\", \"data_centre\": \"a\", \"listen\": \"127.0.0.1:%u\","
            " \"admin\": \"127.0.0.1:%u\", \"peer\": \"127.0.0.1:%u\","
@@ -207,13 +207,13 @@
 static void
 write_files (const Fleet *fleet)
 {
-  FILE *file = create (fleet, "peer.key");
+  FILE *file = create_file (fleet, "peer.key");
 
   for (int i = 0; i < 32; i++)
     fprintf (file, "%02x", i);
   fputs ("\n", file);
   fclose (file);
-  file = create (fleet, "text.json");
+  file = create_file (fleet, "text.json");
   write_text (fleet, file, 30);
   fclose (file);
   write_fakes (fleet);
@@ -264,7 +264,7 @@
 }
 
 static void
-caller_end (Caller *caller, bool failed)
+caller_close (Caller *caller, bool failed)
 {
   curl_easy_getinfo (caller->easy, CURLINFO_RESPONSE_CODE, &caller->status);
   curl_multi_remove_handle (caller->fleet->multi, caller->easy);
@@ -276,12 +276,12 @@
 
 /* Moves every caller on, for at most one turn. */
 static void
-turn (Fleet *fleet)
+poll_callers (Fleet *fleet)
 {
   CURLMsg *message;
   int n;
 
-  curl_multi_poll (fleet->multi, NULL, 0, TURN_MS, NULL);
+  curl_multi_poll (fleet->multi, NULL, 0, POLL_MS, NULL);
   curl_multi_perform (fleet->multi, &n);
   while ((message = curl_multi_info_read (fleet->multi, &n)) != NULL)
     {
@@ -289,20 +289,20 @@
       CURLcode result = message->data.result;
 
       curl_easy_getinfo (message->easy_handle, CURLINFO_PRIVATE, (char **)&caller);
-      caller_end (caller, result != CURLE_OK);
+      caller_close (caller, result != CURLE_OK);
     }
 }
 
 void
 fleet_until (Fleet *fleet, FleetFunc reached, void *data)
 {
-  uint64_t end_us = mf_clock_now_us () + PATIENCE_US;
+  uint64_t end_us = mf_clock_now_us () + WAIT_MAX_US;
 
   while (mf_clock_now_us () < end_us)
     {
       if (reached (fleet, data))
         return;
-      turn (fleet);
+      poll_callers (fleet);
     }
   fail_msg ("waited in vain; see %s", fleet->dir);
 }
@@ -313,29 +313,29 @@
   uint64_t end_us = mf_clock_now_us () + ms * MF_US_PER_MS;
 
   while (mf_clock_now_us () < end_us)
-    turn (fleet);
+    poll_callers (fleet);
 }
 
 static bool
 has_exited (Fleet *fleet, void *data)
 {
-  int *code_of = data;
+  int *instance_or_code = data;
   int status;
 
-  if (waitpid (fleet->instances[*code_of], &status, WNOHANG) <= 0)
+  if (waitpid (fleet->instances[*instance_or_code], &status, WNOHANG) <= 0)
     return false;
-  fleet->instances[*code_of] = 0;
-  *code_of = WIFEXITED (status) ? WEXITSTATUS (status) : 128 + WTERMSIG (status);
+  fleet->instances[*instance_or_code] = 0;
+  *instance_or_code = WIFEXITED (status) ? WEXITSTATUS (status) : 128 + WTERMSIG (status);
   return true;
 }
 
 int
 fleet_exit_code (Fleet *fleet, int instance)
 {
-  int code_of = instance;
+  int instance_or_code = instance;
 
-  fleet_until (fleet, has_exited, &code_of);
-  return code_of;
+  fleet_until (fleet, has_exited, &instance_or_code);
+  return instance_or_code;
 }
 
 static size_t
@@ -368,7 +368,7 @@
 
 /* Starts a request; body is NULL for a GET. */
 static Caller *
-call (Fleet *fleet, unsigned port, const char *path, const char *header, const char *body)
+caller_new (Fleet *fleet, unsigned port, const char *path, const char *header, const char *body)
 {
   Caller *caller = calloc (1, sizeof *caller);
   char url[256];
@@ -399,7 +399,7 @@
 }
 
 static bool
-has_ended (Fleet *fleet, void *data)
+caller_ended (Fleet *fleet, void *data)
 {
   (void)fleet;
   return caller_has_ended (data);
@@ -408,7 +408,7 @@
 void
 caller_finish (Caller *caller)
 {
-  fleet_until (caller->fleet, has_ended, caller);
+  fleet_until (caller->fleet, caller_ended, caller);
 }
 
 bool
@@ -421,7 +421,7 @@
 caller_leave (Caller *caller)
 {
   if (!caller->ended)
-    caller_end (caller, true);
+    caller_close (caller, true);
 }
 
 void
@@ -462,20 +462,20 @@
 count_tokens (const Caller *caller)
 {
   static const char key[] = "\"text\":\"";
-  const char *at = caller_body (caller);
+  const char *cursor = caller_body (caller);
   int n = 0;
 
-  while ((at = strstr (at, key)) != NULL)
+  while ((cursor = strstr (cursor, key)) != NULL)
     {
-      at += sizeof key - 1;
-      while (*at == ' ')
+      cursor += sizeof key - 1;
+      while (*cursor == ' ')
         {
           char expected[TAG_BYTES + 16];
           int expected_bytes = snprintf (expected, sizeof expected, " %s.%d", caller->tag, n);
 
-          if (strncmp (at, expected, (size_t)expected_bytes) != 0)
+          if (strncmp (cursor, expected, (size_t)expected_bytes) != 0)
             return -1;
-          at += expected_bytes;
+          cursor += expected_bytes;
           n++;
         }
     }
@@ -517,7 +517,7 @@
   snprintf (body, sizeof body,
             "{ \"model\": \"m\", \"stream\": true, \"max_tokens\": 5000, \"prompt\": \"%s\" }",
             prompt);
-  return call (fleet, PORT_LISTEN + (unsigned)instance, "/v1/completions", NULL, body);
+  return caller_new (fleet, PORT_LISTEN + (unsigned)instance, "/v1/completions", NULL, body);
 }
 
 Caller *
@@ -528,20 +528,20 @@
 
   snprintf (header, sizeof header, "Idempotency-Key: %s", key == NULL ? "" : key);
   snprintf (body, sizeof body, "{ \"order\": \"%s\" }", order);
-  return call (fleet, PORT_LISTEN + (unsigned)instance, "/orders", key == NULL ? NULL : header,
-               body);
+  return caller_new (fleet, PORT_LISTEN + (unsigned)instance, "/orders",
+                     key == NULL ? NULL : header, body);
 }
 
 Caller *
 fleet_read (Fleet *fleet, int instance, const char *path)
 {
-  return call (fleet, PORT_LISTEN + (unsigned)instance, path, NULL, NULL);
+  return caller_new (fleet, PORT_LISTEN + (unsigned)instance, path, NULL, NULL);
 }
 
 static void
-control (Fleet *fleet, const char *path, const char *body)
+send_control (Fleet *fleet, const char *path, const char *body)
 {
-  Caller *caller = call (fleet, PORT_CONTROL, path, NULL, body);
+  Caller *caller = caller_new (fleet, PORT_CONTROL, path, NULL, body);
 
   caller_finish (caller);
   assert_int_equal (caller->status, 200);
@@ -553,7 +553,7 @@
   char path[128];
 
   snprintf (path, sizeof path, "/fault?target=%s&kind=%s&value=%u", target, kind, value);
-  control (fleet, path, "");
+  send_control (fleet, path, "");
 }
 
 void
@@ -562,7 +562,7 @@
   char path[128];
 
   snprintf (path, sizeof path, "/fault?target=r%d&kind=%s&from=entry-%d", to, kind, from);
-  control (fleet, path, "");
+  send_control (fleet, path, "");
 }
 
 void
@@ -582,7 +582,7 @@
 void
 fleet_publish (Fleet *fleet, const char *text)
 {
-  control (fleet, "/text", text);
+  send_control (fleet, "/text", text);
 }
 
 void
@@ -602,7 +602,7 @@
 json_object *
 fleet_ledger (Fleet *fleet)
 {
-  Caller *caller = call (fleet, PORT_CONTROL, "/ledger", NULL, NULL);
+  Caller *caller = caller_new (fleet, PORT_CONTROL, "/ledger", NULL, NULL);
   json_object *ledger;
 
   caller_finish (caller);
@@ -633,13 +633,13 @@
 }
 
 static uint64_t
-row_runs (json_object *row, const char *order)
+row_n_runs (json_object *row, const char *order)
 {
   return row_number (json_object_object_get (row, "runs"), order);
 }
 
 static uint64_t
-row_held (json_object *row, const char *name)
+row_n_kv_entries (json_object *row, const char *name)
 {
   return json_object_array_length (json_object_object_get (row, name));
 }
@@ -653,17 +653,17 @@
 uint64_t
 fleet_runs (Fleet *fleet, const char *order)
 {
-  return sum_rows (fleet, "plain", row_runs, order);
+  return sum_rows (fleet, "plain", row_n_runs, order);
 }
 
 uint64_t
 fleet_held (Fleet *fleet)
 {
-  return sum_rows (fleet, "engines", row_held, "held");
+  return sum_rows (fleet, "engines", row_n_kv_entries, "held");
 }
 
 static bool
-is_free (Fleet *fleet, void *data)
+has_no_kv (Fleet *fleet, void *data)
 {
   (void)data;
   return fleet_held (fleet) == 0;
@@ -672,13 +672,13 @@
 void
 fleet_until_free (Fleet *fleet)
 {
-  fleet_until (fleet, is_free, NULL);
+  fleet_until (fleet, has_no_kv, NULL);
 }
 
 double
 fleet_counter (Fleet *fleet, int instance, const char *name)
 {
-  Caller *caller = call (fleet, PORT_ADMIN + (unsigned)instance, "/metrics", NULL, NULL);
+  Caller *caller = caller_new (fleet, PORT_ADMIN + (unsigned)instance, "/metrics", NULL, NULL);
   size_t name_bytes = strlen (name);
   const char *line;
 
@@ -698,7 +698,7 @@
 is_ready (Fleet *fleet, void *data)
 {
   const int *instance = data;
-  Caller *caller = call (fleet, PORT_ADMIN + (unsigned)*instance, "/readyz", NULL, NULL);
+  Caller *caller = caller_new (fleet, PORT_ADMIN + (unsigned)*instance, "/readyz", NULL, NULL);
 
   caller_finish (caller);
   return caller->status == 200;
@@ -711,7 +711,7 @@
 }
 
 static bool
-sees_all (Fleet *fleet, void *data)
+peers_are_alive (Fleet *fleet, void *data)
 {
   const int *instance = data;
 
@@ -722,7 +722,7 @@
 static bool
 control_answers (Fleet *fleet, void *data)
 {
-  Caller *caller = call (fleet, PORT_CONTROL, "/ledger", NULL, NULL);
+  Caller *caller = caller_new (fleet, PORT_CONTROL, "/ledger", NULL, NULL);
 
   (void)data;
   caller_finish (caller);
@@ -730,7 +730,7 @@
 }
 
 static bool
-orders_run (Fleet *fleet, void *data)
+order_succeeds (Fleet *fleet, void *data)
 {
   const int *instance = data;
   char key[32];
@@ -746,7 +746,7 @@
 void
 fleet_until_voting (Fleet *fleet, int instance)
 {
-  fleet_until (fleet, orders_run, &instance);
+  fleet_until (fleet, order_succeeds, &instance);
 }
 
 int
@@ -771,7 +771,7 @@
   for (int i = 1; i <= FLEET_INSTANCES; i++)
     fleet_until_ready (fleet, i);
   for (int i = 1; i <= FLEET_INSTANCES; i++)
-    fleet_until (fleet, sees_all, &i);
+    fleet_until (fleet, peers_are_alive, &i);
   return 0;
 }
 
--- a/tests/test_process_config.c
+++ b/tests/test_process_config.c
@@ -25,20 +25,20 @@
 }
 
 static bool
-all_passed (Fleet *fleet, void *data)
+all_newer (Fleet *fleet, void *data)
 {
-  const double *passed = data;
+  const double *old_revision = data;
 
   for (int i = 1; i <= FLEET_INSTANCES; i++)
     {
-      if (revision (fleet, i) <= *passed)
+      if (revision (fleet, i) <= *old_revision)
         return false;
     }
   return true;
 }
 
 static void
-assert_served (Fleet *fleet, int instance)
+assert_request_succeeds (Fleet *fleet, int instance)
 {
   Caller *caller = fleet_complete (fleet, instance, "served", 5);
 
@@ -53,8 +53,8 @@
   double before = revision (fleet, 1);
 
   fleet_publish_target (fleet, 31);
-  fleet_until (fleet, all_passed, &before);
-  assert_served (fleet, 1);
+  fleet_until (fleet, all_newer, &before);
+  assert_request_succeeds (fleet, 1);
 }
 
 static void
@@ -66,7 +66,7 @@
   double n_accepted;
 
   fleet_publish_target (fleet, 31);
-  fleet_until (fleet, all_passed, &before);
+  fleet_until (fleet, all_newer, &before);
   accepted = revision (fleet, 1);
   n_accepted = count_accepted (fleet);
   fleet_fault (fleet, "platform", "revert", 1);
@@ -77,7 +77,7 @@
   fleet_until_ready (fleet, 1);
   for (int i = 1; i <= FLEET_INSTANCES; i++)
     assert_true (revision (fleet, i) >= accepted);
-  assert_served (fleet, 1);
+  assert_request_succeeds (fleet, 1);
 }
 
 static bool
@@ -103,10 +103,10 @@
   for (int i = 1; i <= FLEET_INSTANCES; i++)
     {
       assert_true (revision (fleet, i) == before);
-      assert_served (fleet, i);
+      assert_request_succeeds (fleet, i);
     }
   fleet_publish_target (fleet, 32);
-  fleet_until (fleet, all_passed, &before);
+  fleet_until (fleet, all_newer, &before);
 }
 
 static void
@@ -118,15 +118,15 @@
   fleet_fault (fleet, "platform", "down", 0);
   fleet_pass (fleet, 1000);
   for (int i = 1; i <= FLEET_INSTANCES; i++)
-    assert_served (fleet, i);
+    assert_request_succeeds (fleet, i);
   fleet_signal (fleet, 2, SIGKILL);
   fleet_start (fleet, 2);
   fleet_until_ready (fleet, 2);
   assert_true (revision (fleet, 2) == before);
-  assert_served (fleet, 2);
+  assert_request_succeeds (fleet, 2);
   fleet_fault (fleet, "platform", "up", 0);
   fleet_publish_target (fleet, 33);
-  fleet_until (fleet, all_passed, &before);
+  fleet_until (fleet, all_newer, &before);
 }
 
 int
--- a/tests/test_process_orders.c
+++ b/tests/test_process_orders.c
@@ -10,7 +10,7 @@
 #define SLOW_MS 1500
 
 static void
-each_plain (Fleet *fleet, const char *kind, unsigned value)
+fault_all_plain (Fleet *fleet, const char *kind, unsigned value)
 {
   fleet_fault (fleet, "o1", kind, value);
   fleet_fault (fleet, "o2", kind, value);
@@ -27,7 +27,7 @@
 
 /* Sends an order and waits until an upstream has it, before it has run. */
 static Caller *
-begin (Fleet *fleet, int instance, const char *order)
+start_order (Fleet *fleet, int instance, const char *order)
 {
   uint64_t n_calls = fleet_sum (fleet, "plain", "calls") + 1;
   Caller *caller = fleet_order (fleet, instance, order, order);
@@ -37,7 +37,7 @@
 }
 
 static Caller *
-run (Fleet *fleet, int instance, const char *order)
+run_order (Fleet *fleet, int instance, const char *order)
 {
   Caller *caller = fleet_order (fleet, instance, order, order);
 
@@ -53,7 +53,7 @@
 
 /* What any answer to a key may be: the run's own answer, or a refusal that does not deny it. */
 static void
-assert_honest (Fleet *fleet, Caller *caller, const char *order)
+assert_answer_allowed (Fleet *fleet, Caller *caller, const char *order)
 {
   if (caller_status (caller) == 200)
     assert_non_null (strstr (caller_body (caller), order));
@@ -78,12 +78,12 @@
 test_resent_order_gets_the_first_answer (void **state)
 {
   Fleet *fleet = *state;
-  Caller *first = run (fleet, 1, "a");
+  Caller *first = run_order (fleet, 1, "a");
 
   assert_int_equal (caller_status (first), 200);
   for (int i = 1; i <= FLEET_INSTANCES; i++)
     {
-      Caller *again = run (fleet, i, "a");
+      Caller *again = run_order (fleet, i, "a");
 
       assert_int_equal (caller_status (again), 200);
       assert_string_equal (caller_body (again), caller_body (first));
@@ -99,16 +99,16 @@
   Caller *second;
   Caller *third;
 
-  each_plain (fleet, "slow", SLOW_MS);
-  first = begin (fleet, 1, "b");
+  fault_all_plain (fleet, "slow", SLOW_MS);
+  first = start_order (fleet, 1, "b");
   second = fleet_order (fleet, 2, "b", "b");
   third = fleet_order (fleet, 3, "b", "b");
   caller_finish (first);
   caller_finish (second);
   caller_finish (third);
   assert_int_equal (caller_status (first), 200);
-  assert_honest (fleet, second, "b");
-  assert_honest (fleet, third, "b");
+  assert_answer_allowed (fleet, second, "b");
+  assert_answer_allowed (fleet, third, "b");
   assert_int_equal (fleet_runs (fleet, "b"), 1);
 }
 
@@ -119,19 +119,19 @@
   Caller *second;
   Caller *third;
 
-  each_plain (fleet, "slow", SLOW_MS);
-  begin (fleet, 1, "c");
+  fault_all_plain (fleet, "slow", SLOW_MS);
+  start_order (fleet, 1, "c");
   fleet_signal (fleet, 1, SIGKILL);
   second = fleet_order (fleet, 2, "c", "c");
   caller_finish (second);
-  third = run (fleet, 3, "c");
+  third = run_order (fleet, 3, "c");
   fleet_until (fleet, has_run, "c");
-  assert_honest (fleet, second, "c");
-  assert_honest (fleet, third, "c");
+  assert_answer_allowed (fleet, second, "c");
+  assert_answer_allowed (fleet, third, "c");
   fleet_start (fleet, 1);
   fleet_until_ready (fleet, 1);
   fleet_until_voting (fleet, 1);
-  assert_honest (fleet, run (fleet, 1, "c"), "c");
+  assert_answer_allowed (fleet, run_order (fleet, 1, "c"), "c");
 }
 
 static void
@@ -141,17 +141,17 @@
   Caller *first;
   Caller *second;
 
-  each_plain (fleet, "slow", SLOW_MS);
-  first = begin (fleet, 1, "d");
+  fault_all_plain (fleet, "slow", SLOW_MS);
+  first = start_order (fleet, 1, "d");
   fleet_signal (fleet, 1, SIGSTOP);
   second = fleet_order (fleet, 2, "d", "d");
   fleet_pass (fleet, 4000);
   fleet_signal (fleet, 1, SIGCONT);
   caller_finish (first);
   caller_finish (second);
-  assert_honest (fleet, first, "d");
-  assert_honest (fleet, second, "d");
-  assert_honest (fleet, run (fleet, 3, "d"), "d");
+  assert_answer_allowed (fleet, first, "d");
+  assert_answer_allowed (fleet, second, "d");
+  assert_answer_allowed (fleet, run_order (fleet, 3, "d"), "d");
 }
 
 /* The pause falls anywhere between the arrival of the order and its call. */
@@ -173,8 +173,8 @@
       fleet_signal (fleet, 1, SIGCONT);
       caller_finish (first);
       caller_finish (second);
-      assert_honest (fleet, first, orders[i]);
-      assert_honest (fleet, second, orders[i]);
+      assert_answer_allowed (fleet, first, orders[i]);
+      assert_answer_allowed (fleet, second, orders[i]);
     }
 }
 
@@ -194,16 +194,16 @@
   Caller *joined;
 
   fleet_isolate (fleet, 3, true);
-  alone = run (fleet, 3, "f");
+  alone = run_order (fleet, 3, "f");
   assert_refused_as_unknown (alone);
   assert_int_equal (fleet_runs (fleet, "f"), 0);
-  joined = run (fleet, 1, "f");
+  joined = run_order (fleet, 1, "f");
   assert_int_equal (caller_status (joined), 200);
   assert_int_equal (fleet_runs (fleet, "f"), 1);
-  assert_refused_as_unknown (run (fleet, 3, "f"));
+  assert_refused_as_unknown (run_order (fleet, 3, "f"));
   fleet_isolate (fleet, 3, false);
   fleet_until_voting (fleet, 3);
-  assert_honest (fleet, run (fleet, 3, "f"), "f");
+  assert_answer_allowed (fleet, run_order (fleet, 3, "f"), "f");
 }
 
 static void
@@ -213,16 +213,16 @@
   Caller *first;
   Caller *second;
 
-  each_plain (fleet, "slow", SLOW_MS);
-  first = begin (fleet, 3, "g");
+  fault_all_plain (fleet, "slow", SLOW_MS);
+  first = start_order (fleet, 3, "g");
   fleet_isolate (fleet, 3, true);
-  second = run (fleet, 1, "g");
+  second = run_order (fleet, 1, "g");
   caller_finish (first);
   assert_int_equal (caller_status (first), 200);
-  assert_honest (fleet, second, "g");
+  assert_answer_allowed (fleet, second, "g");
   fleet_isolate (fleet, 3, false);
   fleet_until_voting (fleet, 3);
-  assert_honest (fleet, run (fleet, 2, "g"), "g");
+  assert_answer_allowed (fleet, run_order (fleet, 2, "g"), "g");
 }
 
 static void
@@ -246,11 +246,11 @@
       second = fleet_order (fleet, 2, orders[i], orders[i]);
       caller_finish (first);
       caller_finish (second);
-      assert_honest (fleet, first, orders[i]);
-      assert_honest (fleet, second, orders[i]);
+      assert_answer_allowed (fleet, first, orders[i]);
+      assert_answer_allowed (fleet, second, orders[i]);
       fleet_isolate (fleet, 1, false);
       fleet_until_voting (fleet, 1);
-      assert_honest (fleet, run (fleet, 1, orders[i]), orders[i]);
+      assert_answer_allowed (fleet, run_order (fleet, 1, orders[i]), orders[i]);
     }
 }
 
@@ -265,12 +265,12 @@
     {
       Caller *first;
 
-      each_plain (fleet, kinds[i], 1);
-      first = run (fleet, 1, orders[i]);
+      fault_all_plain (fleet, kinds[i], 1);
+      first = run_order (fleet, 1, orders[i]);
       assert_int_not_equal (caller_status (first), 200);
       assert_string_not_equal (caller_outcome (first), "not-run");
-      each_plain (fleet, "none", 0);
-      assert_honest (fleet, run (fleet, 2, orders[i]), orders[i]);
+      fault_all_plain (fleet, "none", 0);
+      assert_answer_allowed (fleet, run_order (fleet, 2, orders[i]), orders[i]);
     }
 }
 
@@ -280,7 +280,7 @@
   Fleet *fleet = *state;
   Caller *caller;
 
-  each_plain (fleet, "die-after", 1);
+  fault_all_plain (fleet, "die-after", 1);
   caller = fleet_order (fleet, 1, "j", NULL);
   caller_finish (caller);
   assert_string_not_equal (caller_outcome (caller), "not-run");
@@ -294,7 +294,7 @@
 
   fleet_fault (fleet, "o1", "leave", 1);
   fleet_fault (fleet, "o2", "refuse", 1);
-  assert_int_equal (caller_status (run (fleet, 1, "k")), 200);
+  assert_int_equal (caller_status (run_order (fleet, 1, "k")), 200);
   assert_int_equal (fleet_runs (fleet, "k"), 1);
 }
 
@@ -321,13 +321,13 @@
   Fleet *fleet = *state;
   Caller *first;
 
-  each_plain (fleet, "slow", SLOW_MS);
-  first = begin (fleet, 1, "l");
+  fault_all_plain (fleet, "slow", SLOW_MS);
+  first = start_order (fleet, 1, "l");
   fleet_signal (fleet, 1, SIGTERM);
   caller_finish (first);
   assert_int_equal (caller_status (first), 200);
   assert_int_equal (fleet_exit_code (fleet, 1), 0);
-  assert_honest (fleet, run (fleet, 2, "l"), "l");
+  assert_answer_allowed (fleet, run_order (fleet, 2, "l"), "l");
 }
 
 int
--- a/tests/test_process_streams.c
+++ b/tests/test_process_streams.c
@@ -20,7 +20,7 @@
 } Streams;
 
 static bool
-have_begun (Fleet *fleet, void *data)
+have_started (Fleet *fleet, void *data)
 {
   const Streams *streams = data;
 
@@ -35,7 +35,7 @@
 
 /* Starts streams at one instance, or at all when instance is 0. */
 static void
-begin (Fleet *fleet, Streams *streams, int instance, unsigned n, unsigned n_tokens)
+start_streams (Fleet *fleet, Streams *streams, int instance, unsigned n, unsigned n_tokens)
 {
   char tag[16];
 
@@ -46,11 +46,11 @@
       streams->callers[i] = fleet_complete (
           fleet, instance != 0 ? instance : (int)(i % FLEET_INSTANCES) + 1, tag, n_tokens);
     }
-  fleet_until (fleet, have_begun, streams);
+  fleet_until (fleet, have_started, streams);
 }
 
 static void
-assert_all_whole (Streams *streams)
+assert_all_complete (Streams *streams)
 {
   for (unsigned i = 0; i < streams->n; i++)
     {
@@ -62,7 +62,7 @@
 }
 
 static void
-leave_all (Streams *streams)
+disconnect_all (Streams *streams)
 {
   for (unsigned i = 0; i < streams->n; i++)
     caller_leave (streams->callers[i]);
@@ -74,11 +74,11 @@
   Fleet *fleet = *state;
   Streams streams;
 
-  begin (fleet, &streams, 0, STREAMS, 120);
+  start_streams (fleet, &streams, 0, STREAMS, 120);
   fleet_fault (fleet, "p1", "kill", 0);
   fleet_pass (fleet, 100);
   fleet_fault (fleet, "d1", "kill", 0);
-  assert_all_whole (&streams);
+  assert_all_complete (&streams);
   assert_int_equal (fleet_sum (fleet, "engines", "deaths"), 2);
   fleet_until_free (fleet);
 }
@@ -90,11 +90,11 @@
   Streams streams;
   double n_resumes = 0;
 
-  begin (fleet, &streams, 0, STREAMS, 120);
+  start_streams (fleet, &streams, 0, STREAMS, 120);
   fleet_fault (fleet, "d1", "drop", 0);
   fleet_fault (fleet, "d2", "drop", 0);
   fleet_fault (fleet, "d3", "drop", 0);
-  assert_all_whole (&streams);
+  assert_all_complete (&streams);
   for (int i = 1; i <= FLEET_INSTANCES; i++)
     n_resumes += fleet_counter (fleet, i, "mangofork_resumes_total");
   assert_true (n_resumes > 0);
@@ -108,10 +108,10 @@
   Fleet *fleet = *state;
   Streams streams;
 
-  begin (fleet, &streams, 0, STREAMS, 120);
+  start_streams (fleet, &streams, 0, STREAMS, 120);
   fleet_fault (fleet, "d1", "stall", 8000);
   fleet_fault (fleet, "d2", "slow", 20);
-  assert_all_whole (&streams);
+  assert_all_complete (&streams);
   fleet_until_free (fleet);
 }
 
@@ -121,28 +121,28 @@
   Fleet *fleet = *state;
   Streams streams;
 
-  begin (fleet, &streams, 1, 5, LONG_TOKENS);
+  start_streams (fleet, &streams, 1, 5, LONG_TOKENS);
   assert_true (fleet_held (fleet) >= 5);
   fleet_signal (fleet, 1, SIGKILL);
   fleet_until_free (fleet);
   assert_true (fleet_sum (fleet, "engines", "owner_cancels") > 0);
   fleet_start (fleet, 1);
   fleet_until_ready (fleet, 1);
-  begin (fleet, &streams, 0, STREAMS, 20);
-  assert_all_whole (&streams);
+  start_streams (fleet, &streams, 0, STREAMS, 20);
+  assert_all_complete (&streams);
 }
 
 static void
-test_paused_instance_owes_its_callers_whole_answers (void **state)
+test_paused_instance_completes_its_streams (void **state)
 {
   Fleet *fleet = *state;
   Streams streams;
 
-  begin (fleet, &streams, 1, 3, 600);
+  start_streams (fleet, &streams, 1, 3, 600);
   fleet_signal (fleet, 1, SIGSTOP);
   fleet_pass (fleet, 6000);
   fleet_signal (fleet, 1, SIGCONT);
-  assert_all_whole (&streams);
+  assert_all_complete (&streams);
   fleet_until_free (fleet);
 }
 
@@ -161,8 +161,8 @@
   uint64_t n_prefills = 1;
   Streams streams;
 
-  begin (fleet, &streams, 0, 3, LONG_TOKENS);
-  leave_all (&streams);
+  start_streams (fleet, &streams, 0, 3, LONG_TOKENS);
+  disconnect_all (&streams);
   for (unsigned i = 1; i <= 3; i++)
     {
       char prefill[] = "p1";
@@ -180,8 +180,8 @@
   fleet_pass (fleet, 1500);
   fleet_leave_all (fleet);
   fleet_until_free (fleet);
-  begin (fleet, &streams, 0, STREAMS, 20);
-  assert_all_whole (&streams);
+  start_streams (fleet, &streams, 0, STREAMS, 20);
+  assert_all_complete (&streams);
 }
 
 static void
@@ -191,7 +191,7 @@
   Streams streams;
   Caller *late;
 
-  begin (fleet, &streams, 1, 6, 250);
+  start_streams (fleet, &streams, 1, 6, 250);
   fleet_signal (fleet, 1, SIGTERM);
   fleet_pass (fleet, 600);
   late = fleet_complete (fleet, 1, "late", 10);
@@ -199,7 +199,7 @@
   assert_int_not_equal (caller_status (late), 200);
   if (caller_status (late) != 0)
     assert_string_equal (caller_outcome (late), "not-run");
-  assert_all_whole (&streams);
+  assert_all_complete (&streams);
   assert_int_equal (fleet_exit_code (fleet, 1), 0);
   fleet_until_free (fleet);
 }
@@ -211,29 +211,29 @@
   Streams streams;
   Streams staying;
 
-  begin (fleet, &staying, 3, 3, 400);
-  begin (fleet, &streams, 1, 2, 60);
+  start_streams (fleet, &staying, 3, 3, 400);
+  start_streams (fleet, &streams, 1, 2, 60);
   fleet_signal (fleet, 1, SIGTERM);
   fleet_signal (fleet, 2, SIGKILL);
-  assert_all_whole (&streams);
+  assert_all_complete (&streams);
   assert_int_equal (fleet_exit_code (fleet, 1), 0);
   fleet_start (fleet, 1);
   fleet_start (fleet, 2);
   fleet_until_ready (fleet, 1);
   fleet_until_ready (fleet, 2);
-  begin (fleet, &streams, 0, STREAMS, 20);
-  assert_all_whole (&streams);
-  assert_all_whole (&staying);
+  start_streams (fleet, &streams, 0, STREAMS, 20);
+  assert_all_complete (&streams);
+  assert_all_complete (&staying);
   fleet_until_free (fleet);
 }
 
 static void
-test_poison_costs_two_deaths_and_no_innocent (void **state)
+test_poison_request_crashes_at_most_two_engines (void **state)
 {
   Fleet *fleet = *state;
   Streams streams;
 
-  begin (fleet, &streams, 0, STREAMS, 300);
+  start_streams (fleet, &streams, 0, STREAMS, 300);
   for (int i = 0; i < 6; i++)
     {
       Caller *poison = fleet_prompt (fleet, i % FLEET_INSTANCES + 1, "POISON");
@@ -244,7 +244,7 @@
       fleet_pass (fleet, 300);
     }
   assert_true (fleet_sum (fleet, "engines", "deaths") <= 2);
-  assert_all_whole (&streams);
+  assert_all_complete (&streams);
 }
 
 static void
@@ -254,13 +254,13 @@
   Streams streams;
   uint64_t n_refused;
 
-  begin (fleet, &streams, 0, STREAMS, 30);
+  start_streams (fleet, &streams, 0, STREAMS, 30);
   fleet_fault (fleet, "d2", "leave", 0);
-  assert_all_whole (&streams);
+  assert_all_complete (&streams);
   fleet_pass (fleet, 3000);
   n_refused = fleet_sum (fleet, "engines", "refused");
-  begin (fleet, &streams, 0, STREAMS, 30);
-  assert_all_whole (&streams);
+  start_streams (fleet, &streams, 0, STREAMS, 30);
+  assert_all_complete (&streams);
   assert_int_equal (fleet_sum (fleet, "engines", "refused"), n_refused);
 }
 
@@ -273,11 +273,11 @@
     FLEET_TEST (test_streams_outlive_their_connections),
     FLEET_TEST (test_streams_outlive_a_slow_and_a_stalled_engine),
     FLEET_TEST (test_memory_of_a_killed_instance_is_freed),
-    FLEET_TEST (test_paused_instance_owes_its_callers_whole_answers),
+    FLEET_TEST (test_paused_instance_completes_its_streams),
     FLEET_TEST (test_departed_callers_hold_no_memory),
     FLEET_TEST (test_shutdown_cuts_off_no_stream),
     FLEET_TEST (test_half_the_instances_are_replaced),
-    FLEET_TEST (test_poison_costs_two_deaths_and_no_innocent),
+    FLEET_TEST (test_poison_request_crashes_at_most_two_engines),
     FLEET_TEST (test_leaving_engine_gets_no_new_work),
   };
 
