--- a/bench/policy.c
+++ b/bench/policy.c
@@ -234,10 +234,10 @@
   if (trial->fault == FAULT_DEATH)
     {
       fake_engine_kill (rig_engine (rig, decode), rig_now_us (rig));
-      rig_touch (rig, decode);
+      rig_update_engine (rig, decode);
     }
   else if (trial->fault == FAULT_GRAY)
-    fake_engine_slow (rig_engine (rig, decode), 30);
+    fake_engine_set_speed (rig_engine (rig, decode), 30);
   else if (trial->fault == FAULT_LINK)
     fake_engine_stall_link (rig_engine (rig, 0), rig_now_us (rig),
                             rig_now_us (rig) + 10 * MF_US_PER_S);
@@ -266,7 +266,7 @@
 {
   MfService service = { .ttft_target_us = 1500 * MF_US_PER_MS };
   MfBurnSample sample = {
-    .code = rig_is_whole (request) ? MF_CODE_OK : MF_CODE_INTERNAL,
+    .code = rig_request_is_complete (request) ? MF_CODE_OK : MF_CODE_INTERNAL,
     .ttft_us = request->first_us - request->sent_us,
     .n_gaps = request->n_gaps,
     .n_gaps_late = request->n_gaps_late,
@@ -280,21 +280,21 @@
 {
   if (request->service == 1)
     {
-      if (rig_is_whole (request))
+      if (rig_request_is_complete (request))
         reads_ms[(*n_reads)++] = (double)(request->ended_us - request->sent_us) / 1000;
       else
         figures->n_reads_lost++;
       return;
     }
   figures->n_orders_twice += request->n_runs > 1;
-  figures->n_orders_lost
-      += !rig_is_whole (request) && request->outcome == MF_OUTCOME_NOT_RUN && request->n_runs > 0;
+  figures->n_orders_lost += !rig_request_is_complete (request)
+                            && request->outcome == MF_OUTCOME_NOT_RUN && request->n_runs > 0;
 }
 
 static void
 count (Rig *rig, const Trial *trial, double per_s, bool prefill_limits, Figures *figures)
 {
-  uint32_t n = rig_request_count (rig);
+  uint32_t n = rig_n_requests (rig);
   double *reads_ms = calloc (n, sizeof *reads_ms);
   double *ttfts_ms = calloc (n, sizeof *ttfts_ms);
   uint32_t n_reads = 0;
@@ -310,7 +310,7 @@
       double work = prefill_limits ? prefill_s (request) / trial->deployment->n_prefill
                                    : decode_s (request) / (trial->deployment->n_decode * SLOTS);
 
-      figures->n_broken += request->n_ends != 1 || request->garbled
+      figures->n_broken += request->n_ends != 1 || request->corrupt
                            || (request->outcome == MF_OUTCOME_NOT_RUN && request->code != MF_CODE_OK
                                && request->ran);
       if (request->sent_us < WARM_US + MF_US_PER_S)
@@ -322,11 +322,11 @@
         }
       figures->n_offered++;
       figures->offered_work += work / window_s;
-      figures->n_whole += rig_is_whole (request);
+      figures->n_whole += rig_request_is_complete (request);
       figures->n_refused += request->code != MF_CODE_OK;
-      if (rig_is_whole (request))
+      if (rig_request_is_complete (request))
         ttfts_ms[n_ttfts++] = (double)(request->first_us - request->sent_us) / 1000;
-      whole_work += rig_is_whole (request) ? work / window_s : 0;
+      whole_work += rig_request_is_complete (request) ? work / window_s : 0;
       if (!is_good (request))
         continue;
       figures->n_good++;
@@ -342,7 +342,7 @@
   figures->wasted_share = prefilled > 0 ? (double)figures->wasted_tokens / (double)prefilled : 0;
   figures->read_p99_ms = percentile (reads_ms, n_reads, 0.99);
   figures->ttft_p99_ms = percentile (ttfts_ms, n_ttfts, 0.99);
-  figures->held = rig_held (rig);
+  figures->held = rig_n_kv_entries (rig);
   free (reads_ms);
   free (ttfts_ms);
 }
--- a/bench/relay_upstream.c
+++ b/bench/relay_upstream.c
@@ -227,7 +227,7 @@
 relay_upstream_run (uint16_t prefill_port, const uint16_t decode_ports[RELAY_DECODERS],
                     uint16_t platform_port)
 {
-  static const FakeHttpHooks hooks = { .on_request = on_request, .on_closed = on_closed };
+  static const FakeHttpCallbacks hooks = { .on_request = on_request, .on_closed = on_closed };
   struct ev_loop *loop = ev_loop_new (EVFLAG_AUTO);
   Upstream prefill = { .loop = loop, .role = "prefill" };
   Upstream decode = { .loop = loop, .role = "decode" };
--- a/bench/soak.c
+++ b/bench/soak.c
@@ -76,8 +76,8 @@
   Fault faults[FAULTS_AT_ONCE];
   uint64_t next_fault_us;
   unsigned n_faults;
-  unsigned lives[FLEET_INSTANCES + 1];
-  bool down[FLEET_INSTANCES + 1];
+  unsigned lives[FLEET_N_INSTANCES + 1];
+  bool down[FLEET_N_INSTANCES + 1];
   unsigned n_whole;
   unsigned n_refused;
   unsigned n_broken;
@@ -99,13 +99,13 @@
 static int
 pick_instance (Soak *soak)
 {
-  int instance = (int)draw (soak, FLEET_INSTANCES) + 1;
+  int instance = (int)draw (soak, FLEET_N_INSTANCES) + 1;
 
-  for (int i = 0; i < FLEET_INSTANCES; i++)
+  for (int i = 0; i < FLEET_N_INSTANCES; i++)
     {
       if (!soak->down[instance])
         return instance;
-      instance = instance % FLEET_INSTANCES + 1;
+      instance = instance % FLEET_N_INSTANCES + 1;
     }
   return 0;
 }
@@ -132,7 +132,7 @@
   snprintf (name, sizeof name, "o%u", number);
   order->n_arrivals++;
   order->n_open++;
-  sent_add (soak, fleet_order (soak->fleet, instance, name, order->key), SENT_ORDER, instance,
+  sent_add (soak, fleet_send_order (soak->fleet, instance, name, order->key), SENT_ORDER, instance,
             number);
 }
 
@@ -174,7 +174,8 @@
   if (instance == 0)
     return;
   snprintf (tag, sizeof tag, "t%u", soak->n_sent);
-  sent_add (soak, fleet_complete (soak->fleet, instance, tag, 1 + (unsigned)draw (soak, TOKENS)),
+  sent_add (soak,
+            fleet_send_completion (soak->fleet, instance, tag, 1 + (unsigned)draw (soak, TOKENS)),
             SENT_STREAM, instance, 0);
 }
 
@@ -192,7 +193,7 @@
     send_again (soak);
   instance = pick_instance (soak);
   if (instance != 0 && draw (soak, 3) == 0)
-    sent_add (soak, fleet_read (soak->fleet, instance, "/stock/7"), SENT_READ, instance, 0);
+    sent_add (soak, fleet_send_get (soak->fleet, instance, "/stock/7"), SENT_READ, instance, 0);
 }
 
 typedef struct
@@ -236,7 +237,7 @@
 static unsigned
 next_of (unsigned instance)
 {
-  return instance % FLEET_INSTANCES + 1;
+  return instance % FLEET_N_INSTANCES + 1;
 }
 
 static void
@@ -291,7 +292,7 @@
   else if (fault->kind == FAULT_ISOLATE)
     fleet_isolate (soak->fleet, instance, true);
   else if (fault->kind == FAULT_ONE_WAY)
-    fleet_link (soak->fleet, instance, "cut", (int)next_of (fault->target));
+    fleet_link_fault (soak->fleet, instance, "cut", (int)next_of (fault->target));
   else
     stand_in_fault (soak, fault, true);
 }
@@ -306,7 +307,7 @@
   if (fault->kind == FAULT_KILL)
     {
       fleet_start (soak->fleet, instance);
-      fleet_until_ready (soak->fleet, instance);
+      fleet_wait_ready (soak->fleet, instance);
       soak->down[instance] = false;
     }
   else if (fault->kind == FAULT_FREEZE)
@@ -314,7 +315,7 @@
   else if (fault->kind == FAULT_ISOLATE)
     fleet_isolate (soak->fleet, instance, false);
   else if (fault->kind == FAULT_ONE_WAY)
-    fleet_link (soak->fleet, instance, "pass", (int)next_of (fault->target));
+    fleet_link_fault (soak->fleet, instance, "pass", (int)next_of (fault->target));
   else
     stand_in_fault (soak, fault, false);
 }
@@ -333,7 +334,7 @@
       if (!more || fault->until_us != 0 || now_us < soak->next_fault_us)
         continue;
       fault->kind = (unsigned)draw (soak, FAULT_STAND_IN + MF_ARRAY_LEN (stand_in_faults));
-      fault->target = 1 + (unsigned)draw (soak, FLEET_INSTANCES);
+      fault->target = 1 + (unsigned)draw (soak, FLEET_N_INSTANCES);
       if (is_busy (soak, fault->kind, fault->target))
         continue;
       fault->until_us = now_us + (300 + draw (soak, 2700)) * MF_US_PER_MS;
@@ -358,7 +359,7 @@
 static void
 take_end (Soak *soak, Sent *sent)
 {
-  bool whole = sent->kind == SENT_STREAM ? caller_is_whole (sent->caller)
+  bool whole = sent->kind == SENT_STREAM ? caller_is_complete (sent->caller)
                                          : caller_status (sent->caller) == 200;
 
   sent->seen = true;
@@ -375,13 +376,13 @@
       soak->n_refused++;
       print_message ("%.2f s: refused by entry-%d: %s\n",
                      (double)(mf_clock_now_us () - soak->began_us) / (double)MF_US_PER_S,
-                     sent->instance, caller_tail (sent->caller));
+                     sent->instance, caller_body_tail (sent->caller));
     }
   else
     {
       soak->n_broken++;
       print_message ("broken at entry-%d, kind %d, status %u: %s\n", sent->instance, sent->kind,
-                     caller_status (sent->caller), caller_tail (sent->caller));
+                     caller_status (sent->caller), caller_body_tail (sent->caller));
     }
 }
 
@@ -397,7 +398,7 @@
       if (sent->kind == SENT_STREAM && draw (soak, 400) == 0)
         {
           sent->left = !caller_has_ended (sent->caller);
-          caller_leave (sent->caller);
+          caller_disconnect (sent->caller);
         }
       if (caller_has_ended (sent->caller))
         take_end (soak, sent);
@@ -443,7 +444,7 @@
       uint64_t runs;
 
       snprintf (name, sizeof name, "o%u", i);
-      runs = fleet_runs (soak->fleet, name);
+      runs = fleet_n_runs (soak->fleet, name);
       n_ran += runs > 0;
       n_twice += runs > 1;
       n_untrue += (order->done && runs == 0) || (runs > 0 && order->n_not_run == order->n_arrivals);
@@ -455,7 +456,7 @@
   result ("soak_orders_run_twice", n_twice, 0, false);
   result ("soak_refusals_untrue", n_untrue, 0, false);
   result ("soak_answers_broken", soak->n_broken, 0, false);
-  result ("soak_memory_held_at_end", fleet_held (soak->fleet), 0, false);
+  result ("soak_memory_held_at_end", fleet_n_kv_entries (soak->fleet), 0, false);
   result ("soak_whole_ppm", n_ended == 0 ? 0 : soak->n_whole * UINT64_C (1000000) / n_ended, 990000,
           true);
 }
@@ -466,21 +467,21 @@
   Soak *soak = *state;
   uint64_t end_us;
 
-  for (int i = 1; i <= FLEET_INSTANCES; i++)
-    fleet_until_voting (soak->fleet, i);
-  fleet_pass (soak->fleet, WARM_MS);
+  for (int i = 1; i <= FLEET_N_INSTANCES; i++)
+    fleet_wait_voting (soak->fleet, i);
+  fleet_sleep_ms (soak->fleet, WARM_MS);
   soak->began_us = mf_clock_now_us ();
   end_us = soak->began_us + soak->seconds * MF_US_PER_S;
   while (mf_clock_now_us () < end_us)
     {
       send_something (soak);
       faults_turn (soak, true);
-      fleet_pass (soak->fleet, TURN_MS);
+      fleet_sleep_ms (soak->fleet, TURN_MS);
       ends_turn (soak);
     }
   faults_turn (soak, false);
-  fleet_until (soak->fleet, all_ended, soak);
-  fleet_until_free (soak->fleet);
+  fleet_wait_until (soak->fleet, all_ended, soak);
+  fleet_wait_kv_freed (soak->fleet);
   report (soak);
 }
 
--- a/tests/fakes/cores.c
+++ b/tests/fakes/cores.c
@@ -33,7 +33,7 @@
   MfCore *core;
   uint64_t incarnation;
   uint64_t paused_until_us;
-  FakePlatform platform;
+  FakePlatformState platform;
   uint32_t text_watch_id; /* number of the waiting read, 0 for none */
   uint64_t bytes_sent;
   uint64_t n_messages_sent;
@@ -53,7 +53,7 @@
   uint64_t sequence;
   MfHeap heap;
   Instance *instances;
-  bool *cut; /* from * n_slots + to */
+  bool *cut; /* from * n_instances + to */
   Link links[LINKS_MAX];
   uint32_t n_links;
   char *texts[64];
@@ -132,7 +132,7 @@
 static bool
 is_cut (const FakeCores *cores, uint32_t from, uint32_t to)
 {
-  return cores->cut[from * cores->options.n_slots + to];
+  return cores->cut[from * cores->options.n_instances + to];
 }
 
 static void
@@ -142,7 +142,7 @@
   uint64_t delay_us = cores->options.delay_us;
   Link *link = &cores->links[cores->n_links];
 
-  if (other >= cores->options.n_slots || is_cut (cores, instance, other)
+  if (other >= cores->options.n_instances || is_cut (cores, instance, other)
       || is_cut (cores, other, instance) || cores->instances[other].paused_until_us > cores->now_us)
     schedule_peer_event (cores, instance, other, MF_EVENT_PEER_DOWN, 0, CONNECT_TIMEOUT_US);
   else if (cores->instances[other].core == NULL || cores->n_links + 1 == LINKS_MAX)
@@ -288,9 +288,9 @@
 
   cores->options = *options;
   cores->now_us = CLOCK_START_US;
-  cores->instances = calloc (options->n_slots, sizeof *cores->instances);
-  cores->cut = calloc ((size_t)options->n_slots * options->n_slots, sizeof *cores->cut);
-  for (uint32_t i = 0; i < options->n_slots; i++)
+  cores->instances = calloc (options->n_instances, sizeof *cores->instances);
+  cores->cut = calloc ((size_t)options->n_instances * options->n_instances, sizeof *cores->cut);
+  for (uint32_t i = 0; i < options->n_instances; i++)
     {
       MfListedInstance *listed = &cores->instances[i].listed;
 
@@ -323,7 +323,7 @@
       pending_event_free (pending);
     }
   mf_heap_clear (&cores->heap);
-  for (uint32_t i = 0; i < cores->options.n_slots; i++)
+  for (uint32_t i = 0; i < cores->options.n_instances; i++)
     instance_free (&cores->instances[i]);
   for (uint32_t i = 0; i < cores->n_texts; i++)
     free (cores->texts[i]);
@@ -381,13 +381,13 @@
 }
 
 void
-fake_cores_cut (FakeCores *cores, uint32_t from, uint32_t to, bool cut)
+fake_cores_set_link_cut (FakeCores *cores, uint32_t from, uint32_t to, bool cut)
 {
-  cores->cut[from * cores->options.n_slots + to] = cut;
+  cores->cut[from * cores->options.n_instances + to] = cut;
 }
 
 void
-fake_cores_platform (FakeCores *cores, uint32_t instance, FakePlatform platform)
+fake_cores_set_platform (FakeCores *cores, uint32_t instance, FakePlatformState platform)
 {
   cores->instances[instance].platform = platform;
 }
@@ -399,7 +399,7 @@
 
   cores->revisions[cores->n_texts] = revision;
   cores->texts[cores->n_texts++] = strdup (text);
-  for (uint32_t i = 0; i < cores->options.n_slots; i++)
+  for (uint32_t i = 0; i < cores->options.n_instances; i++)
     {
       if (cores->instances[i].text_watch_id == 0
           || cores->instances[i].platform != FAKE_PLATFORM_UP)
@@ -422,9 +422,9 @@
   if (event->type == MF_EVENT_PLATFORM_LIST)
     {
       listed = calloc (list_max, sizeof *listed);
-      event->list.n_listed = cores->options.n_slots;
+      event->list.n_listed = cores->options.n_instances;
       event->list.listed = listed;
-      for (uint32_t i = 0; i < cores->options.n_slots; i++)
+      for (uint32_t i = 0; i < cores->options.n_instances; i++)
         listed[i] = cores->instances[i].listed;
     }
   start_ns = clock_ns ();
@@ -435,7 +435,7 @@
 }
 
 void
-fake_cores_event (FakeCores *cores, uint32_t instance, MfEvent *event)
+fake_cores_handle_event (FakeCores *cores, uint32_t instance, MfEvent *event)
 {
   step (cores, instance, event);
 }
@@ -479,7 +479,7 @@
       uint64_t next_us = pending != NULL ? pending->at_us : UINT64_MAX;
       uint32_t due = MF_NONE;
 
-      for (uint32_t i = 0; i < cores->options.n_slots; i++)
+      for (uint32_t i = 0; i < cores->options.n_instances; i++)
         {
           uint64_t tick_us = instance_next_us (&cores->instances[i]);
 
@@ -517,25 +517,25 @@
 }
 
 uint64_t
-fake_cores_bytes_out (const FakeCores *cores, uint32_t instance)
+fake_cores_bytes_sent (const FakeCores *cores, uint32_t instance)
 {
   return cores->instances[instance].bytes_sent;
 }
 
 uint64_t
-fake_cores_messages_out (const FakeCores *cores, uint32_t instance)
+fake_cores_n_messages_sent (const FakeCores *cores, uint32_t instance)
 {
   return cores->instances[instance].n_messages_sent;
 }
 
 uint64_t
-fake_cores_timed_ns (const FakeCores *cores)
+fake_cores_busy_ns (const FakeCores *cores)
 {
   return cores->busy_ns;
 }
 
 uint64_t
-fake_cores_platform_calls (const FakeCores *cores)
+fake_cores_n_platform_calls (const FakeCores *cores)
 {
   return cores->n_platform_calls;
 }
--- a/tests/fakes/engine_http.c
+++ b/tests/fakes/engine_http.c
@@ -164,7 +164,7 @@
 }
 
 static void
-answer_refused (FakeConn *conn, FakeVerdict result)
+answer_refused (FakeConn *conn, FakeEngineResult result)
 {
   const char *headers = result == FAKE_LEAVING ? "Mangofork-Ran: no\r\nMangofork-Leaving: yes\r\n"
                                                : "Mangofork-Ran: no\r\n";
@@ -275,7 +275,7 @@
   json_object *transfer = json_object_object_get (body, "kv_transfer_params");
   FakeWork model_work;
   Work *work = read_work (engine, request, body, &model_work, hashes);
-  FakeVerdict result;
+  FakeEngineResult result;
 
   work->conn = conn;
   work->decode = json_object_get_boolean (json_object_object_get (transfer, "do_remote_prefill"));
@@ -442,7 +442,7 @@
 {
   for (size_t i = 0; i < MF_ARRAY_LEN (orders); i++)
     {
-      FakeVerdict result;
+      FakeEngineResult result;
 
       if (strcmp (request->path, orders[i].path) != 0)
         continue;
@@ -643,7 +643,7 @@
   else if (strcmp (kind, "stall-link") == 0)
     fake_engine_stall_link (engine->model, now_us, now_us + value * MF_US_PER_MS);
   else if (strcmp (kind, "slow") == 0)
-    fake_engine_slow (engine->model, (uint32_t)value);
+    fake_engine_set_speed (engine->model, (uint32_t)value);
   else if (strcmp (kind, "leave") == 0)
     fake_engine_leave (engine->model);
   else if (strcmp (kind, "drop") == 0)
@@ -661,7 +661,7 @@
 }
 
 static bool
-add_kv_entry (const FakeHeld *held, void *data)
+add_kv_entry (const FakeKvEntry *held, void *data)
 {
   json_object *row = json_object_new_object ();
   char rid[RID_BYTES];
@@ -682,7 +682,7 @@
   json_object *row = json_object_new_object ();
   json_object *held = json_object_new_array ();
 
-  fake_engine_held (engine->model, add_kv_entry, held);
+  fake_engine_foreach_kv_entry (engine->model, add_kv_entry, held);
   fake_add_text (row, "name", fake_engine_http_name (engine));
   json_object_object_add (row, "dead",
                           json_object_new_boolean (fake_engine_is_dead (engine->model)));
@@ -738,7 +738,7 @@
 FakeEngineHttp *
 fake_engine_http_new (struct ev_loop *loop, FakeEngineHttp **list, json_object *settings)
 {
-  static const FakeHttpHooks callbacks = { .on_request = on_request, .on_closed = on_closed };
+  static const FakeHttpCallbacks callbacks = { .on_request = on_request, .on_closed = on_closed };
   FakeEngineOptions options = read_options (settings);
   FakeEngineHttp *engine = calloc (1, sizeof *engine);
 
--- a/tests/fakes/engine_model.c
+++ b/tests/fakes/engine_model.c
@@ -328,7 +328,7 @@
 }
 
 static bool
-can_accept (const FakeEngine *engine, MfRole role, uint64_t now_us, FakeVerdict *result)
+can_accept (const FakeEngine *engine, MfRole role, uint64_t now_us, FakeEngineResult *result)
 {
   if (engine->dead)
     *result = FAKE_GONE;
@@ -541,11 +541,11 @@
   return &engine->options;
 }
 
-FakeVerdict
+FakeEngineResult
 fake_engine_prefill (FakeEngine *engine, const FakeWork *work, uint64_t now_us)
 {
   uint32_t pieces = pieces_for_tokens ((uint64_t)work->prompt_tokens + work->from_token);
-  FakeVerdict result;
+  FakeEngineResult result;
 
   if (!can_accept (engine, MF_ROLE_PREFILL, now_us, &result))
     return result;
@@ -597,13 +597,13 @@
   source->link_free_us = import->due_us;
 }
 
-FakeVerdict
+FakeEngineResult
 fake_engine_decode (FakeEngine *engine, const FakeWork *work, FakeEngine *source,
                     uint64_t kv_handle, uint64_t now_us)
 {
   uint64_t tokens = (uint64_t)work->prompt_tokens + work->from_token + work->max_tokens;
   uint32_t pieces = pieces_for_tokens (tokens);
-  FakeVerdict result;
+  FakeEngineResult result;
   Work *export;
 
   if (!can_accept (engine, MF_ROLE_DECODE, now_us, &result))
@@ -622,7 +622,7 @@
   return FAKE_ACCEPTED;
 }
 
-FakeVerdict
+FakeEngineResult
 fake_engine_resume (FakeEngine *engine, const FakeWorkId *id, uint32_t from_token, uint64_t now_us)
 {
   Work *work = engine->dead ? NULL : work_find (engine, id);
@@ -825,7 +825,7 @@
   return n;
 }
 
-FakeVerdict
+FakeEngineResult
 fake_engine_order (FakeEngine *engine, MfOrderKind kind, const char *value, uint64_t fence,
                    uint64_t now_us)
 {
@@ -907,7 +907,7 @@
 }
 
 void
-fake_engine_slow (FakeEngine *engine, uint32_t speed_percent)
+fake_engine_set_speed (FakeEngine *engine, uint32_t speed_percent)
 {
   engine->speed_percent = speed_percent > 0 ? speed_percent : 1;
 }
@@ -925,12 +925,12 @@
 }
 
 void
-fake_engine_held (const FakeEngine *engine, FakeHeldFunc func, void *data)
+fake_engine_foreach_kv_entry (const FakeEngine *engine, FakeKvEntryFunc func, void *data)
 {
   for (uint32_t i = 0; i < engine->n_works; i++)
     {
       const Work *work = &engine->works[i];
-      FakeHeld entry = {
+      FakeKvEntry entry = {
         .id = work->work.id,
         .pieces = work->pieces,
         .decoding = work->state >= WORK_IMPORTING,
--- a/tests/fakes/engine_model.h
+++ b/tests/fakes/engine_model.h
@@ -60,7 +60,7 @@
   FAKE_REFUSED, /* no room: nothing ran */
   FAKE_LEAVING, /* takes no new work */
   FAKE_GONE,    /* the engine is dead or the KV has expired */
-} FakeVerdict;
+} FakeEngineResult;
 
 typedef enum
 {
@@ -91,9 +91,9 @@
   uint32_t pieces;
   bool decoding;
   bool exporting; /* a prefill's KV that waits for its import */
-} FakeHeld;
+} FakeKvEntry;
 
-typedef bool (*FakeHeldFunc) (const FakeHeld *held, void *data);
+typedef bool (*FakeKvEntryFunc) (const FakeKvEntry *held, void *data);
 
 /* What an engine has done since it was made, over all its incarnations. */
 typedef struct
@@ -115,13 +115,13 @@
 const FakeEngineOptions *fake_engine_options (const FakeEngine *engine);
 
 /* Starts work. Events of work that has started come from fake_engine_run. */
-FakeVerdict fake_engine_prefill (FakeEngine *engine, const FakeWork *work, uint64_t now_us);
+FakeEngineResult fake_engine_prefill (FakeEngine *engine, const FakeWork *work, uint64_t now_us);
 /* Takes a slot and imports the KV of a prefill from its engine, then decodes. */
-FakeVerdict fake_engine_decode (FakeEngine *engine, const FakeWork *work, FakeEngine *source,
-                                uint64_t kv_handle, uint64_t now_us);
+FakeEngineResult fake_engine_decode (FakeEngine *engine, const FakeWork *work, FakeEngine *source,
+                                     uint64_t kv_handle, uint64_t now_us);
 /* Continues a stream that was detached less than result_life_us ago, from a token already made. */
-FakeVerdict fake_engine_resume (FakeEngine *engine, const FakeWorkId *id, uint32_t from_token,
-                                uint64_t now_us);
+FakeEngineResult fake_engine_resume (FakeEngine *engine, const FakeWorkId *id, uint32_t from_token,
+                                     uint64_t now_us);
 /* The connection of a piece of work has closed: a decode stays for result_life_us for a resume,
  * then it is freed; a prefill goes on, and its KV waits out its life. */
 void fake_engine_detach (FakeEngine *engine, const FakeWorkId *id, uint64_t now_us);
@@ -142,19 +142,19 @@
 uint32_t fake_engine_cache_events (const FakeEngine *engine, uint64_t now_us, uint64_t after,
                                    uint64_t *first, uint64_t *hashes, bool *stored, uint32_t max);
 
-FakeVerdict fake_engine_order (FakeEngine *engine, MfOrderKind kind, const char *value,
-                               uint64_t fence, uint64_t now_us);
+FakeEngineResult fake_engine_order (FakeEngine *engine, MfOrderKind kind, const char *value,
+                                    uint64_t fence, uint64_t now_us);
 
 /* Faults. */
 void fake_engine_kill (FakeEngine *engine, uint64_t now_us);
 void fake_engine_restart (FakeEngine *engine, uint64_t now_us);
 void fake_engine_stall (FakeEngine *engine, uint64_t now_us, uint64_t until_us);
 void fake_engine_stall_link (FakeEngine *engine, uint64_t now_us, uint64_t until_us);
-void fake_engine_slow (FakeEngine *engine, uint32_t speed_percent); /* 100 is full */
+void fake_engine_set_speed (FakeEngine *engine, uint32_t speed_percent); /* 100 is full */
 void fake_engine_leave (FakeEngine *engine);
 bool fake_engine_is_dead (const FakeEngine *engine);
 
-void fake_engine_held (const FakeEngine *engine, FakeHeldFunc func, void *data);
+void fake_engine_foreach_kv_entry (const FakeEngine *engine, FakeKvEntryFunc func, void *data);
 const FakeLedger *fake_engine_ledger (const FakeEngine *engine);
 
 #endif
--- a/tests/fakes/fakes.h
+++ b/tests/fakes/fakes.h
@@ -9,7 +9,7 @@
 typedef struct FakeEngineHttp FakeEngineHttp; /* engine_http.c */
 typedef struct FakePlain FakePlain;           /* plain_http.c */
 typedef struct FakePlatform FakePlatform;     /* platform_http.c */
-typedef struct FakeRelay FakeRelay;           /* relay.c: stands before an instance's peer port */
+typedef struct FakePeerProxy FakePeerProxy;   /* relay.c: stands before an instance's peer port */
 
 uint64_t fake_now_us (void);
 
@@ -38,13 +38,14 @@
 void fake_platform_set_text (FakePlatform *platform, const char *text);
 bool fake_platform_set_list (FakePlatform *platform, const char *list);
 
-FakeRelay *fake_relay_new (struct ev_loop *loop, FakeRelay **list, json_object *settings);
-void fake_relay_free (FakeRelay *relay);
-const char *fake_relay_name (const FakeRelay *relay);
-FakeRelay *fake_relay_next (FakeRelay *relay);
-bool fake_relay_fault (FakeRelay *relay, const char *kind, const char *from);
+FakePeerProxy *fake_peer_proxy_new (struct ev_loop *loop, FakePeerProxy **list,
+                                    json_object *settings);
+void fake_peer_proxy_free (FakePeerProxy *proxy);
+const char *fake_peer_proxy_name (const FakePeerProxy *proxy);
+FakePeerProxy *fake_peer_proxy_next (FakePeerProxy *proxy);
+bool fake_peer_proxy_fault (FakePeerProxy *proxy, const char *kind, const char *from);
 /* Resets its links and refuses new ones, as if nothing listened there; or takes them again. */
-void fake_relay_refuse (FakeRelay *relay, bool refuses);
+void fake_peer_proxy_set_refusing (FakePeerProxy *proxy, bool refuses);
 
 void fake_add_number (json_object *object, const char *key, uint64_t value);
 void fake_add_text (json_object *object, const char *key, const char *value);
--- a/tests/fakes/http.c
+++ b/tests/fakes/http.c
@@ -34,7 +34,7 @@
 {
   struct ev_loop *loop;
   char address[MF_ADDRESS_BYTES];
-  FakeHttpHooks callbacks;
+  FakeHttpCallbacks callbacks;
   void *data;
   ev_io accept_watcher;
   int fd; /* -1 while stopped */
@@ -93,7 +93,7 @@
 }
 
 void
-fake_conn_raw (FakeConn *conn, const char *data, size_t data_bytes)
+fake_conn_send_raw (FakeConn *conn, const char *data, size_t data_bytes)
 {
   mf_buffer_add (&conn->out, data, data_bytes);
   ev_feed_event (conn->http->loop, &conn->write_watcher, EV_WRITE);
@@ -120,7 +120,7 @@
   mf_buffer_add_text (out, "Content-Length: ");
   mf_buffer_add_number (out, body_bytes);
   mf_buffer_add_text (out, "\r\n\r\n");
-  fake_conn_raw (conn, body, body_bytes);
+  fake_conn_send_raw (conn, body, body_bytes);
   conn_finish_request (conn);
 }
 
@@ -130,7 +130,7 @@
   static const char head[] = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
                              "Transfer-Encoding: chunked\r\n\r\n";
 
-  fake_conn_raw (conn, head, sizeof head - 1);
+  fake_conn_send_raw (conn, head, sizeof head - 1);
 }
 
 void
@@ -140,14 +140,14 @@
 
   snprintf (size, sizeof size, "%zx\r\n", data_bytes);
   mf_buffer_add_text (&conn->out, size);
-  fake_conn_raw (conn, data, data_bytes);
-  fake_conn_raw (conn, "\r\n", 2);
+  fake_conn_send_raw (conn, data, data_bytes);
+  fake_conn_send_raw (conn, "\r\n", 2);
 }
 
 void
 fake_conn_end (FakeConn *conn)
 {
-  fake_conn_raw (conn, "0\r\n\r\n", 5);
+  fake_conn_send_raw (conn, "0\r\n\r\n", 5);
   conn_finish_request (conn);
 }
 
@@ -373,7 +373,7 @@
 }
 
 FakeHttp *
-fake_http_new (struct ev_loop *loop, const char *address, const FakeHttpHooks *callbacks,
+fake_http_new (struct ev_loop *loop, const char *address, const FakeHttpCallbacks *callbacks,
                void *data)
 {
   FakeHttp *http = calloc (1, sizeof *http);
--- a/tests/fakes/http.h
+++ b/tests/fakes/http.h
@@ -29,10 +29,10 @@
   void (*on_request) (FakeConn *conn, const FakeHttpRequest *request, void *data);
   /* The other side left, or the server was stopped, before the answer had ended. */
   void (*on_closed) (FakeConn *conn, void *data);
-} FakeHttpHooks;
+} FakeHttpCallbacks;
 
-FakeHttp *fake_http_new (struct ev_loop *loop, const char *address, const FakeHttpHooks *callbacks,
-                         void *data);
+FakeHttp *fake_http_new (struct ev_loop *loop, const char *address,
+                         const FakeHttpCallbacks *callbacks, void *data);
 void fake_http_free (FakeHttp *http);
 /* Closes the port and resets every connection. */
 void fake_http_stop (FakeHttp *http);
@@ -46,7 +46,7 @@
 void fake_conn_send (FakeConn *conn, const char *data, size_t data_bytes);
 void fake_conn_end (FakeConn *conn);
 /* Writes bytes as they are, for answers that break off. */
-void fake_conn_raw (FakeConn *conn, const char *data, size_t data_bytes);
+void fake_conn_send_raw (FakeConn *conn, const char *data, size_t data_bytes);
 /* Closes the connection from the loop, by a reset or in order; on_closed is not called. */
 void fake_conn_close (FakeConn *conn, bool reset);
 
--- a/tests/fakes/main.c
+++ b/tests/fakes/main.c
@@ -17,7 +17,7 @@
   FakeEngineHttp *engines;
   FakePlain *plains;
   FakePlatform *platform;
-  FakeRelay *relays;
+  FakePeerProxy *proxies;
 } Fakes;
 
 static json_object *
@@ -61,10 +61,10 @@
         return fake_engine_http_fault (engine, kind, value);
     }
   fake_query_get (query, "from", from, sizeof from);
-  for (FakeRelay *relay = fakes->relays; relay != NULL; relay = fake_relay_next (relay))
+  for (FakePeerProxy *proxy = fakes->proxies; proxy != NULL; proxy = fake_peer_proxy_next (proxy))
     {
-      if (strcmp (fake_relay_name (relay), target) == 0)
-        return fake_relay_fault (relay, kind, from);
+      if (strcmp (fake_peer_proxy_name (proxy), target) == 0)
+        return fake_peer_proxy_fault (proxy, kind, from);
     }
   for (FakePlain *plain = fakes->plains; plain != NULL; plain = fake_plain_next (plain))
     {
@@ -156,17 +156,17 @@
 static void
 start_fakes (Fakes *fakes, json_object *settings)
 {
-  static const FakeHttpHooks callbacks = { .on_request = on_request, .on_closed = on_closed };
+  static const FakeHttpCallbacks callbacks = { .on_request = on_request, .on_closed = on_closed };
   json_object *engines = json_object_object_get (settings, "engines");
   json_object *plains = json_object_object_get (settings, "plain");
-  json_object *relays = json_object_object_get (settings, "relays");
+  json_object *proxies = json_object_object_get (settings, "relays");
 
   for (size_t i = 0; engines != NULL && i < json_object_array_length (engines); i++)
     fake_engine_http_new (fakes->loop, &fakes->engines, json_object_array_get_idx (engines, i));
   for (size_t i = 0; plains != NULL && i < json_object_array_length (plains); i++)
     fake_plain_new (fakes->loop, &fakes->plains, json_object_array_get_idx (plains, i));
-  for (size_t i = 0; relays != NULL && i < json_object_array_length (relays); i++)
-    fake_relay_new (fakes->loop, &fakes->relays, json_object_array_get_idx (relays, i));
+  for (size_t i = 0; proxies != NULL && i < json_object_array_length (proxies); i++)
+    fake_peer_proxy_new (fakes->loop, &fakes->proxies, json_object_array_get_idx (proxies, i));
   start_platform (fakes, json_object_object_get (settings, "platform"));
   fakes->control = fake_http_new (
       fakes->loop, fake_setting_text (settings, "control", "127.0.0.1:0"), &callbacks, fakes);
@@ -192,12 +192,12 @@
       fakes->plains = fake_plain_next (plain);
       fake_plain_free (plain);
     }
-  while (fakes->relays != NULL)
+  while (fakes->proxies != NULL)
     {
-      FakeRelay *relay = fakes->relays;
+      FakePeerProxy *proxy = fakes->proxies;
 
-      fakes->relays = fake_relay_next (relay);
-      fake_relay_free (relay);
+      fakes->proxies = fake_peer_proxy_next (proxy);
+      fake_peer_proxy_free (proxy);
     }
   fake_platform_free (fakes->platform);
 }
--- a/tests/fakes/plain_http.c
+++ b/tests/fakes/plain_http.c
@@ -134,7 +134,7 @@
   int n = snprintf (text, sizeof text, "HTTP/1.1 200 OK\r\nContent-Length: %zu\r\n\r\n%.8s",
                     strlen (body), body);
 
-  fake_conn_raw (conn, text, (size_t)n);
+  fake_conn_send_raw (conn, text, (size_t)n);
   fake_conn_close (conn, false);
 }
 
@@ -276,7 +276,7 @@
 FakePlain *
 fake_plain_new (struct ev_loop *loop, FakePlain **list, json_object *settings)
 {
-  static const FakeHttpHooks callbacks = { .on_request = on_request, .on_closed = on_closed };
+  static const FakeHttpCallbacks callbacks = { .on_request = on_request, .on_closed = on_closed };
   FakePlain *plain = calloc (1, sizeof *plain);
 
   if (plain == NULL)
--- a/tests/fakes/platform_http.c
+++ b/tests/fakes/platform_http.c
@@ -347,7 +347,7 @@
 FakePlatform *
 fake_platform_new (struct ev_loop *loop, json_object *settings)
 {
-  static const FakeHttpHooks callbacks = { .on_request = on_request, .on_closed = on_closed };
+  static const FakeHttpCallbacks callbacks = { .on_request = on_request, .on_closed = on_closed };
   FakePlatform *platform = calloc (1, sizeof *platform);
   json_object *instances = json_object_object_get (settings, "instances");
 
--- a/tests/fakes/relay.c
+++ b/tests/fakes/relay.c
@@ -50,14 +50,14 @@
 
 struct ProxyConn
 {
-  FakeRelay *relay;
+  FakePeerProxy *proxy;
   Side opener;
   Side target;
   char from[MF_NAME_BYTES]; /* who opened it, from the first bytes; "" before */
   ProxyConn *next;
 };
 
-struct FakeRelay
+struct FakePeerProxy
 {
   struct ev_loop *loop;
   char name[MF_NAME_BYTES];
@@ -67,7 +67,7 @@
   RuleRow rules[RULES_MAX];
   uint32_t n_rules;
   ProxyConn *conns;
-  FakeRelay *next;
+  FakePeerProxy *next;
 };
 
 static void
@@ -82,24 +82,24 @@
 static void
 conn_close (ProxyConn *conn)
 {
-  FakeRelay *relay = conn->relay;
-  ProxyConn **at = &relay->conns;
+  FakePeerProxy *proxy = conn->proxy;
+  ProxyConn **at = &proxy->conns;
 
   while (*at != conn)
     at = &(*at)->next;
   *at = conn->next;
-  side_close (relay->loop, &conn->opener);
-  side_close (relay->loop, &conn->target);
+  side_close (proxy->loop, &conn->opener);
+  side_close (proxy->loop, &conn->target);
   free (conn);
 }
 
 static Rule
-rule_for (const FakeRelay *relay, const char *from)
+rule_for (const FakePeerProxy *proxy, const char *from)
 {
-  for (uint32_t i = 0; i < relay->n_rules; i++)
+  for (uint32_t i = 0; i < proxy->n_rules; i++)
     {
-      if (relay->rules[i].from[0] == '\0' || strcmp (relay->rules[i].from, from) == 0)
-        return relay->rules[i].rule;
+      if (proxy->rules[i].from[0] == '\0' || strcmp (proxy->rules[i].from, from) == 0)
+        return proxy->rules[i].rule;
     }
   return RULE_PASS;
 }
@@ -108,7 +108,7 @@
 static bool
 side_can_write (const Side *side)
 {
-  Rule rule = rule_for (side->conn->relay, side->conn->from);
+  Rule rule = rule_for (side->conn->proxy, side->conn->from);
 
   return side == &side->conn->target ? rule != RULE_HOLD_IN : rule != RULE_HOLD_OUT;
 }
@@ -116,7 +116,7 @@
 static void
 side_flush (Side *side)
 {
-  struct ev_loop *loop = side->conn->relay->loop;
+  struct ev_loop *loop = side->conn->proxy->loop;
 
   while (mf_buffer_bytes (&side->pending) > 0 && side_can_write (side))
     {
@@ -160,7 +160,7 @@
     return;
   if (n > 0)
     read_opener_name (conn, data, (size_t)n);
-  if (n <= 0 || rule_for (conn->relay, conn->from) == RULE_CUT)
+  if (n <= 0 || rule_for (conn->proxy, conn->from) == RULE_CUT)
     {
       conn_close (conn);
       return;
@@ -185,16 +185,16 @@
   ev_io_init (&side->write_watcher, on_writable, fd, EV_WRITE);
   side->read_watcher.data = side;
   side->write_watcher.data = side;
-  ev_io_start (conn->relay->loop, &side->read_watcher);
+  ev_io_start (conn->proxy->loop, &side->read_watcher);
 }
 
 static void
 on_accept (struct ev_loop *loop, ev_io *io, int events)
 {
-  FakeRelay *relay = io->data;
+  FakePeerProxy *proxy = io->data;
   MfError error = { 0 };
   int opener = accept4 (io->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
-  int target = opener < 0 ? -1 : mf_socket_connect (relay->to, &error);
+  int target = opener < 0 ? -1 : mf_socket_connect (proxy->to, &error);
   ProxyConn *conn;
 
   (void)loop;
@@ -207,30 +207,30 @@
   conn = calloc (1, sizeof *conn);
   if (conn == NULL)
     abort ();
-  conn->relay = relay;
-  conn->next = relay->conns;
-  relay->conns = conn;
+  conn->proxy = proxy;
+  conn->next = proxy->conns;
+  proxy->conns = conn;
   side_open (conn, &conn->opener, opener);
   side_open (conn, &conn->target, target);
 }
 
 static RuleRow *
-rule_row (FakeRelay *relay, const char *from)
+rule_row (FakePeerProxy *proxy, const char *from)
 {
-  for (uint32_t i = 0; i < relay->n_rules; i++)
+  for (uint32_t i = 0; i < proxy->n_rules; i++)
     {
-      if (strcmp (relay->rules[i].from, from) == 0)
-        return &relay->rules[i];
+      if (strcmp (proxy->rules[i].from, from) == 0)
+        return &proxy->rules[i];
     }
-  if (relay->n_rules == RULES_MAX)
+  if (proxy->n_rules == RULES_MAX)
     abort ();
-  mf_name_set (relay->rules[relay->n_rules].from, MF_NAME_BYTES, from);
-  return &relay->rules[relay->n_rules++];
+  mf_name_set (proxy->rules[proxy->n_rules].from, MF_NAME_BYTES, from);
+  return &proxy->rules[proxy->n_rules++];
 }
 
 /* Sets the rule for the links that one instance opens; "" is all of them. */
 bool
-fake_relay_fault (FakeRelay *relay, const char *kind, const char *from)
+fake_peer_proxy_fault (FakePeerProxy *proxy, const char *kind, const char *from)
 {
   Rule rule = RULE_PASS;
 
@@ -238,12 +238,12 @@
     rule++;
   if (rule == RULE_COUNT)
     return false;
-  rule_row (relay, from)->rule = rule;
-  for (ProxyConn *conn = relay->conns; conn != NULL;)
+  rule_row (proxy, from)->rule = rule;
+  for (ProxyConn *conn = proxy->conns; conn != NULL;)
     {
       ProxyConn *next = conn->next;
 
-      if (rule_for (relay, conn->from) == RULE_CUT)
+      if (rule_for (proxy, conn->from) == RULE_CUT)
         conn_close (conn);
       else
         {
@@ -256,88 +256,88 @@
 }
 
 static void
-relay_listen (FakeRelay *relay)
+proxy_listen (FakePeerProxy *proxy)
 {
   MfError error = { 0 };
-  int fd = mf_socket_listen (relay->address, &error);
+  int fd = mf_socket_listen (proxy->address, &error);
 
   if (fd < 0)
     {
       fprintf (stderr, "fakes: %s\n", error.text);
       exit (1);
     }
-  ev_io_init (&relay->accept_watcher, on_accept, fd, EV_READ);
-  relay->accept_watcher.data = relay;
-  ev_io_start (relay->loop, &relay->accept_watcher);
+  ev_io_init (&proxy->accept_watcher, on_accept, fd, EV_READ);
+  proxy->accept_watcher.data = proxy;
+  ev_io_start (proxy->loop, &proxy->accept_watcher);
 }
 
 void
-fake_relay_refuse (FakeRelay *relay, bool refuses)
+fake_peer_proxy_set_refusing (FakePeerProxy *proxy, bool refuses)
 {
   static const struct linger linger = { .l_onoff = 1, .l_linger = 0 };
 
-  if (refuses == (relay->accept_watcher.fd < 0))
+  if (refuses == (proxy->accept_watcher.fd < 0))
     return;
   if (!refuses)
     {
-      relay_listen (relay);
+      proxy_listen (proxy);
       return;
     }
-  ev_io_stop (relay->loop, &relay->accept_watcher);
-  close (relay->accept_watcher.fd);
-  relay->accept_watcher.fd = -1;
-  while (relay->conns != NULL)
+  ev_io_stop (proxy->loop, &proxy->accept_watcher);
+  close (proxy->accept_watcher.fd);
+  proxy->accept_watcher.fd = -1;
+  while (proxy->conns != NULL)
     {
-      setsockopt (relay->conns->opener.read_watcher.fd, SOL_SOCKET, SO_LINGER, &linger,
+      setsockopt (proxy->conns->opener.read_watcher.fd, SOL_SOCKET, SO_LINGER, &linger,
                   sizeof linger);
-      conn_close (relay->conns);
+      conn_close (proxy->conns);
     }
 }
 
-FakeRelay *
-fake_relay_new (struct ev_loop *loop, FakeRelay **list, json_object *settings)
+FakePeerProxy *
+fake_peer_proxy_new (struct ev_loop *loop, FakePeerProxy **list, json_object *settings)
 {
-  FakeRelay *relay = calloc (1, sizeof *relay);
+  FakePeerProxy *proxy = calloc (1, sizeof *proxy);
 
-  if (relay == NULL)
+  if (proxy == NULL)
     abort ();
-  relay->loop = loop;
-  mf_name_set (relay->address, sizeof relay->address,
+  proxy->loop = loop;
+  mf_name_set (proxy->address, sizeof proxy->address,
                fake_setting_text (settings, "address", "127.0.0.1:0"));
-  mf_name_set (relay->name, sizeof relay->name, fake_setting_text (settings, "name", "relay"));
-  mf_name_set (relay->to, sizeof relay->to, fake_setting_text (settings, "to", ""));
-  relay_listen (relay);
-  relay->next = *list;
-  *list = relay;
-  return relay;
+  mf_name_set (proxy->name, sizeof proxy->name, fake_setting_text (settings, "name", "relay"));
+  mf_name_set (proxy->to, sizeof proxy->to, fake_setting_text (settings, "to", ""));
+  proxy_listen (proxy);
+  proxy->next = *list;
+  *list = proxy;
+  return proxy;
 }
 
 void
-fake_relay_free (FakeRelay *relay)
+fake_peer_proxy_free (FakePeerProxy *proxy)
 {
-  for (ProxyConn *conn = relay->conns; conn != NULL;)
+  for (ProxyConn *conn = proxy->conns; conn != NULL;)
     {
       ProxyConn *next = conn->next;
 
       conn_close (conn);
       conn = next;
     }
-  if (relay->accept_watcher.fd >= 0)
+  if (proxy->accept_watcher.fd >= 0)
     {
-      ev_io_stop (relay->loop, &relay->accept_watcher);
-      close (relay->accept_watcher.fd);
+      ev_io_stop (proxy->loop, &proxy->accept_watcher);
+      close (proxy->accept_watcher.fd);
     }
-  free (relay);
+  free (proxy);
 }
 
 const char *
-fake_relay_name (const FakeRelay *relay)
+fake_peer_proxy_name (const FakePeerProxy *proxy)
 {
-  return relay->name;
+  return proxy->name;
 }
 
-FakeRelay *
-fake_relay_next (FakeRelay *relay)
+FakePeerProxy *
+fake_peer_proxy_next (FakePeerProxy *proxy)
 {
-  return relay->next;
+  return proxy->next;
 }
--- a/tests/fakes/rig.c
+++ b/tests/fakes/rig.c
@@ -361,7 +361,7 @@
 }
 
 static void
-answer_result (Rig *rig, Call *call, FakeVerdict result)
+answer_result (Rig *rig, Call *call, FakeEngineResult result)
 {
   if (result == FAKE_REFUSED)
     end_call (rig, call, MF_EVENT_CALL_DONE, &(MfCallEvent){ .status = 503, .refused = true });
@@ -390,7 +390,7 @@
     .n_prefix_hashes = request->n_prefix_hashes,
   };
   const Call *prefill;
-  FakeVerdict result;
+  FakeEngineResult result;
 
   bind_work (rig, call->call.upstream, call);
   if (call->call.kind == MF_CALL_PREFILL)
@@ -615,7 +615,7 @@
   snprintf (expected, sizeof expected, "%llu:%u", (unsigned long long)answer->request_id,
             request->n_tokens);
   if (request->n_ends > 0 || strcmp (expected, answer->data) != 0)
-    request->garbled = true;
+    request->corrupt = true;
   if (request->n_tokens++ == 0)
     request->first_us = rig->now_us;
   else
@@ -1087,7 +1087,7 @@
 }
 
 uint32_t
-rig_request_count (const Rig *rig)
+rig_n_requests (const Rig *rig)
 {
   return rig->n_requests;
 }
@@ -1117,13 +1117,13 @@
 }
 
 void
-rig_touch (Rig *rig, uint32_t engine)
+rig_update_engine (Rig *rig, uint32_t engine)
 {
   run_engine (rig, engine);
 }
 
 void
-rig_freeze (Rig *rig, uint32_t engine, uint64_t until_us)
+rig_pause_engine (Rig *rig, uint32_t engine, uint64_t until_us)
 {
   rig->paused_until_us[engine] = until_us;
   fake_engine_stall (rig->engines[engine], rig->now_us, until_us);
@@ -1143,7 +1143,7 @@
 }
 
 static bool
-count_held (const FakeHeld *entry, void *data)
+count_held (const FakeKvEntry *entry, void *data)
 {
   (void)entry;
   (*(uint32_t *)data)++;
@@ -1151,21 +1151,21 @@
 }
 
 uint32_t
-rig_held (Rig *rig)
+rig_n_kv_entries (Rig *rig)
 {
   uint32_t n = 0;
 
   for (uint32_t i = 0; i < rig->n_engines; i++)
     {
       run_engine (rig, i);
-      fake_engine_held (rig->engines[i], count_held, &n);
+      fake_engine_foreach_kv_entry (rig->engines[i], count_held, &n);
     }
   return n;
 }
 
 bool
-rig_is_whole (const RigRequest *request)
+rig_request_is_complete (const RigRequest *request)
 {
-  return request->n_ends == 1 && request->code == MF_CODE_OK && !request->garbled
+  return request->n_ends == 1 && request->code == MF_CODE_OK && !request->corrupt
          && (request->service != 0 || request->n_tokens == request->answer_tokens);
 }
--- a/tests/fakes/rig.h
+++ b/tests/fakes/rig.h
@@ -49,7 +49,7 @@
   uint32_t n_sent; /* plain: times it reached an upstream */
   bool ran;        /* any upstream began it */
   bool departed;
-  bool garbled; /* a token out of order or of another request */
+  bool corrupt; /* a token out of order or of another request */
   MfCode code;
   MfOutcome outcome;
   uint64_t retry_after_ms;
@@ -84,21 +84,21 @@
 /* Runs until that time, or until one event has been handled. Returns false when it is reached. */
 bool rig_step (Rig *rig, uint64_t until_us);
 void rig_run (Rig *rig, uint64_t until_us);
-uint32_t rig_request_count (const Rig *rig);
+uint32_t rig_n_requests (const Rig *rig);
 const RigRequest *rig_request (const Rig *rig, uint32_t index);
 MfCore *rig_core (Rig *rig, uint32_t index);
 /* Prefill engines come first, then decode engines. */
 FakeEngine *rig_engine (Rig *rig, uint32_t index);
 RigPlain *rig_plain (Rig *rig, uint32_t index);
 /* An engine's fault has just been set: its calls and its timers are looked at. */
-void rig_touch (Rig *rig, uint32_t engine);
+void rig_update_engine (Rig *rig, uint32_t engine);
 /* The engine's process stands still: it answers no poll either. */
-void rig_freeze (Rig *rig, uint32_t engine, uint64_t until_us);
+void rig_pause_engine (Rig *rig, uint32_t engine, uint64_t until_us);
 void rig_shutdown (Rig *rig, uint32_t core);
 bool rig_has_exited (const Rig *rig, uint32_t core);
 /* KV held at all engines, in works. */
-uint32_t rig_held (Rig *rig);
+uint32_t rig_n_kv_entries (Rig *rig);
 /* Whether the caller got its whole answer. */
-bool rig_is_whole (const RigRequest *request);
+bool rig_request_is_complete (const RigRequest *request);
 
 #endif
--- a/tests/fakes/store.c
+++ b/tests/fakes/store.c
@@ -41,7 +41,7 @@
   uint32_t n_events;
   uint64_t revision;
   uint64_t dropped_revision; /* history up to this revision is gone */
-  FakeStoreMood mood;
+  FakeStoreMode mode;
   Watch watches[WATCHES_MAX];
   uint32_t n_calls;
 };
@@ -146,7 +146,7 @@
   const Item *item = item_after (store, prefix, after);
 
   mf_buffer_add_text (&body, "{\"items\":[");
-  for (uint32_t i = 0; i < FAKE_STORE_PAGE && item != NULL; i++)
+  for (uint32_t i = 0; i < FAKE_STORE_PAGE_ITEMS && item != NULL; i++)
     {
       if (i > 0)
         mf_buffer_add_text (&body, ",");
@@ -235,12 +235,12 @@
   char after[KEY_BYTES];
 
   store->n_calls++;
-  switch (store->mood)
+  switch (store->mode)
     {
     case FAKE_STORE_BUSY:
       answer_status (conn, 503);
       return;
-    case FAKE_STORE_MANY:
+    case FAKE_STORE_TOO_MANY_REQUESTS:
       answer_status (conn, 429);
       return;
     case FAKE_STORE_RESETS:
@@ -280,7 +280,7 @@
     }
 }
 
-static const FakeHttpHooks callbacks = { .on_request = on_request, .on_closed = on_closed };
+static const FakeHttpCallbacks callbacks = { .on_request = on_request, .on_closed = on_closed };
 
 FakeStore *
 fake_store_new (struct ev_loop *loop)
@@ -343,7 +343,7 @@
   store->events[store->n_events++].value = value == NULL ? NULL : strdup (value);
   for (uint32_t i = 0; i < WATCHES_MAX; i++)
     {
-      if (store->watches[i].conn != NULL && store->mood == FAKE_STORE_SERVES)
+      if (store->watches[i].conn != NULL && store->mode == FAKE_STORE_SERVES)
         watch_answer (&store->watches[i], false);
     }
 }
@@ -361,26 +361,26 @@
 }
 
 void
-fake_store_mood (FakeStore *store, FakeStoreMood mood)
+fake_store_set_mode (FakeStore *store, FakeStoreMode mode)
 {
-  store->mood = mood;
-  for (uint32_t i = 0; i < WATCHES_MAX && mood != FAKE_STORE_SERVES; i++)
+  store->mode = mode;
+  for (uint32_t i = 0; i < WATCHES_MAX && mode != FAKE_STORE_SERVES; i++)
     {
       Watch *watch = &store->watches[i];
 
       if (watch->conn == NULL)
         continue;
       ev_timer_stop (store->loop, &watch->timer);
-      if (mood == FAKE_STORE_RESETS)
+      if (mode == FAKE_STORE_RESETS)
         fake_conn_close (watch->conn, true);
-      else if (mood != FAKE_STORE_SILENT)
-        answer_status (watch->conn, mood == FAKE_STORE_BUSY ? 503 : 429);
+      else if (mode != FAKE_STORE_SILENT)
+        answer_status (watch->conn, mode == FAKE_STORE_BUSY ? 503 : 429);
       watch->conn = NULL;
     }
 }
 
 void
-fake_store_forget (FakeStore *store)
+fake_store_drop_history (FakeStore *store)
 {
   store->dropped_revision = store->revision;
 }
--- a/tests/fakes/text.c
+++ b/tests/fakes/text.c
@@ -10,7 +10,7 @@
 }
 
 static void
-put_services (FILE *stream, const FakeTextOptions *options, uint32_t n_services)
+put_services (FILE *stream, const FakeConfigTextOptions *options, uint32_t n_services)
 {
   for (uint32_t i = 0; i < n_services; i++)
     fprintf (stream,
@@ -22,7 +22,7 @@
 }
 
 static void
-put_pools (FILE *stream, const FakeTextOptions *options, uint32_t n_services)
+put_pools (FILE *stream, const FakeConfigTextOptions *options, uint32_t n_services)
 {
   for (uint32_t i = 0; i < n_services; i++)
     {
@@ -44,7 +44,7 @@
 
 /* Returns a sound text; the caller frees it. */
 char *
-fake_text (const FakeTextOptions *options)
+fake_config_text (const FakeConfigTextOptions *options)
 {
   uint32_t n_services = options->n_services > 0 ? options->n_services : 1;
   char *text = NULL;
--- a/tests/fakes/text.h
+++ b/tests/fakes/text.h
@@ -12,9 +12,9 @@
   uint32_t slots; /* of each decode engine */
   const char *version;
   bool checks_fencing;
-} FakeTextOptions;
+} FakeConfigTextOptions;
 
 /* Returns a sound text; the caller frees it. */
-char *fake_text (const FakeTextOptions *options);
+char *fake_config_text (const FakeConfigTextOptions *options);
 
 #endif
--- a/tests/fakes/wire.c
+++ b/tests/fakes/wire.c
@@ -13,38 +13,38 @@
 /* Pieces of a flood sent in one turn of the loop. */
 #define FLOOD_PIECES_PER_WRITE 16
 
-struct FakeWireConn
+struct FakeUpstreamConn
 {
-  FakeWire *wire;
-  FakeWireConn *next;
+  FakeUpstream *upstream;
+  FakeUpstreamConn *next;
   int fd;
   ev_io read_watcher;
   ev_io write_watcher;
   const char *flood; /* sent without end; NULL: nothing is */
   size_t flood_offset;
   size_t n_bytes;
-  char bytes[FAKE_WIRE_REQUEST_BYTES];
+  char bytes[FAKE_UPSTREAM_REQUEST_BYTES_MAX];
 };
 
-struct FakeWire
+struct FakeUpstream
 {
   struct ev_loop *loop;
-  FakeWireFunc on_request;
-  void (*on_closed) (FakeWireConn *conn, void *data);
+  FakeUpstreamFunc on_request;
+  void (*on_closed) (FakeUpstreamConn *conn, void *data);
   void *data;
   int fd;
   ev_io accept_watcher;
   char address[MF_ADDRESS_BYTES];
-  FakeWireConn *conns;
-  FakeWireConn *last_conn;
+  FakeUpstreamConn *conns;
+  FakeUpstreamConn *last_conn;
   uint32_t n_requests;
   uint32_t n_conns;
   uint32_t n_closed;
-  char last_request[FAKE_WIRE_REQUEST_BYTES];
+  char last_request[FAKE_UPSTREAM_REQUEST_BYTES_MAX];
 };
 
 bool
-fake_wire_header (const char *text, const char *name, char *value, size_t value_bytes)
+fake_upstream_request_header (const char *text, const char *name, char *value, size_t value_bytes)
 {
   size_t name_bytes = strlen (name);
 
@@ -64,38 +64,38 @@
 }
 
 static void
-conn_free (FakeWireConn *conn)
+conn_free (FakeUpstreamConn *conn)
 {
-  FakeWire *wire = conn->wire;
+  FakeUpstream *upstream = conn->upstream;
 
-  for (FakeWireConn **at = &wire->conns; *at != NULL; at = &(*at)->next)
+  for (FakeUpstreamConn **at = &upstream->conns; *at != NULL; at = &(*at)->next)
     {
       if (*at != conn)
         continue;
       *at = conn->next;
       break;
     }
-  if (wire->last_conn == conn)
-    wire->last_conn = NULL;
-  ev_io_stop (wire->loop, &conn->read_watcher);
-  ev_io_stop (wire->loop, &conn->write_watcher);
+  if (upstream->last_conn == conn)
+    upstream->last_conn = NULL;
+  ev_io_stop (upstream->loop, &conn->read_watcher);
+  ev_io_stop (upstream->loop, &conn->write_watcher);
   close (conn->fd);
   free (conn);
 }
 
 static void
-conn_closed (FakeWireConn *conn)
+conn_closed (FakeUpstreamConn *conn)
 {
-  conn->wire->n_closed++;
-  if (conn->wire->on_closed != NULL)
-    conn->wire->on_closed (conn, conn->wire->data);
+  conn->upstream->n_closed++;
+  if (conn->upstream->on_closed != NULL)
+    conn->upstream->on_closed (conn, conn->upstream->data);
   conn_free (conn);
 }
 
 static void
 on_writable (struct ev_loop *loop, ev_io *watcher, int events)
 {
-  FakeWireConn *conn = watcher->data;
+  FakeUpstreamConn *conn = watcher->data;
   size_t n_bytes = strlen (conn->flood);
 
   (void)loop;
@@ -118,7 +118,7 @@
 
 /* Length of the first request that is whole; 0 when none is. */
 static size_t
-request_bytes (const FakeWireConn *conn)
+request_bytes (const FakeUpstreamConn *conn)
 {
   const char *end = strstr (conn->bytes, "\r\n\r\n");
   char length[24];
@@ -127,7 +127,7 @@
   if (end == NULL)
     return 0;
   n_bytes = (size_t)(end + 4 - conn->bytes);
-  if (fake_wire_header (conn->bytes, "Content-Length", length, sizeof length))
+  if (fake_upstream_request_header (conn->bytes, "Content-Length", length, sizeof length))
     n_bytes += strtoul (length, NULL, 10);
   return n_bytes <= conn->n_bytes ? n_bytes : 0;
 }
@@ -135,8 +135,8 @@
 static void
 on_readable (struct ev_loop *loop, ev_io *watcher, int events)
 {
-  FakeWireConn *conn = watcher->data;
-  FakeWire *wire = conn->wire;
+  FakeUpstreamConn *conn = watcher->data;
+  FakeUpstream *upstream = conn->upstream;
   ssize_t n_read
       = read (conn->fd, conn->bytes + conn->n_bytes, sizeof conn->bytes - conn->n_bytes - 1);
   size_t n_bytes;
@@ -153,21 +153,21 @@
   n_bytes = request_bytes (conn);
   if (n_bytes == 0)
     return;
-  wire->n_requests++;
-  wire->last_conn = conn;
-  memcpy (wire->last_request, conn->bytes, n_bytes);
-  wire->last_request[n_bytes] = '\0';
+  upstream->n_requests++;
+  upstream->last_conn = conn;
+  memcpy (upstream->last_request, conn->bytes, n_bytes);
+  upstream->last_request[n_bytes] = '\0';
   conn->n_bytes -= n_bytes;
   memmove (conn->bytes, conn->bytes + n_bytes, conn->n_bytes + 1);
-  wire->on_request (conn, wire->last_request, wire->data);
+  upstream->on_request (conn, upstream->last_request, upstream->data);
 }
 
 static void
 on_accept (struct ev_loop *loop, ev_io *watcher, int events)
 {
-  FakeWire *wire = watcher->data;
-  int fd = accept (wire->fd, NULL, NULL);
-  FakeWireConn *conn;
+  FakeUpstream *upstream = watcher->data;
+  int fd = accept (upstream->fd, NULL, NULL);
+  FakeUpstreamConn *conn;
 
   (void)events;
   if (fd < 0)
@@ -175,11 +175,11 @@
   conn = calloc (1, sizeof *conn);
   if (conn == NULL)
     abort ();
-  conn->wire = wire;
+  conn->upstream = upstream;
   conn->fd = fd;
-  conn->next = wire->conns;
-  wire->conns = conn;
-  wire->n_conns++;
+  conn->next = upstream->conns;
+  upstream->conns = conn;
+  upstream->n_conns++;
   ev_io_init (&conn->read_watcher, on_readable, fd, EV_READ);
   ev_io_init (&conn->write_watcher, on_writable, fd, EV_WRITE);
   conn->read_watcher.data = conn;
@@ -188,121 +188,123 @@
 }
 
 static void
-wire_listen (FakeWire *wire, const char *address)
+upstream_listen (FakeUpstream *upstream, const char *address)
 {
   MfError error = { 0 };
 
-  wire->fd = mf_socket_listen (address, &error);
-  if (wire->fd < 0)
+  upstream->fd = mf_socket_listen (address, &error);
+  if (upstream->fd < 0)
     abort ();
-  ev_io_init (&wire->accept_watcher, on_accept, wire->fd, EV_READ);
-  wire->accept_watcher.data = wire;
-  ev_io_start (wire->loop, &wire->accept_watcher);
+  ev_io_init (&upstream->accept_watcher, on_accept, upstream->fd, EV_READ);
+  upstream->accept_watcher.data = upstream;
+  ev_io_start (upstream->loop, &upstream->accept_watcher);
 }
 
-FakeWire *
-fake_wire_new (struct ev_loop *loop, FakeWireFunc on_request, void *data)
+FakeUpstream *
+fake_upstream_new (struct ev_loop *loop, FakeUpstreamFunc on_request, void *data)
 {
-  FakeWire *wire = calloc (1, sizeof *wire);
+  FakeUpstream *upstream = calloc (1, sizeof *upstream);
 
-  if (wire == NULL)
+  if (upstream == NULL)
     abort ();
-  *wire = (FakeWire){ .loop = loop, .on_request = on_request, .data = data };
-  wire_listen (wire, "127.0.0.1:0");
-  snprintf (wire->address, sizeof wire->address, "127.0.0.1:%u", mf_socket_port (wire->fd));
-  return wire;
+  *upstream = (FakeUpstream){ .loop = loop, .on_request = on_request, .data = data };
+  upstream_listen (upstream, "127.0.0.1:0");
+  snprintf (upstream->address, sizeof upstream->address, "127.0.0.1:%u",
+            mf_socket_port (upstream->fd));
+  return upstream;
 }
 
 void
-fake_wire_shut (FakeWire *wire)
+fake_upstream_stop (FakeUpstream *upstream)
 {
-  if (wire->fd < 0)
+  if (upstream->fd < 0)
     return;
-  ev_io_stop (wire->loop, &wire->accept_watcher);
-  close (wire->fd);
-  wire->fd = -1;
-  while (wire->conns != NULL)
-    fake_wire_close (wire->conns, true);
+  ev_io_stop (upstream->loop, &upstream->accept_watcher);
+  close (upstream->fd);
+  upstream->fd = -1;
+  while (upstream->conns != NULL)
+    fake_upstream_conn_close (upstream->conns, true);
 }
 
 void
-fake_wire_open (FakeWire *wire)
+fake_upstream_start (FakeUpstream *upstream)
 {
-  if (wire->fd < 0)
-    wire_listen (wire, wire->address);
+  if (upstream->fd < 0)
+    upstream_listen (upstream, upstream->address);
 }
 
 void
-fake_wire_on_left (FakeWire *wire, void (*func) (FakeWireConn *conn, void *data))
+fake_upstream_set_closed_func (FakeUpstream *upstream,
+                               void (*func) (FakeUpstreamConn *conn, void *data))
 {
-  wire->on_closed = func;
+  upstream->on_closed = func;
 }
 
 void
-fake_wire_free (FakeWire *wire)
+fake_upstream_free (FakeUpstream *upstream)
 {
-  while (wire->conns != NULL)
-    conn_free (wire->conns);
-  if (wire->fd >= 0)
+  while (upstream->conns != NULL)
+    conn_free (upstream->conns);
+  if (upstream->fd >= 0)
     {
-      ev_io_stop (wire->loop, &wire->accept_watcher);
-      close (wire->fd);
+      ev_io_stop (upstream->loop, &upstream->accept_watcher);
+      close (upstream->fd);
     }
-  free (wire);
+  free (upstream);
 }
 
 const char *
-fake_wire_address (const FakeWire *wire)
+fake_upstream_address (const FakeUpstream *upstream)
 {
-  return wire->address;
+  return upstream->address;
 }
 
 uint32_t
-fake_wire_n_requests (const FakeWire *wire)
+fake_upstream_n_requests (const FakeUpstream *upstream)
 {
-  return wire->n_requests;
+  return upstream->n_requests;
 }
 
 uint32_t
-fake_wire_n_conns (const FakeWire *wire)
+fake_upstream_n_conns (const FakeUpstream *upstream)
 {
-  return wire->n_conns;
+  return upstream->n_conns;
 }
 
 uint32_t
-fake_wire_n_left (const FakeWire *wire)
+fake_upstream_n_closed (const FakeUpstream *upstream)
 {
-  return wire->n_closed;
+  return upstream->n_closed;
 }
 
 const char *
-fake_wire_last (const FakeWire *wire)
+fake_upstream_last_request (const FakeUpstream *upstream)
 {
-  return wire->last_request;
+  return upstream->last_request;
 }
 
-FakeWireConn *
-fake_wire_last_conn (const FakeWire *wire)
+FakeUpstreamConn *
+fake_upstream_last_conn (const FakeUpstream *upstream)
 {
-  return wire->last_conn;
+  return upstream->last_conn;
 }
 
 void
-fake_wire_send (FakeWireConn *conn, const char *bytes)
+fake_upstream_conn_send (FakeUpstreamConn *conn, const char *bytes)
 {
   if (send (conn->fd, bytes, strlen (bytes), MSG_NOSIGNAL) < 0)
     perror ("fake wire");
 }
 
 void
-fake_wire_flood (FakeWireConn *conn, const char *piece)
+fake_upstream_conn_flood (FakeUpstreamConn *conn, const char *piece)
 {
   conn->flood = piece;
-  ev_io_start (conn->wire->loop, &conn->write_watcher);
+  ev_io_start (conn->upstream->loop, &conn->write_watcher);
 }
 
 void
-fake_wire_close (FakeWireConn *conn, bool reset)
+fake_upstream_conn_close (FakeUpstreamConn *conn, bool reset)
 {
   struct linger linger = { .l_onoff = 1, .l_linger = 0 };
 
--- a/tests/fleet.c
+++ b/tests/fleet.c
@@ -65,7 +65,7 @@
   char dir[64];
   unsigned port;
   pid_t fakes;
-  pid_t instances[FLEET_INSTANCES + 1];
+  pid_t instances[FLEET_N_INSTANCES + 1];
   CURLM *multi;
   Caller *callers;
 };
@@ -168,7 +168,7 @@
   fputs ("], \"plain\": [", file);
   write_pool (fleet, file, 'o', PORT_PLAIN, "");
   fputs ("], \"relays\": [", file);
-  for (unsigned i = 1; i <= FLEET_INSTANCES; i++)
+  for (unsigned i = 1; i <= FLEET_N_INSTANCES; i++)
     fprintf (file,
              "%s{ \"name\": \"r%u\", \"address\": \"127.0.0.1:%u\", \"to\": \"127.0.0.1:%u\" }",
              i > 1 ? ", " : "", i, fleet->port + PORT_RELAY + i, fleet->port + PORT_PEER + i);
@@ -176,7 +176,7 @@
            "], \"platform\": { \"address\": \"127.0.0.1:%u\", \"text_file\": \"%s/text.json\","
            " \"instances\": [",
            fleet->port + PORT_PLATFORM, fleet->dir);
-  for (unsigned i = 1; i <= FLEET_INSTANCES; i++)
+  for (unsigned i = 1; i <= FLEET_N_INSTANCES; i++)
     fprintf (file,
              "%s{ \"name\": \"entry-%u\", \"address\": \"127.0.0.1:%u\", \"data_centre\": \"a\" }",
              i > 1 ? ", " : "", i, fleet->port + PORT_RELAY + i);
@@ -217,7 +217,7 @@
   write_text (fleet, file, 30);
   fclose (file);
   write_fakes (fleet);
-  for (unsigned i = 1; i <= FLEET_INSTANCES; i++)
+  for (unsigned i = 1; i <= FLEET_N_INSTANCES; i++)
     write_settings (fleet, i);
 }
 
@@ -294,7 +294,7 @@
 }
 
 void
-fleet_until (Fleet *fleet, FleetFunc reached, void *data)
+fleet_wait_until (Fleet *fleet, FleetCondition reached, void *data)
 {
   uint64_t end_us = mf_clock_now_us () + WAIT_MAX_US;
 
@@ -308,7 +308,7 @@
 }
 
 void
-fleet_pass (Fleet *fleet, unsigned ms)
+fleet_sleep_ms (Fleet *fleet, unsigned ms)
 {
   uint64_t end_us = mf_clock_now_us () + ms * MF_US_PER_MS;
 
@@ -330,11 +330,11 @@
 }
 
 int
-fleet_exit_code (Fleet *fleet, int instance)
+fleet_wait_exit_code (Fleet *fleet, int instance)
 {
   int instance_or_code = instance;
 
-  fleet_until (fleet, has_exited, &instance_or_code);
+  fleet_wait_until (fleet, has_exited, &instance_or_code);
   return instance_or_code;
 }
 
@@ -406,9 +406,9 @@
 }
 
 void
-caller_finish (Caller *caller)
+caller_wait (Caller *caller)
 {
-  fleet_until (caller->fleet, caller_ended, caller);
+  fleet_wait_until (caller->fleet, caller_ended, caller);
 }
 
 bool
@@ -418,17 +418,17 @@
 }
 
 void
-caller_leave (Caller *caller)
+caller_disconnect (Caller *caller)
 {
   if (!caller->ended)
     caller_close (caller, true);
 }
 
 void
-fleet_leave_all (Fleet *fleet)
+fleet_disconnect_callers (Fleet *fleet)
 {
   for (Caller *caller = fleet->callers; caller != NULL; caller = caller->next)
-    caller_leave (caller);
+    caller_disconnect (caller);
 }
 
 unsigned
@@ -444,7 +444,7 @@
 }
 
 const char *
-caller_tail (const Caller *caller)
+caller_body_tail (const Caller *caller)
 {
   size_t n = mf_buffer_bytes (&caller->body);
 
@@ -489,7 +489,7 @@
 }
 
 bool
-caller_is_whole (const Caller *caller)
+caller_is_complete (const Caller *caller)
 {
   return caller->ended && !caller->failed && caller->status == 200
          && count_tokens (caller) == (int)caller->n_tokens
@@ -497,20 +497,20 @@
 }
 
 Caller *
-fleet_complete (Fleet *fleet, int instance, const char *tag, unsigned n_tokens)
+fleet_send_completion (Fleet *fleet, int instance, const char *tag, unsigned n_tokens)
 {
   char prompt[128];
   Caller *caller;
 
   snprintf (prompt, sizeof prompt, "drawer jams [tag %s] [answer %u]", tag, n_tokens);
-  caller = fleet_prompt (fleet, instance, prompt);
+  caller = fleet_send_prompt (fleet, instance, prompt);
   mf_name_set (caller->tag, sizeof caller->tag, tag);
   caller->n_tokens = n_tokens;
   return caller;
 }
 
 Caller *
-fleet_prompt (Fleet *fleet, int instance, const char *prompt)
+fleet_send_prompt (Fleet *fleet, int instance, const char *prompt)
 {
   char body[256];
 
@@ -521,7 +521,7 @@
 }
 
 Caller *
-fleet_order (Fleet *fleet, int instance, const char *order, const char *key)
+fleet_send_order (Fleet *fleet, int instance, const char *order, const char *key)
 {
   char header[128];
   char body[128];
@@ -533,7 +533,7 @@
 }
 
 Caller *
-fleet_read (Fleet *fleet, int instance, const char *path)
+fleet_send_get (Fleet *fleet, int instance, const char *path)
 {
   return caller_new (fleet, PORT_LISTEN + (unsigned)instance, path, NULL, NULL);
 }
@@ -543,7 +543,7 @@
 {
   Caller *caller = caller_new (fleet, PORT_CONTROL, path, NULL, body);
 
-  caller_finish (caller);
+  caller_wait (caller);
   assert_int_equal (caller->status, 200);
 }
 
@@ -557,7 +557,7 @@
 }
 
 void
-fleet_link (Fleet *fleet, int to, const char *kind, int from)
+fleet_link_fault (Fleet *fleet, int to, const char *kind, int from)
 {
   char path[128];
 
@@ -570,12 +570,12 @@
 {
   const char *kind = cut ? "cut" : "pass";
 
-  for (int other = 1; other <= FLEET_INSTANCES; other++)
+  for (int other = 1; other <= FLEET_N_INSTANCES; other++)
     {
       if (other == instance)
         continue;
-      fleet_link (fleet, instance, kind, other);
-      fleet_link (fleet, other, kind, instance);
+      fleet_link_fault (fleet, instance, kind, other);
+      fleet_link_fault (fleet, other, kind, instance);
     }
 }
 
@@ -586,7 +586,7 @@
 }
 
 void
-fleet_publish_target (Fleet *fleet, unsigned tbt_target_ms)
+fleet_publish_tbt_target (Fleet *fleet, unsigned tbt_target_ms)
 {
   char *text = NULL;
   size_t text_bytes = 0;
@@ -605,7 +605,7 @@
   Caller *caller = caller_new (fleet, PORT_CONTROL, "/ledger", NULL, NULL);
   json_object *ledger;
 
-  caller_finish (caller);
+  caller_wait (caller);
   ledger = json_tokener_parse (caller_body (caller));
   assert_non_null (ledger);
   return ledger;
@@ -645,19 +645,19 @@
 }
 
 uint64_t
-fleet_sum (Fleet *fleet, const char *list, const char *name)
+fleet_sum_ledger (Fleet *fleet, const char *list, const char *name)
 {
   return sum_rows (fleet, list, row_number, name);
 }
 
 uint64_t
-fleet_runs (Fleet *fleet, const char *order)
+fleet_n_runs (Fleet *fleet, const char *order)
 {
   return sum_rows (fleet, "plain", row_n_runs, order);
 }
 
 uint64_t
-fleet_held (Fleet *fleet)
+fleet_n_kv_entries (Fleet *fleet)
 {
   return sum_rows (fleet, "engines", row_n_kv_entries, "held");
 }
@@ -666,13 +666,13 @@
 has_no_kv (Fleet *fleet, void *data)
 {
   (void)data;
-  return fleet_held (fleet) == 0;
+  return fleet_n_kv_entries (fleet) == 0;
 }
 
 void
-fleet_until_free (Fleet *fleet)
+fleet_wait_kv_freed (Fleet *fleet)
 {
-  fleet_until (fleet, has_no_kv, NULL);
+  fleet_wait_until (fleet, has_no_kv, NULL);
 }
 
 double
@@ -682,7 +682,7 @@
   size_t name_bytes = strlen (name);
   const char *line;
 
-  caller_finish (caller);
+  caller_wait (caller);
   line = caller_body (caller);
   while (line != NULL && *line != '\0')
     {
@@ -700,14 +700,14 @@
   const int *instance = data;
   Caller *caller = caller_new (fleet, PORT_ADMIN + (unsigned)*instance, "/readyz", NULL, NULL);
 
-  caller_finish (caller);
+  caller_wait (caller);
   return caller->status == 200;
 }
 
 void
-fleet_until_ready (Fleet *fleet, int instance)
+fleet_wait_ready (Fleet *fleet, int instance)
 {
-  fleet_until (fleet, is_ready, &instance);
+  fleet_wait_until (fleet, is_ready, &instance);
 }
 
 static bool
@@ -716,7 +716,7 @@
   const int *instance = data;
 
   return fleet_counter (fleet, *instance, "mangofork_instances{state=\"alive\"}")
-         >= FLEET_INSTANCES - 1;
+         >= FLEET_N_INSTANCES - 1;
 }
 
 static bool
@@ -725,7 +725,7 @@
   Caller *caller = caller_new (fleet, PORT_CONTROL, "/ledger", NULL, NULL);
 
   (void)data;
-  caller_finish (caller);
+  caller_wait (caller);
   return caller->status == 200;
 }
 
@@ -737,16 +737,16 @@
   Caller *caller;
 
   snprintf (key, sizeof key, "warm-%d-%u", *instance, (unsigned)rand ());
-  caller = fleet_order (fleet, *instance, "warm", key);
-  caller_finish (caller);
+  caller = fleet_send_order (fleet, *instance, "warm", key);
+  caller_wait (caller);
   return caller->status == 200;
 }
 
 /* Waits until an instance can have a key voted on. */
 void
-fleet_until_voting (Fleet *fleet, int instance)
+fleet_wait_voting (Fleet *fleet, int instance)
 {
-  fleet_until (fleet, order_succeeds, &instance);
+  fleet_wait_until (fleet, order_succeeds, &instance);
 }
 
 int
@@ -765,13 +765,13 @@
   snprintf (path, sizeof path, "%s/fakes.json", fleet->dir);
   fleet->fakes = spawn (fleet, "fakes", argv);
   *state = fleet;
-  fleet_until (fleet, control_answers, NULL);
-  for (int i = 1; i <= FLEET_INSTANCES; i++)
+  fleet_wait_until (fleet, control_answers, NULL);
+  for (int i = 1; i <= FLEET_N_INSTANCES; i++)
     fleet_start (fleet, i);
-  for (int i = 1; i <= FLEET_INSTANCES; i++)
-    fleet_until_ready (fleet, i);
-  for (int i = 1; i <= FLEET_INSTANCES; i++)
-    fleet_until (fleet, peers_are_alive, &i);
+  for (int i = 1; i <= FLEET_N_INSTANCES; i++)
+    fleet_wait_ready (fleet, i);
+  for (int i = 1; i <= FLEET_N_INSTANCES; i++)
+    fleet_wait_until (fleet, peers_are_alive, &i);
   return 0;
 }
 
@@ -806,14 +806,14 @@
 {
   Fleet *fleet = *state;
 
-  for (int i = 1; i <= FLEET_INSTANCES; i++)
+  for (int i = 1; i <= FLEET_N_INSTANCES; i++)
     end_process (fleet->instances[i]);
   end_process (fleet->fakes);
   for (Caller *caller = fleet->callers; caller != NULL;)
     {
       Caller *next = caller->next;
 
-      caller_leave (caller);
+      caller_disconnect (caller);
       curl_slist_free_all (caller->headers);
       mf_buffer_clear (&caller->body);
       free (caller);
--- a/tests/relay_fixture.c
+++ b/tests/relay_fixture.c
@@ -12,12 +12,12 @@
 #include <cmocka.h>
 
 static void
-on_request (FakeWireConn *conn, const char *text, void *data)
+on_request (FakeUpstreamConn *conn, const char *text, void *data)
 {
   RelayFixtureUpstream *upstream = data;
   char id[64] = "";
 
-  fake_wire_header (text, "X-Attempt-Id", id, sizeof id);
+  fake_upstream_request_header (text, "X-Attempt-Id", id, sizeof id);
   upstream->handler (conn, text, id);
 }
 
@@ -86,7 +86,7 @@
   for (uint32_t i = 0; i < RELAY_FIXTURE_N_UPSTREAMS; i++)
     {
       if (fixture->upstreams[i].wire != NULL)
-        fake_wire_free (fixture->upstreams[i].wire);
+        fake_upstream_free (fixture->upstreams[i].wire);
     }
   mf_relay_log_free (fixture->log);
   close (fixture->log_fd);
@@ -112,10 +112,11 @@
   RelayFixtureUpstream *upstream = &fixture->upstreams[index];
   char id[MF_TARGET_ID_BYTES];
 
-  *upstream = (RelayFixtureUpstream){ .wire = fake_wire_new (fixture->loop, on_request, upstream),
-                                      .handler = handler };
+  *upstream
+      = (RelayFixtureUpstream){ .wire = fake_upstream_new (fixture->loop, on_request, upstream),
+                                .handler = handler };
   snprintf (id, sizeof id, "u%u", index);
-  list_target (fixture, id, role, fake_wire_address (upstream->wire),
+  list_target (fixture, id, role, fake_upstream_address (upstream->wire),
                index == 0 || index == 2 ? "" : "far");
 }
 
@@ -129,29 +130,29 @@
 uint32_t
 relay_fixture_n_requests (const RelayFixture *fixture, uint32_t index)
 {
-  return fake_wire_n_requests (fixture->upstreams[index].wire);
+  return fake_upstream_n_requests (fixture->upstreams[index].wire);
 }
 
 void
-relay_fixture_answer (FakeWireConn *conn, const char *id, const char *status, const char *headers,
-                      const char *body)
+relay_fixture_answer (FakeUpstreamConn *conn, const char *id, const char *status,
+                      const char *headers, const char *body)
 {
   char text[2048];
 
   snprintf (text, sizeof text, "HTTP/1.1 %s\r\nX-Attempt-Id: %s\r\n%sContent-Length: %zu\r\n\r\n%s",
             status, id, headers, strlen (body), body);
-  fake_wire_send (conn, text);
+  fake_upstream_conn_send (conn, text);
 }
 
 void
-relay_fixture_decline (FakeWireConn *conn, const char *text, const char *id)
+relay_fixture_decline (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   (void)text;
   relay_fixture_answer (conn, id, "503 Service Unavailable", "X-Not-Executed: 1\r\n", "");
 }
 
 void
-relay_fixture_prefill (FakeWireConn *conn, const char *text, const char *id)
+relay_fixture_prefill (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   char stage[16] = "";
 
@@ -160,7 +161,7 @@
       relay_fixture_answer (conn, id, "200 OK", "", "");
       return;
     }
-  assert_true (fake_wire_header (text, "X-Stage", stage, sizeof stage));
+  assert_true (fake_upstream_request_header (text, "X-Stage", stage, sizeof stage));
   assert_string_equal (stage, "prefill");
   relay_fixture_answer (conn, id, "200 OK", "",
                         "{\"kvHandle\":\"h1\",\"tokens\":10,\"version\":1}");
@@ -168,18 +169,19 @@
 
 /* Breaks the connection inside the second event. */
 void
-relay_fixture_stream_breaks (FakeWireConn *conn, const char *text, const char *id)
+relay_fixture_stream_breaks (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   (void)text;
   (void)id;
-  fake_wire_send (conn, RELAY_FIXTURE_STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\n6\r\nid: 2\n\r\n");
-  fake_wire_close (conn, true);
+  fake_upstream_conn_send (conn,
+                           RELAY_FIXTURE_STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\n6\r\nid: 2\n\r\n");
+  fake_upstream_conn_close (conn, true);
 }
 
 void
-relay_fixture_stream_hangs (FakeWireConn *conn, const char *text, const char *id)
+relay_fixture_stream_hangs (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   (void)text;
   (void)id;
-  fake_wire_send (conn, RELAY_FIXTURE_STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\n");
+  fake_upstream_conn_send (conn, RELAY_FIXTURE_STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\n");
 }
--- a/tests/relay_fixture.h
+++ b/tests/relay_fixture.h
@@ -12,11 +12,11 @@
   "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 /* Handles a request at an upstream. */
-typedef void (*RelayFixtureHandler) (FakeWireConn *conn, const char *text, const char *id);
+typedef void (*RelayFixtureHandler) (FakeUpstreamConn *conn, const char *text, const char *id);
 
 typedef struct
 {
-  FakeWire *wire;
+  FakeUpstream *wire;
   RelayFixtureHandler handler;
 } RelayFixtureUpstream;
 
@@ -46,13 +46,13 @@
 void relay_fixture_list_upstream (RelayFixture *fixture, const char *id, MfRole role,
                                   const char *address);
 /* Sends an answer. The functions after it are handlers for upstreams. */
-void relay_fixture_answer (FakeWireConn *conn, const char *id, const char *status,
+void relay_fixture_answer (FakeUpstreamConn *conn, const char *id, const char *status,
                            const char *headers, const char *body);
-void relay_fixture_decline (FakeWireConn *conn, const char *text, const char *id);
+void relay_fixture_decline (FakeUpstreamConn *conn, const char *text, const char *id);
 /* Prefills the prompt, which a request must ask for; accepts calls that free KV. */
-void relay_fixture_prefill (FakeWireConn *conn, const char *text, const char *id);
-void relay_fixture_stream_breaks (FakeWireConn *conn, const char *text, const char *id);
-void relay_fixture_stream_hangs (FakeWireConn *conn, const char *text, const char *id);
+void relay_fixture_prefill (FakeUpstreamConn *conn, const char *text, const char *id);
+void relay_fixture_stream_breaks (FakeUpstreamConn *conn, const char *text, const char *id);
+void relay_fixture_stream_hangs (FakeUpstreamConn *conn, const char *text, const char *id);
 uint32_t relay_fixture_n_requests (const RelayFixture *fixture, uint32_t index);
 
 #endif
--- a/tests/soak/relay_soak.c
+++ b/tests/soak/relay_soak.c
@@ -141,8 +141,8 @@
   SoakUpstream *upstreams[UPSTREAMS];
   uint32_t lives[UPSTREAMS];
   uint64_t drained_us[UPSTREAMS];
-  FakeRelay *proxies;
-  FakeRelay *proxy[PROXIES]; /* the last stands before the store */
+  FakePeerProxy *proxies;
+  FakePeerProxy *proxy[PROXIES]; /* the last stands before the store */
   FakeStore *store;
   uint32_t version;
   Caller callers[CALLERS_MAX];
@@ -272,7 +272,7 @@
 
   while (soak->upstreams[index] != upstream)
     index++;
-  fake_relay_refuse (soak->proxy[index], down);
+  fake_peer_proxy_set_refusing (soak->proxy[index], down);
   if (!down)
     upstream_renew (soak, index);
 }
@@ -586,13 +586,13 @@
 {
   static const char *const ways[] = { "cut", "hold-in", "hold-out" };
 
-  fake_relay_fault (soak->proxy[target % PROXIES], ways[draw (soak, MF_ARRAY_LEN (ways))], "");
+  fake_peer_proxy_fault (soak->proxy[target % PROXIES], ways[draw (soak, MF_ARRAY_LEN (ways))], "");
 }
 
 static void
 end_cut (Soak *soak, uint32_t target)
 {
-  fake_relay_fault (soak->proxy[target % PROXIES], "pass", "");
+  fake_peer_proxy_fault (soak->proxy[target % PROXIES], "pass", "");
 }
 
 static void
@@ -622,7 +622,7 @@
 begin_store (Soak *soak, uint32_t target)
 {
   (void)target;
-  fake_store_mood (soak->store, (FakeStoreMood)(1 + draw (soak, FAKE_STORE_SILENT)));
+  fake_store_set_mode (soak->store, (FakeStoreMode)(1 + draw (soak, FAKE_STORE_SILENT)));
 }
 
 static void
@@ -630,8 +630,8 @@
 {
   (void)target;
   if (draw (soak, 2) == 0)
-    fake_store_forget (soak->store);
-  fake_store_mood (soak->store, FAKE_STORE_SERVES);
+    fake_store_drop_history (soak->store);
+  fake_store_set_mode (soak->store, FAKE_STORE_SERVES);
 }
 
 static void
@@ -744,7 +744,7 @@
           settings, "to",
           json_object_new_string (i < UPSTREAMS ? soak_upstream_address (soak->upstreams[i])
                                                 : fake_store_address (soak->store)));
-      soak->proxy[i] = fake_relay_new (soak->loop, &soak->proxies, settings);
+      soak->proxy[i] = fake_peer_proxy_new (soak->loop, &soak->proxies, settings);
       json_object_put (settings);
       if (i >= UPSTREAMS)
         continue;
--- a/tests/soak/soak_upstream.c
+++ b/tests/soak/soak_upstream.c
@@ -33,7 +33,7 @@
 typedef struct
 {
   SoakUpstream *upstream;
-  FakeWireConn *conn; /* NULL: free */
+  FakeUpstreamConn *conn; /* NULL: free */
   char id[ID_BYTES];
   ev_timer timer;
   uint32_t next_event; /* of a stream; counts from 1 */
@@ -44,7 +44,7 @@
 struct SoakUpstream
 {
   struct ev_loop *loop;
-  FakeWire *wire;
+  FakeUpstream *wire;
   SoakLedger *ledger;
   MfRole role;
   char id[ID_BYTES];
@@ -142,7 +142,7 @@
 
   snprintf (text, sizeof text, "HTTP/1.1 %s\r\nX-Attempt-Id: %s\r\n%sContent-Length: %zu\r\n\r\n%s",
             status, run->id, headers, strlen (body), body);
-  fake_wire_send (run->conn, text);
+  fake_upstream_conn_send (run->conn, text);
 }
 
 static void
@@ -161,10 +161,10 @@
 
   snprintf (event, sizeof event, "id: %u\ndata: %s\n\n", run->next_event, run->id);
   snprintf (chunk, sizeof chunk, "%zx\r\n%s\r\n", strlen (event), event);
-  fake_wire_send (run->conn, chunk);
+  fake_upstream_conn_send (run->conn, chunk);
   if (run->next_event++ < SOAK_EVENTS)
     return true;
-  fake_wire_send (run->conn, "0\r\n\r\n");
+  fake_upstream_conn_send (run->conn, "0\r\n\r\n");
   return false;
 }
 
@@ -173,12 +173,12 @@
 {
   for (uint32_t i = 0; i < ACTIVE_MAX; i++)
     {
-      FakeWireConn *conn = upstream->runs[i].conn;
+      FakeUpstreamConn *conn = upstream->runs[i].conn;
 
       if (conn == NULL)
         continue;
       run_end (&upstream->runs[i]);
-      fake_wire_close (conn, true);
+      fake_upstream_conn_close (conn, true);
     }
 }
 
@@ -189,7 +189,7 @@
 
   (void)loop;
   (void)events;
-  fake_wire_open (upstream->wire);
+  fake_upstream_start (upstream->wire);
   upstream->on_down (upstream->data, upstream, false);
 }
 
@@ -200,7 +200,7 @@
   if (++crasher->n_crashes == 3)
     crasher->third_us = mf_clock_now_us ();
   runs_end (upstream);
-  fake_wire_shut (upstream->wire);
+  fake_upstream_stop (upstream->wire);
   ev_timer_set (&upstream->back, upstream->down_s, 0.);
   ev_timer_start (upstream->loop, &upstream->back);
   upstream->on_down (upstream->data, upstream, true);
@@ -249,7 +249,7 @@
 }
 
 static Run *
-run_new (SoakUpstream *upstream, FakeWireConn *conn, const char *id)
+run_new (SoakUpstream *upstream, FakeUpstreamConn *conn, const char *id)
 {
   for (uint32_t i = 0; i < ACTIVE_MAX; i++)
     {
@@ -270,9 +270,9 @@
 run_begin (Run *run, double after_s)
 {
   if (run->upstream->role == MF_ROLE_DECODE)
-    fake_wire_send (run->conn,
-                    "HTTP/1.1 200 OK\r\nX-Response-Seal: s\r\n"
-                    "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n");
+    fake_upstream_conn_send (
+        run->conn, "HTTP/1.1 200 OK\r\nX-Response-Seal: s\r\n"
+                   "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n");
   ev_timer_set (&run->timer, after_s, 0.);
   ev_timer_start (run->upstream->loop, &run->timer);
 }
@@ -281,7 +281,7 @@
 static bool
 run_badly (SoakUpstream *upstream, Run *run)
 {
-  FakeWireConn *conn = run->conn;
+  FakeUpstreamConn *conn = run->conn;
 
   switch (upstream->mood)
     {
@@ -297,7 +297,7 @@
     case SOAK_RESETS:
       ledger_add (upstream->ledger, run->id);
       run_end (run);
-      fake_wire_close (conn, true);
+      fake_upstream_conn_close (conn, true);
       return true;
     case SOAK_MUTE:
       ledger_add (upstream->ledger, run->id);
@@ -309,19 +309,19 @@
 }
 
 static void
-on_request (FakeWireConn *conn, const char *text, void *data)
+on_request (FakeUpstreamConn *conn, const char *text, void *data)
 {
   SoakUpstream *upstream = data;
   char id[ID_BYTES] = "";
   char expected[ID_BYTES] = "";
   char last[16] = "0";
   char value[64];
-  bool prefill = fake_wire_header (text, "X-Stage", value, sizeof value);
+  bool prefill = fake_upstream_request_header (text, "X-Stage", value, sizeof value);
   Run *run;
 
-  fake_wire_header (text, "X-Attempt-Id", id, sizeof id);
-  fake_wire_header (text, "X-Expect-Instance", expected, sizeof expected);
-  fake_wire_header (text, "Last-Event-Id", last, sizeof last);
+  fake_upstream_request_header (text, "X-Attempt-Id", id, sizeof id);
+  fake_upstream_request_header (text, "X-Expect-Instance", expected, sizeof expected);
+  fake_upstream_request_header (text, "Last-Event-Id", last, sizeof last);
   run = run_new (upstream, conn, id);
   if (strncmp (text, "DELETE ", 7) == 0)
     {
@@ -335,7 +335,7 @@
       run_end (run);
       return;
     }
-  if (fake_wire_header (text, "X-Pin-Ms", value, sizeof value))
+  if (fake_upstream_request_header (text, "X-Pin-Ms", value, sizeof value))
     upstream->ledger->n_wrong++;
   upstream->last_arrival_us = mf_clock_now_us ();
   run->crasher = upstream->down_s > 0. ? ledger_note_crasher (upstream->ledger, text) : NULL;
@@ -360,7 +360,7 @@
 }
 
 static void
-on_left (FakeWireConn *conn, void *data)
+on_left (FakeUpstreamConn *conn, void *data)
 {
   SoakUpstream *upstream = data;
 
@@ -384,8 +384,8 @@
   upstream->role = role;
   upstream->random = seed * 2 + 1;
   snprintf (upstream->id, sizeof upstream->id, "%s", id);
-  upstream->wire = fake_wire_new (loop, on_request, upstream);
-  fake_wire_on_left (upstream->wire, on_left);
+  upstream->wire = fake_upstream_new (loop, on_request, upstream);
+  fake_upstream_set_closed_func (upstream->wire, on_left);
   ev_init (&upstream->back, on_back);
   upstream->back.data = upstream;
   return upstream;
@@ -404,14 +404,14 @@
 {
   runs_end (upstream);
   ev_timer_stop (upstream->loop, &upstream->back);
-  fake_wire_free (upstream->wire);
+  fake_upstream_free (upstream->wire);
   free (upstream);
 }
 
 const char *
 soak_upstream_address (const SoakUpstream *upstream)
 {
-  return fake_wire_address (upstream->wire);
+  return fake_upstream_address (upstream->wire);
 }
 
 void
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -98,7 +98,7 @@
 static void
 fleet_open (Fleet *fleet, uint64_t seed)
 {
-  const FakeCoresOptions options = { .n_slots = N_INSTANCES,
+  const FakeCoresOptions options = { .n_instances = N_INSTANCES,
                                      .n_data_centres = 3,
                                      .delay_us = MF_US_PER_MS,
                                      .seed = seed,
@@ -123,14 +123,14 @@
   request->done_us = 0;
   if (core == NULL || core->board.options.self.incarnation != request->incarnation)
     return;
-  fake_cores_event (fleet->cores, request->slot, &event);
+  fake_cores_handle_event (fleet->cores, request->slot, &event);
   snprintf (body, sizeof body, "order %u", request->key);
   event.type = MF_EVENT_CALL_DONE;
   event.call.status = 201;
   event.call.content_type = "text/plain";
   event.call.data = body;
   event.call.data_bytes = strlen (body);
-  fake_cores_event (fleet->cores, request->slot, &event);
+  fake_cores_handle_event (fleet->cores, request->slot, &event);
 }
 
 static void
@@ -169,7 +169,7 @@
   snprintf ((char *)event.request.key_digest, MF_DIGEST_BYTES, "key %u", key);
   fleet->requests[id]
       = (Request){ .key = key, .slot = slot, .incarnation = core->board.options.self.incarnation };
-  fake_cores_event (fleet->cores, slot, &event);
+  fake_cores_handle_event (fleet->cores, slot, &event);
   return &fleet->requests[id];
 }
 
@@ -258,8 +258,8 @@
     {
       for (uint32_t b = 2; b < N_INSTANCES; b++)
         {
-          fake_cores_cut (fleet->cores, a, b, cut);
-          fake_cores_cut (fleet->cores, b, a, cut);
+          fake_cores_set_link_cut (fleet->cores, a, b, cut);
+          fake_cores_set_link_cut (fleet->cores, b, a, cut);
         }
     }
 }
@@ -511,10 +511,10 @@
       fake_cores_pause (fleet->cores, slot, random_below (fleet, 4 * MF_US_PER_S));
       break;
     case 4:
-      fake_cores_cut (fleet->cores, slot, other, true);
+      fake_cores_set_link_cut (fleet->cores, slot, other, true);
       break;
     default:
-      fake_cores_cut (fleet->cores, slot, other, false);
+      fake_cores_set_link_cut (fleet->cores, slot, other, false);
       break;
     }
 }
--- a/tests/test_confsync.c
+++ b/tests/test_confsync.c
@@ -15,10 +15,10 @@
 #define IN_FORCE_US (2 * MF_US_PER_S)
 
 static FakeCores *
-fleet_new (uint32_t n_slots, uint32_t n_data_centres)
+fleet_new (uint32_t n_instances, uint32_t n_data_centres)
 {
   const FakeCoresOptions options = {
-    .n_slots = n_slots,
+    .n_instances = n_instances,
     .n_data_centres = n_data_centres,
     .delay_us = MF_US_PER_MS,
     .seed = 6,
@@ -30,7 +30,7 @@
 static void
 publish (FakeCores *cores, uint64_t revision, uint32_t n_upstreams)
 {
-  char *text = fake_text (&(FakeTextOptions){
+  char *text = fake_config_text (&(FakeConfigTextOptions){
       .n_upstreams = n_upstreams, .slots = 20, .version = "", .checks_fencing = true });
 
   fake_cores_publish (cores, revision, text);
@@ -38,9 +38,9 @@
 }
 
 static void
-start_all (FakeCores *cores, uint32_t n_slots)
+start_all (FakeCores *cores, uint32_t n_instances)
 {
-  for (uint32_t i = 0; i < n_slots; i++)
+  for (uint32_t i = 0; i < n_instances; i++)
     fake_cores_start (cores, i);
   fake_cores_run (cores, 5 * MF_US_PER_S);
 }
@@ -60,20 +60,20 @@
 }
 
 static uint32_t
-count_revision (FakeCores *cores, uint32_t n_slots, uint64_t revision)
+count_revision (FakeCores *cores, uint32_t n_instances, uint64_t revision)
 {
   uint32_t n = 0;
 
-  for (uint32_t i = 0; i < n_slots; i++)
+  for (uint32_t i = 0; i < n_instances; i++)
     n += fake_cores_core (cores, i) != NULL && revision_at (cores, i) == revision;
   return n;
 }
 
 /* Runs until one slot has a revision. */
 static void
-run_until_first (FakeCores *cores, uint32_t n_slots, uint64_t revision)
+run_until_first (FakeCores *cores, uint32_t n_instances, uint64_t revision)
 {
-  for (uint32_t i = 0; i < 12000 && count_revision (cores, n_slots, revision) == 0; i++)
+  for (uint32_t i = 0; i < 12000 && count_revision (cores, n_instances, revision) == 0; i++)
     fake_cores_run (cores, 10 * MF_US_PER_MS);
 }
 
@@ -108,7 +108,7 @@
   start_all (cores, 7);
   publish (cores, 20, 5);
   fake_cores_run (cores, 10 * MF_US_PER_S);
-  fake_cores_platform (cores, 3, FAKE_PLATFORM_STALE);
+  fake_cores_set_platform (cores, 3, FAKE_PLATFORM_STALE);
   fake_cores_start (cores, 3);
   for (uint32_t i = 0; i < 400; i++)
     {
@@ -131,7 +131,7 @@
   publish (cores, 20, 5);
   fake_cores_run (cores, 10 * MF_US_PER_S);
   for (uint32_t i = 0; i < 7; i++)
-    fake_cores_platform (cores, i, i < 3 ? FAKE_PLATFORM_DOWN : FAKE_PLATFORM_STALE);
+    fake_cores_set_platform (cores, i, i < 3 ? FAKE_PLATFORM_DOWN : FAKE_PLATFORM_STALE);
   fake_cores_run (cores, 600 * MF_US_PER_S);
   assert_int_equal (count_revision (cores, 7, 20), 7);
   for (uint32_t i = 0; i < 7; i++)
@@ -176,11 +176,11 @@
   start_all (cores, 8);
   for (uint32_t i = 0; i < 4; i++)
     {
-      fake_cores_platform (cores, i, FAKE_PLATFORM_DOWN);
+      fake_cores_set_platform (cores, i, FAKE_PLATFORM_DOWN);
       for (uint32_t j = 4; j < 8; j++)
         {
-          fake_cores_cut (cores, i, j, true);
-          fake_cores_cut (cores, j, i, true);
+          fake_cores_set_link_cut (cores, i, j, true);
+          fake_cores_set_link_cut (cores, j, i, true);
         }
     }
   fake_cores_run (cores, 10 * MF_US_PER_S);
@@ -189,7 +189,7 @@
   assert_int_equal (count_revision (cores, 8, 10), 4);
   assert_int_equal (count_revision (cores, 8, 11), 4);
   for (uint32_t i = 0; i < 64; i++)
-    fake_cores_cut (cores, i / 8, i % 8, false);
+    fake_cores_set_link_cut (cores, i / 8, i % 8, false);
   fake_cores_run (cores, 10 * MF_US_PER_S);
   assert_int_equal (count_revision (cores, 8, 11), 8);
   fake_cores_free (cores);
@@ -214,13 +214,13 @@
 
       publish (cores, 10, 4);
       start_all (cores, sizes[i]);
-      n_calls = fake_cores_platform_calls (cores);
+      n_calls = fake_cores_n_platform_calls (cores);
       for (uint32_t change = 0; change < 10; change++)
         {
           publish (cores, 11 + change, 4 + change % 2);
           fake_cores_run (cores, seconds * MF_US_PER_S / 10);
         }
-      n_calls = fake_cores_platform_calls (cores) - n_calls;
+      n_calls = fake_cores_n_platform_calls (cores) - n_calls;
       print_message ("%u instances: %llu calls in %llu s, budget %llu\n", sizes[i],
                      (unsigned long long)n_calls, (unsigned long long)seconds,
                      (unsigned long long)budget);
@@ -239,11 +239,11 @@
   (void)state;
   publish (cores, 10, 4);
   start_all (cores, 60);
-  n_calls = fake_cores_platform_calls (cores);
+  n_calls = fake_cores_n_platform_calls (cores);
   for (uint32_t i = 0; i < 60; i += 3)
     fake_cores_start (cores, i);
   fake_cores_run (cores, 5 * MF_US_PER_S);
-  n_calls = fake_cores_platform_calls (cores) - n_calls;
+  n_calls = fake_cores_n_platform_calls (cores) - n_calls;
   print_message ("20 of 60 restarted: %llu calls in 5 s\n", (unsigned long long)n_calls);
   assert_in_range (n_calls, 20, 20 + 20);
   assert_int_equal (count_revision (cores, 60, 10), 60);
@@ -264,13 +264,13 @@
   whole_bytes = fake_cores_core (cores, 0)->board.config->text_bytes;
   assert_in_range (whole_bytes, 800000, MF_TEXT_BYTES_MAX);
   for (uint32_t i = 0; i < 3; i++)
-    n_bytes += fake_cores_bytes_out (cores, i);
+    n_bytes += fake_cores_bytes_sent (cores, i);
   publish (cores, 11, n_upstreams + 1);
   run_until_first (cores, 3, 11);
   fake_cores_run (cores, IN_FORCE_US);
   assert_int_equal (count_revision (cores, 3, 11), 3);
   for (uint32_t i = 0; i < 3; i++)
-    n_bytes_after += fake_cores_bytes_out (cores, i);
+    n_bytes_after += fake_cores_bytes_sent (cores, i);
   assert_true (n_bytes_after - n_bytes < whole_bytes / 2);
   fake_cores_free (cores);
 }
--- a/tests/test_gossip.c
+++ b/tests/test_gossip.c
@@ -36,10 +36,10 @@
 }
 
 static FakeCores *
-fleet_new (uint32_t n_slots, uint32_t n_upstreams, Calls *calls)
+fleet_new (uint32_t n_instances, uint32_t n_upstreams, Calls *calls)
 {
   const FakeCoresOptions options = {
-    .n_slots = n_slots,
+    .n_instances = n_instances,
     .n_data_centres = 3,
     .delay_us = MF_US_PER_MS,
     .seed = 7,
@@ -47,12 +47,12 @@
     .data = calls,
   };
   FakeCores *cores = fake_cores_new (&options);
-  char *text = fake_text (&(FakeTextOptions){
+  char *text = fake_config_text (&(FakeConfigTextOptions){
       .n_upstreams = n_upstreams, .slots = 20, .version = "", .checks_fencing = true });
 
   fake_cores_publish (cores, 1, text);
   free (text);
-  for (uint32_t i = 0; i < n_slots; i++)
+  for (uint32_t i = 0; i < n_instances; i++)
     fake_cores_start (cores, i);
   fake_cores_run (cores, 5 * MF_US_PER_S);
   return cores;
@@ -77,15 +77,15 @@
                               .model = "m0" } };
 
   assert_int_not_equal (upstream, MF_NONE);
-  fake_cores_event (cores, slot, &event);
+  fake_cores_handle_event (cores, slot, &event);
 }
 
 static uint32_t
-count_usable (FakeCores *cores, uint32_t n_slots, const char *name)
+count_usable (FakeCores *cores, uint32_t n_instances, const char *name)
 {
   uint32_t n = 0;
 
-  for (uint32_t i = 0; i < n_slots; i++)
+  for (uint32_t i = 0; i < n_instances; i++)
     {
       MfCore *core = fake_cores_core (cores, i);
       const MfUpstream *row;
@@ -157,16 +157,16 @@
 
   (void)state;
   fake_cores_run (cores, 30 * MF_US_PER_S);
-  n_idle = fake_cores_bytes_out (cores, 0);
+  n_idle = fake_cores_bytes_sent (cores, 0);
   fake_cores_run (cores, 10 * MF_US_PER_S);
-  n_idle = fake_cores_bytes_out (cores, 0) - n_idle;
-  n_bytes = fake_cores_bytes_out (cores, 0);
+  n_idle = fake_cores_bytes_sent (cores, 0) - n_idle;
+  n_bytes = fake_cores_bytes_sent (cores, 0);
   for (uint32_t i = 0; i < 100; i++)
     {
       mf_gossip_publish (core, MF_GOSSIP_REQUEST_SUSPECT, 77, 1);
       fake_cores_run (cores, 100 * MF_US_PER_MS);
     }
-  n_bytes = fake_cores_bytes_out (cores, 0) - n_bytes;
+  n_bytes = fake_cores_bytes_sent (cores, 0) - n_bytes;
   assert_true (n_bytes < n_idle + 6 * 40);
   fake_cores_free (cores);
 }
@@ -187,11 +187,11 @@
   mf_gossip_publish (core, MF_GOSSIP_UPSTREAM_LEAVING, mf_hash_name ("d1"), 0);
   for (uint32_t slot = 0; slot < 7; slot++)
     report_load (cores, slot, "d1", false);
-  n_bytes = fake_cores_bytes_out (cores, 0);
+  n_bytes = fake_cores_bytes_sent (cores, 0);
   fake_cores_run (cores, 500 * MF_US_PER_MS);
   assert_int_equal (count_usable (cores, 7, "d1"), 1); /* only the publisher */
   fake_cores_run (cores, 9500 * MF_US_PER_MS);
-  n_bytes = fake_cores_bytes_out (cores, 0) - n_bytes;
+  n_bytes = fake_cores_bytes_sent (cores, 0) - n_bytes;
   assert_true (n_bytes / 10 < 23000);
   assert_int_equal (core->board.counters.values[MF_COUNTER_GOSSIP_DROPPED], 0);
   for (uint32_t i = 0; i < 2000; i++)
--- a/tests/test_health.c
+++ b/tests/test_health.c
@@ -21,10 +21,10 @@
 static void
 test_suspicion_never_empties_a_pool (void **state)
 {
-  const FakeCoresOptions options = { .n_slots = 1, .n_data_centres = 1, .seed = 3 };
+  const FakeCoresOptions options = { .n_instances = 1, .n_data_centres = 1, .seed = 3 };
   FakeCores *cores = fake_cores_new (&options);
-  const FakeTextOptions wanted = { .n_upstreams = 3, .slots = 20, .version = "" };
-  char *text = fake_text (&wanted);
+  const FakeConfigTextOptions wanted = { .n_upstreams = 3, .slots = 20, .version = "" };
+  char *text = fake_config_text (&wanted);
   MfCore *core;
 
   (void)state;
--- a/tests/test_house_libraries.c
+++ b/tests/test_house_libraries.c
@@ -85,12 +85,13 @@
 /* The upstream responds to the first request twice, as a faulty one does; the test sends the second
  * response late. */
 static void
-on_upstream_request (FakeWireConn *conn, const char *text, void *data)
+on_upstream_request (FakeUpstreamConn *conn, const char *text, void *data)
 {
   (void)text;
   if (++*(unsigned *)data > 1)
     return;
-  fake_wire_send (conn, "HTTP/1.1 200 OK\r\nX-Attempt-Id: 1\r\nContent-Length: 5\r\n\r\nfirst");
+  fake_upstream_conn_send (conn,
+                           "HTTP/1.1 200 OK\r\nX-Attempt-Id: 1\r\nContent-Length: 5\r\n\r\nfirst");
 }
 
 static size_t
@@ -126,14 +127,14 @@
 {
   struct ev_loop *loop = ev_loop_new (0);
   unsigned n_requests = 0;
-  FakeWire *wire = fake_wire_new (loop, on_upstream_request, &n_requests);
+  FakeUpstream *wire = fake_upstream_new (loop, on_upstream_request, &n_requests);
   CURLM *multi = curl_multi_init ();
   CURL *easy = curl_easy_init ();
   char url[128];
   char body[64] = "";
 
   (void)state;
-  snprintf (url, sizeof url, "http://%s/", fake_wire_address (wire));
+  snprintf (url, sizeof url, "http://%s/", fake_upstream_address (wire));
   curl_easy_setopt (easy, CURLOPT_URL, url);
   curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, on_curl_body);
   curl_easy_setopt (easy, CURLOPT_WRITEDATA, body);
@@ -147,8 +148,8 @@
       loop_spin (loop, 1);
     }
   assert_int_equal (n_requests, 2);
-  fake_wire_send (fake_wire_last_conn (wire),
-                  "HTTP/1.1 200 OK\r\nX-Attempt-Id: 1\r\nContent-Length: 5\r\n\r\nfirst");
+  fake_upstream_conn_send (fake_upstream_last_conn (wire),
+                           "HTTP/1.1 200 OK\r\nX-Attempt-Id: 1\r\nContent-Length: 5\r\n\r\nfirst");
   for (int i = 0, n_running = 1; i < 500 && n_running > 0; i++)
     {
       curl_multi_perform (multi, &n_running);
@@ -158,7 +159,7 @@
   curl_multi_remove_handle (multi, easy);
   curl_easy_cleanup (easy);
   curl_multi_cleanup (multi);
-  fake_wire_free (wire);
+  fake_upstream_free (wire);
   ev_loop_destroy (loop);
 }
 
--- a/tests/test_http_out.c
+++ b/tests/test_http_out.c
@@ -64,7 +64,7 @@
       break;
     case SERVER_TRUNCATES:
     case SERVER_RESETS:
-      fake_conn_raw (conn, half, sizeof half - 1);
+      fake_conn_send_raw (conn, half, sizeof half - 1);
       fake_conn_close (conn, rig->behaviour == SERVER_RESETS);
       break;
     case SERVER_REFUSES:
@@ -110,7 +110,8 @@
 static int
 rig_setup (void **state)
 {
-  static const FakeHttpHooks server_hooks = { .on_request = on_request, .on_closed = on_closed };
+  static const FakeHttpCallbacks server_hooks
+      = { .on_request = on_request, .on_closed = on_closed };
   const MfHttpOutHooks hooks = {
     .self = { .name = "entry-1", .incarnation = 1 },
     .answer_bytes_max = BODY_BYTES / 2,
--- a/tests/test_job.c
+++ b/tests/test_job.c
@@ -15,43 +15,43 @@
 #define PORT 21741
 
 static void
-handle_good (FakeWireConn *conn, const char *text, const char *id)
+handle_good (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   (void)text;
   relay_fixture_answer (conn, id, "200 OK", RELAY_FIXTURE_SEAL, "good");
 }
 
 static void
-handle_fail (FakeWireConn *conn, const char *text, const char *id)
+handle_fail (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   (void)text;
   relay_fixture_answer (conn, id, "500 Internal Server Error", RELAY_FIXTURE_SEAL, "bad");
 }
 
 static void
-handle_unsealed (FakeWireConn *conn, const char *text, const char *id)
+handle_unsealed (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   (void)text;
   relay_fixture_answer (conn, id, "200 OK", "", "forged");
 }
 
 static void
-handle_encoded (FakeWireConn *conn, const char *text, const char *id)
+handle_encoded (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   (void)text;
   relay_fixture_answer (conn, id, "200 OK", RELAY_FIXTURE_SEAL "Content-Encoding: gzip\r\n", "zzz");
 }
 
 static void
-handle_reset (FakeWireConn *conn, const char *text, const char *id)
+handle_reset (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   (void)text;
   (void)id;
-  fake_wire_close (conn, true);
+  fake_upstream_conn_close (conn, true);
 }
 
 static void
-handle_no_answer (FakeWireConn *conn, const char *text, const char *id)
+handle_no_answer (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   (void)conn;
   (void)text;
@@ -59,16 +59,16 @@
 }
 
 static void
-handle_stream (FakeWireConn *conn, const char *text, const char *id)
+handle_stream (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   char last[16] = "0";
 
   (void)id;
-  fake_wire_header (text, "Last-Event-Id", last, sizeof last);
-  fake_wire_send (conn, RELAY_FIXTURE_STREAM_HEAD);
+  fake_upstream_request_header (text, "Last-Event-Id", last, sizeof last);
+  fake_upstream_conn_send (conn, RELAY_FIXTURE_STREAM_HEAD);
   if (strcmp (last, "0") == 0)
-    fake_wire_send (conn, "f\r\nid: 1\ndata: a\n\n\r\n");
-  fake_wire_send (conn, "f\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n");
+    fake_upstream_conn_send (conn, "f\r\nid: 1\ndata: a\n\n\r\n");
+  fake_upstream_conn_send (conn, "f\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n");
 }
 
 static void
@@ -118,17 +118,17 @@
   assert_status (&fixture, "200");
   assert_non_null (strstr (fixture.received, RELAY_FIXTURE_SEAL));
   assert_non_null (strstr (fixture.received, "\r\n\r\ngood"));
-  assert_memory_equal (fake_wire_last (fixture.upstreams[0].wire), "POST /order/1?q=2 HTTP/1.1\r\n",
-                       28);
-  assert_true (fake_wire_header (fake_wire_last (fixture.upstreams[0].wire), "X-Expect-Instance",
-                                 value, sizeof value));
+  assert_memory_equal (fake_upstream_last_request (fixture.upstreams[0].wire),
+                       "POST /order/1?q=2 HTTP/1.1\r\n", 28);
+  assert_true (fake_upstream_request_header (fake_upstream_last_request (fixture.upstreams[0].wire),
+                                             "X-Expect-Instance", value, sizeof value));
   assert_string_equal (value, "u0");
   /* Headers that only a router may set are not forwarded; the route's timeout bounds the
    * deadline. */
-  assert_false (fake_wire_header (fake_wire_last (fixture.upstreams[0].wire), "X-Kv-Source", value,
-                                  sizeof value));
-  assert_true (fake_wire_header (fake_wire_last (fixture.upstreams[0].wire), "X-Deadline-Ms", value,
-                                 sizeof value));
+  assert_false (fake_upstream_request_header (
+      fake_upstream_last_request (fixture.upstreams[0].wire), "X-Kv-Source", value, sizeof value));
+  assert_true (fake_upstream_request_header (fake_upstream_last_request (fixture.upstreams[0].wire),
+                                             "X-Deadline-Ms", value, sizeof value));
   assert_in_range (atoi (value), 500, 601);
   teardown (&fixture);
 }
@@ -287,11 +287,11 @@
 }
 
 static uint32_t n_prefills;
-static const FakeWire *full_engine;
+static const FakeUpstream *full_engine;
 
 /* Counts prefills but not the calls that free KV. */
 static void
-handle_prefill_counted (FakeWireConn *conn, const char *text, const char *id)
+handle_prefill_counted (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   n_prefills += strncmp (text, "DELETE ", 7) != 0;
   relay_fixture_prefill (conn, text, id);
@@ -299,9 +299,9 @@
 
 /* Leaves the first four streams open, which fills the engine, and serves the later ones. */
 static void
-handle_full_at_first (FakeWireConn *conn, const char *text, const char *id)
+handle_full_at_first (FakeUpstreamConn *conn, const char *text, const char *id)
 {
-  if (fake_wire_n_requests (full_engine) <= 4)
+  if (fake_upstream_n_requests (full_engine) <= 4)
     relay_fixture_stream_hangs (conn, text, id);
   else
     handle_stream (conn, text, id);
@@ -378,9 +378,9 @@
   assert_status (&fixture, "200");
   assert_non_null (strstr (fixture.received, "id: 2\ndata: b\n\n"));
   assert_non_null (strstr (fixture.received, "\r\n0\r\n\r\n"));
-  assert_true (fake_wire_header (fake_wire_last (fixture.upstreams[1].wire), "X-Kv-Source", value,
-                                 sizeof value));
-  snprintf (expected, sizeof expected, "%s/h1", fake_wire_address (fixture.upstreams[0].wire));
+  assert_true (fake_upstream_request_header (fake_upstream_last_request (fixture.upstreams[1].wire),
+                                             "X-Kv-Source", value, sizeof value));
+  snprintf (expected, sizeof expected, "%s/h1", fake_upstream_address (fixture.upstreams[0].wire));
   assert_string_equal (value, expected);
   loop_spin (fixture.loop, 10);
   assert_int_equal (relay_fixture_n_requests (&fixture, 0), 1);
@@ -415,7 +415,8 @@
   call (&fixture, "POST", "/once/1");
   assert_status (&fixture, "503");
   loop_spin (fixture.loop, 20);
-  assert_memory_equal (fake_wire_last (fixture.upstreams[0].wire), "DELETE /kv-handle/h1 ", 21);
+  assert_memory_equal (fake_upstream_last_request (fixture.upstreams[0].wire),
+                       "DELETE /kv-handle/h1 ", 21);
   teardown (&fixture);
 }
 
@@ -437,8 +438,8 @@
   assert_null (strstr (first + 1, "id: 1"));
   assert_non_null (strstr (first, "id: 2\ndata: b\n\n"));
   assert_non_null (strstr (first, "\r\n0\r\n\r\n"));
-  assert_true (fake_wire_header (fake_wire_last (fixture.upstreams[1].wire), "Last-Event-Id", value,
-                                 sizeof value));
+  assert_true (fake_upstream_request_header (fake_upstream_last_request (fixture.upstreams[1].wire),
+                                             "Last-Event-Id", value, sizeof value));
   assert_string_equal (value, "1");
   teardown (&fixture);
 }
@@ -455,7 +456,7 @@
   call (&fixture, "POST", "/llm/1");
   assert_status (&fixture, "200");
   assert_non_null (strstr (fixture.received, "id: 2\ndata: b\n\n"));
-  assert_int_equal (fake_wire_n_left (fixture.upstreams[0].wire), 1);
+  assert_int_equal (fake_upstream_n_closed (fixture.upstreams[0].wire), 1);
   teardown (&fixture);
 }
 
@@ -480,10 +481,11 @@
     {
       loop_spin (fixture.loop, 5);
       /* Bytes keep arriving, so that the stream is not abandoned for its silence. */
-      fake_wire_send (fake_wire_last_conn (fixture.upstreams[0].wire), "3\r\n:\n\n\r\n");
+      fake_upstream_conn_send (fake_upstream_last_conn (fixture.upstreams[0].wire),
+                               "3\r\n:\n\n\r\n");
     }
   relay_fixture_add_upstream (&fixture, 1, MF_ROLE_DECODE, handle_stream);
-  fake_wire_close (fake_wire_last_conn (fixture.upstreams[0].wire), true);
+  fake_upstream_conn_close (fake_upstream_last_conn (fixture.upstreams[0].wire), true);
   loop_receive (fixture.loop, fd, "\r\n0\r\n\r\n", fixture.received, sizeof fixture.received);
   assert_int_equal (relay_fixture_n_requests (&fixture, 1), 1);
   assert_non_null (strstr (fixture.received, "id: 2\ndata: b\n\n"));
@@ -558,20 +560,20 @@
       close (fd);
       assert_true (loop_pump (fixture.loop, no_jobs_left, &fixture));
       loop_spin (fixture.loop, 20);
-      assert_int_equal (fake_wire_n_left (fixture.upstreams[0].wire), 1);
+      assert_int_equal (fake_upstream_n_closed (fixture.upstreams[0].wire), 1);
       teardown (&fixture);
     }
 }
 
 static void
-handle_good_leaving (FakeWireConn *conn, const char *text, const char *id)
+handle_good_leaving (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   (void)text;
   relay_fixture_answer (conn, id, "200 OK", RELAY_FIXTURE_SEAL "Server-Leaving: 1\r\n", "good");
 }
 
 static void
-handle_decline_leaving (FakeWireConn *conn, const char *text, const char *id)
+handle_decline_leaving (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   (void)text;
   relay_fixture_answer (conn, id, "503 Service Unavailable",
@@ -579,7 +581,7 @@
 }
 
 static void
-handle_pause (FakeWireConn *conn, const char *text, const char *id)
+handle_pause (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   (void)text;
   relay_fixture_answer (conn, id, "503 Service Unavailable",
@@ -589,7 +591,7 @@
 static const char *pause_value;
 
 static void
-handle_pause_with_value (FakeWireConn *conn, const char *text, const char *id)
+handle_pause_with_value (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   char headers[96];
 
@@ -630,7 +632,7 @@
 
 /* A prefill engine announces its exit: later prompts go to another one. */
 static void
-handle_prefill_leaving (FakeWireConn *conn, const char *text, const char *id)
+handle_prefill_leaving (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   (void)text;
   relay_fixture_answer (conn, id, "200 OK", "Server-Leaving: 1\r\n",
@@ -749,7 +751,7 @@
   relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
   relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PLAIN, handle_good);
   relay_fixture_add_upstream (&fixture, 1, MF_ROLE_PLAIN, handle_good);
-  fake_wire_free (fixture.upstreams[0].wire);
+  fake_upstream_free (fixture.upstreams[0].wire);
   fixture.upstreams[0].wire = NULL;
   call (&fixture, "POST", "/order/1");
   assert_status (&fixture, "200");
--- a/tests/test_job_answer.c
+++ b/tests/test_job_answer.c
@@ -57,16 +57,16 @@
 static const Flood *flood;
 
 static void
-handle_flood (FakeWireConn *conn, const char *text, const char *id)
+handle_flood (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   (void)text;
   (void)id;
-  fake_wire_send (conn, flood->begin);
-  fake_wire_flood (conn, flood->piece);
+  fake_upstream_conn_send (conn, flood->begin);
+  fake_upstream_conn_flood (conn, flood->piece);
 }
 
 static void
-handle_flood_on_release (FakeWireConn *conn, const char *text, const char *id)
+handle_flood_on_release (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   if (strncmp (text, "DELETE ", 7) == 0)
     handle_flood (conn, text, id);
@@ -75,18 +75,18 @@
 }
 
 static void
-handle_good (FakeWireConn *conn, const char *text, const char *id)
+handle_good (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   (void)text;
   relay_fixture_answer (conn, id, "200 OK", RELAY_FIXTURE_SEAL, "good");
 }
 
 static void
-handle_stream (FakeWireConn *conn, const char *text, const char *id)
+handle_stream (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   (void)text;
   (void)id;
-  fake_wire_send (conn, RELAY_FIXTURE_STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\n0\r\n\r\n");
+  fake_upstream_conn_send (conn, RELAY_FIXTURE_STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\n0\r\n\r\n");
 }
 
 static int
@@ -143,7 +143,7 @@
 static bool
 has_disconnected (void *data)
 {
-  return fake_wire_n_left (((RelayFixture *)data)->upstreams[0].wire) > 0;
+  return fake_upstream_n_closed (((RelayFixture *)data)->upstreams[0].wire) > 0;
 }
 
 /* The request fails by its deadline, without a promise that it was not executed, and the upstream's
@@ -282,12 +282,12 @@
   until_us = mf_clock_now_us () + STALL_TIMEOUT_US;
   while (mf_clock_now_us () < until_us && relay_fixture_n_requests (&fixture, 1) == 0)
     {
-      FakeWireConn *conn;
+      FakeUpstreamConn *conn;
 
       loop_spin (fixture.loop, 5);
-      conn = fake_wire_last_conn (fixture.upstreams[0].wire);
+      conn = fake_upstream_last_conn (fixture.upstreams[0].wire);
       if (conn != NULL)
-        fake_wire_send (conn, "1\r\nd\r\n");
+        fake_upstream_conn_send (conn, "1\r\nd\r\n");
     }
   assert_int_equal (relay_fixture_n_requests (&fixture, 1), 1);
   close (fd);
--- a/tests/test_job_stage.c
+++ b/tests/test_job_stage.c
@@ -33,27 +33,27 @@
 static const MfPeersCallbacks callbacks = { .fill_report = on_fill_report };
 
 static void
-handle_accept (FakeWireConn *conn, const char *text, const char *id)
+handle_accept (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   (void)text;
   (void)id;
-  fake_wire_send (conn, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
+  fake_upstream_conn_send (conn, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
 }
 
 static void
-handle_refuse (FakeWireConn *conn, const char *text, const char *id)
+handle_refuse (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   (void)text;
   (void)id;
-  fake_wire_send (conn, "HTTP/1.1 412 Precondition Failed\r\nContent-Length: 0\r\n\r\n");
+  fake_upstream_conn_send (conn, "HTTP/1.1 412 Precondition Failed\r\nContent-Length: 0\r\n\r\n");
 }
 
 static void
-handle_close (FakeWireConn *conn, const char *text, const char *id)
+handle_close (FakeUpstreamConn *conn, const char *text, const char *id)
 {
   (void)text;
   (void)id;
-  fake_wire_close (conn, true);
+  fake_upstream_conn_close (conn, true);
 }
 
 /* Five prefill engines, one of them known to be unreachable, and four decode engines without free
@@ -140,7 +140,7 @@
 
   while (index + 1 < RELAY_FIXTURE_N_UPSTREAMS && relay_fixture_n_requests (relay, index) == 0)
     index++;
-  return fake_wire_last (relay->upstreams[index].wire);
+  return fake_upstream_last_request (relay->upstreams[index].wire);
 }
 
 /* The leader orders one idle prefill engine to decode, and only after the previous leader has
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -14,21 +14,21 @@
 #define PERIOD_US (200 * MF_US_PER_MS)
 
 static FakeCores *
-fleet_new (uint32_t n_slots, uint32_t n_data_centres)
+fleet_new (uint32_t n_instances, uint32_t n_data_centres)
 {
   const FakeCoresOptions options = {
-    .n_slots = n_slots,
+    .n_instances = n_instances,
     .n_data_centres = n_data_centres,
     .delay_us = MF_US_PER_MS,
     .seed = 5,
   };
   FakeCores *cores = fake_cores_new (&options);
-  char *text = fake_text (
-      &(FakeTextOptions){ .n_upstreams = 4, .slots = 20, .version = "", .checks_fencing = true });
+  char *text = fake_config_text (&(FakeConfigTextOptions){
+      .n_upstreams = 4, .slots = 20, .version = "", .checks_fencing = true });
 
   fake_cores_publish (cores, 1, text);
   free (text);
-  for (uint32_t i = 0; i < n_slots; i++)
+  for (uint32_t i = 0; i < n_instances; i++)
     fake_cores_start (cores, i);
   fake_cores_run (cores, 5 * MF_US_PER_S);
   return cores;
@@ -48,11 +48,11 @@
 
 /* Returns how many running instances see another one in a state. */
 static uint32_t
-count_state (FakeCores *cores, uint32_t n_slots, uint32_t of, MfMemberState state)
+count_state (FakeCores *cores, uint32_t n_instances, uint32_t of, MfMemberState state)
 {
   uint32_t n = 0;
 
-  for (uint32_t i = 0; i < n_slots; i++)
+  for (uint32_t i = 0; i < n_instances; i++)
     n += i != of && fake_cores_core (cores, i) != NULL && state_of (cores, i, of) == state;
   return n;
 }
@@ -174,7 +174,7 @@
   FakeCores *cores = fleet_new (7, 3);
 
   (void)state;
-  fake_cores_cut (cores, 1, 2, true);
+  fake_cores_set_link_cut (cores, 1, 2, true);
   for (uint32_t second = 0; second < 20; second++)
     {
       fake_cores_run (cores, MF_US_PER_S);
@@ -185,46 +185,46 @@
 }
 
 static void
-cut_halves (FakeCores *cores, uint32_t n_slots, bool cut)
+cut_halves (FakeCores *cores, uint32_t n_instances, bool cut)
 {
-  for (uint32_t i = 0; i < n_slots; i++)
+  for (uint32_t i = 0; i < n_instances; i++)
     {
-      for (uint32_t j = 0; j < n_slots; j++)
+      for (uint32_t j = 0; j < n_instances; j++)
         {
-          if ((i < n_slots / 2) != (j < n_slots / 2))
-            fake_cores_cut (cores, i, j, cut);
+          if ((i < n_instances / 2) != (j < n_instances / 2))
+            fake_cores_set_link_cut (cores, i, j, cut);
         }
     }
 }
 
 static uint64_t
-bytes_out (FakeCores *cores, uint32_t n_slots)
+bytes_out (FakeCores *cores, uint32_t n_instances)
 {
   uint64_t n_bytes = 0;
 
-  for (uint32_t i = 0; i < n_slots; i++)
-    n_bytes += fake_cores_bytes_out (cores, i);
+  for (uint32_t i = 0; i < n_instances; i++)
+    n_bytes += fake_cores_bytes_sent (cores, i);
   return n_bytes;
 }
 
 static void
 test_partition_heals_without_a_storm (void **state)
 {
-  const uint32_t n_slots = 24;
-  FakeCores *cores = fleet_new (n_slots, 3);
+  const uint32_t n_instances = 24;
+  FakeCores *cores = fleet_new (n_instances, 3);
   uint64_t n_bytes;
 
   (void)state;
-  cut_halves (cores, n_slots, true);
+  cut_halves (cores, n_instances, true);
   fake_cores_run (cores, 120 * MF_US_PER_S);
-  assert_int_equal (count_state (cores, n_slots, 0, MF_MEMBER_DEAD), n_slots / 2);
+  assert_int_equal (count_state (cores, n_instances, 0, MF_MEMBER_DEAD), n_instances / 2);
   assert_int_equal (mf_member_has_majority (fake_cores_core (cores, 0)), false);
-  cut_halves (cores, n_slots, false);
-  n_bytes = bytes_out (cores, n_slots);
+  cut_halves (cores, n_instances, false);
+  n_bytes = bytes_out (cores, n_instances);
   fake_cores_run (cores, 15 * MF_US_PER_S);
-  for (uint32_t i = 0; i < n_slots; i++)
-    assert_int_equal (count_state (cores, n_slots, i, MF_MEMBER_ALIVE), n_slots - 1);
-  n_bytes = (bytes_out (cores, n_slots) - n_bytes) / n_slots / 15;
+  for (uint32_t i = 0; i < n_instances; i++)
+    assert_int_equal (count_state (cores, n_instances, i, MF_MEMBER_ALIVE), n_instances - 1);
+  n_bytes = (bytes_out (cores, n_instances) - n_bytes) / n_instances / 15;
   assert_in_range (n_bytes, 1, 23000);
   fake_cores_free (cores);
 }
--- a/tests/test_order.c
+++ b/tests/test_order.c
@@ -82,14 +82,14 @@
 fleet_new (Fleet *fleet, uint32_t n_engines, bool checks_fencing)
 {
   const FakeCoresOptions options = {
-    .n_slots = N,
+    .n_instances = N,
     .n_data_centres = 3,
     .delay_us = MF_US_PER_MS,
     .seed = 9,
     .on_call = on_call,
     .data = fleet,
   };
-  char *text = fake_text (&(FakeTextOptions){
+  char *text = fake_config_text (&(FakeConfigTextOptions){
       .n_upstreams = n_engines, .slots = 20, .version = "v1", .checks_fencing = checks_fencing });
 
   *fleet = (Fleet){
@@ -109,10 +109,11 @@
 static void
 publish (Fleet *fleet, uint64_t revision, const char *version)
 {
-  char *text = fake_text (&(FakeTextOptions){ .n_upstreams = fleet->n_engines,
-                                              .slots = 20,
-                                              .version = version,
-                                              .checks_fencing = fleet->checks_fencing });
+  char *text
+      = fake_config_text (&(FakeConfigTextOptions){ .n_upstreams = fleet->n_engines,
+                                                    .slots = 20,
+                                                    .version = version,
+                                                    .checks_fencing = fleet->checks_fencing });
 
   fake_cores_publish (fleet->cores, revision, text);
   free (text);
@@ -139,7 +140,7 @@
   snprintf (name, sizeof name, "d%u", at);
   event.load.upstream = mf_upstream_find (core, mf_hash_name (name));
   memcpy (event.load.version, engine->version, sizeof engine->version);
-  fake_cores_event (fleet->cores, slot, &event);
+  fake_cores_handle_event (fleet->cores, slot, &event);
 }
 
 static bool
@@ -196,7 +197,7 @@
                             .call = { .call_id = reply->call_id, .status = reply->status } };
 
           if (fake_cores_core (fleet->cores, reply->slot) != NULL)
-            fake_cores_event (fleet->cores, reply->slot, &event);
+            fake_cores_handle_event (fleet->cores, reply->slot, &event);
         }
       fleet->n_replies = 0;
       fake_cores_run (fleet->cores, STEP_US);
@@ -313,9 +314,9 @@
       for (uint32_t a = 0; a < N; a++)
         {
           if (a < 2)
-            fake_cores_platform (fleet.cores, a, FAKE_PLATFORM_DOWN);
+            fake_cores_set_platform (fleet.cores, a, FAKE_PLATFORM_DOWN);
           for (uint32_t b = 0; b < N; b++)
-            fake_cores_cut (fleet.cores, a, b, (a < 2) != (b < 2));
+            fake_cores_set_link_cut (fleet.cores, a, b, (a < 2) != (b < 2));
         }
       fleet_run (&fleet, 10 * MF_US_PER_S, false);
       publish (&fleet, 2, "v2");
--- a/tests/test_process_config.c
+++ b/tests/test_process_config.c
@@ -19,7 +19,7 @@
 {
   double n = 0;
 
-  for (int i = 1; i <= FLEET_INSTANCES; i++)
+  for (int i = 1; i <= FLEET_N_INSTANCES; i++)
     n += fleet_counter (fleet, i, "mangofork_config_accepted_total");
   return n;
 }
@@ -29,7 +29,7 @@
 {
   const double *old_revision = data;
 
-  for (int i = 1; i <= FLEET_INSTANCES; i++)
+  for (int i = 1; i <= FLEET_N_INSTANCES; i++)
     {
       if (revision (fleet, i) <= *old_revision)
         return false;
@@ -40,10 +40,10 @@
 static void
 assert_request_succeeds (Fleet *fleet, int instance)
 {
-  Caller *caller = fleet_complete (fleet, instance, "served", 5);
+  Caller *caller = fleet_send_completion (fleet, instance, "served", 5);
 
-  caller_finish (caller);
-  assert_true (caller_is_whole (caller));
+  caller_wait (caller);
+  assert_true (caller_is_complete (caller));
 }
 
 static void
@@ -52,8 +52,8 @@
   Fleet *fleet = *state;
   double before = revision (fleet, 1);
 
-  fleet_publish_target (fleet, 31);
-  fleet_until (fleet, all_newer, &before);
+  fleet_publish_tbt_target (fleet, 31);
+  fleet_wait_until (fleet, all_newer, &before);
   assert_request_succeeds (fleet, 1);
 }
 
@@ -65,17 +65,17 @@
   double accepted;
   double n_accepted;
 
-  fleet_publish_target (fleet, 31);
-  fleet_until (fleet, all_newer, &before);
+  fleet_publish_tbt_target (fleet, 31);
+  fleet_wait_until (fleet, all_newer, &before);
   accepted = revision (fleet, 1);
   n_accepted = count_accepted (fleet);
   fleet_fault (fleet, "platform", "revert", 1);
-  fleet_pass (fleet, 1500);
+  fleet_sleep_ms (fleet, 1500);
   assert_true (count_accepted (fleet) == n_accepted);
   fleet_signal (fleet, 1, SIGKILL);
   fleet_start (fleet, 1);
-  fleet_until_ready (fleet, 1);
-  for (int i = 1; i <= FLEET_INSTANCES; i++)
+  fleet_wait_ready (fleet, 1);
+  for (int i = 1; i <= FLEET_N_INSTANCES; i++)
     assert_true (revision (fleet, i) >= accepted);
   assert_request_succeeds (fleet, 1);
 }
@@ -84,7 +84,7 @@
 has_refused (Fleet *fleet, void *data)
 {
   (void)data;
-  for (int i = 1; i <= FLEET_INSTANCES; i++)
+  for (int i = 1; i <= FLEET_N_INSTANCES; i++)
     {
       if (fleet_counter (fleet, i, "mangofork_config_refused_total") > 0)
         return true;
@@ -99,14 +99,14 @@
   double before = revision (fleet, 1);
 
   fleet_publish (fleet, "{ \"services\": 7 }");
-  fleet_until (fleet, has_refused, NULL);
-  for (int i = 1; i <= FLEET_INSTANCES; i++)
+  fleet_wait_until (fleet, has_refused, NULL);
+  for (int i = 1; i <= FLEET_N_INSTANCES; i++)
     {
       assert_true (revision (fleet, i) == before);
       assert_request_succeeds (fleet, i);
     }
-  fleet_publish_target (fleet, 32);
-  fleet_until (fleet, all_newer, &before);
+  fleet_publish_tbt_target (fleet, 32);
+  fleet_wait_until (fleet, all_newer, &before);
 }
 
 static void
@@ -116,17 +116,17 @@
   double before = revision (fleet, 1);
 
   fleet_fault (fleet, "platform", "down", 0);
-  fleet_pass (fleet, 1000);
-  for (int i = 1; i <= FLEET_INSTANCES; i++)
+  fleet_sleep_ms (fleet, 1000);
+  for (int i = 1; i <= FLEET_N_INSTANCES; i++)
     assert_request_succeeds (fleet, i);
   fleet_signal (fleet, 2, SIGKILL);
   fleet_start (fleet, 2);
-  fleet_until_ready (fleet, 2);
+  fleet_wait_ready (fleet, 2);
   assert_true (revision (fleet, 2) == before);
   assert_request_succeeds (fleet, 2);
   fleet_fault (fleet, "platform", "up", 0);
-  fleet_publish_target (fleet, 33);
-  fleet_until (fleet, all_newer, &before);
+  fleet_publish_tbt_target (fleet, 33);
+  fleet_wait_until (fleet, all_newer, &before);
 }
 
 int
--- a/tests/test_process_orders.c
+++ b/tests/test_process_orders.c
@@ -22,33 +22,33 @@
 {
   const uint64_t *n = data;
 
-  return fleet_sum (fleet, "plain", "calls") >= *n;
+  return fleet_sum_ledger (fleet, "plain", "calls") >= *n;
 }
 
 /* Sends an order and waits until an upstream has it, before it has run. */
 static Caller *
 start_order (Fleet *fleet, int instance, const char *order)
 {
-  uint64_t n_calls = fleet_sum (fleet, "plain", "calls") + 1;
-  Caller *caller = fleet_order (fleet, instance, order, order);
+  uint64_t n_calls = fleet_sum_ledger (fleet, "plain", "calls") + 1;
+  Caller *caller = fleet_send_order (fleet, instance, order, order);
 
-  fleet_until (fleet, has_arrived, &n_calls);
+  fleet_wait_until (fleet, has_arrived, &n_calls);
   return caller;
 }
 
 static Caller *
 run_order (Fleet *fleet, int instance, const char *order)
 {
-  Caller *caller = fleet_order (fleet, instance, order, order);
+  Caller *caller = fleet_send_order (fleet, instance, order, order);
 
-  caller_finish (caller);
+  caller_wait (caller);
   return caller;
 }
 
 static bool
 has_run (Fleet *fleet, void *data)
 {
-  return fleet_runs (fleet, data) > 0;
+  return fleet_n_runs (fleet, data) > 0;
 }
 
 /* What any answer to a key may be: the run's own answer, or a refusal that does not deny it. */
@@ -58,10 +58,10 @@
   if (caller_status (caller) == 200)
     assert_non_null (strstr (caller_body (caller), order));
   else if (strcmp (caller_outcome (caller), "not-run") == 0)
-    assert_int_equal (fleet_runs (fleet, order), 0);
+    assert_int_equal (fleet_n_runs (fleet, order), 0);
   else
     assert_string_not_equal (caller_outcome (caller), "");
-  assert_true (fleet_runs (fleet, order) <= 1);
+  assert_true (fleet_n_runs (fleet, order) <= 1);
 }
 
 static int
@@ -69,8 +69,8 @@
 {
   if (fleet_setup (state) != 0)
     return -1;
-  for (int i = 1; i <= FLEET_INSTANCES; i++)
-    fleet_until_voting (*state, i);
+  for (int i = 1; i <= FLEET_N_INSTANCES; i++)
+    fleet_wait_voting (*state, i);
   return 0;
 }
 
@@ -81,14 +81,14 @@
   Caller *first = run_order (fleet, 1, "a");
 
   assert_int_equal (caller_status (first), 200);
-  for (int i = 1; i <= FLEET_INSTANCES; i++)
+  for (int i = 1; i <= FLEET_N_INSTANCES; i++)
     {
       Caller *again = run_order (fleet, i, "a");
 
       assert_int_equal (caller_status (again), 200);
       assert_string_equal (caller_body (again), caller_body (first));
     }
-  assert_int_equal (fleet_runs (fleet, "a"), 1);
+  assert_int_equal (fleet_n_runs (fleet, "a"), 1);
 }
 
 static void
@@ -101,15 +101,15 @@
 
   fault_all_plain (fleet, "slow", SLOW_MS);
   first = start_order (fleet, 1, "b");
-  second = fleet_order (fleet, 2, "b", "b");
-  third = fleet_order (fleet, 3, "b", "b");
-  caller_finish (first);
-  caller_finish (second);
-  caller_finish (third);
+  second = fleet_send_order (fleet, 2, "b", "b");
+  third = fleet_send_order (fleet, 3, "b", "b");
+  caller_wait (first);
+  caller_wait (second);
+  caller_wait (third);
   assert_int_equal (caller_status (first), 200);
   assert_answer_allowed (fleet, second, "b");
   assert_answer_allowed (fleet, third, "b");
-  assert_int_equal (fleet_runs (fleet, "b"), 1);
+  assert_int_equal (fleet_n_runs (fleet, "b"), 1);
 }
 
 static void
@@ -122,15 +122,15 @@
   fault_all_plain (fleet, "slow", SLOW_MS);
   start_order (fleet, 1, "c");
   fleet_signal (fleet, 1, SIGKILL);
-  second = fleet_order (fleet, 2, "c", "c");
-  caller_finish (second);
+  second = fleet_send_order (fleet, 2, "c", "c");
+  caller_wait (second);
   third = run_order (fleet, 3, "c");
-  fleet_until (fleet, has_run, "c");
+  fleet_wait_until (fleet, has_run, "c");
   assert_answer_allowed (fleet, second, "c");
   assert_answer_allowed (fleet, third, "c");
   fleet_start (fleet, 1);
-  fleet_until_ready (fleet, 1);
-  fleet_until_voting (fleet, 1);
+  fleet_wait_ready (fleet, 1);
+  fleet_wait_voting (fleet, 1);
   assert_answer_allowed (fleet, run_order (fleet, 1, "c"), "c");
 }
 
@@ -144,11 +144,11 @@
   fault_all_plain (fleet, "slow", SLOW_MS);
   first = start_order (fleet, 1, "d");
   fleet_signal (fleet, 1, SIGSTOP);
-  second = fleet_order (fleet, 2, "d", "d");
-  fleet_pass (fleet, 4000);
+  second = fleet_send_order (fleet, 2, "d", "d");
+  fleet_sleep_ms (fleet, 4000);
   fleet_signal (fleet, 1, SIGCONT);
-  caller_finish (first);
-  caller_finish (second);
+  caller_wait (first);
+  caller_wait (second);
   assert_answer_allowed (fleet, first, "d");
   assert_answer_allowed (fleet, second, "d");
   assert_answer_allowed (fleet, run_order (fleet, 3, "d"), "d");
@@ -163,16 +163,16 @@
 
   for (unsigned i = 0; i < MF_ARRAY_LEN (orders); i++)
     {
-      Caller *first = fleet_order (fleet, 1, orders[i], orders[i]);
+      Caller *first = fleet_send_order (fleet, 1, orders[i], orders[i]);
       Caller *second;
 
-      fleet_pass (fleet, i);
+      fleet_sleep_ms (fleet, i);
       fleet_signal (fleet, 1, SIGSTOP);
-      second = fleet_order (fleet, 2, orders[i], orders[i]);
-      fleet_pass (fleet, 1500);
+      second = fleet_send_order (fleet, 2, orders[i], orders[i]);
+      fleet_sleep_ms (fleet, 1500);
       fleet_signal (fleet, 1, SIGCONT);
-      caller_finish (first);
-      caller_finish (second);
+      caller_wait (first);
+      caller_wait (second);
       assert_answer_allowed (fleet, first, orders[i]);
       assert_answer_allowed (fleet, second, orders[i]);
     }
@@ -196,13 +196,13 @@
   fleet_isolate (fleet, 3, true);
   alone = run_order (fleet, 3, "f");
   assert_refused_as_unknown (alone);
-  assert_int_equal (fleet_runs (fleet, "f"), 0);
+  assert_int_equal (fleet_n_runs (fleet, "f"), 0);
   joined = run_order (fleet, 1, "f");
   assert_int_equal (caller_status (joined), 200);
-  assert_int_equal (fleet_runs (fleet, "f"), 1);
+  assert_int_equal (fleet_n_runs (fleet, "f"), 1);
   assert_refused_as_unknown (run_order (fleet, 3, "f"));
   fleet_isolate (fleet, 3, false);
-  fleet_until_voting (fleet, 3);
+  fleet_wait_voting (fleet, 3);
   assert_answer_allowed (fleet, run_order (fleet, 3, "f"), "f");
 }
 
@@ -217,11 +217,11 @@
   first = start_order (fleet, 3, "g");
   fleet_isolate (fleet, 3, true);
   second = run_order (fleet, 1, "g");
-  caller_finish (first);
+  caller_wait (first);
   assert_int_equal (caller_status (first), 200);
   assert_answer_allowed (fleet, second, "g");
   fleet_isolate (fleet, 3, false);
-  fleet_until_voting (fleet, 3);
+  fleet_wait_voting (fleet, 3);
   assert_answer_allowed (fleet, run_order (fleet, 2, "g"), "g");
 }
 
@@ -237,19 +237,19 @@
       Caller *first;
       Caller *second;
 
-      for (int other = 2; other <= FLEET_INSTANCES; other++)
+      for (int other = 2; other <= FLEET_N_INSTANCES; other++)
         {
-          fleet_link (fleet, other, kinds[i], 1);
-          fleet_link (fleet, 1, kinds[i], other);
+          fleet_link_fault (fleet, other, kinds[i], 1);
+          fleet_link_fault (fleet, 1, kinds[i], other);
         }
-      first = fleet_order (fleet, 1, orders[i], orders[i]);
-      second = fleet_order (fleet, 2, orders[i], orders[i]);
-      caller_finish (first);
-      caller_finish (second);
+      first = fleet_send_order (fleet, 1, orders[i], orders[i]);
+      second = fleet_send_order (fleet, 2, orders[i], orders[i]);
+      caller_wait (first);
+      caller_wait (second);
       assert_answer_allowed (fleet, first, orders[i]);
       assert_answer_allowed (fleet, second, orders[i]);
       fleet_isolate (fleet, 1, false);
-      fleet_until_voting (fleet, 1);
+      fleet_wait_voting (fleet, 1);
       assert_answer_allowed (fleet, run_order (fleet, 1, orders[i]), orders[i]);
     }
 }
@@ -281,10 +281,10 @@
   Caller *caller;
 
   fault_all_plain (fleet, "die-after", 1);
-  caller = fleet_order (fleet, 1, "j", NULL);
-  caller_finish (caller);
+  caller = fleet_send_order (fleet, 1, "j", NULL);
+  caller_wait (caller);
   assert_string_not_equal (caller_outcome (caller), "not-run");
-  assert_int_equal (fleet_runs (fleet, "j"), 1);
+  assert_int_equal (fleet_n_runs (fleet, "j"), 1);
 }
 
 static void
@@ -295,7 +295,7 @@
   fleet_fault (fleet, "o1", "leave", 1);
   fleet_fault (fleet, "o2", "refuse", 1);
   assert_int_equal (caller_status (run_order (fleet, 1, "k")), 200);
-  assert_int_equal (fleet_runs (fleet, "k"), 1);
+  assert_int_equal (fleet_n_runs (fleet, "k"), 1);
 }
 
 static void
@@ -307,10 +307,10 @@
   fleet_fault (fleet, "o1", "kill", 0);
   fleet_fault (fleet, "o2", "die-before", 3);
   for (unsigned i = 0; i < MF_ARRAY_LEN (callers); i++)
-    callers[i] = fleet_read (fleet, (int)(i % FLEET_INSTANCES) + 1, "/stock/drawer");
+    callers[i] = fleet_send_get (fleet, (int)(i % FLEET_N_INSTANCES) + 1, "/stock/drawer");
   for (unsigned i = 0; i < MF_ARRAY_LEN (callers); i++)
     {
-      caller_finish (callers[i]);
+      caller_wait (callers[i]);
       assert_int_equal (caller_status (callers[i]), 200);
     }
 }
@@ -324,9 +324,9 @@
   fault_all_plain (fleet, "slow", SLOW_MS);
   first = start_order (fleet, 1, "l");
   fleet_signal (fleet, 1, SIGTERM);
-  caller_finish (first);
+  caller_wait (first);
   assert_int_equal (caller_status (first), 200);
-  assert_int_equal (fleet_exit_code (fleet, 1), 0);
+  assert_int_equal (fleet_wait_exit_code (fleet, 1), 0);
   assert_answer_allowed (fleet, run_order (fleet, 2, "l"), "l");
 }
 
--- a/tests/test_process_streams.c
+++ b/tests/test_process_streams.c
@@ -43,10 +43,10 @@
   for (unsigned i = 0; i < n; i++)
     {
       snprintf (tag, sizeof tag, "s%u", i);
-      streams->callers[i] = fleet_complete (
-          fleet, instance != 0 ? instance : (int)(i % FLEET_INSTANCES) + 1, tag, n_tokens);
+      streams->callers[i] = fleet_send_completion (
+          fleet, instance != 0 ? instance : (int)(i % FLEET_N_INSTANCES) + 1, tag, n_tokens);
     }
-  fleet_until (fleet, have_started, streams);
+  fleet_wait_until (fleet, have_started, streams);
 }
 
 static void
@@ -54,10 +54,10 @@
 {
   for (unsigned i = 0; i < streams->n; i++)
     {
-      caller_finish (streams->callers[i]);
-      if (!caller_is_whole (streams->callers[i]))
-        print_error ("stream %u ended with: %s\n", i, caller_tail (streams->callers[i]));
-      assert_true (caller_is_whole (streams->callers[i]));
+      caller_wait (streams->callers[i]);
+      if (!caller_is_complete (streams->callers[i]))
+        print_error ("stream %u ended with: %s\n", i, caller_body_tail (streams->callers[i]));
+      assert_true (caller_is_complete (streams->callers[i]));
     }
 }
 
@@ -65,7 +65,7 @@
 disconnect_all (Streams *streams)
 {
   for (unsigned i = 0; i < streams->n; i++)
-    caller_leave (streams->callers[i]);
+    caller_disconnect (streams->callers[i]);
 }
 
 static void
@@ -76,11 +76,11 @@
 
   start_streams (fleet, &streams, 0, STREAMS, 120);
   fleet_fault (fleet, "p1", "kill", 0);
-  fleet_pass (fleet, 100);
+  fleet_sleep_ms (fleet, 100);
   fleet_fault (fleet, "d1", "kill", 0);
   assert_all_complete (&streams);
-  assert_int_equal (fleet_sum (fleet, "engines", "deaths"), 2);
-  fleet_until_free (fleet);
+  assert_int_equal (fleet_sum_ledger (fleet, "engines", "deaths"), 2);
+  fleet_wait_kv_freed (fleet);
 }
 
 static void
@@ -95,11 +95,11 @@
   fleet_fault (fleet, "d2", "drop", 0);
   fleet_fault (fleet, "d3", "drop", 0);
   assert_all_complete (&streams);
-  for (int i = 1; i <= FLEET_INSTANCES; i++)
+  for (int i = 1; i <= FLEET_N_INSTANCES; i++)
     n_resumes += fleet_counter (fleet, i, "mangofork_resumes_total");
   assert_true (n_resumes > 0);
-  assert_int_equal (fleet_sum (fleet, "engines", "deaths"), 0);
-  fleet_until_free (fleet);
+  assert_int_equal (fleet_sum_ledger (fleet, "engines", "deaths"), 0);
+  fleet_wait_kv_freed (fleet);
 }
 
 static void
@@ -112,7 +112,7 @@
   fleet_fault (fleet, "d1", "stall", 8000);
   fleet_fault (fleet, "d2", "slow", 20);
   assert_all_complete (&streams);
-  fleet_until_free (fleet);
+  fleet_wait_kv_freed (fleet);
 }
 
 static void
@@ -122,12 +122,12 @@
   Streams streams;
 
   start_streams (fleet, &streams, 1, 5, LONG_TOKENS);
-  assert_true (fleet_held (fleet) >= 5);
+  assert_true (fleet_n_kv_entries (fleet) >= 5);
   fleet_signal (fleet, 1, SIGKILL);
-  fleet_until_free (fleet);
-  assert_true (fleet_sum (fleet, "engines", "owner_cancels") > 0);
+  fleet_wait_kv_freed (fleet);
+  assert_true (fleet_sum_ledger (fleet, "engines", "owner_cancels") > 0);
   fleet_start (fleet, 1);
-  fleet_until_ready (fleet, 1);
+  fleet_wait_ready (fleet, 1);
   start_streams (fleet, &streams, 0, STREAMS, 20);
   assert_all_complete (&streams);
 }
@@ -140,10 +140,10 @@
 
   start_streams (fleet, &streams, 1, 3, 600);
   fleet_signal (fleet, 1, SIGSTOP);
-  fleet_pass (fleet, 6000);
+  fleet_sleep_ms (fleet, 6000);
   fleet_signal (fleet, 1, SIGCONT);
   assert_all_complete (&streams);
-  fleet_until_free (fleet);
+  fleet_wait_kv_freed (fleet);
 }
 
 static bool
@@ -151,7 +151,7 @@
 {
   const uint64_t *n = data;
 
-  return fleet_sum (fleet, "engines", "prefills") >= *n;
+  return fleet_sum_ledger (fleet, "engines", "prefills") >= *n;
 }
 
 static void
@@ -170,16 +170,16 @@
       prefill[1] = (char)('0' + i);
       fleet_fault (fleet, prefill, "stall", 700);
     }
-  n_prefills += fleet_sum (fleet, "engines", "prefills");
-  streams.callers[0] = fleet_complete (fleet, 1, "prefilling", LONG_TOKENS);
-  fleet_until (fleet, has_prefilled, &n_prefills);
-  caller_leave (streams.callers[0]);
+  n_prefills += fleet_sum_ledger (fleet, "engines", "prefills");
+  streams.callers[0] = fleet_send_completion (fleet, 1, "prefilling", LONG_TOKENS);
+  fleet_wait_until (fleet, has_prefilled, &n_prefills);
+  caller_disconnect (streams.callers[0]);
   /* More than the engines decode at once, so that some leave while they are queued. */
   for (unsigned i = 0; i < 90; i++)
-    fleet_complete (fleet, (int)(i % FLEET_INSTANCES) + 1, "queued", LONG_TOKENS);
-  fleet_pass (fleet, 1500);
-  fleet_leave_all (fleet);
-  fleet_until_free (fleet);
+    fleet_send_completion (fleet, (int)(i % FLEET_N_INSTANCES) + 1, "queued", LONG_TOKENS);
+  fleet_sleep_ms (fleet, 1500);
+  fleet_disconnect_callers (fleet);
+  fleet_wait_kv_freed (fleet);
   start_streams (fleet, &streams, 0, STREAMS, 20);
   assert_all_complete (&streams);
 }
@@ -193,15 +193,15 @@
 
   start_streams (fleet, &streams, 1, 6, 250);
   fleet_signal (fleet, 1, SIGTERM);
-  fleet_pass (fleet, 600);
-  late = fleet_complete (fleet, 1, "late", 10);
-  caller_finish (late);
+  fleet_sleep_ms (fleet, 600);
+  late = fleet_send_completion (fleet, 1, "late", 10);
+  caller_wait (late);
   assert_int_not_equal (caller_status (late), 200);
   if (caller_status (late) != 0)
     assert_string_equal (caller_outcome (late), "not-run");
   assert_all_complete (&streams);
-  assert_int_equal (fleet_exit_code (fleet, 1), 0);
-  fleet_until_free (fleet);
+  assert_int_equal (fleet_wait_exit_code (fleet, 1), 0);
+  fleet_wait_kv_freed (fleet);
 }
 
 static void
@@ -216,15 +216,15 @@
   fleet_signal (fleet, 1, SIGTERM);
   fleet_signal (fleet, 2, SIGKILL);
   assert_all_complete (&streams);
-  assert_int_equal (fleet_exit_code (fleet, 1), 0);
+  assert_int_equal (fleet_wait_exit_code (fleet, 1), 0);
   fleet_start (fleet, 1);
   fleet_start (fleet, 2);
-  fleet_until_ready (fleet, 1);
-  fleet_until_ready (fleet, 2);
+  fleet_wait_ready (fleet, 1);
+  fleet_wait_ready (fleet, 2);
   start_streams (fleet, &streams, 0, STREAMS, 20);
   assert_all_complete (&streams);
   assert_all_complete (&staying);
-  fleet_until_free (fleet);
+  fleet_wait_kv_freed (fleet);
 }
 
 static void
@@ -236,14 +236,14 @@
   start_streams (fleet, &streams, 0, STREAMS, 300);
   for (int i = 0; i < 6; i++)
     {
-      Caller *poison = fleet_prompt (fleet, i % FLEET_INSTANCES + 1, "POISON");
+      Caller *poison = fleet_send_prompt (fleet, i % FLEET_N_INSTANCES + 1, "POISON");
 
-      caller_finish (poison);
+      caller_wait (poison);
       assert_int_not_equal (caller_status (poison), 200);
       assert_string_not_equal (caller_outcome (poison), "not-run");
-      fleet_pass (fleet, 300);
+      fleet_sleep_ms (fleet, 300);
     }
-  assert_true (fleet_sum (fleet, "engines", "deaths") <= 2);
+  assert_true (fleet_sum_ledger (fleet, "engines", "deaths") <= 2);
   assert_all_complete (&streams);
 }
 
@@ -257,11 +257,11 @@
   start_streams (fleet, &streams, 0, STREAMS, 30);
   fleet_fault (fleet, "d2", "leave", 0);
   assert_all_complete (&streams);
-  fleet_pass (fleet, 3000);
-  n_refused = fleet_sum (fleet, "engines", "refused");
+  fleet_sleep_ms (fleet, 3000);
+  n_refused = fleet_sum_ledger (fleet, "engines", "refused");
   start_streams (fleet, &streams, 0, STREAMS, 30);
   assert_all_complete (&streams);
-  assert_int_equal (fleet_sum (fleet, "engines", "refused"), n_refused);
+  assert_int_equal (fleet_sum_ledger (fleet, "engines", "refused"), n_refused);
 }
 
 int
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -34,25 +34,25 @@
 {
   struct ev_loop *loop;
   FakeStore *store;
-  FakeWire *upstreams[2];
+  FakeUpstream *upstreams[2];
   MfRelay *relay;
   int out;
   char received[65536];
 } Fixture;
 
 static void
-on_upstream (FakeWireConn *conn, const char *text, void *data)
+on_upstream (FakeUpstreamConn *conn, const char *text, void *data)
 {
   char id[64] = "";
   char answer[256];
 
   (void)data;
-  fake_wire_header (text, "X-Attempt-Id", id, sizeof id);
+  fake_upstream_request_header (text, "X-Attempt-Id", id, sizeof id);
   snprintf (
       answer, sizeof answer,
       "HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Response-Seal: s\r\nContent-Length: 2\r\n\r\nok",
       id);
-  fake_wire_send (conn, answer);
+  fake_upstream_conn_send (conn, answer);
 }
 
 static void
@@ -75,8 +75,8 @@
   char id[8];
 
   snprintf (id, sizeof id, "u%u", index);
-  fake_store_put_upstream (fixture->store, id, "s", fake_wire_address (fixture->upstreams[index]),
-                           "", state);
+  fake_store_put_upstream (fixture->store, id, "s",
+                           fake_upstream_address (fixture->upstreams[index]), "", state);
 }
 
 /* peers is the address for other instances; empty: none. */
@@ -98,7 +98,7 @@
            CHANGE_MS, peers);
   fclose (file);
   for (unsigned i = 0; i < 2; i++)
-    fixture->upstreams[i] = fake_wire_new (fixture->loop, on_upstream, fixture);
+    fixture->upstreams[i] = fake_upstream_new (fixture->loop, on_upstream, fixture);
   fixture->out = dup (STDOUT_FILENO);
   fixture->relay = mf_relay_new (&platform_deployment, SETTINGS, &error);
   assert_non_null (fixture->relay);
@@ -115,7 +115,7 @@
 {
   mf_relay_free (fixture->relay);
   for (unsigned i = 0; i < 2; i++)
-    fake_wire_free (fixture->upstreams[i]);
+    fake_upstream_free (fixture->upstreams[i]);
   fake_store_free (fixture->store);
   close (fixture->out);
   unlink (SETTINGS);
@@ -220,11 +220,11 @@
   upstream_put (&fixture, 1, "ready");
   upstream_put (&fixture, 0, "draining");
   loop_spin (fixture.loop, 400);
-  n_before = fake_wire_n_requests (fixture.upstreams[0]);
+  n_before = fake_upstream_n_requests (fixture.upstreams[0]);
   for (unsigned i = 0; i < 10; i++)
     assert_int_equal (status_of (&fixture, PORT, "/a/1"), 200);
-  assert_int_equal (fake_wire_n_requests (fixture.upstreams[0]), n_before);
-  assert_true (fake_wire_n_requests (fixture.upstreams[1]) >= 10);
+  assert_int_equal (fake_upstream_n_requests (fixture.upstreams[0]), n_before);
+  assert_true (fake_upstream_n_requests (fixture.upstreams[1]) >= 10);
   /* An entry that is removed without a drain, and an invalid entry. */
   fake_store_remove (fixture.store, "servers/u1");
   wait_for (&fixture, PORT, "/a/1", 503);
@@ -243,7 +243,7 @@
 
   (void)state;
   fixture_begin (&fixture);
-  for (unsigned i = 0; i < FAKE_STORE_PAGE * 2; i++)
+  for (unsigned i = 0; i < FAKE_STORE_PAGE_ITEMS * 2; i++)
     {
       char id[8];
 
@@ -259,8 +259,8 @@
 static void
 test_store_outages_of_every_kind (void **state)
 {
-  static const FakeStoreMood states[]
-      = { FAKE_STORE_BUSY, FAKE_STORE_MANY, FAKE_STORE_RESETS, FAKE_STORE_SILENT };
+  static const FakeStoreMode states[]
+      = { FAKE_STORE_BUSY, FAKE_STORE_TOO_MANY_REQUESTS, FAKE_STORE_RESETS, FAKE_STORE_SILENT };
   Fixture fixture;
 
   (void)state;
@@ -275,13 +275,13 @@
 
       snprintf (prefix, sizeof prefix, "/%u/", i);
       snprintf (path, sizeof path, "/%u/x", i);
-      fake_store_mood (fixture.store, states[i]);
+      fake_store_set_mode (fixture.store, states[i]);
       loop_spin (fixture.loop, 100);
       assert_int_equal (status_of (&fixture, READY_PORT, "/ready"), 200);
       config_put (&fixture, i + 2, prefix);
       /* After the outage the history of changes is not available. */
-      fake_store_forget (fixture.store);
-      fake_store_mood (fixture.store, FAKE_STORE_SERVES);
+      fake_store_drop_history (fixture.store);
+      fake_store_set_mode (fixture.store, FAKE_STORE_SERVES);
       wait_for (&fixture, PORT, path, 200);
     }
   fixture_end (&fixture);
@@ -300,11 +300,11 @@
   upstream_put (&fixture, 0, "ready");
   upstream_put (&fixture, 1, "ready");
   wait_for (&fixture, PORT, "/a/1", 200);
-  fake_store_mood (fixture.store, FAKE_STORE_BUSY);
+  fake_store_set_mode (fixture.store, FAKE_STORE_BUSY);
   loop_spin (fixture.loop, 600);
   fake_store_remove (fixture.store, "servers/u0");
   fake_store_remove (fixture.store, "servers/u1");
-  fake_store_mood (fixture.store, FAKE_STORE_SERVES);
+  fake_store_set_mode (fixture.store, FAKE_STORE_SERVES);
   loop_spin (fixture.loop, 300);
   assert_int_equal (status_of (&fixture, PORT, "/a/1"), 200);
   upstream_put (&fixture, 1, "ready");
@@ -477,7 +477,7 @@
   snprintf (value, sizeof value,
             "{\"service\":\"s\",\"address\":\"%s\",\"zone\":\"z\",\"version\":1,\"slots\":4,"
             "\"state\":\"draining\",\"coldRemainingMs\":0,\"sequence\":2}",
-            fake_wire_address (fixture->upstreams[0]));
+            fake_upstream_address (fixture->upstreams[0]));
   assert_true (mf_feed_add (&feed, "servers/u0", revision + 1, false, value, strlen (value)));
   feed_send (&peer_fixture, &feed, revision + 1);
   wait_for (fixture, PORT, "/a/1", 503);
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -31,8 +31,8 @@
 engine_new (Engine *engine)
 {
   const FakeCoresOptions options
-      = { .n_slots = N_INSTANCES, .n_data_centres = 3, .delay_us = MF_US_PER_MS, .seed = 8 };
-  char *text = fake_text (&(FakeTextOptions){
+      = { .n_instances = N_INSTANCES, .n_data_centres = 3, .delay_us = MF_US_PER_MS, .seed = 8 };
+  char *text = fake_config_text (&(FakeConfigTextOptions){
       .n_upstreams = 1, .slots = SLOTS, .version = "", .checks_fencing = true });
 
   *engine = (Engine){ .cores = fake_cores_new (&options) };
@@ -190,8 +190,8 @@
   engine_new (&engine);
   for (uint32_t i = 0; i < N_INSTANCES; i++)
     {
-      fake_cores_cut (engine.cores, 0, i, true);
-      fake_cores_cut (engine.cores, i, 0, true);
+      fake_cores_set_link_cut (engine.cores, 0, i, true);
+      fake_cores_set_link_cut (engine.cores, i, 0, true);
     }
   fake_cores_start (engine.cores, 0);
   core = fake_cores_core (engine.cores, 0);
--- a/tests/test_walk.c
+++ b/tests/test_walk.c
@@ -90,10 +90,10 @@
       fake_engine_restart (rig_engine (rig, engine), now_us);
       break;
     case 2:
-      rig_freeze (rig, engine, now_us + random_below (state, 3 * MF_US_PER_S));
+      rig_pause_engine (rig, engine, now_us + random_below (state, 3 * MF_US_PER_S));
       break;
     case 3:
-      fake_engine_slow (rig_engine (rig, engine), 10 + (uint32_t)random_below (state, 90));
+      fake_engine_set_speed (rig_engine (rig, engine), 10 + (uint32_t)random_below (state, 90));
       break;
     case 4:
       fake_engine_stall_link (rig_engine (rig, (uint32_t)random_below (state, N_PREFILL)), now_us,
@@ -109,7 +109,7 @@
       rig_plain (rig, plain)->speed_percent = 10 + (uint32_t)random_below (state, 90);
       break;
     }
-  rig_touch (rig, engine);
+  rig_update_engine (rig, engine);
 }
 
 static void
@@ -119,7 +119,7 @@
     {
       if (fake_engine_is_dead (rig_engine (rig, i)))
         fake_engine_restart (rig_engine (rig, i), rig_now_us (rig));
-      rig_touch (rig, i);
+      rig_update_engine (rig, i);
     }
   for (uint32_t i = 0; i < 2; i++)
     *rig_plain (rig, i) = (RigPlain){ .workers = rig_plain (rig, i)->workers,
@@ -132,11 +132,11 @@
 check_request (const RigRequest *request, bool at_end)
 {
   assert_true (request->n_ends <= 1);
-  assert_false (request->garbled);
+  assert_false (request->corrupt);
   if (request->service == 2)
     assert_true (request->n_sent <= 1 && request->n_runs <= 1);
   if (request->n_ends == 1 && request->code == MF_CODE_OK)
-    assert_true (rig_is_whole (request));
+    assert_true (rig_request_is_complete (request));
   if (request->n_ends == 1 && request->code != MF_CODE_OK && request->outcome == MF_OUTCOME_NOT_RUN)
     assert_false (request->ran);
   if (at_end && !request->departed)
@@ -146,7 +146,7 @@
 static void
 check_all (Rig *rig, bool at_end)
 {
-  for (uint32_t i = 0; i < rig_request_count (rig); i++)
+  for (uint32_t i = 0; i < rig_n_requests (rig); i++)
     check_request (rig_request (rig, i), at_end);
 }
 
@@ -172,7 +172,7 @@
   repair_all (rig);
   rig_run (rig, end_us + SETTLE_US);
   check_all (rig, true);
-  assert_int_equal (rig_held (rig), 0);
+  assert_int_equal (rig_n_kv_entries (rig), 0);
   rig_free (rig);
 }
 
@@ -211,7 +211,7 @@
   for (uint32_t i = 0; i < 4; i++)
     deaths += fake_engine_ledger (rig_engine (rig, i))->deaths;
   assert_int_equal (deaths, 2);
-  for (uint32_t i = 0; i < rig_request_count (rig); i++)
+  for (uint32_t i = 0; i < rig_n_requests (rig); i++)
     {
       const RigRequest *request = rig_request (rig, i);
 
@@ -239,7 +239,7 @@
   rig_run (rig, rig_now_us (rig) + 20 * MF_US_PER_S);
   assert_true (rig_has_exited (rig, 0));
   assert_false (rig_core (rig, 0)->board.ready);
-  for (uint32_t i = 0; i < rig_request_count (rig); i++)
+  for (uint32_t i = 0; i < rig_n_requests (rig); i++)
     {
       const RigRequest *request = rig_request (rig, i);
 
@@ -250,7 +250,7 @@
         assert_int_equal (request->code, MF_CODE_OK);
       check_request (request, true);
     }
-  assert_int_equal (rig_held (rig), 0);
+  assert_int_equal (rig_n_kv_entries (rig), 0);
   rig_free (rig);
 }
 
@@ -274,7 +274,7 @@
   tokens = fake_engine_ledger (rig_engine (rig, N_PREFILL))->refused;
   rig_run (rig, rig_now_us (rig) + 20 * MF_US_PER_S);
   assert_int_equal (fake_engine_ledger (rig_engine (rig, N_PREFILL))->refused, tokens);
-  for (uint32_t i = 0; i < rig_request_count (rig); i++)
+  for (uint32_t i = 0; i < rig_n_requests (rig); i++)
     check_request (rig_request (rig, i), true);
   rig_free (rig);
 }
@@ -296,10 +296,10 @@
       send_requests (rigs[naive], &seed, 150);
       rig_run (rigs[naive], rig_now_us (rigs[naive]) + 5 * MF_US_PER_S);
       fake_engine_kill (rig_engine (rigs[naive], N_PREFILL), rig_now_us (rigs[naive]));
-      rig_touch (rigs[naive], N_PREFILL);
+      rig_update_engine (rigs[naive], N_PREFILL);
       rig_run (rigs[naive], rig_now_us (rigs[naive]) + SETTLE_US);
     }
-  for (uint32_t i = 0; i < rig_request_count (rigs[0]); i++)
+  for (uint32_t i = 0; i < rig_n_requests (rigs[0]); i++)
     {
       const RigRequest *router = rig_request (rigs[0], i);
       const RigRequest *naive = rig_request (rigs[1], i);
@@ -308,7 +308,7 @@
       if (router->departed)
         continue;
       assert_int_equal (router->code, MF_CODE_OK);
-      if (naive->code == MF_CODE_OK && !naive->garbled)
+      if (naive->code == MF_CODE_OK && !naive->corrupt)
         assert_int_equal (router->n_tokens, naive->n_tokens);
     }
   rig_free (rigs[0]);
