--- a/tests/fakes/cores.c
+++ b/tests/fakes/cores.c
@@ -15,7 +15,7 @@
 #define CONNECT_TIMEOUT_US MF_US_PER_S
 #define SEQUENCE_BITS 24
 
-/* Something that will happen to one incarnation of a slot. */
+/* An event scheduled for one incarnation of an instance; dropped when that has ended. */
 typedef struct
 {
   MfHeapNode node; /* first member */
@@ -24,7 +24,7 @@
   uint64_t incarnation;
   MfEvent event;
   MfFrame *frame;
-  bool is_watch; /* a platform answer that was waiting for a change */
+  bool is_watch; /* answer to a platform read that waits for a change */
   uint32_t watch_id;
 } PendingEvent;
 
@@ -34,7 +34,7 @@
   uint64_t incarnation;
   uint64_t paused_until_us;
   FakePlatformState platform;
-  uint32_t text_watch_id; /* number of the waiting read, 0 for none */
+  uint32_t text_watch_id; /* of the platform read that waits; 0 for none */
   uint64_t bytes_sent;
   uint64_t n_messages_sent;
   MfListedInstance listed;
@@ -53,7 +53,7 @@
   uint64_t sequence;
   MfHeap heap;
   Instance *instances;
-  bool *cut; /* from * n_instances + to */
+  bool *cut; /* indexed by from * n_instances + to */
   Link links[LINKS_MAX];
   uint32_t n_links;
   char *texts[64];
@@ -61,17 +61,17 @@
   uint32_t n_texts;
   uint32_t n_watches;
   uint64_t n_platform_calls;
-  uint64_t busy_ns; /* spent in slot 0 and its codec */
+  uint64_t busy_ns; /* spent in the steps of instance 0 and in decoding its messages */
 };
 
-/* One slot as the action function's data. */
+/* Data of the action function: the instance whose core calls it. */
 typedef struct
 {
   FakeCores *cores;
   uint32_t instance;
 } ActionContext;
 
-/* Equal times keep their order: they are the order of messages on a link. */
+/* Events with equal times keep their order, so that messages on a link are not reordered. */
 static void
 queue_push (FakeCores *cores, PendingEvent *pending, uint64_t at_us)
 {
@@ -158,7 +158,7 @@
     }
 }
 
-/* Returns the other end of a link, or -1 when that incarnation has ended. */
+/* Returns the instance at the other end of a link, or -1 if the incarnation there has ended. */
 static int64_t
 link_other (const FakeCores *cores, uint32_t instance, uint32_t link_id)
 {
@@ -440,7 +440,7 @@
   step (cores, instance, event);
 }
 
-/* When a slot next has to be ticked. */
+/* Returns when an instance next needs a tick. */
 static uint64_t
 instance_next_us (const Instance *instance)
 {
--- a/tests/fakes/engine_http.c
+++ b/tests/fakes/engine_http.c
@@ -19,12 +19,12 @@
 #define RID_BYTES 160
 #define TAG_BYTES 32
 
-/* One piece of work as its connection sees it. */
+/* A piece of work and the connection that its events are sent to. */
 typedef struct
 {
   char rid[RID_BYTES];
   FakeWorkId id;
-  FakeConn *conn; /* NULL once the connection is gone */
+  FakeConn *conn; /* NULL once the connection has closed */
   char tag[TAG_BYTES];
   bool chat;
   bool decode;
@@ -39,9 +39,9 @@
   FakeHttp *http;
   ev_timer run_timer;
   ev_timer restart_timer;
-  uint64_t restart_us;        /* after a death; 0 for never */
-  char poison[MF_NAME_BYTES]; /* a prompt that holds this kills the engine */
-  bool silent;                /* takes requests and never answers */
+  uint64_t restart_us;        /* delay between a crash and the restart; 0: no restart */
+  char poison[MF_NAME_BYTES]; /* a prompt that contains this crashes the engine */
+  bool silent;                /* reads requests and never answers */
   uint64_t n_calls[MF_CALL_COUNT];
   uint64_t n_refused;
   Work *works;
@@ -55,7 +55,8 @@
   return mf_clock_now_us ();
 }
 
-/* Sets the timer of every engine: work on one may change when another is due. */
+/* Updates the timers of all engines, as an import at one engine affects the engine it reads from.
+ */
 static void
 update_timers (FakeEngineHttp *engine)
 {
@@ -91,7 +92,7 @@
   free (work);
 }
 
-/* Forgets all work; what is connected is reset. */
+/* Frees all work and resets its connections. */
 static void
 drop_all_work (FakeEngineHttp *engine)
 {
@@ -175,7 +176,8 @@
     fake_conn_answer (conn, 503, headers, "{}", 2);
 }
 
-/* The prompt of a completion, or the contents of a chat's messages one after another. */
+/* Appends the prompt of a completion, or the concatenated contents of a chat's messages, and a
+ * terminating NUL. */
 static void
 read_prompt (json_object *body, MfBuffer *prompt, bool *chat)
 {
@@ -196,7 +198,7 @@
   mf_buffer_add (prompt, "", 1);
 }
 
-/* Reads `[key value]` out of a prompt. */
+/* Copies the value of an option written as `[key value]` in a prompt. Returns false if absent. */
 static bool
 read_prompt_option (const char *prompt, const char *key, char *value, size_t value_bytes)
 {
@@ -216,7 +218,7 @@
   return true;
 }
 
-/* Makes a piece of work of a completion's body. hashes must outlive it. */
+/* Creates a piece of work from the body of a completion. model_work refers to hashes. */
 static Work *
 read_work (FakeEngineHttp *engine, const FakeHttpRequest *request, json_object *body,
            FakeWork *model_work, uint64_t hashes[MF_PREFIX_HASHES_MAX])
@@ -320,7 +322,7 @@
   fake_conn_send (conn, ": imported\n\n", 12);
 }
 
-/* Ends the connection of work that is freed under it. */
+/* Frees work and resets its connection. */
 static void
 work_disconnect (FakeEngineHttp *engine, Work *work)
 {
@@ -562,7 +564,7 @@
     }
 }
 
-/* The engine is dead: its port closes and its connections are reset. */
+/* The engine has crashed: closes its port, resets its connections and schedules the restart. */
 static void
 on_death (FakeEngineHttp *engine)
 {
@@ -648,7 +650,7 @@
     fake_engine_leave (engine->model);
   else if (strcmp (kind, "drop") == 0)
     {
-      /* Connections are reset; what they fed lives on. */
+      /* Resets the connections; their work is detached, not freed. */
       fake_http_stop (engine->http);
       fake_http_start (engine->http);
     }
--- a/tests/fakes/engine_model.c
+++ b/tests/fakes/engine_model.c
@@ -5,7 +5,7 @@
 
 #define FULL_SPEED_PERCENT 100
 #define PPM 1000000
-/* Load reports and cache events remembered, for lags. */
+/* Capacity of the histories from which delayed load reports and cache events are served. */
 #define SNAPSHOTS 512
 #define CACHE_EVENTS 4096
 #define SNAPSHOT_PERIOD_US (2 * MF_US_PER_MS)
@@ -14,7 +14,7 @@
 {
   WORK_WAITING,
   WORK_PREFILLING,
-  WORK_EXPORTING, /* prefilled; KV waits or is being read */
+  WORK_EXPORTING, /* prefilled; the KV waits for its import or is being imported */
   WORK_IMPORTING,
   WORK_DECODING,
   WORK_DETACHED,
@@ -22,19 +22,19 @@
 
 typedef struct
 {
-  FakeWork work; /* prefix_hashes points nowhere after the start */
+  FakeWork work; /* its prefix_hashes is NULL; the copy below is used */
   WorkState state;
   uint64_t sequence; /* order of arrival */
   uint32_t pieces;
-  uint32_t computed_tokens; /* prefill: without the cached ones */
+  uint32_t computed_tokens; /* prefill: not found in the cache */
   uint64_t started_us;
-  uint64_t due_us;     /* prefilling, importing: when done; exporting, detached: when dropped */
+  uint64_t due_us;     /* prefilling, importing: when finished; exporting, detached: when freed */
   uint64_t kv_handle;  /* exporting */
-  bool import_started; /* exporting: a decode engine reads it */
+  bool import_started; /* exporting: a decode engine imports it */
   FakeEngine *source;  /* importing */
   uint64_t source_incarnation;
   bool link_stall_applied;
-  bool misses_expiry; /* importing: the link is not free before the KV expires */
+  bool misses_expiry; /* importing: the link is busy until after the KV expires */
   uint32_t next_token;
   uint32_t n_tokens_made;
   uint64_t prefix_hashes[MF_PREFIX_HASHES_MAX];
@@ -63,7 +63,7 @@
   MfRole role;
   bool dead;
   bool leaving;
-  bool death_event_pending; /* FAKE_DIED has still to be told */
+  bool death_event_pending; /* FAKE_DIED has not been reported yet */
   uint64_t incarnation;
   uint64_t stall_until_us;
   uint64_t link_free_us;
@@ -76,13 +76,13 @@
   uint32_t pieces_used;
   uint64_t next_sequence;
   uint64_t next_handle;
-  uint64_t step_due_us; /* 0 when nothing decodes */
+  uint64_t step_due_us; /* end of the current decode step; 0 when nothing decodes */
   uint64_t step_start_us;
   uint64_t *cache; /* salted hashes, least recently used first */
   uint32_t n_cache;
   CacheEvent events[CACHE_EVENTS];
-  uint64_t next_event_number; /* number of the next cache event */
-  uint64_t n_events;          /* written to the ring */
+  uint64_t next_event_number; /* of cache events */
+  uint64_t n_events;          /* ever written to the ring events */
   Snapshot snapshots[SNAPSHOTS];
   uint64_t n_snapshots;
   uint64_t random_state;
@@ -165,7 +165,7 @@
   return n;
 }
 
-/* Remembers the load as it is now, for reports that lag. */
+/* Records the current load, from which delayed load reports are served. */
 static void
 snapshot_add (FakeEngine *engine, uint64_t now_us)
 {
@@ -196,7 +196,7 @@
       = (CacheEvent){ .number = number, .at_us = now_us, .hash = hash, .stored = stored };
 }
 
-/* Returns the place of a salted hash in the cache, or n_cache. */
+/* Returns the index of a salted hash in the cache, or n_cache if it is absent. */
 static uint32_t
 cache_find (const FakeEngine *engine, uint64_t hash)
 {
@@ -234,7 +234,7 @@
   engine->cache[engine->n_cache++] = hash;
 }
 
-/* Returns how many tokens at the prompt's start the cache holds. */
+/* Returns the length of the longest cached prefix of the prompt, in tokens. */
 static uint32_t
 cache_hit_tokens (const FakeEngine *engine, const Work *work)
 {
@@ -289,7 +289,7 @@
   return work;
 }
 
-/* Counts the prefill that went into this work as wasted when no decode has used it. */
+/* Counts the prefill tokens computed for this work as wasted if no decode has used them. */
 static void
 count_wasted_tokens (FakeEngine *engine, const Work *work, uint64_t now_us)
 {
@@ -341,7 +341,7 @@
   return false;
 }
 
-/* Starts the next waiting prefill when none runs. */
+/* Starts the next waiting prefill if none is running. */
 static void
 prefill_next (FakeEngine *engine, uint64_t now_us)
 {
@@ -458,7 +458,7 @@
   func (engine, &event, data);
 }
 
-/* Pushes an import back by the part of a stall of its link that falls into it. */
+/* Delays an import by the part of a link stall that overlaps it. Returns whether it was delayed. */
 static bool
 delay_import (Work *work)
 {
@@ -475,7 +475,7 @@
   return true;
 }
 
-/* Makes one token of each stream that was there when the step began. */
+/* Generates one token for each stream that was decoding when the step started. */
 static void
 finish_step (FakeEngine *engine, FakeEventFunc func, void *data)
 {
@@ -574,7 +574,7 @@
   return NULL;
 }
 
-/* Takes the link of source for an import that may begin now. */
+/* Reserves the link of source for an import, which starts when the link is free. */
 static void
 schedule_import (FakeEngine *source, Work *export, Work *import, uint64_t now_us)
 {
@@ -703,7 +703,7 @@
   return next_us;
 }
 
-/* Ends whatever of this work is due. */
+/* Finishes the phase of this work that is due. */
 static void
 work_run (FakeEngine *engine, Work *work, FakeEventFunc func, void *data)
 {
--- a/tests/fakes/http.c
+++ b/tests/fakes/http.c
@@ -23,9 +23,9 @@
   ev_io write_watcher;
   MfBuffer in;
   MfBuffer out;
-  bool answering; /* a request is being answered */
-  bool closing;   /* to be closed from the loop */
-  bool reset;     /* by a reset rather than an orderly end */
+  bool answering; /* a request has been passed on and its answer has not ended */
+  bool closing;   /* closed when the event loop next runs */
+  bool reset;     /* close with a TCP reset */
   FakeConn *next;
   FakeConn *previous;
 };
@@ -73,7 +73,7 @@
   conn_free (conn, reset);
 }
 
-/* Writes what it can; what is left goes out when the socket takes it. */
+/* Sends as much as the socket accepts, and the rest when it is writable. */
 static void
 conn_flush (FakeConn *conn)
 {
@@ -160,7 +160,7 @@
   ev_feed_event (conn->http->loop, &conn->read_watcher, EV_READ);
 }
 
-/* Copies a header's value; "" when it is not there. */
+/* Copies the value of a header; "" if it is absent. */
 static void
 header_get (const char *head, const char *name, char *value)
 {
@@ -206,7 +206,7 @@
     }
 }
 
-/* Hands on a request whose head, closed by NUL, and body have arrived. */
+/* Passes a complete request to on_request. head is NUL-terminated and is modified. */
 static void
 conn_handle_request (FakeConn *conn, char *head, const char *body, size_t body_bytes)
 {
@@ -242,7 +242,8 @@
     conn->http->callbacks.on_request (conn, &request, conn->http->data);
 }
 
-/* Takes one whole request out of what has been read. Returns false when there is none. */
+/* Removes one complete request from the input buffer and handles it. Returns false if there is
+ * none. */
 static bool
 conn_parse (FakeConn *conn)
 {
--- a/tests/fakes/http.h
+++ b/tests/fakes/http.h
@@ -5,12 +5,12 @@
 
 #include <ev.h>
 
-/* A small HTTP/1.1 server whose connections can be cut at will. One request at a time on a
- * connection; bodies need a Content-Length. */
+/* A minimal HTTP/1.1 server whose connections can be closed or reset at any point. It handles one
+ * request at a time on each connection; request bodies need a Content-Length. */
 typedef struct FakeHttp FakeHttp;
 typedef struct FakeConn FakeConn;
 
-/* Strings are borrowed for the duration of on_request and never NULL. */
+/* The strings are valid during on_request only and are never NULL. */
 typedef struct
 {
   const char *method;
@@ -25,9 +25,9 @@
 
 typedef struct
 {
-  /* The connection is lent until its answer has ended or on_closed was called. */
+  /* The connection may be used until its answer has ended or on_closed has been called. */
   void (*on_request) (FakeConn *conn, const FakeHttpRequest *request, void *data);
-  /* The other side left, or the server was stopped, before the answer had ended. */
+  /* The client closed the connection, or the server was stopped, before the answer had ended. */
   void (*on_closed) (FakeConn *conn, void *data);
 } FakeHttpCallbacks;
 
@@ -41,16 +41,17 @@
 
 void fake_conn_answer (FakeConn *conn, unsigned status, const char *headers, const char *body,
                        size_t body_bytes);
-/* Streams: begin, any number of sends, end. */
+/* A streamed answer: one begin, any number of sends, one end. */
 void fake_conn_begin (FakeConn *conn);
 void fake_conn_send (FakeConn *conn, const char *data, size_t data_bytes);
 void fake_conn_end (FakeConn *conn);
-/* Writes bytes as they are, for answers that break off. */
+/* Sends bytes without HTTP framing, for truncated answers. */
 void fake_conn_send_raw (FakeConn *conn, const char *data, size_t data_bytes);
-/* Closes the connection from the loop, by a reset or in order; on_closed is not called. */
+/* Closes the connection, with a TCP reset or in order, when the event loop next runs. on_closed is
+ * not called. */
 void fake_conn_close (FakeConn *conn, bool reset);
 
-/* Copies the value of a query's key; "" when it is not there. */
+/* Copies the value of a key of a query string; "" if the key is absent. */
 void fake_query_get (const char *query, const char *key, char *value, size_t value_bytes);
 
 #endif
--- a/tests/fakes/main.c
+++ b/tests/fakes/main.c
@@ -7,9 +7,9 @@
 
 #define FILE_BYTES_MAX ((size_t)2 * 1024 * 1024)
 
-/* All stand-ins, and the port through which a test reads their ledgers and scripts their faults:
- * GET /ledger; POST /fault?target=NAME&kind=KIND&value=N&from=NAME; POST /text and POST /list with
- * a body. */
+/* All stand-ins and the control port, on which a test reads their counters, injects faults and
+ * publishes the operators' text or the list of instances: GET /ledger; POST
+ * /fault?target=NAME&kind=KIND&value=N&from=NAME; POST /text and POST /list with a body. */
 typedef struct
 {
   struct ev_loop *loop;
@@ -202,7 +202,7 @@
   fake_platform_free (fakes->platform);
 }
 
-/* usage: fakes FILE    FILE holds the settings of the stand-ins, in JSON */
+/* Usage: fakes FILE, where FILE has the settings of the stand-ins in JSON. */
 int
 main (int argc, char **argv)
 {
@@ -222,7 +222,7 @@
   free (text);
   if (settings == NULL)
     {
-      fprintf (stderr, "fakes: %s is not JSON\n", argv[1]);
+      fprintf (stderr, "fakes: %s: invalid JSON\n", argv[1]);
       return 2;
     }
   signal (SIGPIPE, SIG_IGN);
--- a/tests/fakes/plain_http.c
+++ b/tests/fakes/plain_http.c
@@ -7,7 +7,7 @@
 
 #define KEY_BYTES 128
 
-/* How often the order of one key has run. */
+/* Number of executions of the order with one key. */
 typedef struct
 {
   char key[KEY_BYTES];
@@ -15,26 +15,26 @@
   UT_hash_handle hh;
 } RunCount;
 
-/* One call that is being worked on. It runs to its end whether or not its caller stays. */
+/* A call in execution. It completes even if its connection has closed. */
 typedef struct PendingCall PendingCall;
 struct PendingCall
 {
   FakePlain *plain;
-  FakeConn *conn; /* NULL once the connection is gone */
+  FakeConn *conn; /* NULL once the connection has closed */
   ev_timer timer;
   char key[KEY_BYTES]; /* "" for a read */
   PendingCall *next;
 };
 
-/* What happens to the next calls. */
+/* Fault injected into the next calls. */
 typedef enum
 {
   PLAIN_FAULT_NONE,
-  PLAIN_FAULT_DIE_BEFORE, /* the connection is reset and nothing runs */
-  PLAIN_FAULT_DIE_AFTER,  /* the call runs, then the connection is reset */
-  PLAIN_FAULT_CUT,        /* the call runs and half of its answer arrives */
-  PLAIN_FAULT_REFUSE,     /* no room: nothing runs */
-  PLAIN_FAULT_ERROR,      /* the call runs and fails */
+  PLAIN_FAULT_DIE_BEFORE, /* the connection is reset before the call is executed */
+  PLAIN_FAULT_DIE_AFTER,  /* the call is executed, then the connection is reset */
+  PLAIN_FAULT_CUT,        /* the call is executed, but its answer is truncated */
+  PLAIN_FAULT_REFUSE,     /* the call is refused and not executed */
+  PLAIN_FAULT_ERROR,      /* the call is executed and answered with status 500 */
   PLAIN_FAULT_COUNT,
 } PlainFault;
 
@@ -51,7 +51,7 @@
   FakeHttp *http;
   uint64_t work_us;
   PlainFault fault;
-  uint64_t n_faults_left; /* calls it still befalls */
+  uint64_t n_faults_left; /* number of further calls with the fault */
   bool leaving;
   bool silent;
   uint64_t n_calls;
@@ -138,7 +138,7 @@
   fake_conn_close (conn, false);
 }
 
-/* The call has run; its answer goes out, whole or not. */
+/* Executes the call and sends its answer, or what the injected fault leaves of it. */
 static void
 on_work_timer (struct ev_loop *loop, ev_timer *timer, int events)
 {
@@ -245,7 +245,7 @@
     plain->silent = value != 0;
   else if (strcmp (kind, "kill") == 0)
     {
-      /* What it was working on dies with it. */
+      /* Calls in execution are lost. */
       fake_http_stop (plain->http);
       pending_drop_all (plain);
     }
--- a/tests/fakes/platform_http.c
+++ b/tests/fakes/platform_http.c
@@ -8,22 +8,23 @@
 #define VALUES_MAX 64
 #define WAIT_US_DEFAULT (300 * MF_US_PER_S)
 
-/* One published value and the index at which it was published. */
+/* A published value and its Consul index. */
 typedef struct
 {
   uint64_t index;
   char *value;
 } Value;
 
-/* A key with its history. What is served may lie behind what was published last. */
+/* A key with all its published values. The value served may be older than the latest one. */
 typedef struct
 {
   Value values[VALUES_MAX];
   uint32_t n_values;
-  uint32_t served_index; /* place of the value served now */
-  bool frozen;           /* new values are not served */
+  uint32_t served_index; /* of the value served now */
+  bool frozen;           /* new values are published but not served */
 } Key;
 
+/* A read that waits for its key to change, up to the timer's time. */
 typedef struct BlockingQuery BlockingQuery;
 struct BlockingQuery
 {
@@ -120,7 +121,7 @@
   query_free (queries);
 }
 
-/* Answers every read that waited for this. */
+/* Answers the blocking queries of a key whose value has changed. */
 static void
 answer_queries (FakePlatform *platform, const Key *key)
 {
@@ -226,7 +227,7 @@
 {
   if (key->n_values == VALUES_MAX)
     {
-      fprintf (stderr, "fakes: too many revisions\n");
+      fprintf (stderr, "fakes: a platform key has too many values\n");
       exit (1);
     }
   key->values[key->n_values++] = (Value){ .index = ++platform->index, .value = strdup (value) };
@@ -295,7 +296,7 @@
   return ok;
 }
 
-/* Serves an earlier value, or thaws the key and serves the last. */
+/* Serves the value n_back publications before the latest; 0 serves the latest. */
 static void
 serve_earlier_value (FakePlatform *platform, Key *key, uint64_t n_back)
 {
--- a/tests/fakes/relay.c
+++ b/tests/fakes/relay.c
@@ -13,13 +13,13 @@
 #define READ_BYTES 65536
 #define RULES_MAX 8
 
-/* What happens to the links that one instance opens through this relay. */
+/* What the proxy does with the connections that one instance opens through it. */
 typedef enum
 {
   RULE_PASS,
-  RULE_CUT,      /* links are closed, and none is let through */
-  RULE_HOLD_IN,  /* nothing arrives from the one that opened the link */
-  RULE_HOLD_OUT, /* nothing goes back to it */
+  RULE_CUT,      /* open connections are closed, new ones with their first message */
+  RULE_HOLD_IN,  /* data from the opener is held back */
+  RULE_HOLD_OUT, /* data to the opener is held back */
   RULE_COUNT,
 } Rule;
 
@@ -38,14 +38,14 @@
 
 typedef struct ProxyConn ProxyConn;
 
-/* One direction of a relayed connection: bytes read from its socket wait to be written to the
- * other's. */
+/* One socket of a proxied connection. Bytes read from it are appended to the pending bytes of the
+ * other side. */
 typedef struct
 {
   ProxyConn *conn;
   ev_io read_watcher;
   ev_io write_watcher;
-  MfBuffer pending; /* to be written to this side's socket */
+  MfBuffer pending; /* to be sent to this socket */
 } Side;
 
 struct ProxyConn
@@ -53,7 +53,7 @@
   FakePeerProxy *proxy;
   Side opener;
   Side target;
-  char from[MF_NAME_BYTES]; /* who opened it, from the first bytes; "" before */
+  char from[MF_NAME_BYTES]; /* instance that opened it; "" until its first message */
   ProxyConn *next;
 };
 
@@ -104,7 +104,7 @@
   return RULE_PASS;
 }
 
-/* Whether bytes may now be written to this side. */
+/* Returns whether the rules let bytes be sent to this side. */
 static bool
 side_can_write (const Side *side)
 {
@@ -133,7 +133,8 @@
     ev_io_stop (loop, &side->write_watcher);
 }
 
-/* The first message of a link names who opened it, in the clear. */
+/* Finds the name of the opening instance, which the first message of a link contains unencrypted.
+ */
 static void
 read_opener_name (ProxyConn *conn, const char *data, size_t data_bytes)
 {
@@ -228,7 +229,7 @@
   return &proxy->rules[proxy->n_rules++];
 }
 
-/* Sets the rule for the links that one instance opens; "" is all of them. */
+/* Sets the rule for the connections opened by the instance from; "" sets it for all instances. */
 bool
 fake_peer_proxy_fault (FakePeerProxy *proxy, const char *kind, const char *from)
 {
--- a/tests/fakes/rig.c
+++ b/tests/fakes/rig.c
@@ -18,12 +18,12 @@
 
 typedef enum
 {
-  ITEM_CORE_EVENT, /* an event for a core */
+  ITEM_CORE_EVENT, /* an event is delivered to a core */
   ITEM_CALL,       /* a call reaches its upstream */
   ITEM_ABORT,      /* the end of a call's connection reaches it */
-  ITEM_ENGINE,     /* an engine has something to do */
-  ITEM_PLAIN,      /* a plain call is done */
-  ITEM_TIMEOUT,    /* the adapter's own time limit */
+  ITEM_ENGINE,     /* an engine has work due */
+  ITEM_PLAIN,      /* a plain call has been executed */
+  ITEM_TIMEOUT,    /* a call's time limit */
 } QueueItemType;
 
 typedef struct
@@ -36,25 +36,25 @@
   uint64_t call_id;
   MfEvent event;
   char data[TOKEN_TEXT_BYTES];
-  uint64_t *hashes; /* cache events; owned */
+  uint64_t *hashes; /* of cache events; owned */
   bool *stored;
-  MfFrame *frame; /* peer messages; owned */
+  MfFrame *frame; /* of a peer message; owned */
 } QueueItem;
 
-/* One call of a core, as the adapter would keep it. */
+/* A call from a core to an upstream, with the state that the HTTP client would keep. */
 typedef struct
 {
   uint64_t key[2]; /* core, call_id */
   MfCallAction call;
-  bool ended;   /* nothing more is said of it */
-  bool arrived; /* the upstream has it */
+  bool ended;   /* no more events of it are reported to the core */
+  bool arrived; /* the upstream has received it */
   bool aborted;
   uint64_t kv_handle;
   uint32_t kv_engine;
   UT_hash_handle hh;
 } Call;
 
-/* Which call a piece of an engine's work belongs to. */
+/* Maps a piece of work at an engine to its call. */
 typedef struct
 {
   uint64_t key[4]; /* engine, core, request, attempt */
@@ -80,7 +80,7 @@
   MfCore *cores[RIG_CORES_MAX];
   uint64_t core_due_us[RIG_CORES_MAX];
   bool exited[RIG_CORES_MAX];
-  uint32_t current_core; /* the core that is being stepped */
+  uint32_t current_core; /* the core whose step is running */
   FakeEngine *engines[RIG_ENGINES_MAX];
   uint64_t engine_due_us[RIG_ENGINES_MAX];
   uint64_t paused_until_us[RIG_ENGINES_MAX];
@@ -274,7 +274,7 @@
   queue_add (rig, ITEM_ENGINE, next_us)->engine = engine;
 }
 
-/* The whole call has failed or ended. */
+/* Reports the end or failure of a call to its core, once. */
 static void
 end_call (Rig *rig, Call *call, MfEventType type, const MfCallEvent *event)
 {
@@ -288,7 +288,7 @@
   item->event.call.call_id = call->key[1];
 }
 
-/* Every call on a dead engine sees its connection break. */
+/* Fails every call at an engine that has crashed. */
 static void
 fail_calls (Rig *rig, uint32_t upstream)
 {
@@ -515,7 +515,7 @@
     }
 }
 
-/* A call reaches its upstream. */
+/* Handles a call at its upstream. */
 static void
 call_arrives (Rig *rig, Call *call)
 {
@@ -813,7 +813,7 @@
     }
 }
 
-/* Returns the core whose tick comes first. */
+/* Returns the core whose tick is due first. */
 static uint32_t
 next_core (const Rig *rig)
 {
@@ -890,7 +890,7 @@
   return len;
 }
 
-/* The operators' text for this rig. */
+/* Writes the operators' text that describes the simulated upstreams. */
 static void
 write_text (Rig *rig)
 {
@@ -960,7 +960,6 @@
   rig->core_due_us[index] = rig->now_us;
 }
 
-/* An engine of the sizes that the tests and the bench share. */
 void
 rig_engine_options (MfRole role, uint64_t seed, FakeEngineOptions *options)
 {
--- a/tests/fakes/store.c
+++ b/tests/fakes/store.c
@@ -17,13 +17,13 @@
 typedef struct
 {
   char key[KEY_BYTES];
-  char *value; /* NULL: removed */
+  char *value; /* NULL if the key was removed */
   uint64_t revision;
 } Item;
 
 typedef struct
 {
-  FakeConn *conn; /* NULL: free */
+  FakeConn *conn; /* NULL if this entry is unused */
   char prefix[KEY_BYTES];
   uint64_t after;
   ev_timer timer;
@@ -40,7 +40,7 @@
   Item events[EVENTS_MAX];
   uint32_t n_events;
   uint64_t revision;
-  uint64_t dropped_revision; /* history up to this revision is gone */
+  uint64_t dropped_revision; /* events up to this revision are no longer available */
   FakeStoreMode mode;
   Watch watches[WATCHES_MAX];
   uint32_t n_calls;
@@ -108,7 +108,7 @@
       if (strcmp (store->items[i].key, key) != 0 || store->items[i].value == NULL)
         continue;
       write_item (&body, &store->items[i]);
-      /* The item's object goes on with the revision of the read. */
+      /* Replaces the closing brace of the item by the revision of the read. */
       body.end--;
       mf_buffer_add_text (&body, ",");
       write_as_of (store, &body);
@@ -122,7 +122,7 @@
   mf_buffer_clear (&body);
 }
 
-/* The first item after a key, in the order of keys; NULL when there is none. */
+/* Returns the item with the next key after a key; NULL if there is none. */
 static const Item *
 item_after (const FakeStore *store, const char *prefix, const char *after)
 {
@@ -159,7 +159,7 @@
   mf_buffer_clear (&body);
 }
 
-/* Answers a watch; returns false when it has nothing to tell and may wait on. */
+/* Answers a watch that has events, or any watch with force. Returns whether it was answered. */
 static bool
 watch_answer (Watch *watch, bool force)
 {
--- a/tests/fakes/text.c
+++ b/tests/fakes/text.c
@@ -42,7 +42,6 @@
     }
 }
 
-/* Returns a sound text; the caller frees it. */
 char *
 fake_config_text (const FakeConfigTextOptions *options)
 {
--- a/tests/fakes/wire.c
+++ b/tests/fakes/wire.c
@@ -10,7 +10,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Pieces of a flood sent in one turn of the loop. */
+/* Number of sends of a flood in one iteration of the event loop. */
 #define FLOOD_PIECES_PER_WRITE 16
 
 struct FakeUpstreamConn
@@ -20,7 +20,7 @@
   int fd;
   ev_io read_watcher;
   ev_io write_watcher;
-  const char *flood; /* sent without end; NULL: nothing is */
+  const char *flood; /* data that is sent repeatedly; NULL if none */
   size_t flood_offset;
   size_t n_bytes;
   char bytes[FAKE_UPSTREAM_REQUEST_BYTES_MAX];
@@ -116,7 +116,7 @@
     }
 }
 
-/* Length of the first request that is whole; 0 when none is. */
+/* Returns the size of the first complete request; 0 if there is none. */
 static size_t
 request_bytes (const FakeUpstreamConn *conn)
 {
@@ -293,7 +293,7 @@
 fake_upstream_conn_send (FakeUpstreamConn *conn, const char *bytes)
 {
   if (send (conn->fd, bytes, strlen (bytes), MSG_NOSIGNAL) < 0)
-    perror ("fake wire");
+    perror ("fake upstream: send");
 }
 
 void
--- a/tests/fleet.c
+++ b/tests/fleet.c
@@ -25,13 +25,13 @@
 #define PORT_MIN 20000
 #define PORT_MAX 32000
 #define POLL_MS 10
-/* After this long a wait has come to nothing. */
+/* A wait that takes longer than this fails the test. */
 #define WAIT_MAX_US (60 * MF_US_PER_S)
 #define UPSTREAMS_PER_POOL 3
 #define TAG_BYTES 32
 #define TAIL_BYTES 400
 
-/* Offsets of the ports from the first one. */
+/* Port numbers, relative to the first port of the fleet. */
 enum
 {
   PORT_CONTROL = 0,
@@ -86,7 +86,8 @@
   return ok;
 }
 
-/* Finds a block of free ports; where the search begins differs between processes. */
+/* Finds a block of free ports. The search starts at a position that depends on the process ID, so
+ * that tests running in parallel rarely choose the same block. */
 static unsigned
 find_ports (void)
 {
@@ -103,7 +104,7 @@
       if (n == PORTS_PER_FLEET)
         return port;
     }
-  fail_msg ("no block of free ports");
+  fail_msg ("no block of 40 free ports between 20000 and 32000");
   return 0;
 }
 
@@ -221,7 +222,8 @@
     write_settings (fleet, i);
 }
 
-/* Starts a program that dies with this one and writes to a log beside its settings. */
+/* Starts a program that is killed when the test ends and whose output goes to a log file in the
+ * fleet's directory. */
 static pid_t
 spawn (const Fleet *fleet, const char *log_name, char *const argv[])
 {
@@ -274,7 +276,7 @@
   caller->failed = failed;
 }
 
-/* Moves every caller on, for at most one turn. */
+/* Lets the callers make progress, for at most POLL_MS. */
 static void
 poll_callers (Fleet *fleet)
 {
@@ -304,7 +306,7 @@
         return;
       poll_callers (fleet);
     }
-  fail_msg ("waited in vain; see %s", fleet->dir);
+  fail_msg ("condition not reached within 60 s; logs are in %s", fleet->dir);
 }
 
 void
@@ -343,7 +345,7 @@
 {
   Caller *caller = user;
 
-  /* A NUL follows the body without being a part of it. */
+  /* The body is NUL-terminated; the NUL does not count as part of it. */
   mf_buffer_add (&caller->body, data, size * n);
   mf_buffer_add (&caller->body, "", 1);
   caller->body.end--;
@@ -366,7 +368,7 @@
   return size * n;
 }
 
-/* Starts a request; body is NULL for a GET. */
+/* Starts a request: a POST, or a GET if body is NULL. */
 static Caller *
 caller_new (Fleet *fleet, unsigned port, const char *path, const char *header, const char *body)
 {
@@ -457,7 +459,7 @@
   return caller->outcome;
 }
 
-/* Returns how many tokens have come in order, or -1 when one is wrong. */
+/* Returns the number of tokens received, or -1 if one is out of order or of another answer. */
 static int
 count_tokens (const Caller *caller)
 {
@@ -742,7 +744,6 @@
   return caller->status == 200;
 }
 
-/* Waits until an instance can have a key voted on. */
 void
 fleet_wait_voting (Fleet *fleet, int instance)
 {
--- a/tests/test_process_orders.c
+++ b/tests/test_process_orders.c
@@ -25,7 +25,7 @@
   return fleet_sum_ledger (fleet, "plain", "calls") >= *n;
 }
 
-/* Sends an order and waits until an upstream has it, before it has run. */
+/* Sends an order and waits until an upstream has received it but not yet executed it. */
 static Caller *
 start_order (Fleet *fleet, int instance, const char *order)
 {
@@ -51,7 +51,8 @@
   return fleet_n_runs (fleet, data) > 0;
 }
 
-/* What any answer to a key may be: the run's own answer, or a refusal that does not deny it. */
+/* Checks an answer to an order: it is the result of the execution, or a refusal whose outcome is
+ * consistent with the number of executions, which is at most 1. */
 static void
 assert_answer_allowed (Fleet *fleet, Caller *caller, const char *order)
 {
@@ -154,7 +155,8 @@
   assert_answer_allowed (fleet, run_order (fleet, 3, "d"), "d");
 }
 
-/* The pause falls anywhere between the arrival of the order and its call. */
+/* Pauses the instance at different times between the arrival of the order and the call to its
+ * upstream: an instance that resumes must not run an order that another one has run meanwhile. */
 static void
 test_instance_paused_around_the_send (void **state)
 {
@@ -185,7 +187,8 @@
   assert_string_equal (caller_outcome (caller), "unknown");
 }
 
-/* The minority runs nothing, and cannot say that the other side ran nothing either. */
+/* An instance without a quorum must refuse the order, with the outcome "unknown", as the majority
+ * may have run it. */
 static void
 test_minority_refuses_and_runs_nothing (void **state)
 {
--- a/tests/test_process_streams.c
+++ b/tests/test_process_streams.c
@@ -11,7 +11,7 @@
 #define STREAMS 9
 #define LONG_TOKENS 4000
 
-/* Streams spread over the instances, each waited for until it has begun. */
+/* Streams that have all received their first tokens. */
 typedef struct
 {
   Caller *callers[STREAMS];
@@ -33,7 +33,8 @@
   return true;
 }
 
-/* Starts streams at one instance, or at all when instance is 0. */
+/* Starts n streams at one instance, or spread over all if instance is 0, and waits until each has
+ * received 3 tokens. */
 static void
 start_streams (Fleet *fleet, Streams *streams, int instance, unsigned n, unsigned n_tokens)
 {
@@ -174,7 +175,8 @@
   streams.callers[0] = fleet_send_completion (fleet, 1, "prefilling", LONG_TOKENS);
   fleet_wait_until (fleet, has_prefilled, &n_prefills);
   caller_disconnect (streams.callers[0]);
-  /* More than the engines decode at once, so that some leave while they are queued. */
+  /* More requests than the engines can decode at once, so that some callers disconnect while their
+   * request is queued. */
   for (unsigned i = 0; i < 90; i++)
     fleet_send_completion (fleet, (int)(i % FLEET_N_INSTANCES) + 1, "queued", LONG_TOKENS);
   fleet_sleep_ms (fleet, 1500);
