--- a/tests/fakes/engine_model.c
+++ b/tests/fakes/engine_model.c
@@ -6,8 +6,8 @@
 #define FULL_SPEED_PERCENT 100
 #define PPM 1000000
 /* Capacity of the histories from which delayed load reports and cache events are served. */
-#define SNAPSHOTS 512
-#define CACHE_EVENTS 4096
+#define N_SNAPSHOTS 512
+#define N_CACHE_EVENTS 4096
 #define SNAPSHOT_PERIOD_US (2 * MF_US_PER_MS)
 
 typedef enum
@@ -36,7 +36,7 @@
   bool link_stall_applied;
   bool misses_expiry; /* importing: the link is busy until after the KV expires */
   uint32_t next_token;
-  uint32_t n_tokens_made;
+  uint32_t n_tokens_generated;
   uint64_t prefix_hashes[MF_PREFIX_HASHES_MAX];
 } Work;
 
@@ -80,10 +80,10 @@
   uint64_t step_start_us;
   uint64_t *cache; /* salted hashes, least recently used first */
   uint32_t n_cache;
-  CacheEvent events[CACHE_EVENTS];
+  CacheEvent events[N_CACHE_EVENTS];
   uint64_t next_event_number; /* of cache events */
   uint64_t n_events;          /* ever written to the ring events */
-  Snapshot snapshots[SNAPSHOTS];
+  Snapshot snapshots[N_SNAPSHOTS];
   uint64_t n_snapshots;
   uint64_t random_state;
   char model[MF_NAME_BYTES];
@@ -173,9 +173,9 @@
   Snapshot *snapshot;
 
   if (engine->n_snapshots == 0
-      || engine->snapshots[last % SNAPSHOTS].at_us + SNAPSHOT_PERIOD_US <= now_us)
+      || engine->snapshots[last % N_SNAPSHOTS].at_us + SNAPSHOT_PERIOD_US <= now_us)
     last = engine->n_snapshots++;
-  snapshot = &engine->snapshots[last % SNAPSHOTS];
+  snapshot = &engine->snapshots[last % N_SNAPSHOTS];
   *snapshot = (Snapshot){
     .at_us = now_us,
     .slots_used = slots_used (engine),
@@ -192,7 +192,7 @@
 
   if (random_next (engine) % PPM < engine->options.cache_gap_ppm)
     return;
-  engine->events[engine->n_events++ % CACHE_EVENTS]
+  engine->events[engine->n_events++ % N_CACHE_EVENTS]
       = (CacheEvent){ .number = number, .at_us = now_us, .hash = hash, .stored = stored };
 }
 
@@ -492,11 +492,11 @@
       event = (FakeEvent){
         .type = FAKE_TOKEN, .id = work->work.id, .at_us = at_us, .n = work->next_token++
       };
-      work->n_tokens_made++;
+      work->n_tokens_generated++;
       engine->ledger.tokens++;
       func (engine, &event, data);
       if (work->next_token < work->work.answer_tokens
-          && work->n_tokens_made < work->work.max_tokens)
+          && work->n_tokens_generated < work->work.max_tokens)
         continue;
       event.type = FAKE_FINISHED;
       work_remove (engine, work);
@@ -629,7 +629,7 @@
 
   if (work == NULL || work->state != WORK_DETACHED || from_token > work->next_token)
     return FAKE_GONE;
-  work->n_tokens_made -= work->next_token - from_token;
+  work->n_tokens_generated -= work->next_token - from_token;
   work->next_token = from_token;
   work->state = WORK_DECODING;
   work->started_us = now_us;
@@ -773,13 +773,13 @@
 {
   const FakeEngineOptions *options = &engine->options;
   uint64_t seen_us = now_us > options->load_lag_us ? now_us - options->load_lag_us : 0;
-  uint64_t oldest = engine->n_snapshots > SNAPSHOTS ? engine->n_snapshots - SNAPSHOTS : 0;
+  uint64_t oldest = engine->n_snapshots > N_SNAPSHOTS ? engine->n_snapshots - N_SNAPSHOTS : 0;
   uint64_t i = engine->n_snapshots - 1;
   const Snapshot *snapshot;
 
-  while (i > oldest && engine->snapshots[i % SNAPSHOTS].at_us > seen_us)
+  while (i > oldest && engine->snapshots[i % N_SNAPSHOTS].at_us > seen_us)
     i--;
-  snapshot = &engine->snapshots[i % SNAPSHOTS];
+  snapshot = &engine->snapshots[i % N_SNAPSHOTS];
   *load = (MfLoadEvent){
     .incarnation = engine->incarnation,
     .measured_us = seen_us,
@@ -803,12 +803,12 @@
 fake_engine_cache_events (const FakeEngine *engine, uint64_t now_us, uint64_t after,
                           uint64_t *first, uint64_t *hashes, bool *stored, uint32_t max)
 {
-  uint64_t i = engine->n_events > CACHE_EVENTS ? engine->n_events - CACHE_EVENTS : 0;
+  uint64_t i = engine->n_events > N_CACHE_EVENTS ? engine->n_events - N_CACHE_EVENTS : 0;
   uint32_t n = 0;
 
   for (; i < engine->n_events && n < max; i++)
     {
-      const CacheEvent *event = &engine->events[i % CACHE_EVENTS];
+      const CacheEvent *event = &engine->events[i % N_CACHE_EVENTS];
 
       if (event->number <= after)
         continue;
--- a/tests/fakes/plain_http.c
+++ b/tests/fakes/plain_http.c
@@ -58,36 +58,36 @@
   uint64_t n_reads;
   uint64_t n_refused;
   RunCount *run_counts;
-  PendingCall *pending;
+  PendingCall *pending_calls;
   FakePlain *next;
 };
 
 static void
-pending_drop_all (FakePlain *plain)
+pending_calls_free (FakePlain *plain)
 {
-  PendingCall *pending = plain->pending;
+  PendingCall *pending_call = plain->pending_calls;
 
-  plain->pending = NULL;
-  while (pending != NULL)
+  plain->pending_calls = NULL;
+  while (pending_call != NULL)
     {
-      PendingCall *next = pending->next;
+      PendingCall *next = pending_call->next;
 
-      ev_timer_stop (plain->loop, &pending->timer);
-      free (pending);
-      pending = next;
+      ev_timer_stop (plain->loop, &pending_call->timer);
+      free (pending_call);
+      pending_call = next;
     }
 }
 
 static void
-pending_free (PendingCall *pending)
+pending_call_free (PendingCall *pending_call)
 {
-  PendingCall **at = &pending->plain->pending;
+  PendingCall **at = &pending_call->plain->pending_calls;
 
-  while (*at != pending)
+  while (*at != pending_call)
     at = &(*at)->next;
-  *at = pending->next;
-  ev_timer_stop (pending->plain->loop, &pending->timer);
-  free (pending);
+  *at = pending_call->next;
+  ev_timer_stop (pending_call->plain->loop, &pending_call->timer);
+  free (pending_call);
 }
 
 static RunCount *
@@ -143,19 +143,19 @@
 on_work_timer (struct ev_loop *loop, ev_timer *timer, int events)
 {
   static const char headers[] = "Content-Type: application/json\r\n";
-  PendingCall *pending = timer->data;
-  FakePlain *plain = pending->plain;
-  FakeConn *conn = pending->conn;
+  PendingCall *pending_call = timer->data;
+  FakePlain *plain = pending_call->plain;
+  FakeConn *conn = pending_call->conn;
   PlainFault fault = consume_fault (plain);
-  uint64_t n_runs = count_run (plain, pending->key);
+  uint64_t n_runs = count_run (plain, pending_call->key);
   char body[KEY_BYTES + MF_NAME_BYTES + 64];
   int n;
 
   (void)loop;
   (void)events;
   n = snprintf (body, sizeof body, "{\"by\":\"%s\",\"order\":\"%s\",\"run\":%llu}", plain->name,
-                pending->key, (unsigned long long)n_runs);
-  pending_free (pending);
+                pending_call->key, (unsigned long long)n_runs);
+  pending_call_free (pending_call);
   if (conn == NULL)
     return;
   if (fault == PLAIN_FAULT_DIE_AFTER)
@@ -182,7 +182,7 @@
   FakePlain *plain = data;
   bool is_order = strcmp (request->method, "POST") == 0;
   json_object *body = is_order ? json_tokener_parse (request->body) : NULL;
-  PendingCall *pending;
+  PendingCall *pending_call;
 
   plain->n_calls++;
   if (plain->silent)
@@ -199,18 +199,19 @@
       fake_conn_close (conn, true);
       return;
     }
-  pending = calloc (1, sizeof *pending);
-  if (pending == NULL)
+  pending_call = calloc (1, sizeof *pending_call);
+  if (pending_call == NULL)
     abort ();
-  pending->plain = plain;
-  pending->conn = conn;
+  pending_call->plain = plain;
+  pending_call->conn = conn;
   if (is_order)
-    mf_name_set (pending->key, sizeof pending->key, fake_setting_text (body, "order", "unnamed"));
-  pending->next = plain->pending;
-  plain->pending = pending;
-  ev_timer_init (&pending->timer, on_work_timer, (double)plain->work_us / 1e6, 0.0);
-  pending->timer.data = pending;
-  ev_timer_start (plain->loop, &pending->timer);
+    mf_name_set (pending_call->key, sizeof pending_call->key,
+                 fake_setting_text (body, "order", "unnamed"));
+  pending_call->next = plain->pending_calls;
+  plain->pending_calls = pending_call;
+  ev_timer_init (&pending_call->timer, on_work_timer, (double)plain->work_us / 1e6, 0.0);
+  pending_call->timer.data = pending_call;
+  ev_timer_start (plain->loop, &pending_call->timer);
   json_object_put (body);
 }
 
@@ -219,10 +220,11 @@
 {
   FakePlain *plain = data;
 
-  for (PendingCall *pending = plain->pending; pending != NULL; pending = pending->next)
+  for (PendingCall *pending_call = plain->pending_calls; pending_call != NULL;
+       pending_call = pending_call->next)
     {
-      if (pending->conn == conn)
-        pending->conn = NULL;
+      if (pending_call->conn == conn)
+        pending_call->conn = NULL;
     }
 }
 
@@ -247,7 +249,7 @@
     {
       /* Calls in execution are lost. */
       fake_http_stop (plain->http);
-      pending_drop_all (plain);
+      pending_calls_free (plain);
     }
   else if (strcmp (kind, "restart") == 0)
     fake_http_start (plain->http);
@@ -297,7 +299,7 @@
   RunCount *run_count = plain->run_counts;
 
   fake_http_free (plain->http);
-  pending_drop_all (plain);
+  pending_calls_free (plain);
   HASH_CLEAR (hh, plain->run_counts);
   while (run_count != NULL)
     {
--- a/tests/fleet.c
+++ b/tests/fleet.c
@@ -39,7 +39,7 @@
   PORT_LISTEN = 2,
   PORT_ADMIN = 6,
   PORT_PEER = 10,
-  PORT_RELAY = 14,
+  PORT_PEER_PROXY = 14,
   PORT_PREFILL = 18,
   PORT_DECODE = 22,
   PORT_PLAIN = 26,
@@ -172,7 +172,7 @@
   for (unsigned i = 1; i <= FLEET_N_INSTANCES; i++)
     fprintf (file,
              "%s{ \"name\": \"r%u\", \"address\": \"127.0.0.1:%u\", \"to\": \"127.0.0.1:%u\" }",
-             i > 1 ? ", " : "", i, fleet->port + PORT_RELAY + i, fleet->port + PORT_PEER + i);
+             i > 1 ? ", " : "", i, fleet->port + PORT_PEER_PROXY + i, fleet->port + PORT_PEER + i);
   fprintf (file,
            "], \"platform\": { \"address\": \"127.0.0.1:%u\", \"text_file\": \"%s/text.json\","
            " \"instances\": [",
@@ -180,7 +180,7 @@
   for (unsigned i = 1; i <= FLEET_N_INSTANCES; i++)
     fprintf (file,
              "%s{ \"name\": \"entry-%u\", \"address\": \"127.0.0.1:%u\", \"data_centre\": \"a\" }",
-             i > 1 ? ", " : "", i, fleet->port + PORT_RELAY + i);
+             i > 1 ? ", " : "", i, fleet->port + PORT_PEER_PROXY + i);
   fputs ("] } }", file);
   fclose (file);
 }
@@ -200,8 +200,8 @@
            " \"peers\": { \"address\": \"127.0.0.1:%u\", \"key_file\": \"%s/peer.key\" },"
            " \"cold_start_ms\": 500, \"drain\": { \"grace_ms\": 300, \"limit_ms\": 60000 } }",
            i, fleet->port + PORT_LISTEN + i, fleet->port + PORT_ADMIN + i,
-           fleet->port + PORT_PEER + i, fleet->port + PORT_PLATFORM, fleet->port + PORT_RELAY + i,
-           fleet->dir);
+           fleet->port + PORT_PEER + i, fleet->port + PORT_PLATFORM,
+           fleet->port + PORT_PEER_PROXY + i, fleet->dir);
   fclose (file);
 }
 
--- a/tests/test_process_orders.c
+++ b/tests/test_process_orders.c
@@ -193,15 +193,15 @@
 test_minority_refuses_and_runs_nothing (void **state)
 {
   Fleet *fleet = *state;
-  Caller *alone;
-  Caller *joined;
+  Caller *minority;
+  Caller *majority;
 
   fleet_isolate (fleet, 3, true);
-  alone = run_order (fleet, 3, "f");
-  assert_refused_as_unknown (alone);
+  minority = run_order (fleet, 3, "f");
+  assert_refused_as_unknown (minority);
   assert_int_equal (fleet_n_runs (fleet, "f"), 0);
-  joined = run_order (fleet, 1, "f");
-  assert_int_equal (caller_status (joined), 200);
+  majority = run_order (fleet, 1, "f");
+  assert_int_equal (caller_status (majority), 200);
   assert_int_equal (fleet_n_runs (fleet, "f"), 1);
   assert_refused_as_unknown (run_order (fleet, 3, "f"));
   fleet_isolate (fleet, 3, false);
--- a/tests/test_process_streams.c
+++ b/tests/test_process_streams.c
@@ -8,13 +8,13 @@
 #include <stdio.h>
 #include <string.h>
 
-#define STREAMS 9
+#define N_STREAMS 9
 #define LONG_TOKENS 4000
 
 /* Streams that have all received their first tokens. */
 typedef struct
 {
-  Caller *callers[STREAMS];
+  Caller *callers[N_STREAMS];
   unsigned n;
   unsigned n_tokens;
 } Streams;
@@ -75,7 +75,7 @@
   Fleet *fleet = *state;
   Streams streams;
 
-  start_streams (fleet, &streams, 0, STREAMS, 120);
+  start_streams (fleet, &streams, 0, N_STREAMS, 120);
   fleet_fault (fleet, "p1", "kill", 0);
   fleet_sleep_ms (fleet, 100);
   fleet_fault (fleet, "d1", "kill", 0);
@@ -91,7 +91,7 @@
   Streams streams;
   double n_resumes = 0;
 
-  start_streams (fleet, &streams, 0, STREAMS, 120);
+  start_streams (fleet, &streams, 0, N_STREAMS, 120);
   fleet_fault (fleet, "d1", "drop", 0);
   fleet_fault (fleet, "d2", "drop", 0);
   fleet_fault (fleet, "d3", "drop", 0);
@@ -109,7 +109,7 @@
   Fleet *fleet = *state;
   Streams streams;
 
-  start_streams (fleet, &streams, 0, STREAMS, 120);
+  start_streams (fleet, &streams, 0, N_STREAMS, 120);
   fleet_fault (fleet, "d1", "stall", 8000);
   fleet_fault (fleet, "d2", "slow", 20);
   assert_all_complete (&streams);
@@ -129,7 +129,7 @@
   assert_true (fleet_sum_ledger (fleet, "engines", "owner_cancels") > 0);
   fleet_start (fleet, 1);
   fleet_wait_ready (fleet, 1);
-  start_streams (fleet, &streams, 0, STREAMS, 20);
+  start_streams (fleet, &streams, 0, N_STREAMS, 20);
   assert_all_complete (&streams);
 }
 
@@ -182,7 +182,7 @@
   fleet_sleep_ms (fleet, 1500);
   fleet_disconnect_callers (fleet);
   fleet_wait_kv_freed (fleet);
-  start_streams (fleet, &streams, 0, STREAMS, 20);
+  start_streams (fleet, &streams, 0, N_STREAMS, 20);
   assert_all_complete (&streams);
 }
 
@@ -211,9 +211,9 @@
 {
   Fleet *fleet = *state;
   Streams streams;
-  Streams staying;
+  Streams unaffected;
 
-  start_streams (fleet, &staying, 3, 3, 400);
+  start_streams (fleet, &unaffected, 3, 3, 400);
   start_streams (fleet, &streams, 1, 2, 60);
   fleet_signal (fleet, 1, SIGTERM);
   fleet_signal (fleet, 2, SIGKILL);
@@ -223,9 +223,9 @@
   fleet_start (fleet, 2);
   fleet_wait_ready (fleet, 1);
   fleet_wait_ready (fleet, 2);
-  start_streams (fleet, &streams, 0, STREAMS, 20);
+  start_streams (fleet, &streams, 0, N_STREAMS, 20);
   assert_all_complete (&streams);
-  assert_all_complete (&staying);
+  assert_all_complete (&unaffected);
   fleet_wait_kv_freed (fleet);
 }
 
@@ -235,7 +235,7 @@
   Fleet *fleet = *state;
   Streams streams;
 
-  start_streams (fleet, &streams, 0, STREAMS, 300);
+  start_streams (fleet, &streams, 0, N_STREAMS, 300);
   for (int i = 0; i < 6; i++)
     {
       Caller *poison = fleet_send_prompt (fleet, i % FLEET_N_INSTANCES + 1, "POISON");
@@ -256,12 +256,12 @@
   Streams streams;
   uint64_t n_refused;
 
-  start_streams (fleet, &streams, 0, STREAMS, 30);
+  start_streams (fleet, &streams, 0, N_STREAMS, 30);
   fleet_fault (fleet, "d2", "leave", 0);
   assert_all_complete (&streams);
   fleet_sleep_ms (fleet, 3000);
   n_refused = fleet_sum_ledger (fleet, "engines", "refused");
-  start_streams (fleet, &streams, 0, STREAMS, 30);
+  start_streams (fleet, &streams, 0, N_STREAMS, 30);
   assert_all_complete (&streams);
   assert_int_equal (fleet_sum_ledger (fleet, "engines", "refused"), n_refused);
 }
