--- a/tests/fakes/cores.c
+++ b/tests/fakes/cores.c
@@ -8,11 +8,15 @@
 #include <string.h>
 #include <time.h>
 
+/* Virtual time at which the simulation starts. */
 #define CLOCK_START_US (1000 * MF_US_PER_S)
 #define WALL_START_MS UINT64_C (1700000000000)
 #define LINKS_MAX 65536
+/* Longest wait of a platform read for a change. */
 #define WATCH_WAIT_US (60 * MF_US_PER_S)
+/* Time until connecting to an unreachable instance fails. */
 #define CONNECT_TIMEOUT_US MF_US_PER_S
+/* Low bits of a heap key, which number the events; the time is above them. */
 #define SEQUENCE_BITS 24
 
 /* An event scheduled for one incarnation of an instance; dropped when that has ended. */
--- a/tests/fakes/engine_http.c
+++ b/tests/fakes/engine_http.c
@@ -11,10 +11,12 @@
 #include "libmangofork/table.h"
 #include <xxhash.h>
 
+/* Assumed size of a token of the prompt. */
 #define PROMPT_BYTES_PER_TOKEN 4
 #define ANSWER_TOKENS_DEFAULT 32
 #define MAX_TOKENS_DEFAULT 256
 #define CACHE_EVENTS_MAX 256
+/* Digest given to a request whose prompt contains the poison text. */
 #define POISON_DIGEST UINT64_C (0xdeadbeef)
 #define RID_BYTES 160
 #define TAG_BYTES 32
--- a/tests/fakes/engine_model.c
+++ b/tests/fakes/engine_model.c
@@ -8,6 +8,7 @@
 /* Capacity of the histories from which delayed load reports and cache events are served. */
 #define N_SNAPSHOTS 512
 #define N_CACHE_EVENTS 4096
+/* Load snapshots taken within this interval replace each other. */
 #define SNAPSHOT_PERIOD_US (2 * MF_US_PER_MS)
 
 typedef enum
--- a/tests/fakes/platform_http.c
+++ b/tests/fakes/platform_http.c
@@ -6,6 +6,7 @@
 #include <string.h>
 
 #define VALUES_MAX 64
+/* Wait of a blocking query without a wait parameter. */
 #define WAIT_US_DEFAULT (300 * MF_US_PER_S)
 
 /* A published value and its Consul index. */
--- a/tests/fakes/rig.c
+++ b/tests/fakes/rig.c
@@ -14,6 +14,7 @@
 #define TOKEN_TEXT_BYTES 40
 #define CACHE_EVENTS_MAX 64
 #define LINKS_MAX 256
+/* Time after which a core that is due again at once gets its next tick, so that time advances. */
 #define TICK_INTERVAL_MIN_US 1
 
 typedef enum
@@ -288,7 +289,7 @@
   item->event.call.call_id = call->key[1];
 }
 
-/* Fails every call at an engine that has crashed. */
+/* Fails every call that an upstream had received when it crashed. */
 static void
 fail_calls (Rig *rig, uint32_t upstream)
 {
--- a/tests/fakes/rig.h
+++ b/tests/fakes/rig.h
@@ -18,7 +18,7 @@
   bool dead;
   uint32_t speed_percent;
   uint32_t busy;
-  uint64_t n_runs;
+  uint64_t n_runs; /* number of executions */
   uint64_t n_orders;
 } RigPlain;
 
@@ -28,7 +28,7 @@
   uint32_t core;
   uint32_t service; /* 0 model, 1 reads, 2 orders */
   uint64_t digest;
-  uint32_t customer;
+  uint32_t customer; /* 0: anonymous */
   uint32_t prompt_tokens;
   uint32_t answer_tokens;
   uint32_t max_tokens; /* 0: as answer_tokens */
@@ -60,12 +60,12 @@
 typedef struct
 {
   uint64_t seed;
-  bool naive;
+  bool naive; /* as in MfOptions */
   uint32_t n_cores;
-  uint64_t hop_us; /* one-way delay between an instance and an upstream */
-  FakeEngineOptions prefill;
+  uint64_t hop_us;           /* one-way delay between an instance and an upstream */
+  FakeEngineOptions prefill; /* of all prefill engines; the seed differs */
   uint32_t n_prefill;
-  FakeEngineOptions decode;
+  FakeEngineOptions decode; /* of all decode engines; the seed differs */
   uint32_t n_decode;
   RigPlain plain;
   uint32_t n_plain;
@@ -79,7 +79,7 @@
 Rig *rig_new (const RigOptions *options);
 void rig_free (Rig *rig);
 uint64_t rig_now_us (const Rig *rig);
-/* Sends a copy of the request at at_us. Returns its index. */
+/* Sends a copy of the request at at_us. Returns its index, which rig_request and rig_depart use. */
 uint32_t rig_send (Rig *rig, const RigRequest *request, uint64_t at_us);
 /* The caller of a request closes the connection at at_us. */
 void rig_depart (Rig *rig, uint32_t request, uint64_t at_us);
--- a/tests/test_process_config.c
+++ b/tests/test_process_config.c
@@ -57,6 +57,8 @@
   assert_request_succeeds (fleet, 1);
 }
 
+/* Guards against a platform that serves an earlier revision again: running instances must not
+ * accept it, and a restarted instance must get the newer one. */
 static void
 test_text_never_reverts (void **state)
 {
@@ -92,6 +94,7 @@
   return false;
 }
 
+/* A text with errors is refused; the previous revision stays in force. */
 static void
 test_faulty_text_changes_nothing (void **state)
 {
@@ -109,6 +112,7 @@
   fleet_wait_until (fleet, all_newer, &before);
 }
 
+/* While the platform is down, an instance that restarts gets its configuration from the others. */
 static void
 test_platform_down_stops_nothing (void **state)
 {
--- a/tests/test_process_orders.c
+++ b/tests/test_process_orders.c
@@ -7,6 +7,7 @@
 #include <signal.h>
 #include <string.h>
 
+/* Execution time of an order that is still running when the fault occurs. */
 #define SLOW_MS 1500
 
 static void
@@ -113,6 +114,7 @@
   assert_int_equal (fleet_n_runs (fleet, "b"), 1);
 }
 
+/* The order may have run although its instance was killed before it could report the result. */
 static void
 test_instance_killed_in_mid_order (void **state)
 {
@@ -228,6 +230,8 @@
   assert_answer_allowed (fleet, run_order (fleet, 2, "g"), "g");
 }
 
+/* Holds back the data of one direction on each link of instance 1: from the instance that opened
+ * the link (hold-in), then to it (hold-out). */
 static void
 test_link_held_one_way (void **state)
 {
@@ -257,6 +261,8 @@
     }
 }
 
+/* The upstream resets or truncates the exchange: the router must not report that the order did not
+ * run. */
 static void
 test_upstream_breaks_off_an_order (void **state)
 {
--- a/tests/test_process_streams.c
+++ b/tests/test_process_streams.c
@@ -9,6 +9,7 @@
 #include <string.h>
 
 #define N_STREAMS 9
+/* Length of an answer that does not end during a test. */
 #define LONG_TOKENS 4000
 
 /* Streams that have all received their first tokens. */
@@ -116,6 +117,7 @@
   fleet_wait_kv_freed (fleet);
 }
 
+/* The other instances must cancel the work of an instance that was killed. */
 static void
 test_memory_of_a_killed_instance_is_freed (void **state)
 {
@@ -133,6 +135,8 @@
   assert_all_complete (&streams);
 }
 
+/* The other instances declare a paused instance dead and cancel its work at the engines. When it
+ * resumes, it must still complete the streams of its callers. */
 static void
 test_paused_instance_completes_its_streams (void **state)
 {
@@ -229,6 +233,8 @@
   fleet_wait_kv_freed (fleet);
 }
 
+/* A request that crashes engines must be quarantined after two crashes, and the streams of other
+ * callers must complete. */
 static void
 test_poison_request_crashes_at_most_two_engines (void **state)
 {
@@ -249,6 +255,7 @@
   assert_all_complete (&streams);
 }
 
+/* 3 s after an engine announced that it leaves, no instance may send it work. */
 static void
 test_leaving_engine_gets_no_new_work (void **state)
 {
