--- a/bench/soak.c
+++ b/bench/soak.c
@@ -76,8 +76,8 @@
   Fault faults[FAULTS_AT_ONCE];
   uint64_t next_fault_us;
   unsigned n_faults;
-  unsigned n_kills[FLEET_INSTANCES + 1];
-  bool down[FLEET_INSTANCES + 1];
+  unsigned n_kills[FLEET_N_INSTANCES + 1];
+  bool down[FLEET_N_INSTANCES + 1];
   unsigned n_complete;
   unsigned n_refused;
   unsigned n_failed;
@@ -99,13 +99,13 @@
 static int
 pick_instance (Soak *soak)
 {
-  int instance = (int)draw (soak, FLEET_INSTANCES) + 1;
+  int instance = (int)draw (soak, FLEET_N_INSTANCES) + 1;
 
-  for (int i = 0; i < FLEET_INSTANCES; i++)
+  for (int i = 0; i < FLEET_N_INSTANCES; i++)
     {
       if (!soak->down[instance])
         return instance;
-      instance = instance % FLEET_INSTANCES + 1;
+      instance = instance % FLEET_N_INSTANCES + 1;
     }
   return 0;
 }
@@ -132,7 +132,7 @@
   snprintf (name, sizeof name, "o%u", number);
   order->n_sends++;
   order->n_in_flight++;
-  call_add (soak, fleet_order (soak->fleet, instance, name, order->key), CALL_ORDER, instance,
+  call_add (soak, fleet_send_order (soak->fleet, instance, name, order->key), CALL_ORDER, instance,
             number);
 }
 
@@ -174,7 +174,8 @@
   if (instance == 0)
     return;
   snprintf (tag, sizeof tag, "t%u", soak->n_calls);
-  call_add (soak, fleet_complete (soak->fleet, instance, tag, 1 + (unsigned)draw (soak, TOKENS)),
+  call_add (soak,
+            fleet_send_completion (soak->fleet, instance, tag, 1 + (unsigned)draw (soak, TOKENS)),
             CALL_STREAM, instance, 0);
 }
 
@@ -192,7 +193,7 @@
     resend_order (soak);
   instance = pick_instance (soak);
   if (instance != 0 && draw (soak, 3) == 0)
-    call_add (soak, fleet_read (soak->fleet, instance, "/stock/7"), CALL_READ, instance, 0);
+    call_add (soak, fleet_send_get (soak->fleet, instance, "/stock/7"), CALL_READ, instance, 0);
 }
 
 typedef struct
@@ -236,7 +237,7 @@
 static unsigned
 next_instance (unsigned instance)
 {
-  return instance % FLEET_INSTANCES + 1;
+  return instance % FLEET_N_INSTANCES + 1;
 }
 
 static void
@@ -291,7 +292,7 @@
   else if (fault->kind == FAULT_ISOLATE)
     fleet_isolate (soak->fleet, instance, true);
   else if (fault->kind == FAULT_ONE_WAY)
-    fleet_link (soak->fleet, instance, "cut", (int)next_instance (fault->target));
+    fleet_link_fault (soak->fleet, instance, "cut", (int)next_instance (fault->target));
   else
     stand_in_fault (soak, fault, true);
 }
@@ -306,7 +307,7 @@
   if (fault->kind == FAULT_KILL)
     {
       fleet_start (soak->fleet, instance);
-      fleet_until_ready (soak->fleet, instance);
+      fleet_wait_ready (soak->fleet, instance);
       soak->down[instance] = false;
     }
   else if (fault->kind == FAULT_FREEZE)
@@ -314,7 +315,7 @@
   else if (fault->kind == FAULT_ISOLATE)
     fleet_isolate (soak->fleet, instance, false);
   else if (fault->kind == FAULT_ONE_WAY)
-    fleet_link (soak->fleet, instance, "pass", (int)next_instance (fault->target));
+    fleet_link_fault (soak->fleet, instance, "pass", (int)next_instance (fault->target));
   else
     stand_in_fault (soak, fault, false);
 }
@@ -333,7 +334,7 @@
       if (!allow_new || fault->end_us != 0 || now_us < soak->next_fault_us)
         continue;
       fault->kind = (unsigned)draw (soak, FAULT_STAND_IN + MF_ARRAY_LEN (stand_in_faults));
-      fault->target = 1 + (unsigned)draw (soak, FLEET_INSTANCES);
+      fault->target = 1 + (unsigned)draw (soak, FLEET_N_INSTANCES);
       if (has_fault (soak, fault->kind, fault->target))
         continue;
       fault->end_us = now_us + (300 + draw (soak, 2700)) * MF_US_PER_MS;
@@ -358,7 +359,7 @@
 static void
 count_end (Soak *soak, Call *call)
 {
-  bool complete = call->kind == CALL_STREAM ? caller_is_whole (call->caller)
+  bool complete = call->kind == CALL_STREAM ? caller_is_complete (call->caller)
                                             : caller_status (call->caller) == 200;
 
   call->counted = true;
@@ -375,13 +376,13 @@
       soak->n_refused++;
       print_message ("%.2f s: refused by entry-%d: %s\n",
                      (double)(mf_clock_now_us () - soak->start_us) / (double)MF_US_PER_S,
-                     call->instance, caller_tail (call->caller));
+                     call->instance, caller_body_tail (call->caller));
     }
   else
     {
       soak->n_failed++;
       print_message ("broken at entry-%d, kind %d, status %u: %s\n", call->instance, call->kind,
-                     caller_status (call->caller), caller_tail (call->caller));
+                     caller_status (call->caller), caller_body_tail (call->caller));
     }
 }
 
@@ -397,7 +398,7 @@
       if (call->kind == CALL_STREAM && draw (soak, 400) == 0)
         {
           call->abandoned = !caller_has_ended (call->caller);
-          caller_leave (call->caller);
+          caller_disconnect (call->caller);
         }
       if (caller_has_ended (call->caller))
         count_end (soak, call);
@@ -443,7 +444,7 @@
       uint64_t runs;
 
       snprintf (name, sizeof name, "o%u", i);
-      runs = fleet_runs (soak->fleet, name);
+      runs = fleet_n_runs (soak->fleet, name);
       n_ran += runs > 0;
       n_run_twice += runs > 1;
       n_false_reports
@@ -456,7 +457,7 @@
   result ("soak_orders_run_twice", n_run_twice, 0, false);
   result ("soak_refusals_untrue", n_false_reports, 0, false);
   result ("soak_answers_broken", soak->n_failed, 0, false);
-  result ("soak_memory_held_at_end", fleet_held (soak->fleet), 0, false);
+  result ("soak_memory_held_at_end", fleet_n_kv_entries (soak->fleet), 0, false);
   result ("soak_whole_ppm", n_ended == 0 ? 0 : soak->n_complete * UINT64_C (1000000) / n_ended,
           990000, true);
 }
@@ -467,21 +468,21 @@
   Soak *soak = *state;
   uint64_t end_us;
 
-  for (int i = 1; i <= FLEET_INSTANCES; i++)
-    fleet_until_voting (soak->fleet, i);
-  fleet_pass (soak->fleet, WARM_UP_MS);
+  for (int i = 1; i <= FLEET_N_INSTANCES; i++)
+    fleet_wait_voting (soak->fleet, i);
+  fleet_sleep_ms (soak->fleet, WARM_UP_MS);
   soak->start_us = mf_clock_now_us ();
   end_us = soak->start_us + soak->seconds * MF_US_PER_S;
   while (mf_clock_now_us () < end_us)
     {
       send_something (soak);
       update_faults (soak, true);
-      fleet_pass (soak->fleet, STEP_MS);
+      fleet_sleep_ms (soak->fleet, STEP_MS);
       collect_ends (soak);
     }
   update_faults (soak, false);
-  fleet_until (soak->fleet, all_ended, soak);
-  fleet_until_free (soak->fleet);
+  fleet_wait_until (soak->fleet, all_ended, soak);
+  fleet_wait_kv_freed (soak->fleet);
   report (soak);
 }
 
--- a/tests/fakes/engine_model.c
+++ b/tests/fakes/engine_model.c
@@ -5,16 +5,17 @@
 
 #define FULL_SPEED_PERCENT 100
 #define PPM 1000000
-/* Load reports and cache events remembered, for lags. */
-#define SNAPSHOTS 512
-#define CACHE_EVENTS 4096
+/* Capacity of the histories from which delayed load reports and cache events are served. */
+#define N_SNAPSHOTS 512
+#define N_CACHE_EVENTS 4096
+/* Load snapshots taken within this interval replace each other. */
 #define SNAPSHOT_PERIOD_US (2 * MF_US_PER_MS)
 
 typedef enum
 {
   WORK_WAITING,
   WORK_PREFILLING,
-  WORK_EXPORTING, /* prefilled; KV waits or is being read */
+  WORK_EXPORTING, /* prefilled; the KV waits for its import or is being imported */
   WORK_IMPORTING,
   WORK_DECODING,
   WORK_DETACHED,
@@ -22,21 +23,21 @@
 
 typedef struct
 {
-  FakeWork work; /* prefix_hashes points nowhere after the start */
+  FakeWork work; /* its prefix_hashes is NULL; the copy below is used */
   WorkState state;
   uint64_t sequence; /* order of arrival */
   uint32_t pieces;
-  uint32_t computed_tokens; /* prefill: without the cached ones */
+  uint32_t computed_tokens; /* prefill: not found in the cache */
   uint64_t started_us;
-  uint64_t due_us;    /* prefilling, importing: when done; exporting, detached: when dropped */
-  uint64_t handle;    /* exporting */
-  bool taken;         /* exporting: a decode engine reads it */
-  FakeEngine *source; /* importing */
+  uint64_t due_us;     /* prefilling, importing: when finished; exporting, detached: when freed */
+  uint64_t kv_handle;  /* exporting */
+  bool import_started; /* exporting: a decode engine imports it */
+  FakeEngine *source;  /* importing */
   uint64_t source_incarnation;
-  bool stall_counted;
-  bool too_late; /* importing: the link is not free before the KV expires */
+  bool link_stall_applied;
+  bool misses_expiry; /* importing: the link is busy until after the KV expires */
   uint32_t next_token;
-  uint32_t made;
+  uint32_t n_tokens_generated;
   uint64_t prefix_hashes[MF_PREFIX_HASHES_MAX];
 } Work;
 
@@ -63,7 +64,7 @@
   MfRole role;
   bool dead;
   bool leaving;
-  bool died_pending; /* FAKE_DIED has still to be told */
+  bool death_event_pending; /* FAKE_DIED has not been reported yet */
   uint64_t incarnation;
   uint64_t stall_until_us;
   uint64_t link_free_us;
@@ -72,20 +73,20 @@
   uint32_t speed_percent;
   Work *works;
   uint32_t n_works;
-  uint32_t works_size;
+  uint32_t n_works_max;
   uint32_t pieces_used;
   uint64_t next_sequence;
   uint64_t next_handle;
-  uint64_t step_due_us; /* 0 when nothing decodes */
-  uint64_t step_began_us;
+  uint64_t step_due_us; /* end of the current decode step; 0 when nothing decodes */
+  uint64_t step_start_us;
   uint64_t *cache; /* salted hashes, least recently used first */
   uint32_t n_cache;
-  CacheEvent events[CACHE_EVENTS];
-  uint64_t next_event; /* number of the next cache event */
-  uint64_t n_events;   /* written to the ring */
-  Snapshot snapshots[SNAPSHOTS];
+  CacheEvent events[N_CACHE_EVENTS];
+  uint64_t next_event_number; /* of cache events */
+  uint64_t n_events;          /* ever written to the ring events */
+  Snapshot snapshots[N_SNAPSHOTS];
   uint64_t n_snapshots;
-  uint64_t random;
+  uint64_t random_state;
   char model[MF_NAME_BYTES];
   char adapter[MF_NAME_BYTES];
   char version[MF_NAME_BYTES];
@@ -97,7 +98,7 @@
 static uint64_t
 random_next (FakeEngine *engine)
 {
-  uint64_t z = (engine->random += UINT64_C (0x9e3779b97f4a7c15));
+  uint64_t z = (engine->random_state += UINT64_C (0x9e3779b97f4a7c15));
 
   z = (z ^ (z >> 30)) * UINT64_C (0xbf58476d1ce4e5b9);
   z = (z ^ (z >> 27)) * UINT64_C (0x94d049bb133111eb);
@@ -105,13 +106,13 @@
 }
 
 static uint32_t
-pieces_of (uint64_t tokens)
+pieces_for_tokens (uint64_t tokens)
 {
   return (uint32_t)((tokens + MF_PIECE_TOKENS - 1) / MF_PIECE_TOKENS);
 }
 
 static bool
-id_equal (const FakeWorkId *a, const FakeWorkId *b)
+work_id_equal (const FakeWorkId *a, const FakeWorkId *b)
 {
   return a->request_id == b->request_id && a->attempt == b->attempt
          && a->owner.incarnation == b->owner.incarnation
@@ -119,13 +120,13 @@
 }
 
 static uint64_t
-slowed (const FakeEngine *engine, uint64_t cost_us)
+cost_at_speed_us (const FakeEngine *engine, uint64_t cost_us)
 {
   return cost_us * FULL_SPEED_PERCENT / engine->speed_percent;
 }
 
 static bool
-takes_slot (const Work *work)
+uses_slot (const Work *work)
 {
   return work->state != WORK_WAITING && work->state != WORK_EXPORTING;
 }
@@ -136,7 +137,7 @@
   uint32_t n = 0;
 
   for (uint32_t i = 0; i < engine->n_works; i++)
-    n += takes_slot (&engine->works[i]);
+    n += uses_slot (&engine->works[i]);
   return n;
 }
 
@@ -151,7 +152,7 @@
 }
 
 static uint64_t
-queued_tokens (const FakeEngine *engine)
+n_queued_tokens (const FakeEngine *engine)
 {
   uint64_t n = 0;
 
@@ -165,38 +166,38 @@
   return n;
 }
 
-/* Remembers the load as it is now, for reports that lag. */
+/* Records the current load, from which delayed load reports are served. */
 static void
-take_snapshot (FakeEngine *engine, uint64_t now_us)
+snapshot_add (FakeEngine *engine, uint64_t now_us)
 {
   uint64_t last = engine->n_snapshots - 1;
   Snapshot *snapshot;
 
   if (engine->n_snapshots == 0
-      || engine->snapshots[last % SNAPSHOTS].at_us + SNAPSHOT_PERIOD_US <= now_us)
+      || engine->snapshots[last % N_SNAPSHOTS].at_us + SNAPSHOT_PERIOD_US <= now_us)
     last = engine->n_snapshots++;
-  snapshot = &engine->snapshots[last % SNAPSHOTS];
+  snapshot = &engine->snapshots[last % N_SNAPSHOTS];
   *snapshot = (Snapshot){
     .at_us = now_us,
     .slots_used = slots_used (engine),
     .queued = count_state (engine, WORK_WAITING),
     .pieces_used = engine->pieces_used,
-    .prefill_tokens_queued = queued_tokens (engine),
+    .prefill_tokens_queued = n_queued_tokens (engine),
   };
 }
 
 static void
 cache_event_add (FakeEngine *engine, uint64_t hash, bool stored, uint64_t now_us)
 {
-  uint64_t number = engine->next_event++;
+  uint64_t number = engine->next_event_number++;
 
   if (random_next (engine) % PPM < engine->options.cache_gap_ppm)
     return;
-  engine->events[engine->n_events++ % CACHE_EVENTS]
+  engine->events[engine->n_events++ % N_CACHE_EVENTS]
       = (CacheEvent){ .number = number, .at_us = now_us, .hash = hash, .stored = stored };
 }
 
-/* Returns the place of a salted hash in the cache, or n_cache. */
+/* Returns the index of a salted hash in the cache, or n_cache if it is absent. */
 static uint32_t
 cache_find (const FakeEngine *engine, uint64_t hash)
 {
@@ -234,7 +235,7 @@
   engine->cache[engine->n_cache++] = hash;
 }
 
-/* Returns how many tokens at the prompt's start the cache holds. */
+/* Returns the length of the longest cached prefix of the prompt, in tokens. */
 static uint32_t
 cache_hit_tokens (const FakeEngine *engine, const Work *work)
 {
@@ -251,7 +252,7 @@
 {
   for (uint32_t i = 0; i < engine->n_works; i++)
     {
-      if (id_equal (&engine->works[i].work.id, id))
+      if (work_id_equal (&engine->works[i].work.id, id))
         return &engine->works[i];
     }
   return NULL;
@@ -263,15 +264,15 @@
 {
   Work *work;
 
-  if (engine->n_works == engine->works_size)
+  if (engine->n_works == engine->n_works_max)
     {
-      uint32_t size = engine->works_size * 2 + 16;
+      uint32_t size = engine->n_works_max * 2 + 16;
       Work *works = realloc (engine->works, size * sizeof *works);
 
       if (works == NULL)
         abort ();
       engine->works = works;
-      engine->works_size = size;
+      engine->n_works_max = size;
     }
   work = &engine->works[engine->n_works++];
   *work = (Work){
@@ -289,13 +290,13 @@
   return work;
 }
 
-/* Counts the prefill that went into this work as wasted when no decode has used it. */
+/* Counts the prefill tokens computed for this work as wasted if no decode has used them. */
 static void
-count_waste (FakeEngine *engine, const Work *work, uint64_t now_us)
+count_wasted_tokens (FakeEngine *engine, const Work *work, uint64_t now_us)
 {
   if (work->state == WORK_IMPORTING)
     work->source->ledger.wasted_prefill_tokens += work->computed_tokens;
-  else if (work->state == WORK_EXPORTING && !work->taken)
+  else if (work->state == WORK_EXPORTING && !work->import_started)
     engine->ledger.wasted_prefill_tokens += work->computed_tokens;
   else if (work->state == WORK_PREFILLING && work->due_us > work->started_us)
     {
@@ -317,31 +318,31 @@
 }
 
 static void
-drop_all (FakeEngine *engine, uint64_t now_us)
+drop_all_work (FakeEngine *engine, uint64_t now_us)
 {
   while (engine->n_works > 0)
     {
-      count_waste (engine, &engine->works[0], now_us);
+      count_wasted_tokens (engine, &engine->works[0], now_us);
       work_remove (engine, &engine->works[0]);
     }
   engine->step_due_us = 0;
 }
 
 static bool
-accepts (const FakeEngine *engine, MfRole role, uint64_t now_us, FakeVerdict *verdict)
+can_accept (const FakeEngine *engine, MfRole role, uint64_t now_us, FakeEngineResult *result)
 {
   if (engine->dead)
-    *verdict = FAKE_GONE;
+    *result = FAKE_GONE;
   else if (engine->leaving)
-    *verdict = FAKE_LEAVING;
+    *result = FAKE_LEAVING;
   else if (engine->role != role || now_us < engine->loading_until_us)
-    *verdict = FAKE_REFUSED;
+    *result = FAKE_REFUSED;
   else
     return true;
   return false;
 }
 
-/* Starts the next waiting prefill when none runs. */
+/* Starts the next waiting prefill if none is running. */
 static void
 prefill_next (FakeEngine *engine, uint64_t now_us)
 {
@@ -376,9 +377,9 @@
   best->state = WORK_PREFILLING;
   best->started_us = now_us > engine->stall_until_us ? now_us : engine->stall_until_us;
   best->due_us = best->started_us
-                 + slowed (engine, engine->options.prefill_base_us
-                                       + best->computed_tokens * MF_US_PER_S
-                                             / engine->options.prefill_tokens_per_s);
+                 + cost_at_speed_us (engine, engine->options.prefill_base_us
+                                                 + best->computed_tokens * MF_US_PER_S
+                                                       / engine->options.prefill_tokens_per_s);
   engine->ledger.prefill_tokens += best->computed_tokens;
   engine->ledger.cached_tokens += cached;
 }
@@ -398,7 +399,7 @@
 
   engine->ledger.busy_us += at_us - work->started_us;
   work->state = WORK_EXPORTING;
-  work->handle = ++engine->next_handle;
+  work->kv_handle = ++engine->next_handle;
   work->due_us = at_us + engine->options.result_life_us;
   for (uint32_t i = 0; i < work->work.n_prefix_hashes; i++)
     cache_store (engine, work->prefix_hashes[i] ^ work->work.cache_salt, at_us);
@@ -406,7 +407,7 @@
     .type = FAKE_PREFILLED,
     .id = work->work.id,
     .at_us = at_us,
-    .n = work->handle,
+    .n = work->kv_handle,
     .bytes = kv_bytes (engine, work),
     .until_us = work->due_us,
   };
@@ -419,21 +420,21 @@
 {
   uint32_t n = count_state (engine, WORK_DECODING);
 
-  return slowed (engine, engine->options.step_us + n * engine->options.step_stream_us);
+  return cost_at_speed_us (engine, engine->options.step_us + n * engine->options.step_stream_us);
 }
 
 static void
-step_begin (FakeEngine *engine, uint64_t now_us)
+step_start (FakeEngine *engine, uint64_t now_us)
 {
-  uint64_t began_us = now_us > engine->stall_until_us ? now_us : engine->stall_until_us;
+  uint64_t start_us = now_us > engine->stall_until_us ? now_us : engine->stall_until_us;
 
   if (count_state (engine, WORK_DECODING) == 0)
     {
       engine->step_due_us = 0;
       return;
     }
-  engine->step_began_us = began_us;
-  engine->step_due_us = began_us + step_cost_us (engine);
+  engine->step_start_us = start_us;
+  engine->step_due_us = start_us + step_cost_us (engine);
 }
 
 static void
@@ -441,10 +442,11 @@
 {
   FakeEvent event = { .type = FAKE_IMPORTED, .id = work->work.id, .at_us = work->due_us };
 
-  if (work->too_late || work->source->dead || work->source->incarnation != work->source_incarnation)
+  if (work->misses_expiry || work->source->dead
+      || work->source->incarnation != work->source_incarnation)
     {
       event.type = FAKE_EXPIRED;
-      count_waste (engine, work, work->due_us);
+      count_wasted_tokens (engine, work, work->due_us);
       work_remove (engine, work);
     }
   else
@@ -452,55 +454,56 @@
       work->state = WORK_DECODING;
       work->started_us = work->due_us;
       if (engine->step_due_us == 0)
-        step_begin (engine, work->due_us);
+        step_start (engine, work->due_us);
     }
   func (engine, &event, data);
 }
 
-/* Pushes an import back by the part of a stall of its link that falls into it. */
+/* Delays an import by the part of a link stall that overlaps it. Returns whether it was delayed. */
 static bool
 delay_import (Work *work)
 {
   FakeEngine *source = work->source;
   uint64_t from_us = source->link_stall_from_us;
 
-  if (work->stall_counted || work->too_late || source->link_stall_until_us <= work->started_us
-      || from_us >= work->due_us)
+  if (work->link_stall_applied || work->misses_expiry
+      || source->link_stall_until_us <= work->started_us || from_us >= work->due_us)
     return false;
-  work->stall_counted = true;
+  work->link_stall_applied = true;
   if (from_us < work->started_us)
     from_us = work->started_us;
   work->due_us += source->link_stall_until_us - from_us;
   return true;
 }
 
-/* Makes one token of each stream that was there when the step began. */
+/* Generates one token for each stream that was decoding when the step started. */
 static void
 finish_step (FakeEngine *engine, FakeEventFunc func, void *data)
 {
   uint64_t at_us = engine->step_due_us;
 
-  engine->ledger.busy_us += at_us - engine->step_began_us;
+  engine->ledger.busy_us += at_us - engine->step_start_us;
   for (uint32_t i = engine->n_works; i-- > 0;)
     {
       Work *work = &engine->works[i];
       FakeEvent event;
 
-      if (work->state != WORK_DECODING || work->started_us > engine->step_began_us)
+      if (work->state != WORK_DECODING || work->started_us > engine->step_start_us)
         continue;
       event = (FakeEvent){
         .type = FAKE_TOKEN, .id = work->work.id, .at_us = at_us, .n = work->next_token++
       };
-      work->made++;
+      work->n_tokens_generated++;
       engine->ledger.tokens++;
       func (engine, &event, data);
-      if (work->next_token < work->work.answer_tokens && work->made < work->work.max_tokens)
+      if (work->next_token < work->work.answer_tokens
+          && work->n_tokens_generated < work->work.max_tokens)
         continue;
       event.type = FAKE_FINISHED;
       work_remove (engine, work);
       func (engine, &event, data);
     }
-  step_begin (engine, at_us);
+  step_start (engine, at_us);
 }
 
 FakeEngine *
@@ -514,12 +517,12 @@
   engine->role = options->role;
   engine->speed_percent = FULL_SPEED_PERCENT;
   engine->incarnation = now_us + 1;
-  engine->next_event = 1;
-  engine->random = options->seed;
+  engine->next_event_number = 1;
+  engine->random_state = options->seed;
   engine->cache = calloc (options->cache_pieces + 1, sizeof engine->cache[0]);
   if (engine->cache == NULL)
     abort ();
-  take_snapshot (engine, now_us);
+  snapshot_add (engine, now_us);
   return engine;
 }
 
@@ -539,14 +542,14 @@
   return &engine->options;
 }
 
-FakeVerdict
+FakeEngineResult
 fake_engine_prefill (FakeEngine *engine, const FakeWork *work, uint64_t now_us)
 {
-  uint32_t pieces = pieces_of ((uint64_t)work->prompt_tokens + work->from_token);
-  FakeVerdict verdict;
+  uint32_t pieces = pieces_for_tokens ((uint64_t)work->prompt_tokens + work->from_token);
+  FakeEngineResult result;
 
-  if (!accepts (engine, MF_ROLE_PREFILL, now_us, &verdict))
-    return verdict;
+  if (!can_accept (engine, MF_ROLE_PREFILL, now_us, &result))
+    return result;
   if (count_state (engine, WORK_WAITING) >= engine->options.queue
       || engine->pieces_used + pieces > engine->options.pieces)
     {
@@ -555,39 +558,39 @@
     }
   work_add (engine, work, WORK_WAITING, pieces, now_us);
   prefill_next (engine, now_us);
-  take_snapshot (engine, now_us);
+  snapshot_add (engine, now_us);
   return FAKE_ACCEPTED;
 }
 
 static Work *
-export_find (FakeEngine *engine, uint64_t handle)
+export_find (FakeEngine *engine, uint64_t kv_handle)
 {
   for (uint32_t i = 0; i < engine->n_works; i++)
     {
       Work *work = &engine->works[i];
 
-      if (work->state == WORK_EXPORTING && work->handle == handle && !work->taken)
+      if (work->state == WORK_EXPORTING && work->kv_handle == kv_handle && !work->import_started)
         return work;
     }
   return NULL;
 }
 
-/* Takes the link of source for an import that may begin now. */
+/* Reserves the link of source for an import, which starts when the link is free. */
 static void
 schedule_import (FakeEngine *source, Work *export, Work *import, uint64_t now_us)
 {
-  uint64_t begin_us = now_us > source->link_free_us ? now_us : source->link_free_us;
+  uint64_t start_us = now_us > source->link_free_us ? now_us : source->link_free_us;
   uint64_t cost_us = kv_bytes (source, export) * MF_US_PER_S / source->options.link_bytes_per_s;
 
   import->source = source;
   import->source_incarnation = source->incarnation;
   import->computed_tokens = export->computed_tokens;
-  import->started_us = begin_us;
-  import->due_us = begin_us + cost_us;
-  export->taken = true;
-  if (begin_us > export->due_us)
+  import->started_us = start_us;
+  import->due_us = start_us + cost_us;
+  export->import_started = true;
+  if (start_us > export->due_us)
     {
-      import->too_late = true;
+      import->misses_expiry = true;
       import->due_us = export->due_us;
       return;
     }
@@ -595,17 +598,17 @@
   source->link_free_us = import->due_us;
 }
 
-FakeVerdict
+FakeEngineResult
 fake_engine_decode (FakeEngine *engine, const FakeWork *work, FakeEngine *source,
                     uint64_t kv_handle, uint64_t now_us)
 {
   uint64_t tokens = (uint64_t)work->prompt_tokens + work->from_token + work->max_tokens;
-  uint32_t pieces = pieces_of (tokens);
-  FakeVerdict verdict;
+  uint32_t pieces = pieces_for_tokens (tokens);
+  FakeEngineResult result;
   Work *export;
 
-  if (!accepts (engine, MF_ROLE_DECODE, now_us, &verdict))
-    return verdict;
+  if (!can_accept (engine, MF_ROLE_DECODE, now_us, &result))
+    return result;
   if (slots_used (engine) >= engine->options.slots
       || engine->pieces_used + pieces > engine->options.pieces)
     {
@@ -616,23 +619,23 @@
   if (export == NULL || export->due_us < now_us)
     return FAKE_GONE;
   schedule_import (source, export, work_add (engine, work, WORK_IMPORTING, pieces, now_us), now_us);
-  take_snapshot (engine, now_us);
+  snapshot_add (engine, now_us);
   return FAKE_ACCEPTED;
 }
 
-FakeVerdict
+FakeEngineResult
 fake_engine_resume (FakeEngine *engine, const FakeWorkId *id, uint32_t from_token, uint64_t now_us)
 {
   Work *work = engine->dead ? NULL : work_find (engine, id);
 
   if (work == NULL || work->state != WORK_DETACHED || from_token > work->next_token)
     return FAKE_GONE;
-  work->made -= work->next_token - from_token;
+  work->n_tokens_generated -= work->next_token - from_token;
   work->next_token = from_token;
   work->state = WORK_DECODING;
   work->started_us = now_us;
   if (engine->step_due_us == 0)
-    step_begin (engine, now_us);
+    step_start (engine, now_us);
   return FAKE_ACCEPTED;
 }
 
@@ -654,11 +657,11 @@
 
   if (work == NULL)
     return false;
-  count_waste (engine, work, now_us);
+  count_wasted_tokens (engine, work, now_us);
   work_remove (engine, work);
   engine->ledger.cancelled++;
   prefill_next (engine, now_us);
-  take_snapshot (engine, now_us);
+  snapshot_add (engine, now_us);
   return true;
 }
 
@@ -669,17 +672,18 @@
 
   for (uint32_t i = engine->n_works; i-- > 0;)
     {
-      const MfInstanceId *held = &engine->works[i].work.id.owner;
+      const MfInstanceId *work_owner = &engine->works[i].work.id.owner;
 
-      if (held->incarnation != owner->incarnation || strcmp (held->name, owner->name) != 0)
+      if (work_owner->incarnation != owner->incarnation
+          || strcmp (work_owner->name, owner->name) != 0)
         continue;
-      count_waste (engine, &engine->works[i], now_us);
+      count_wasted_tokens (engine, &engine->works[i], now_us);
       work_remove (engine, &engine->works[i]);
       engine->ledger.cancelled++;
       n++;
     }
   prefill_next (engine, now_us);
-  take_snapshot (engine, now_us);
+  snapshot_add (engine, now_us);
   return n;
 }
 
@@ -688,7 +692,7 @@
 {
   uint64_t next_us = engine->step_due_us != 0 ? engine->step_due_us : UINT64_MAX;
 
-  if (engine->died_pending)
+  if (engine->death_event_pending)
     return 0;
   for (uint32_t i = 0; i < engine->n_works; i++)
     {
@@ -700,12 +704,12 @@
   return next_us;
 }
 
-/* Ends whatever of this work is due. */
+/* Finishes the phase of this work that is due. */
 static void
 work_run (FakeEngine *engine, Work *work, FakeEventFunc func, void *data)
 {
   FakeEvent event = { .type = FAKE_EXPIRED, .id = work->work.id, .at_us = work->due_us };
-  bool silent = work->state == WORK_EXPORTING && work->taken;
+  bool is_import_source = work->state == WORK_EXPORTING && work->import_started;
 
   if (work->state == WORK_PREFILLING)
     finish_prefill (engine, work, func, data);
@@ -713,15 +717,15 @@
     finish_import (engine, work, func, data);
   else if (work->state == WORK_EXPORTING || work->state == WORK_DETACHED)
     {
-      count_waste (engine, work, work->due_us);
+      count_wasted_tokens (engine, work, work->due_us);
       work_remove (engine, work);
-      if (!silent)
+      if (!is_import_source)
         func (engine, &event, data);
     }
 }
 
 static Work *
-work_due (FakeEngine *engine, uint64_t now_us)
+first_due_work (FakeEngine *engine, uint64_t now_us)
 {
   Work *first = NULL;
 
@@ -744,25 +748,25 @@
     {
       Work *work;
 
-      if (engine->died_pending)
+      if (engine->death_event_pending)
         {
           FakeEvent event = { .type = FAKE_DIED, .at_us = now_us };
 
-          engine->died_pending = false;
+          engine->death_event_pending = false;
           func (engine, &event, data);
         }
       if (engine->dead)
         return;
-      work = work_due (engine, now_us);
+      work = first_due_work (engine, now_us);
       if (engine->step_due_us != 0 && engine->step_due_us <= now_us
           && (work == NULL || engine->step_due_us <= work->due_us))
         finish_step (engine, func, data);
       else if (work != NULL)
         work_run (engine, work, func, data);
-      else if (!engine->died_pending)
+      else if (!engine->death_event_pending)
         break;
     }
-  take_snapshot (engine, now_us);
+  snapshot_add (engine, now_us);
 }
 
 void
@@ -770,13 +774,13 @@
 {
   const FakeEngineOptions *options = &engine->options;
   uint64_t seen_us = now_us > options->load_lag_us ? now_us - options->load_lag_us : 0;
-  uint64_t oldest = engine->n_snapshots > SNAPSHOTS ? engine->n_snapshots - SNAPSHOTS : 0;
+  uint64_t oldest = engine->n_snapshots > N_SNAPSHOTS ? engine->n_snapshots - N_SNAPSHOTS : 0;
   uint64_t i = engine->n_snapshots - 1;
   const Snapshot *snapshot;
 
-  while (i > oldest && engine->snapshots[i % SNAPSHOTS].at_us > seen_us)
+  while (i > oldest && engine->snapshots[i % N_SNAPSHOTS].at_us > seen_us)
     i--;
-  snapshot = &engine->snapshots[i % SNAPSHOTS];
+  snapshot = &engine->snapshots[i % N_SNAPSHOTS];
   *load = (MfLoadEvent){
     .incarnation = engine->incarnation,
     .measured_us = seen_us,
@@ -800,12 +804,12 @@
 fake_engine_cache_events (const FakeEngine *engine, uint64_t now_us, uint64_t after,
                           uint64_t *first, uint64_t *hashes, bool *stored, uint32_t max)
 {
-  uint64_t i = engine->n_events > CACHE_EVENTS ? engine->n_events - CACHE_EVENTS : 0;
+  uint64_t i = engine->n_events > N_CACHE_EVENTS ? engine->n_events - N_CACHE_EVENTS : 0;
   uint32_t n = 0;
 
   for (; i < engine->n_events && n < max; i++)
     {
-      const CacheEvent *event = &engine->events[i % CACHE_EVENTS];
+      const CacheEvent *event = &engine->events[i % N_CACHE_EVENTS];
 
       if (event->number <= after)
         continue;
@@ -822,7 +826,7 @@
   return n;
 }
 
-FakeVerdict
+FakeEngineResult
 fake_engine_order (FakeEngine *engine, MfOrderKind kind, const char *value, uint64_t fence,
                    uint64_t now_us)
 {
@@ -836,7 +840,7 @@
   if (fence > engine->fence_seen)
     engine->fence_seen = fence;
   engine->ledger.orders_obeyed++;
-  drop_all (engine, now_us);
+  drop_all_work (engine, now_us);
   if (kind == MF_ORDER_MODEL)
     mf_name_set (engine->model, sizeof engine->model, value);
   else if (kind == MF_ORDER_ADAPTER)
@@ -847,7 +851,7 @@
     engine->role = strcmp (value, "prefill") == 0 ? MF_ROLE_PREFILL : MF_ROLE_DECODE;
   if (kind != MF_ORDER_ROLE)
     engine->loading_until_us = now_us + engine->options.load_model_us;
-  take_snapshot (engine, now_us);
+  snapshot_add (engine, now_us);
   return FAKE_ACCEPTED;
 }
 
@@ -856,9 +860,9 @@
 {
   if (engine->dead)
     return;
-  drop_all (engine, now_us);
+  drop_all_work (engine, now_us);
   engine->dead = true;
-  engine->died_pending = true;
+  engine->death_event_pending = true;
   engine->ledger.deaths++;
   engine->n_cache = 0;
 }
@@ -874,21 +878,21 @@
   engine->stall_until_us = 0;
   engine->link_free_us = now_us;
   engine->speed_percent = FULL_SPEED_PERCENT;
-  take_snapshot (engine, now_us);
+  snapshot_add (engine, now_us);
 }
 
 void
 fake_engine_stall (FakeEngine *engine, uint64_t now_us, uint64_t until_us)
 {
-  uint64_t length_us = until_us > now_us ? until_us - now_us : 0;
+  uint64_t stall_us = until_us > now_us ? until_us - now_us : 0;
 
   engine->stall_until_us = until_us;
   if (engine->step_due_us != 0)
-    engine->step_due_us += length_us;
+    engine->step_due_us += stall_us;
   for (uint32_t i = 0; i < engine->n_works; i++)
     {
       if (engine->works[i].state == WORK_PREFILLING)
-        engine->works[i].due_us += length_us;
+        engine->works[i].due_us += stall_us;
     }
 }
 
@@ -904,7 +908,7 @@
 }
 
 void
-fake_engine_slow (FakeEngine *engine, uint32_t speed_percent)
+fake_engine_set_speed (FakeEngine *engine, uint32_t speed_percent)
 {
   engine->speed_percent = speed_percent > 0 ? speed_percent : 1;
 }
@@ -922,19 +926,19 @@
 }
 
 void
-fake_engine_held (const FakeEngine *engine, FakeHeldFunc func, void *data)
+fake_engine_foreach_kv_entry (const FakeEngine *engine, FakeKvEntryFunc func, void *data)
 {
   for (uint32_t i = 0; i < engine->n_works; i++)
     {
       const Work *work = &engine->works[i];
-      FakeHeld held = {
+      FakeKvEntry entry = {
         .id = work->work.id,
         .pieces = work->pieces,
         .decoding = work->state >= WORK_IMPORTING,
         .exporting = work->state == WORK_EXPORTING,
       };
 
-      if (!func (&held, data))
+      if (!func (&entry, data))
         return;
     }
 }
--- a/tests/fakes/main.c
+++ b/tests/fakes/main.c
@@ -7,9 +7,9 @@
 
 #define FILE_BYTES_MAX ((size_t)2 * 1024 * 1024)
 
-/* All stand-ins, and the port through which a test reads their ledgers and scripts their faults:
- * GET /ledger; POST /fault?target=NAME&kind=KIND&value=N&from=NAME; POST /text and POST /list with
- * a body. */
+/* All stand-ins and the control port, on which a test reads their counters, injects faults and
+ * publishes the operators' text or the list of instances: GET /ledger; POST
+ * /fault?target=NAME&kind=KIND&value=N&from=NAME; POST /text and POST /list with a body. */
 typedef struct
 {
   struct ev_loop *loop;
@@ -17,7 +17,7 @@
   FakeEngineHttp *engines;
   FakePlain *plains;
   FakePlatform *platform;
-  FakeRelay *relays;
+  FakePeerProxy *proxies;
 } Fakes;
 
 static json_object *
@@ -40,7 +40,7 @@
 }
 
 static bool
-fault (Fakes *fakes, const char *query)
+set_fault (Fakes *fakes, const char *query)
 {
   char target[MF_NAME_BYTES];
   char kind[MF_NAME_BYTES];
@@ -61,10 +61,10 @@
         return fake_engine_http_fault (engine, kind, value);
     }
   fake_query_get (query, "from", from, sizeof from);
-  for (FakeRelay *relay = fakes->relays; relay != NULL; relay = fake_relay_next (relay))
+  for (FakePeerProxy *proxy = fakes->proxies; proxy != NULL; proxy = fake_peer_proxy_next (proxy))
     {
-      if (strcmp (fake_relay_name (relay), target) == 0)
-        return fake_relay_fault (relay, kind, from);
+      if (strcmp (fake_peer_proxy_name (proxy), target) == 0)
+        return fake_peer_proxy_fault (proxy, kind, from);
     }
   for (FakePlain *plain = fakes->plains; plain != NULL; plain = fake_plain_next (plain))
     {
@@ -75,10 +75,10 @@
 }
 
 static bool
-post (Fakes *fakes, const FakeHttpRequest *request)
+handle_post (Fakes *fakes, const FakeHttpRequest *request)
 {
   if (strcmp (request->path, "/fault") == 0)
-    return fault (fakes, request->query);
+    return set_fault (fakes, request->query);
   if (fakes->platform == NULL)
     return false;
   if (strcmp (request->path, "/list") == 0)
@@ -104,7 +104,7 @@
       json_object_put (ledger);
       return;
     }
-  fake_conn_answer (conn, post (fakes, request) ? 200 : 400, "", "{}\n", 3);
+  fake_conn_answer (conn, handle_post (fakes, request) ? 200 : 400, "", "{}\n", 3);
 }
 
 static void
@@ -154,28 +154,28 @@
 }
 
 static void
-start (Fakes *fakes, json_object *settings)
+start_fakes (Fakes *fakes, json_object *settings)
 {
-  static const FakeHttpHooks hooks = { .on_request = on_request, .on_closed = on_closed };
+  static const FakeHttpCallbacks callbacks = { .on_request = on_request, .on_closed = on_closed };
   json_object *engines = json_object_object_get (settings, "engines");
   json_object *plains = json_object_object_get (settings, "plain");
-  json_object *relays = json_object_object_get (settings, "relays");
+  json_object *proxies = json_object_object_get (settings, "relays");
 
   for (size_t i = 0; engines != NULL && i < json_object_array_length (engines); i++)
     fake_engine_http_new (fakes->loop, &fakes->engines, json_object_array_get_idx (engines, i));
   for (size_t i = 0; plains != NULL && i < json_object_array_length (plains); i++)
     fake_plain_new (fakes->loop, &fakes->plains, json_object_array_get_idx (plains, i));
-  for (size_t i = 0; relays != NULL && i < json_object_array_length (relays); i++)
-    fake_relay_new (fakes->loop, &fakes->relays, json_object_array_get_idx (relays, i));
+  for (size_t i = 0; proxies != NULL && i < json_object_array_length (proxies); i++)
+    fake_peer_proxy_new (fakes->loop, &fakes->proxies, json_object_array_get_idx (proxies, i));
   start_platform (fakes, json_object_object_get (settings, "platform"));
   fakes->control = fake_http_new (
-      fakes->loop, fake_setting_text (settings, "control", "127.0.0.1:0"), &hooks, fakes);
+      fakes->loop, fake_setting_text (settings, "control", "127.0.0.1:0"), &callbacks, fakes);
   printf ("control 127.0.0.1:%u\n", fake_http_port (fakes->control));
   fflush (stdout);
 }
 
 static void
-stop (Fakes *fakes)
+stop_fakes (Fakes *fakes)
 {
   fake_http_free (fakes->control);
   while (fakes->engines != NULL)
@@ -192,17 +192,17 @@
       fakes->plains = fake_plain_next (plain);
       fake_plain_free (plain);
     }
-  while (fakes->relays != NULL)
+  while (fakes->proxies != NULL)
     {
-      FakeRelay *relay = fakes->relays;
+      FakePeerProxy *proxy = fakes->proxies;
 
-      fakes->relays = fake_relay_next (relay);
-      fake_relay_free (relay);
+      fakes->proxies = fake_peer_proxy_next (proxy);
+      fake_peer_proxy_free (proxy);
     }
   fake_platform_free (fakes->platform);
 }
 
-/* usage: fakes FILE    FILE holds the settings of the stand-ins, in JSON */
+/* Usage: fakes FILE, where FILE has the settings of the stand-ins in JSON. */
 int
 main (int argc, char **argv)
 {
@@ -222,7 +222,7 @@
   free (text);
   if (settings == NULL)
     {
-      fprintf (stderr, "fakes: %s is not JSON\n", argv[1]);
+      fprintf (stderr, "fakes: %s: invalid JSON\n", argv[1]);
       return 2;
     }
   signal (SIGPIPE, SIG_IGN);
@@ -230,9 +230,9 @@
   ev_signal_start (fakes.loop, &term);
   ev_signal_init (&interrupt, on_signal, SIGINT);
   ev_signal_start (fakes.loop, &interrupt);
-  start (&fakes, settings);
+  start_fakes (&fakes, settings);
   ev_run (fakes.loop, 0);
-  stop (&fakes);
+  stop_fakes (&fakes);
   json_object_put (settings);
   ev_loop_destroy (fakes.loop);
   return 0;
--- a/tests/fakes/relay.c
+++ b/tests/fakes/relay.c
@@ -13,13 +13,13 @@
 #define READ_BYTES 65536
 #define RULES_MAX 8
 
-/* What happens to the links that one instance opens through this relay. */
+/* What the proxy does with the connections that one instance opens through it. */
 typedef enum
 {
   RULE_PASS,
-  RULE_CUT,      /* links are closed, and none is let through */
-  RULE_HOLD_IN,  /* nothing arrives from the one that opened the link */
-  RULE_HOLD_OUT, /* nothing goes back to it */
+  RULE_CUT,      /* open connections are closed, new ones with their first message */
+  RULE_HOLD_IN,  /* data from the opener is held back */
+  RULE_HOLD_OUT, /* data to the opener is held back */
   RULE_COUNT,
 } Rule;
 
@@ -36,121 +36,122 @@
   Rule rule;
 } RuleRow;
 
-typedef struct Pair Pair;
+typedef struct ProxyConn ProxyConn;
 
-/* One direction of a relayed connection: bytes read from its socket wait to be written to the
- * other's. */
+/* One socket of a proxied connection. Bytes read from it are appended to the pending bytes of the
+ * other side. */
 typedef struct
 {
-  Pair *pair;
-  ev_io readable;
-  ev_io writable;
-  MfBuffer pending; /* to be written to this side's socket */
+  ProxyConn *conn;
+  ev_io read_watcher;
+  ev_io write_watcher;
+  MfBuffer pending; /* to be sent to this socket */
 } Side;
 
-struct Pair
+struct ProxyConn
 {
-  FakeRelay *relay;
+  FakePeerProxy *proxy;
   Side opener;
   Side target;
-  char from[MF_NAME_BYTES]; /* who opened it, from the first bytes; "" before */
-  Pair *next;
+  char from[MF_NAME_BYTES]; /* instance that opened it; "" until its first message */
+  ProxyConn *next;
 };
 
-struct FakeRelay
+struct FakePeerProxy
 {
   struct ev_loop *loop;
   char name[MF_NAME_BYTES];
   char address[MF_ADDRESS_BYTES];
   char to[MF_ADDRESS_BYTES];
-  ev_io accepting;
+  ev_io accept_watcher;
   RuleRow rules[RULES_MAX];
   uint32_t n_rules;
-  Pair *pairs;
-  FakeRelay *next;
+  ProxyConn *conns;
+  FakePeerProxy *next;
 };
 
 static void
 side_close (struct ev_loop *loop, Side *side)
 {
-  ev_io_stop (loop, &side->readable);
-  ev_io_stop (loop, &side->writable);
-  close (side->readable.fd);
+  ev_io_stop (loop, &side->read_watcher);
+  ev_io_stop (loop, &side->write_watcher);
+  close (side->read_watcher.fd);
   mf_buffer_clear (&side->pending);
 }
 
 static void
-pair_close (Pair *pair)
+conn_close (ProxyConn *conn)
 {
-  FakeRelay *relay = pair->relay;
-  Pair **at = &relay->pairs;
+  FakePeerProxy *proxy = conn->proxy;
+  ProxyConn **at = &proxy->conns;
 
-  while (*at != pair)
+  while (*at != conn)
     at = &(*at)->next;
-  *at = pair->next;
-  side_close (relay->loop, &pair->opener);
-  side_close (relay->loop, &pair->target);
-  free (pair);
+  *at = conn->next;
+  side_close (proxy->loop, &conn->opener);
+  side_close (proxy->loop, &conn->target);
+  free (conn);
 }
 
 static Rule
-rule_for (const FakeRelay *relay, const char *from)
+rule_for (const FakePeerProxy *proxy, const char *from)
 {
-  for (uint32_t i = 0; i < relay->n_rules; i++)
+  for (uint32_t i = 0; i < proxy->n_rules; i++)
     {
-      if (relay->rules[i].from[0] == '\0' || strcmp (relay->rules[i].from, from) == 0)
-        return relay->rules[i].rule;
+      if (proxy->rules[i].from[0] == '\0' || strcmp (proxy->rules[i].from, from) == 0)
+        return proxy->rules[i].rule;
     }
   return RULE_PASS;
 }
 
-/* Whether bytes may now be written to this side. */
+/* Returns whether the rules let bytes be sent to this side. */
 static bool
-side_flows (const Side *side)
+side_can_write (const Side *side)
 {
-  Rule rule = rule_for (side->pair->relay, side->pair->from);
+  Rule rule = rule_for (side->conn->proxy, side->conn->from);
 
-  return side == &side->pair->target ? rule != RULE_HOLD_IN : rule != RULE_HOLD_OUT;
+  return side == &side->conn->target ? rule != RULE_HOLD_IN : rule != RULE_HOLD_OUT;
 }
 
 static void
 side_flush (Side *side)
 {
-  struct ev_loop *loop = side->pair->relay->loop;
+  struct ev_loop *loop = side->conn->proxy->loop;
 
-  while (mf_buffer_bytes (&side->pending) > 0 && side_flows (side))
+  while (mf_buffer_bytes (&side->pending) > 0 && side_can_write (side))
     {
-      ssize_t n = send (side->writable.fd, mf_buffer_data (&side->pending),
+      ssize_t n = send (side->write_watcher.fd, mf_buffer_data (&side->pending),
                         mf_buffer_bytes (&side->pending), MSG_NOSIGNAL | MSG_DONTWAIT);
 
       if (n <= 0)
         break;
       mf_buffer_consume (&side->pending, (size_t)n);
     }
-  if (mf_buffer_bytes (&side->pending) > 0 && side_flows (side))
-    ev_io_start (loop, &side->writable);
+  if (mf_buffer_bytes (&side->pending) > 0 && side_can_write (side))
+    ev_io_start (loop, &side->write_watcher);
   else
-    ev_io_stop (loop, &side->writable);
+    ev_io_stop (loop, &side->write_watcher);
 }
 
-/* The first message of a link names who opened it, in the clear. */
+/* Finds the name of the opening instance, which the first message of a link contains unencrypted.
+ */
 static void
-read_opener (Pair *pair, const char *data, size_t data_bytes)
+read_opener_name (ProxyConn *conn, const char *data, size_t data_bytes)
 {
   const char *name = memmem (data, data_bytes, "entry-", 6);
   size_t n = name == NULL ? 0 : 7;
 
-  if (pair->from[0] != '\0' || n == 0 || (size_t)(name - data) + n > data_bytes)
+  if (conn->from[0] != '\0' || n == 0 || (size_t)(name - data) + n > data_bytes)
     return;
-  memcpy (pair->from, name, n);
+  memcpy (conn->from, name, n);
 }
 
 static void
 on_readable (struct ev_loop *loop, ev_io *io, int events)
 {
   Side *side = io->data;
-  Pair *pair = side->pair;
-  Side *other = side == &pair->opener ? &pair->target : &pair->opener;
+  ProxyConn *conn = side->conn;
+  Side *other = side == &conn->opener ? &conn->target : &conn->opener;
   char data[READ_BYTES];
   ssize_t n = recv (io->fd, data, sizeof data, MSG_DONTWAIT);
 
@@ -159,10 +160,10 @@
   if (n < 0 && errno == EAGAIN)
     return;
   if (n > 0)
-    read_opener (pair, data, (size_t)n);
-  if (n <= 0 || rule_for (pair->relay, pair->from) == RULE_CUT)
+    read_opener_name (conn, data, (size_t)n);
+  if (n <= 0 || rule_for (conn->proxy, conn->from) == RULE_CUT)
     {
-      pair_close (pair);
+      conn_close (conn);
       return;
     }
   mf_buffer_add (&other->pending, data, (size_t)n);
@@ -178,24 +179,24 @@
 }
 
 static void
-side_open (Pair *pair, Side *side, int fd)
+side_open (ProxyConn *conn, Side *side, int fd)
 {
-  side->pair = pair;
-  ev_io_init (&side->readable, on_readable, fd, EV_READ);
-  ev_io_init (&side->writable, on_writable, fd, EV_WRITE);
-  side->readable.data = side;
-  side->writable.data = side;
-  ev_io_start (pair->relay->loop, &side->readable);
+  side->conn = conn;
+  ev_io_init (&side->read_watcher, on_readable, fd, EV_READ);
+  ev_io_init (&side->write_watcher, on_writable, fd, EV_WRITE);
+  side->read_watcher.data = side;
+  side->write_watcher.data = side;
+  ev_io_start (conn->proxy->loop, &side->read_watcher);
 }
 
 static void
 on_accept (struct ev_loop *loop, ev_io *io, int events)
 {
-  FakeRelay *relay = io->data;
+  FakePeerProxy *proxy = io->data;
   MfError error = { 0 };
   int opener = accept4 (io->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
-  int target = opener < 0 ? -1 : mf_socket_connect (relay->to, &error);
-  Pair *pair;
+  int target = opener < 0 ? -1 : mf_socket_connect (proxy->to, &error);
+  ProxyConn *conn;
 
   (void)loop;
   (void)events;
@@ -204,33 +205,33 @@
       close (opener);
       return;
     }
-  pair = calloc (1, sizeof *pair);
-  if (pair == NULL)
+  conn = calloc (1, sizeof *conn);
+  if (conn == NULL)
     abort ();
-  pair->relay = relay;
-  pair->next = relay->pairs;
-  relay->pairs = pair;
-  side_open (pair, &pair->opener, opener);
-  side_open (pair, &pair->target, target);
+  conn->proxy = proxy;
+  conn->next = proxy->conns;
+  proxy->conns = conn;
+  side_open (conn, &conn->opener, opener);
+  side_open (conn, &conn->target, target);
 }
 
 static RuleRow *
-rule_row (FakeRelay *relay, const char *from)
+rule_row (FakePeerProxy *proxy, const char *from)
 {
-  for (uint32_t i = 0; i < relay->n_rules; i++)
+  for (uint32_t i = 0; i < proxy->n_rules; i++)
     {
-      if (strcmp (relay->rules[i].from, from) == 0)
-        return &relay->rules[i];
+      if (strcmp (proxy->rules[i].from, from) == 0)
+        return &proxy->rules[i];
     }
-  if (relay->n_rules == RULES_MAX)
+  if (proxy->n_rules == RULES_MAX)
     abort ();
-  mf_name_set (relay->rules[relay->n_rules].from, MF_NAME_BYTES, from);
-  return &relay->rules[relay->n_rules++];
+  mf_name_set (proxy->rules[proxy->n_rules].from, MF_NAME_BYTES, from);
+  return &proxy->rules[proxy->n_rules++];
 }
 
-/* Sets the rule for the links that one instance opens; "" is all of them. */
+/* Sets the rule for the connections opened by the instance from; "" sets it for all instances. */
 bool
-fake_relay_fault (FakeRelay *relay, const char *kind, const char *from)
+fake_peer_proxy_fault (FakePeerProxy *proxy, const char *kind, const char *from)
 {
   Rule rule = RULE_PASS;
 
@@ -238,105 +239,106 @@
     rule++;
   if (rule == RULE_COUNT)
     return false;
-  rule_row (relay, from)->rule = rule;
-  for (Pair *pair = relay->pairs; pair != NULL;)
+  rule_row (proxy, from)->rule = rule;
+  for (ProxyConn *conn = proxy->conns; conn != NULL;)
     {
-      Pair *next = pair->next;
+      ProxyConn *next = conn->next;
 
-      if (rule_for (relay, pair->from) == RULE_CUT)
-        pair_close (pair);
+      if (rule_for (proxy, conn->from) == RULE_CUT)
+        conn_close (conn);
       else
         {
-          side_flush (&pair->opener);
-          side_flush (&pair->target);
+          side_flush (&conn->opener);
+          side_flush (&conn->target);
         }
-      pair = next;
+      conn = next;
     }
   return true;
 }
 
 static void
-relay_listen (FakeRelay *relay)
+proxy_listen (FakePeerProxy *proxy)
 {
   MfError error = { 0 };
-  int fd = mf_socket_listen (relay->address, &error);
+  int fd = mf_socket_listen (proxy->address, &error);
 
   if (fd < 0)
     {
       fprintf (stderr, "fakes: %s\n", error.text);
       exit (1);
     }
-  ev_io_init (&relay->accepting, on_accept, fd, EV_READ);
-  relay->accepting.data = relay;
-  ev_io_start (relay->loop, &relay->accepting);
+  ev_io_init (&proxy->accept_watcher, on_accept, fd, EV_READ);
+  proxy->accept_watcher.data = proxy;
+  ev_io_start (proxy->loop, &proxy->accept_watcher);
 }
 
 void
-fake_relay_refuse (FakeRelay *relay, bool refuses)
+fake_peer_proxy_set_refusing (FakePeerProxy *proxy, bool refuses)
 {
-  static const struct linger hard = { .l_onoff = 1, .l_linger = 0 };
+  static const struct linger linger = { .l_onoff = 1, .l_linger = 0 };
 
-  if (refuses == (relay->accepting.fd < 0))
+  if (refuses == (proxy->accept_watcher.fd < 0))
     return;
   if (!refuses)
     {
-      relay_listen (relay);
+      proxy_listen (proxy);
       return;
     }
-  ev_io_stop (relay->loop, &relay->accepting);
-  close (relay->accepting.fd);
-  relay->accepting.fd = -1;
-  while (relay->pairs != NULL)
+  ev_io_stop (proxy->loop, &proxy->accept_watcher);
+  close (proxy->accept_watcher.fd);
+  proxy->accept_watcher.fd = -1;
+  while (proxy->conns != NULL)
     {
-      setsockopt (relay->pairs->opener.readable.fd, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
-      pair_close (relay->pairs);
+      setsockopt (proxy->conns->opener.read_watcher.fd, SOL_SOCKET, SO_LINGER, &linger,
+                  sizeof linger);
+      conn_close (proxy->conns);
     }
 }
 
-FakeRelay *
-fake_relay_new (struct ev_loop *loop, FakeRelay **list, json_object *settings)
+FakePeerProxy *
+fake_peer_proxy_new (struct ev_loop *loop, FakePeerProxy **list, json_object *settings)
 {
-  FakeRelay *relay = calloc (1, sizeof *relay);
+  FakePeerProxy *proxy = calloc (1, sizeof *proxy);
 
-  if (relay == NULL)
+  if (proxy == NULL)
     abort ();
-  relay->loop = loop;
-  mf_name_set (relay->address, sizeof relay->address,
+  proxy->loop = loop;
+  mf_name_set (proxy->address, sizeof proxy->address,
                fake_setting_text (settings, "address", "127.0.0.1:0"));
-  mf_name_set (relay->name, sizeof relay->name, fake_setting_text (settings, "name", "relay"));
-  mf_name_set (relay->to, sizeof relay->to, fake_setting_text (settings, "to", ""));
-  relay_listen (relay);
-  relay->next = *list;
-  *list = relay;
-  return relay;
+  mf_name_set (proxy->name, sizeof proxy->name, fake_setting_text (settings, "name", "relay"));
+  mf_name_set (proxy->to, sizeof proxy->to, fake_setting_text (settings, "to", ""));
+  proxy_listen (proxy);
+  proxy->next = *list;
+  *list = proxy;
+  return proxy;
 }
 
 void
-fake_relay_free (FakeRelay *relay)
+fake_peer_proxy_free (FakePeerProxy *proxy)
 {
-  for (Pair *pair = relay->pairs; pair != NULL;)
+  for (ProxyConn *conn = proxy->conns; conn != NULL;)
     {
-      Pair *next = pair->next;
+      ProxyConn *next = conn->next;
 
-      pair_close (pair);
-      pair = next;
+      conn_close (conn);
+      conn = next;
     }
-  if (relay->accepting.fd >= 0)
+  if (proxy->accept_watcher.fd >= 0)
     {
-      ev_io_stop (relay->loop, &relay->accepting);
-      close (relay->accepting.fd);
+      ev_io_stop (proxy->loop, &proxy->accept_watcher);
+      close (proxy->accept_watcher.fd);
     }
-  free (relay);
+  free (proxy);
 }
 
 const char *
-fake_relay_name (const FakeRelay *relay)
+fake_peer_proxy_name (const FakePeerProxy *proxy)
 {
-  return relay->name;
+  return proxy->name;
 }
 
-FakeRelay *
-fake_relay_next (FakeRelay *relay)
+FakePeerProxy *
+fake_peer_proxy_next (FakePeerProxy *proxy)
 {
-  return relay->next;
+  return proxy->next;
 }
