--- a/tests/soak/relay_soak.c
+++ b/tests/soak/relay_soak.c
@@ -24,30 +24,30 @@
  * break. What callers and upstreams see is held against the promises. */
 
 #define INSTANCES_MAX 240
-#define INSTANCES_SMALL 16
+#define SMALL_RUN_INSTANCES_MAX 16
 #define CALLERS_MAX 256
-#define UPSTREAMS 9
-#define PROXIES (UPSTREAMS + 1)
-#define FAULTS_AT_ONCE 3
+#define N_UPSTREAMS 9
+#define N_PROXIES (N_UPSTREAMS + 1)
+#define CONCURRENT_FAULTS_MAX 3
 /* Ports of one run; runs of neighbouring seeds go side by side, but for large ones. */
 #define FIRST_PORT 20000
 #define LARGE_FIRST_PORT 26000
 #define PORTS_PER_RUN 120
 #define PORTS_PER_INSTANCE 4
-#define RUNS_SIDE_BY_SIDE 50
-#define IDS_MAX 65536
+#define CONCURRENT_RUNS_MAX 50
+#define REQUESTS_MAX 65536
 #define ID_BYTES 40
 /* Time to settle at the start, and without faults at the end. */
-#define WARM_US (1500 * MF_US_PER_MS)
-#define CALM_US (6 * MF_US_PER_S)
-#define DRAIN_BOUND_US (2200 * MF_US_PER_MS)
+#define WARM_UP_US (1500 * MF_US_PER_MS)
+#define RECOVERY_US (6 * MF_US_PER_S)
+#define DRAIN_ARRIVAL_MAX_US (2200 * MF_US_PER_MS)
 /* An upstream that has crashed is back after this time. */
 #define CRASH_DOWN_S 2.
 #define CONTACT_MS 1500
 /* Sends of a request that crashes upstreams, from CONTACT_MS after it has crashed the third on. */
-#define LATE_SENDS_MAX 3
+#define LATE_ARRIVALS_MAX 3
 /* Of the requests of the calm end, so many of a hundred are served. */
-#define CALM_SERVED_PERCENT 95
+#define RECOVERY_SERVED_MIN_PERCENT 95
 
 typedef enum
 {
@@ -56,7 +56,7 @@
   KIND_ONCE,
   KIND_STREAM,
   KIND_COUNT,
-} Kind;
+} RequestKind;
 
 /* How one kind of request is sent, and how often it may run. */
 typedef struct
@@ -64,9 +64,9 @@
   const char *method;
   const char *path;
   uint32_t runs_max;
-} KindRow;
+} RequestKindRow;
 
-static const KindRow kinds[KIND_COUNT] = {
+static const RequestKindRow request_kinds[KIND_COUNT] = {
   [KIND_ORDER] = { "POST", "/order/1", 1 },
   [KIND_READ] = { "GET", "/read/1", 2 },
   [KIND_ONCE] = { "POST", "/once/1", 1 },
@@ -76,10 +76,10 @@
 typedef struct
 {
   char id[ID_BYTES];
-  Kind kind;
+  RequestKind kind;
   bool refused; /* the caller was told that it has not run */
   bool crashes;
-} Sent;
+} SentRequest;
 
 typedef struct
 {
@@ -98,9 +98,9 @@
   ev_io io;
   ev_timer timer; /* the next request, or when the caller leaves */
   bool waiting;
-  bool leaves;
+  bool disconnects;
   bool crashes; /* sends one request that crashes upstreams again and again */
-  uint32_t sent;
+  uint32_t sent_index;
   MfMessage message;
   MfBuffer body;
 } Caller;
@@ -120,7 +120,7 @@
   const char *name;
   void (*begin) (Soak *soak, uint32_t target);
   void (*end) (Soak *soak, uint32_t target);
-  bool disturbs; /* instances may be late to learn what the store says */
+  bool delays_updates; /* instances may be late to learn what the store says */
 };
 
 struct Soak
@@ -138,30 +138,30 @@
   char directory[64];
   Instance instances[INSTANCES_MAX];
   SoakLedger *ledger;
-  SoakUpstream *upstreams[UPSTREAMS];
-  uint32_t lives[UPSTREAMS];
-  uint64_t drained_us[UPSTREAMS];
+  SoakUpstream *upstreams[N_UPSTREAMS];
+  uint32_t incarnations[N_UPSTREAMS];
+  uint64_t drain_start_us[N_UPSTREAMS];
   FakeRelay *proxies;
-  FakeRelay *proxy[PROXIES]; /* the last stands before the store */
+  FakeRelay *proxy[N_PROXIES]; /* the last stands before the store */
   FakeStore *store;
   uint32_t version;
   Caller callers[CALLERS_MAX];
-  Sent sent[IDS_MAX];
+  SentRequest sent[REQUESTS_MAX];
   uint32_t n_sent;
-  Fault faults[FAULTS_AT_ONCE];
+  Fault faults[CONCURRENT_FAULTS_MAX];
   uint64_t next_fault_us;
-  uint64_t began_us;
-  uint64_t disturbed_us;
+  uint64_t started_us;
+  uint64_t updates_delayed_until_us;
   uint32_t n_faults;
-  uint32_t n_whole;
+  uint32_t n_served;
   uint32_t n_refused;
   uint32_t n_failed;
-  uint32_t n_broken;
-  uint32_t n_left;
-  uint32_t n_calm;
-  uint32_t n_calm_served;
-  uint32_t n_owed;
-  uint32_t n_owed_served;
+  uint32_t n_incomplete;
+  uint32_t n_abandoned;
+  uint32_t n_recovery;
+  uint32_t n_recovery_served;
+  uint32_t n_ordinary;
+  uint32_t n_ordinary_served;
   uint32_t n_violations;
   ev_timer tick;
 };
@@ -178,11 +178,11 @@
 }
 
 static void
-violation (Soak *soak, const char *what, const char *id)
+report_violation (Soak *soak, const char *what, const char *id)
 {
   soak->n_violations++;
   printf ("VIOLATION at %.3f s: %s (%s)\n",
-          (double)(mf_clock_now_us () - soak->began_us) / (double)MF_US_PER_S, what, id);
+          (double)(mf_clock_now_us () - soak->started_us) / (double)MF_US_PER_S, what, id);
 }
 
 static void
@@ -220,7 +220,7 @@
            "listen.control=127.0.0.1:%u\nseeds=127.0.0.1:%u,127.0.0.1:%u\n"
            "provider.address=127.0.0.1:%u\nbounds.contactMs=%u\nbounds.graceS=3\n",
            index, instance->port, instance->port + 1, instance->port + 2, soak->first_port + 2,
-           soak->first_port + 6, soak->proxy_port + UPSTREAMS, CONTACT_MS);
+           soak->first_port + 6, soak->proxy_port + N_UPSTREAMS, CONTACT_MS);
   fclose (file);
 }
 
@@ -231,35 +231,36 @@
   char address[MF_ADDRESS_BYTES];
   const char *role = index < 3 ? "" : index < 5 ? "prefill" : "decode";
 
-  snprintf (id, sizeof id, "u%u-%u", index, soak->lives[index]);
+  snprintf (id, sizeof id, "u%u-%u", index, soak->incarnations[index]);
   snprintf (address, sizeof address, "127.0.0.1:%u", soak->proxy_port + index);
   fake_store_put_upstream (soak->store, id, index < 3 ? "shop" : "engines", address, role, state);
 }
 
 /* Holds the last request of an upstream that leaves against the bound. */
 static void
-drain_judge (Soak *soak, uint32_t index)
+drain_check (Soak *soak, uint32_t index)
 {
-  uint64_t since_us = soak->drained_us[index];
+  uint64_t since_us = soak->drain_start_us[index];
   uint64_t last_us = soak_upstream_last_arrival_us (soak->upstreams[index]);
 
-  soak->drained_us[index] = 0;
-  if (since_us > soak->disturbed_us + 3 * MF_US_PER_S && last_us > since_us + DRAIN_BOUND_US)
-    violation (soak, "a request reached an upstream long after it began to leave", "");
+  soak->drain_start_us[index] = 0;
+  if (since_us > soak->updates_delayed_until_us + 3 * MF_US_PER_S
+      && last_us > since_us + DRAIN_ARRIVAL_MAX_US)
+    report_violation (soak, "a request reached an upstream long after it began to leave", "");
 }
 
 /* An upstream starts anew: with a new id, and its old entry gone. */
 static void
-upstream_renew (Soak *soak, uint32_t index)
+upstream_restart (Soak *soak, uint32_t index)
 {
   char id[ID_BYTES];
 
-  if (soak->drained_us[index] > 0)
-    drain_judge (soak, index);
-  snprintf (id, sizeof id, "servers/u%u-%u", index, soak->lives[index]);
+  if (soak->drain_start_us[index] > 0)
+    drain_check (soak, index);
+  snprintf (id, sizeof id, "servers/u%u-%u", index, soak->incarnations[index]);
   fake_store_remove (soak->store, id);
-  soak->lives[index]++;
-  snprintf (id, sizeof id, "u%u-%u", index, soak->lives[index]);
+  soak->incarnations[index]++;
+  snprintf (id, sizeof id, "u%u-%u", index, soak->incarnations[index]);
   soak_upstream_restart (soak->upstreams[index], id);
   upstream_publish (soak, index, "ready");
 }
@@ -274,7 +275,7 @@
     index++;
   fake_relay_refuse (soak->proxy[index], down);
   if (!down)
-    upstream_renew (soak, index);
+    upstream_restart (soak, index);
 }
 
 static void
@@ -306,7 +307,7 @@
 }
 
 static void
-caller_hang_up (Caller *caller)
+caller_disconnect (Caller *caller)
 {
   if (caller->fd < 0)
     return;
@@ -317,7 +318,7 @@
 
 /* Waits a little before the next request. */
 static void
-caller_rest (Caller *caller)
+caller_schedule_next (Caller *caller)
 {
   caller->waiting = false;
   ev_timer_stop (caller->soak->loop, &caller->timer);
@@ -327,9 +328,9 @@
 
 /* Whether the body of a whole answer is the one of this request. */
 static bool
-body_is_right (const Caller *caller)
+body_matches_request (const Caller *caller)
 {
-  const Sent *sent = &caller->soak->sent[caller->sent];
+  const SentRequest *sent = &caller->soak->sent[caller->sent_index];
   char expected[SOAK_EVENTS * 64] = "";
   size_t n_bytes = 0;
 
@@ -344,36 +345,36 @@
 }
 
 static bool
-is_calm (const Soak *soak, uint64_t margin_us)
+is_recovering (const Soak *soak, uint64_t margin_us)
 {
-  uint64_t end_us = soak->began_us + soak->seconds * MF_US_PER_S;
+  uint64_t end_us = soak->started_us + soak->seconds * MF_US_PER_S;
 
-  return mf_clock_now_us () + CALM_US > end_us + margin_us;
+  return mf_clock_now_us () + RECOVERY_US > end_us + margin_us;
 }
 
 /* The answer has come whole, or the connection has ended without one. */
 static void
-caller_settle (Caller *caller, bool whole)
+caller_finish (Caller *caller, bool complete)
 {
   Soak *soak = caller->soak;
-  Sent *sent = &soak->sent[caller->sent];
-  uint32_t status = whole ? caller->message.parser.status_code : 0;
+  SentRequest *sent = &soak->sent[caller->sent_index];
+  uint32_t status = complete ? caller->message.parser.status_code : 0;
 
-  soak->n_owed += !sent->crashes;
-  soak->n_owed_served += !sent->crashes && status == 200;
+  soak->n_ordinary += !sent->crashes;
+  soak->n_ordinary_served += !sent->crashes && status == 200;
   /* The faults have ended three seconds before. */
-  if (is_calm (soak, 3 * MF_US_PER_S) && !sent->crashes)
+  if (is_recovering (soak, 3 * MF_US_PER_S) && !sent->crashes)
     {
-      soak->n_calm++;
-      soak->n_calm_served += status == 200;
+      soak->n_recovery++;
+      soak->n_recovery_served += status == 200;
     }
-  if (!whole)
-    soak->n_broken++;
+  if (!complete)
+    soak->n_incomplete++;
   else if (status == 200)
     {
-      soak->n_whole++;
-      if (!body_is_right (caller))
-        violation (soak, "an answer is not the one of its request", sent->id);
+      soak->n_served++;
+      if (!body_matches_request (caller))
+        report_violation (soak, "an answer is not the one of its request", sent->id);
     }
   else if (status == 503)
     {
@@ -381,12 +382,12 @@
       sent->refused = true;
     }
   else if (status >= 400 && status < 500)
-    violation (soak, "a proper request was denied", sent->id);
+    report_violation (soak, "a proper request was denied", sent->id);
   else
     soak->n_failed++;
-  if (!whole || !http_should_keep_alive (&caller->message.parser))
-    caller_hang_up (caller);
-  caller_rest (caller);
+  if (!complete || !http_should_keep_alive (&caller->message.parser))
+    caller_disconnect (caller);
+  caller_schedule_next (caller);
 }
 
 static void
@@ -398,7 +399,7 @@
   mf_buffer_add (&caller->body, bytes, n_bytes);
 }
 
-static const MfMessageCallbacks message_events = { .body = on_body };
+static const MfMessageCallbacks message_callbacks = { .body = on_body };
 
 static void
 on_readable (struct ev_loop *loop, ev_io *watcher, int events)
@@ -414,25 +415,26 @@
   if (n_read <= 0)
     {
       if (caller->waiting)
-        caller_settle (caller, false);
+        caller_finish (caller, false);
       else
-        caller_hang_up (caller);
+        caller_disconnect (caller);
       return;
     }
   if (!caller->waiting)
     {
-      violation (caller->soak, "bytes without a request", "");
-      caller_hang_up (caller);
+      report_violation (caller->soak, "bytes without a request", "");
+      caller_disconnect (caller);
       return;
     }
   mf_message_feed (&caller->message, bytes, (size_t)n_read);
   if (caller->message.error_code != MF_CODE_OK)
     {
-      violation (caller->soak, "an answer is not HTTP", caller->soak->sent[caller->sent].id);
-      caller_settle (caller, false);
+      report_violation (caller->soak, "an answer is not HTTP",
+                        caller->soak->sent[caller->sent_index].id);
+      caller_finish (caller, false);
     }
   else if (caller->message.done)
-    caller_settle (caller, true);
+    caller_finish (caller, true);
 }
 
 static bool
@@ -441,16 +443,16 @@
   Soak *soak = caller->soak;
   struct sockaddr_in address
       = { .sin_family = AF_INET, .sin_addr = { .s_addr = htonl (INADDR_LOOPBACK) } };
-  struct sockaddr_in own = address;
+  struct sockaddr_in source = address;
 
   if (caller->fd >= 0)
     return true;
   /* Each caller has a host of its own. */
-  own.sin_addr.s_addr = htonl (INADDR_LOOPBACK + 1 + (uint32_t)(caller - soak->callers));
+  source.sin_addr.s_addr = htonl (INADDR_LOOPBACK + 1 + (uint32_t)(caller - soak->callers));
   caller->instance = draw (soak, soak->n_instances);
   address.sin_port = htons ((uint16_t)soak->instances[caller->instance].port);
   caller->fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  if (bind (caller->fd, (struct sockaddr *)&own, sizeof own) != 0
+  if (bind (caller->fd, (struct sockaddr *)&source, sizeof source) != 0
       || connect (caller->fd, (struct sockaddr *)&address, sizeof address) != 0)
     {
       close (caller->fd);
@@ -471,31 +473,32 @@
   uint32_t index = (uint32_t)(caller - soak->callers);
   char text[512];
   char body[16];
-  Sent *sent;
+  SentRequest *sent;
   int n_bytes;
 
-  if (soak->n_sent == IDS_MAX)
+  if (soak->n_sent == REQUESTS_MAX)
     abort ();
-  caller->sent = soak->n_sent;
+  caller->sent_index = soak->n_sent;
   sent = &soak->sent[soak->n_sent++];
   sent->crashes = caller->crashes;
-  sent->kind = caller->crashes ? (Kind)(index % KIND_COUNT) : (Kind)draw (soak, KIND_COUNT);
-  snprintf (sent->id, sizeof sent->id, "r%u", caller->sent);
+  sent->kind
+      = caller->crashes ? (RequestKind)(index % KIND_COUNT) : (RequestKind)draw (soak, KIND_COUNT);
+  snprintf (sent->id, sizeof sent->id, "r%u", caller->sent_index);
   snprintf (body, sizeof body, caller->crashes ? SOAK_CRASH "%u" : "hi%u", index);
-  n_bytes
-      = snprintf (text, sizeof text,
-                  "%s %s HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: %s\r\nX-Deadline-Ms: 4000\r\n"
-                  "X-Token-Count: 100,80\r\nX-Pin-Ms: 7\r\nContent-Length: %zu\r\n\r\n%s",
-                  kinds[sent->kind].method, kinds[sent->kind].path, sent->id, strlen (body), body);
+  n_bytes = snprintf (text, sizeof text,
+                      "%s %s HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: %s\r\nX-Deadline-Ms: 4000\r\n"
+                      "X-Token-Count: 100,80\r\nX-Pin-Ms: 7\r\nContent-Length: %zu\r\n\r\n%s",
+                      request_kinds[sent->kind].method, request_kinds[sent->kind].path, sent->id,
+                      strlen (body), body);
   mf_message_reset (&caller->message);
   mf_buffer_clear (&caller->body);
   caller->waiting = true;
-  caller->leaves = draw (soak, 100) < 6 && !caller->crashes;
+  caller->disconnects = draw (soak, 100) < 6 && !caller->crashes;
   ev_timer_stop (soak->loop, &caller->timer);
-  ev_timer_set (&caller->timer, caller->leaves ? draw (soak, 200) * 0.001 : 5., 0.);
+  ev_timer_set (&caller->timer, caller->disconnects ? draw (soak, 200) * 0.001 : 5., 0.);
   ev_timer_start (soak->loop, &caller->timer);
   if (send (caller->fd, text, (size_t)n_bytes, MSG_NOSIGNAL) != n_bytes)
-    caller_settle (caller, false);
+    caller_finish (caller, false);
 }
 
 static void
@@ -504,7 +507,7 @@
   if (caller_connect (caller))
     caller_send (caller);
   else
-    caller_rest (caller);
+    caller_schedule_next (caller);
 }
 
 static void
@@ -519,12 +522,13 @@
       caller_next (caller);
       return;
     }
-  if (!caller->leaves && !caller->soak->instances[caller->instance].paused
-      && is_calm (caller->soak, 0))
-    violation (caller->soak, "no answer for five seconds", caller->soak->sent[caller->sent].id);
-  caller->soak->n_left++;
-  caller_hang_up (caller);
-  caller_rest (caller);
+  if (!caller->disconnects && !caller->soak->instances[caller->instance].paused
+      && is_recovering (caller->soak, 0))
+    report_violation (caller->soak, "no answer for five seconds",
+                      caller->soak->sent[caller->sent_index].id);
+  caller->soak->n_abandoned++;
+  caller_disconnect (caller);
+  caller_schedule_next (caller);
 }
 
 static void
@@ -569,64 +573,65 @@
 }
 
 static void
-begin_mood (Soak *soak, uint32_t target)
+begin_mode (Soak *soak, uint32_t target)
 {
-  soak_upstream_mood (soak->upstreams[target % UPSTREAMS],
+  soak_upstream_mood (soak->upstreams[target % N_UPSTREAMS],
                       (SoakMood)(1 + draw (soak, SOAK_MOOD_COUNT - 1)));
 }
 
 static void
-end_mood (Soak *soak, uint32_t target)
+end_mode (Soak *soak, uint32_t target)
 {
-  soak_upstream_mood (soak->upstreams[target % UPSTREAMS], SOAK_GOOD);
+  soak_upstream_mood (soak->upstreams[target % N_UPSTREAMS], SOAK_GOOD);
 }
 
 static void
-begin_cut (Soak *soak, uint32_t target)
+begin_link_fault (Soak *soak, uint32_t target)
 {
-  static const char *const ways[] = { "cut", "hold-in", "hold-out" };
+  static const char *const link_faults[] = { "cut", "hold-in", "hold-out" };
 
-  fake_relay_fault (soak->proxy[target % PROXIES], ways[draw (soak, MF_ARRAY_LEN (ways))], "");
+  fake_relay_fault (soak->proxy[target % N_PROXIES],
+                    link_faults[draw (soak, MF_ARRAY_LEN (link_faults))], "");
 }
 
 static void
-end_cut (Soak *soak, uint32_t target)
+end_link_fault (Soak *soak, uint32_t target)
 {
-  fake_relay_fault (soak->proxy[target % PROXIES], "pass", "");
+  fake_relay_fault (soak->proxy[target % N_PROXIES], "pass", "");
 }
 
 static void
 begin_restart (Soak *soak, uint32_t target)
 {
-  upstream_renew (soak, target % UPSTREAMS);
+  upstream_restart (soak, target % N_UPSTREAMS);
 }
 
 static void
 begin_drain (Soak *soak, uint32_t target)
 {
-  soak->drained_us[target % UPSTREAMS] = mf_clock_now_us ();
-  upstream_publish (soak, target % UPSTREAMS, "draining");
+  soak->drain_start_us[target % N_UPSTREAMS] = mf_clock_now_us ();
+  upstream_publish (soak, target % N_UPSTREAMS, "draining");
 }
 
 static void
 end_drain (Soak *soak, uint32_t target)
 {
-  uint32_t index = target % UPSTREAMS;
+  uint32_t index = target % N_UPSTREAMS;
 
   /* Unless another fault has put a new process in its place. */
-  if (soak->drained_us[index] > 0)
-    upstream_renew (soak, index);
+  if (soak->drain_start_us[index] > 0)
+    upstream_restart (soak, index);
 }
 
 static void
-begin_store (Soak *soak, uint32_t target)
+begin_store_fault (Soak *soak, uint32_t target)
 {
   (void)target;
   fake_store_mood (soak->store, (FakeStoreMood)(1 + draw (soak, FAKE_STORE_SILENT)));
 }
 
 static void
-end_store (Soak *soak, uint32_t target)
+end_store_fault (Soak *soak, uint32_t target)
 {
   (void)target;
   if (draw (soak, 2) == 0)
@@ -642,11 +647,16 @@
 }
 
 static const FaultKind fault_kinds[] = {
-  { "kill", begin_kill, NULL, true },        { "term", begin_term, NULL, true },
-  { "pause", begin_pause, end_pause, true }, { "hup", begin_hup, NULL, false },
-  { "mood", begin_mood, end_mood, false },   { "cut", begin_cut, end_cut, true },
-  { "restart", begin_restart, NULL, false }, { "drain", begin_drain, end_drain, false },
-  { "store", begin_store, end_store, true }, { "config", begin_config, NULL, false },
+  { "kill", begin_kill, NULL, true },
+  { "term", begin_term, NULL, true },
+  { "pause", begin_pause, end_pause, true },
+  { "hup", begin_hup, NULL, false },
+  { "mood", begin_mode, end_mode, false },
+  { "cut", begin_link_fault, end_link_fault, true },
+  { "restart", begin_restart, NULL, false },
+  { "drain", begin_drain, end_drain, false },
+  { "store", begin_store_fault, end_store_fault, true },
+  { "config", begin_config, NULL, false },
 };
 
 /* Starts instances that have ended anew. */
@@ -663,10 +673,10 @@
       if (!(WIFSIGNALED (status) && WTERMSIG (status) == SIGKILL)
           && !(WIFEXITED (status) && WEXITSTATUS (status) == 0))
         {
-          char how[ID_BYTES];
+          char detail[ID_BYTES];
 
-          snprintf (how, sizeof how, "instance %u, status %x", i, (unsigned int)status);
-          violation (soak, "an instance ended by itself", how);
+          snprintf (detail, sizeof detail, "instance %u, status %x", i, (unsigned int)status);
+          report_violation (soak, "an instance ended by itself", detail);
         }
       instance_start (soak, i);
     }
@@ -675,20 +685,20 @@
 static void
 faults_step (Soak *soak, uint64_t now_us)
 {
-  for (uint32_t i = 0; i < FAULTS_AT_ONCE; i++)
+  for (uint32_t i = 0; i < CONCURRENT_FAULTS_MAX; i++)
     {
       Fault *fault = &soak->faults[i];
 
-      if (fault->kind != NULL && (now_us >= fault->until_us || is_calm (soak, 0)))
+      if (fault->kind != NULL && (now_us >= fault->until_us || is_recovering (soak, 0)))
         {
           if (fault->kind->end != NULL)
             fault->kind->end (soak, fault->target);
-          if (fault->kind->disturbs)
-            soak->disturbed_us = now_us;
+          if (fault->kind->delays_updates)
+            soak->updates_delayed_until_us = now_us;
           fault->kind = NULL;
         }
-      if (fault->kind != NULL || now_us < soak->next_fault_us || is_calm (soak, 0)
-          || now_us < soak->began_us + WARM_US)
+      if (fault->kind != NULL || now_us < soak->next_fault_us || is_recovering (soak, 0)
+          || now_us < soak->started_us + WARM_UP_US)
         continue;
       *fault = (Fault){
         .kind = &fault_kinds[draw (soak, MF_ARRAY_LEN (fault_kinds))],
@@ -697,8 +707,8 @@
       };
       if (fault->kind->begin == begin_drain)
         fault->until_us = now_us + 3 * MF_US_PER_S;
-      if (fault->kind->disturbs)
-        soak->disturbed_us = fault->until_us;
+      if (fault->kind->delays_updates)
+        soak->updates_delayed_until_us = fault->until_us;
       soak->next_fault_us = now_us + (50 + draw (soak, 500)) * MF_US_PER_MS;
       soak->n_faults++;
       fault->kind->begin (soak, fault->target);
@@ -715,20 +725,20 @@
   instances_reap (soak);
   if (!soak->faultless)
     faults_step (soak, now_us);
-  if (now_us >= soak->began_us + soak->seconds * MF_US_PER_S)
+  if (now_us >= soak->started_us + soak->seconds * MF_US_PER_S)
     ev_break (loop, EVBREAK_ALL);
 }
 
 static void
-town_build (Soak *soak)
+soak_start (Soak *soak)
 {
-  static const MfRole roles[UPSTREAMS]
+  static const MfRole roles[N_UPSTREAMS]
       = { MF_ROLE_PLAIN,  MF_ROLE_PLAIN,  MF_ROLE_PLAIN,  MF_ROLE_PREFILL, MF_ROLE_PREFILL,
           MF_ROLE_DECODE, MF_ROLE_DECODE, MF_ROLE_DECODE, MF_ROLE_DECODE };
 
   soak->ledger = soak_ledger_new ();
   soak->store = fake_store_new (soak->loop);
-  for (uint32_t i = 0; i < PROXIES; i++)
+  for (uint32_t i = 0; i < N_PROXIES; i++)
     {
       json_object *settings = json_object_new_object ();
       char id[ID_BYTES];
@@ -736,17 +746,17 @@
 
       snprintf (id, sizeof id, "u%u-0", i);
       snprintf (address, sizeof address, "127.0.0.1:%u", soak->proxy_port + i);
-      if (i < UPSTREAMS)
+      if (i < N_UPSTREAMS)
         soak->upstreams[i]
             = soak_upstream_new (soak->loop, soak->ledger, roles[i], id, soak->seed + i);
       json_object_object_add (settings, "address", json_object_new_string (address));
       json_object_object_add (
           settings, "to",
-          json_object_new_string (i < UPSTREAMS ? soak_upstream_address (soak->upstreams[i])
-                                                : fake_store_address (soak->store)));
+          json_object_new_string (i < N_UPSTREAMS ? soak_upstream_address (soak->upstreams[i])
+                                                  : fake_store_address (soak->store)));
       soak->proxy[i] = fake_relay_new (soak->loop, &soak->proxies, settings);
       json_object_put (settings);
-      if (i >= UPSTREAMS)
+      if (i >= N_UPSTREAMS)
         continue;
       upstream_publish (soak, i, "ready");
       if (soak->n_crashers > 0)
@@ -766,7 +776,8 @@
       caller->soak = soak;
       caller->fd = -1;
       caller->crashes = i < soak->n_crashers;
-      mf_message_init (&caller->message, HTTP_RESPONSE, &platform_dialect, &message_events, caller);
+      mf_message_init (&caller->message, HTTP_RESPONSE, &platform_dialect, &message_callbacks,
+                       caller);
       ev_timer_init (&caller->timer, on_caller_timer, 1., 0.);
       caller->timer.data = caller;
       ev_timer_start (soak->loop, &caller->timer);
@@ -775,33 +786,33 @@
 
 /* Stops the callers and lets what they leave behind end; then holds all against the ledger. */
 static void
-town_judge (Soak *soak)
+soak_check (Soak *soak)
 {
   uint64_t until_us = mf_clock_now_us () + 800 * MF_US_PER_MS;
 
   for (uint32_t i = 0; i < soak->n_callers; i++)
     {
       ev_timer_stop (soak->loop, &soak->callers[i].timer);
-      caller_hang_up (&soak->callers[i]);
+      caller_disconnect (&soak->callers[i]);
     }
   while (mf_clock_now_us () < until_us)
     ev_run (soak->loop, EVRUN_ONCE);
-  for (uint32_t i = 0; i < UPSTREAMS; i++)
+  for (uint32_t i = 0; i < N_UPSTREAMS; i++)
     {
       if (soak_upstream_n_active (soak->upstreams[i]) > 0)
-        violation (soak, "an upstream works for callers who left", "");
+        report_violation (soak, "an upstream works for callers who left", "");
     }
   if (soak_ledger_n_wrong (soak->ledger) > 0)
-    violation (soak, "what only a router may set came from a caller", "");
+    report_violation (soak, "what only a router may set came from a caller", "");
   for (uint32_t i = 0; i < soak->n_sent; i++)
     {
-      const Sent *sent = &soak->sent[i];
+      const SentRequest *sent = &soak->sent[i];
       uint32_t n_runs = soak_ledger_runs (soak->ledger, sent->id);
 
-      if (n_runs > kinds[sent->kind].runs_max)
-        violation (soak, "a request ran more often than it may", sent->id);
-      if (sent->refused && n_runs > 0 && kinds[sent->kind].runs_max == 1)
-        violation (soak, "a refused request has run", sent->id);
+      if (n_runs > request_kinds[sent->kind].runs_max)
+        report_violation (soak, "a request ran more often than it may", sent->id);
+      if (sent->refused && n_runs > 0 && request_kinds[sent->kind].runs_max == 1)
+        report_violation (soak, "a refused request has run", sent->id);
     }
   for (uint32_t i = 0; i < soak->n_crashers; i++)
     {
@@ -809,17 +820,17 @@
 
       printf ("crasher %u: %u crashes, %u arrivals, %u of them late\n", i, crasher.n_crashes,
               crasher.n_arrivals, crasher.n_late);
-      if (crasher.n_late > LATE_SENDS_MAX)
-        violation (soak, "a request that had crashed three upstreams was sent on", "");
+      if (crasher.n_late > LATE_ARRIVALS_MAX)
+        report_violation (soak, "a request that had crashed three upstreams was sent on", "");
     }
-  if (soak->n_calm == 0)
-    violation (soak, "nobody was served once the faults had ended", "");
-  if (soak->n_calm_served * 100 < soak->n_calm * CALM_SERVED_PERCENT)
-    violation (soak, "too few were served once the faults had ended", "");
+  if (soak->n_recovery == 0)
+    report_violation (soak, "nobody was served once the faults had ended", "");
+  if (soak->n_recovery_served * 100 < soak->n_recovery * RECOVERY_SERVED_MIN_PERCENT)
+    report_violation (soak, "too few were served once the faults had ended", "");
 }
 
 static void
-town_end (Soak *soak)
+soak_stop (Soak *soak)
 {
   for (uint32_t i = 0; i < soak->n_instances; i++)
     {
@@ -884,27 +895,28 @@
   setvbuf (stdout, NULL, _IOLBF, 0);
   /* Not the default loop, which would collect the instances that have ended. */
   soak.loop = ev_loop_new (0);
-  soak.first_port = soak.n_instances > INSTANCES_SMALL
+  soak.first_port = soak.n_instances > SMALL_RUN_INSTANCES_MAX
                         ? LARGE_FIRST_PORT
-                        : FIRST_PORT + (uint32_t)(soak.seed % RUNS_SIDE_BY_SIDE) * PORTS_PER_RUN;
+                        : FIRST_PORT + (uint32_t)(soak.seed % CONCURRENT_RUNS_MAX) * PORTS_PER_RUN;
   soak.proxy_port = soak.first_port + soak.n_instances * PORTS_PER_INSTANCE;
   soak.random = soak.seed * UINT64_C (0x9e3779b97f4a7c15) + 1;
   snprintf (soak.directory, sizeof soak.directory, "/tmp/relay-soak-XXXXXX");
   if (mkdtemp (soak.directory) == NULL)
     return EXIT_FAILURE;
-  soak.began_us = mf_clock_now_us ();
-  town_build (&soak);
+  soak.started_us = mf_clock_now_us ();
+  soak_start (&soak);
   ev_timer_init (&soak.tick, on_tick, 0.02, 0.02);
   soak.tick.data = &soak;
   ev_timer_start (soak.loop, &soak.tick);
   ev_run (soak.loop, 0);
-  town_judge (&soak);
-  town_end (&soak);
+  soak_check (&soak);
+  soak_stop (&soak);
   printf ("seed %llu: %u faults, %u requests: %u whole, %u refused, %u failed, %u broken, %u left; "
           "calm end %u of %u; of all but crashers %u of %u; %u violations; logs in %s\n",
-          (unsigned long long)soak.seed, soak.n_faults, soak.n_sent, soak.n_whole, soak.n_refused,
-          soak.n_failed, soak.n_broken, soak.n_left, soak.n_calm_served, soak.n_calm,
-          soak.n_owed_served, soak.n_owed, soak.n_violations, soak.directory);
+          (unsigned long long)soak.seed, soak.n_faults, soak.n_sent, soak.n_served, soak.n_refused,
+          soak.n_failed, soak.n_incomplete, soak.n_abandoned, soak.n_recovery_served,
+          soak.n_recovery, soak.n_ordinary_served, soak.n_ordinary, soak.n_violations,
+          soak.directory);
   /* As the test runner reads it. */
   printf (soak.n_violations == 0 ? "[       OK ] soak_%llu\n" : "[  FAILED  ] soak_%llu\n",
           (unsigned long long)soak.seed);
--- a/tests/soak/soak_upstream.c
+++ b/tests/soak/soak_upstream.c
@@ -9,22 +9,22 @@
 #include <string.h>
 
 #define RUNS_MAX 65536
-#define ACTIVE_MAX 512
+#define ACTIVE_RUNS_MAX 512
 #define ID_BYTES 40
 /* Parts of the requests, in percent, that an upstream of a bad mood treats badly. */
-#define BAD_PERCENT 60
+#define MISBEHAVING_PERCENT 60
 
 typedef struct
 {
   char id[ID_BYTES];
   uint32_t n_runs;
-} RunRow;
+} RunCount;
 
 struct SoakLedger
 {
-  RunRow rows[RUNS_MAX];
+  RunCount rows[RUNS_MAX];
   uint32_t n_rows;
-  uint32_t n_wrong;
+  uint32_t n_reserved_headers;
   uint64_t grace_us;
   SoakCrasher crashers[SOAK_CRASHERS_MAX];
 };
@@ -37,25 +37,25 @@
   char id[ID_BYTES];
   ev_timer timer;
   uint32_t next_event; /* of a stream; counts from 1 */
-  bool doubles;
+  bool answers_twice;
   SoakCrasher *crasher; /* NULL: the request does no harm */
 } Run;
 
 struct SoakUpstream
 {
   struct ev_loop *loop;
-  FakeWire *wire;
+  FakeWire *fake;
   SoakLedger *ledger;
   MfRole role;
   char id[ID_BYTES];
   SoakMood mood;
   uint64_t random;
-  Run runs[ACTIVE_MAX];
+  Run runs[ACTIVE_RUNS_MAX];
   uint64_t last_arrival_us;
   double down_s;
   SoakDownFunc on_down;
   void *data;
-  ev_timer back;
+  ev_timer restart_timer;
 };
 
 SoakLedger *
@@ -88,7 +88,7 @@
 uint32_t
 soak_ledger_n_wrong (const SoakLedger *ledger)
 {
-  return ledger->n_wrong;
+  return ledger->n_reserved_headers;
 }
 
 SoakCrasher
@@ -105,7 +105,7 @@
 
 /* Counts the arrival of a request that crashes upstreams. NULL when it is another. */
 static SoakCrasher *
-ledger_note_crasher (SoakLedger *ledger, const char *text)
+ledger_count_crasher (SoakLedger *ledger, const char *text)
 {
   const char *body = strstr (text, "\r\n\r\n" SOAK_CRASH);
   SoakCrasher *crasher;
@@ -136,7 +136,7 @@
 }
 
 static void
-send_plain (const Run *run, const char *status, const char *headers, const char *body)
+send_answer (const Run *run, const char *status, const char *headers, const char *body)
 {
   char text[512];
 
@@ -146,7 +146,7 @@
 }
 
 static void
-run_end (Run *run)
+run_finish (Run *run)
 {
   ev_timer_stop (run->upstream->loop, &run->timer);
   run->conn = NULL;
@@ -169,27 +169,27 @@
 }
 
 static void
-runs_end (SoakUpstream *upstream)
+runs_abort (SoakUpstream *upstream)
 {
-  for (uint32_t i = 0; i < ACTIVE_MAX; i++)
+  for (uint32_t i = 0; i < ACTIVE_RUNS_MAX; i++)
     {
       FakeWireConn *conn = upstream->runs[i].conn;
 
       if (conn == NULL)
         continue;
-      run_end (&upstream->runs[i]);
+      run_finish (&upstream->runs[i]);
       fake_wire_close (conn, true);
     }
 }
 
 static void
-on_back (struct ev_loop *loop, ev_timer *watcher, int events)
+on_restart_timer (struct ev_loop *loop, ev_timer *watcher, int events)
 {
   SoakUpstream *upstream = watcher->data;
 
   (void)loop;
   (void)events;
-  fake_wire_open (upstream->wire);
+  fake_wire_open (upstream->fake);
   upstream->on_down (upstream->data, upstream, false);
 }
 
@@ -199,10 +199,10 @@
 {
   if (++crasher->n_crashes == 3)
     crasher->third_us = mf_clock_now_us ();
-  runs_end (upstream);
-  fake_wire_shut (upstream->wire);
-  ev_timer_set (&upstream->back, upstream->down_s, 0.);
-  ev_timer_start (upstream->loop, &upstream->back);
+  runs_abort (upstream);
+  fake_wire_shut (upstream->fake);
+  ev_timer_set (&upstream->restart_timer, upstream->down_s, 0.);
+  ev_timer_start (upstream->loop, &upstream->restart_timer);
   upstream->on_down (upstream->data, upstream, true);
 }
 
@@ -228,15 +228,15 @@
         }
     }
   else if (run->upstream->role == MF_ROLE_PREFILL)
-    send_plain (run, "200 OK", "", "{\"kvHandle\":\"h\",\"tokens\":10,\"version\":1}");
+    send_answer (run, "200 OK", "", "{\"kvHandle\":\"h\",\"tokens\":10,\"version\":1}");
   else
     {
       snprintf (body, sizeof body, "answer to %s", run->id);
-      send_plain (run, "200 OK", "X-Response-Seal: s\r\n", body);
-      if (run->doubles)
-        send_plain (run, "200 OK", "X-Response-Seal: s\r\n", body);
+      send_answer (run, "200 OK", "X-Response-Seal: s\r\n", body);
+      if (run->answers_twice)
+        send_answer (run, "200 OK", "X-Response-Seal: s\r\n", body);
     }
-  run_end (run);
+  run_finish (run);
 }
 
 static uint32_t
@@ -251,7 +251,7 @@
 static Run *
 run_new (SoakUpstream *upstream, FakeWireConn *conn, const char *id)
 {
-  for (uint32_t i = 0; i < ACTIVE_MAX; i++)
+  for (uint32_t i = 0; i < ACTIVE_RUNS_MAX; i++)
     {
       Run *run = &upstream->runs[i];
 
@@ -267,7 +267,7 @@
 }
 
 static void
-run_begin (Run *run, double after_s)
+run_start (Run *run, double after_s)
 {
   if (run->upstream->role == MF_ROLE_DECODE)
     fake_wire_send (run->conn,
@@ -279,31 +279,31 @@
 
 /* Treats a request as the mood says. Returns whether it is done with. */
 static bool
-run_badly (SoakUpstream *upstream, Run *run)
+run_misbehave (SoakUpstream *upstream, Run *run)
 {
   FakeWireConn *conn = run->conn;
 
   switch (upstream->mood)
     {
     case SOAK_DECLINES:
-      send_plain (run, "503 Service Unavailable", "X-Not-Executed: 1\r\n", "");
-      run_end (run);
+      send_answer (run, "503 Service Unavailable", "X-Not-Executed: 1\r\n", "");
+      run_finish (run);
       return true;
     case SOAK_FAILS:
       ledger_add (upstream->ledger, run->id);
-      send_plain (run, "500 Internal Server Error", "X-Response-Seal: s\r\n", "failed");
-      run_end (run);
+      send_answer (run, "500 Internal Server Error", "X-Response-Seal: s\r\n", "failed");
+      run_finish (run);
       return true;
     case SOAK_RESETS:
       ledger_add (upstream->ledger, run->id);
-      run_end (run);
+      run_finish (run);
       fake_wire_close (conn, true);
       return true;
     case SOAK_MUTE:
       ledger_add (upstream->ledger, run->id);
       return true;
     default:
-      run->doubles = upstream->mood == SOAK_DOUBLES;
+      run->answers_twice = upstream->mood == SOAK_DOUBLES;
       return false;
     }
 }
@@ -325,20 +325,20 @@
   run = run_new (upstream, conn, id);
   if (strncmp (text, "DELETE ", 7) == 0)
     {
-      send_plain (run, "200 OK", "", "");
-      run_end (run);
+      send_answer (run, "200 OK", "", "");
+      run_finish (run);
       return;
     }
   if (strcmp (expected, upstream->id) != 0 || prefill != (upstream->role == MF_ROLE_PREFILL))
     {
-      send_plain (run, "421 Misdirected Request", "", "");
-      run_end (run);
+      send_answer (run, "421 Misdirected Request", "", "");
+      run_finish (run);
       return;
     }
   if (fake_wire_header (text, "X-Pin-Ms", value, sizeof value))
-    upstream->ledger->n_wrong++;
+    upstream->ledger->n_reserved_headers++;
   upstream->last_arrival_us = mf_clock_now_us ();
-  run->crasher = upstream->down_s > 0. ? ledger_note_crasher (upstream->ledger, text) : NULL;
+  run->crasher = upstream->down_s > 0. ? ledger_count_crasher (upstream->ledger, text) : NULL;
   if (run->crasher != NULL)
     {
       ev_timer_set (&run->timer, 0.005, 0.);
@@ -347,27 +347,27 @@
     }
   if (upstream->role == MF_ROLE_PREFILL)
     {
-      run_begin (run, 0.005);
+      run_start (run, 0.005);
       return;
     }
   if (upstream->mood == SOAK_DARK)
     return;
-  if (draw (upstream, 100) < BAD_PERCENT && run_badly (upstream, run))
+  if (draw (upstream, 100) < MISBEHAVING_PERCENT && run_misbehave (upstream, run))
     return;
   ledger_add (upstream->ledger, id);
   run->next_event = (uint32_t)strtoul (last, NULL, 10) + 1;
-  run_begin (run, upstream->mood == SOAK_SLOW ? 0.15 : 0.003 + draw (upstream, 8) * 0.001);
+  run_start (run, upstream->mood == SOAK_SLOW ? 0.15 : 0.003 + draw (upstream, 8) * 0.001);
 }
 
 static void
-on_left (FakeWireConn *conn, void *data)
+on_conn_closed (FakeWireConn *conn, void *data)
 {
   SoakUpstream *upstream = data;
 
-  for (uint32_t i = 0; i < ACTIVE_MAX; i++)
+  for (uint32_t i = 0; i < ACTIVE_RUNS_MAX; i++)
     {
       if (upstream->runs[i].conn == conn)
-        run_end (&upstream->runs[i]);
+        run_finish (&upstream->runs[i]);
     }
 }
 
@@ -384,10 +384,10 @@
   upstream->role = role;
   upstream->random = seed * 2 + 1;
   snprintf (upstream->id, sizeof upstream->id, "%s", id);
-  upstream->wire = fake_wire_new (loop, on_request, upstream);
-  fake_wire_on_left (upstream->wire, on_left);
-  ev_init (&upstream->back, on_back);
-  upstream->back.data = upstream;
+  upstream->fake = fake_wire_new (loop, on_request, upstream);
+  fake_wire_on_left (upstream->fake, on_conn_closed);
+  ev_init (&upstream->restart_timer, on_restart_timer);
+  upstream->restart_timer.data = upstream;
   return upstream;
 }
 
@@ -402,22 +402,22 @@
 void
 soak_upstream_free (SoakUpstream *upstream)
 {
-  runs_end (upstream);
-  ev_timer_stop (upstream->loop, &upstream->back);
-  fake_wire_free (upstream->wire);
+  runs_abort (upstream);
+  ev_timer_stop (upstream->loop, &upstream->restart_timer);
+  fake_wire_free (upstream->fake);
   free (upstream);
 }
 
 const char *
 soak_upstream_address (const SoakUpstream *upstream)
 {
-  return fake_wire_address (upstream->wire);
+  return fake_wire_address (upstream->fake);
 }
 
 void
 soak_upstream_restart (SoakUpstream *upstream, const char *id)
 {
-  runs_end (upstream);
+  runs_abort (upstream);
   snprintf (upstream->id, sizeof upstream->id, "%s", id);
 }
 
@@ -432,7 +432,7 @@
 {
   uint32_t n_active = 0;
 
-  for (uint32_t i = 0; i < ACTIVE_MAX; i++)
+  for (uint32_t i = 0; i < ACTIVE_RUNS_MAX; i++)
     n_active += upstream->runs[i].conn != NULL;
   return n_active;
 }
