--- a/tests/soak/relay_soak.c
+++ b/tests/soak/relay_soak.c
@@ -45,7 +45,7 @@
 #define CRASH_DOWN_S 2.
 #define CONTACT_MS 1500
 /* Sends of a request that crashes upstreams, from CONTACT_MS after it has crashed the third on. */
-#define LATE_ARRIVALS_MAX 3
+#define LATE_SENDS_MAX 3
 /* Of the requests of the calm end, so many of a hundred are served. */
 #define RECOVERY_SERVED_MIN_PERCENT 95
 
@@ -139,7 +139,7 @@
   Instance instances[INSTANCES_MAX];
   SoakLedger *ledger;
   SoakUpstream *upstreams[N_UPSTREAMS];
-  uint32_t incarnations[N_UPSTREAMS];
+  uint32_t n_restarts[N_UPSTREAMS];
   uint64_t drain_start_us[N_UPSTREAMS];
   FakeRelay *proxies;
   FakeRelay *proxy[N_PROXIES]; /* the last stands before the store */
@@ -231,7 +231,7 @@
   char address[MF_ADDRESS_BYTES];
   const char *role = index < 3 ? "" : index < 5 ? "prefill" : "decode";
 
-  snprintf (id, sizeof id, "u%u-%u", index, soak->incarnations[index]);
+  snprintf (id, sizeof id, "u%u-%u", index, soak->n_restarts[index]);
   snprintf (address, sizeof address, "127.0.0.1:%u", soak->proxy_port + index);
   fake_store_put_upstream (soak->store, id, index < 3 ? "shop" : "engines", address, role, state);
 }
@@ -257,10 +257,10 @@
 
   if (soak->drain_start_us[index] > 0)
     drain_check (soak, index);
-  snprintf (id, sizeof id, "servers/u%u-%u", index, soak->incarnations[index]);
+  snprintf (id, sizeof id, "servers/u%u-%u", index, soak->n_restarts[index]);
   fake_store_remove (soak->store, id);
-  soak->incarnations[index]++;
-  snprintf (id, sizeof id, "u%u-%u", index, soak->incarnations[index]);
+  soak->n_restarts[index]++;
+  snprintf (id, sizeof id, "u%u-%u", index, soak->n_restarts[index]);
   soak_upstream_restart (soak->upstreams[index], id);
   upstream_publish (soak, index, "ready");
 }
@@ -820,7 +820,7 @@
 
       printf ("crasher %u: %u crashes, %u arrivals, %u of them late\n", i, crasher.n_crashes,
               crasher.n_arrivals, crasher.n_late);
-      if (crasher.n_late > LATE_ARRIVALS_MAX)
+      if (crasher.n_late > LATE_SENDS_MAX)
         report_violation (soak, "a request that had crashed three upstreams was sent on", "");
     }
   if (soak->n_recovery == 0)
