--- a/model/at_most_once.pml
+++ b/model/at_most_once.pml
@@ -1,12 +1,14 @@
-/* One idempotency key, its cell of voters, and two instances that claim it.
+/* Protocol of idempotency keys: one key, its cell of voters, and two instances that claim the key.
  *
- * Checks that the key runs at most once while voters are replaced with their memory lost, and while
- * a replaced voter's old process goes on (paused, or on the other side of a partition). A process
- * that died is one that stays silent, so death needs no step of its own. Messages may be lost or
- * arrive late: every step takes a snapshot that may be used at any later time.
+ * The assertion states that the call with this key runs at most once while voters are replaced by
+ * processes without their state, and while the old process of a replaced voter still runs (after a
+ * pause, or on the other side of a partition). A process that died is modelled as one that takes no
+ * further step. Messages may be lost or arrive late: each step stores a snapshot of the sender,
+ * which the receiver may use at any later time.
  *
- * VOTERS (3 or 5) and INCARNATIONS (2 or 3) set the size. NO_VIEW_CHECK, NO_HANDOVER and
- * NO_ADMISSION each leave out one rule, and then the assertion fails. */
+ * VOTERS (3 or 5) and INCARNATIONS (2 or 3) set the size of the model. NO_VIEW_CHECK, NO_HANDOVER
+ * and NO_ADMISSION each disable one rule; the assertion must then fail. docs/AT-MOST-ONCE.md
+ * describes the protocol. */
 
 #ifndef VOTERS
 #define VOTERS 3
@@ -17,10 +19,10 @@
 #define CLAIMANTS 2
 #define QUORUM (VOTERS / 2 + 1)
 
-/* Row of incarnation i of voter v; incarnations count from 1. */
+/* Array index of incarnation i of voter v; incarnations count from 1. */
 #define ROW(v, i) ((v) * INCARNATIONS + (i) - 1)
 #define ROWS (VOTERS * INCARNATIONS)
-/* Place of voter w in the view of row r, of claimant c's ballot. */
+/* Array index of voter w in the view of row r, and of voter v's reply to claimant c. */
 #define SEEN(r, w) ((r) * VOTERS + (w))
 #define BALLOT(c, v) ((c) * VOTERS + (v))
 
@@ -29,9 +31,9 @@
 
 byte started[VOTERS]; /* highest incarnation that was started */
 bool admitted[ROWS];
-byte record[ROWS];    /* NOBODY, claimant + 1, or INHERITED */
-byte view[ROWS * VOTERS];   /* highest incarnation a row knows of each voter */
-byte answer[ROWS * VOTERS]; /* incarnation whose answer to admission a row holds */
+byte record[ROWS];    /* whom the key is granted to: NOBODY, claimant + 1, or INHERITED (known from another voter) */
+byte view[ROWS * VOTERS];   /* highest incarnation of each voter that a row knows */
+byte answer[ROWS * VOTERS]; /* incarnation whose answer to the admission request a row holds */
 byte answer_view[ROWS * VOTERS * VOTERS];
 byte ballot[CLAIMANTS * VOTERS]; /* incarnation whose vote a claimant holds */
 byte ballot_view[CLAIMANTS * VOTERS * VOTERS];
@@ -46,7 +48,7 @@
 #define REPLACED(known, snapshot, taken) ((known) > 0 && (snapshot) > (taken))
 #endif
 
-/* Counts into n the snapshots that no other snapshot shows to be of a replaced incarnation. */
+/* Sets n to the number of snapshots whose incarnation no other snapshot shows to be replaced. */
 #define COUNT(taken, snapshots, base) \
   n = 0; \
   for (w : 0 .. VOTERS - 1) { \
@@ -62,7 +64,7 @@
   } \
   w = 0; k = 0; valid = 0
 
-/* Incarnation i of voter v, an old one too, votes for claimant c. */
+/* Incarnation i of voter v votes for claimant c, even when it has been replaced already. */
 #define VOTE(c, v, i) \
   :: d_step { \
        (started[v] >= i && admitted[ROW (v, i)] && i > ballot[BALLOT (c, v)] \
@@ -75,7 +77,7 @@
        w = 0 \
      }
 
-/* Claimant c counts its votes, and runs the call when they suffice. */
+/* Claimant c counts its valid votes and runs the call when they are a quorum. */
 #define DECIDE(c) \
   :: d_step { \
        !decided[c] -> \
@@ -87,7 +89,7 @@
        n = 0 \
      }
 
-/* A process with an empty memory takes the slot of voter v. */
+/* A new process without any state becomes voter v's next incarnation. */
 #define RESTART(v) \
   :: d_step { \
        started[v] < INCARNATIONS -> \
@@ -102,7 +104,8 @@
 #define ADMITTED_AT_START false
 #endif
 
-/* Incarnation j of voter u agrees that incarnation i of voter v be admitted. */
+/* Incarnation j of voter u agrees to the admission of incarnation i of voter v, and hands over the
+ * key when it knows it. */
 #define AGREE(v, i, u, j) \
   :: d_step { \
        (started[v] >= i && !admitted[ROW (v, i)] && started[u] >= j && admitted[ROW (u, j)] \
@@ -125,7 +128,8 @@
 #define HANDOVER true
 #endif
 
-/* Incarnation i of voter v has enough answers, and takes over the incarnations they showed. */
+/* Incarnation i of voter v is admitted once valid answers are a quorum. It then merges the
+ * incarnations that all answers showed into its view. */
 #define ADMIT(v, i) \
   :: d_step { \
        (started[v] >= i && !admitted[ROW (v, i)]) -> \
