--- a/tests/soak/relay_soak.c
+++ b/tests/soak/relay_soak.c
@@ -17,11 +17,11 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-/* Relay instances as real processes, before upstreams and a store of this process, under faults
- * that come in overlapping series: instances are killed, stopped in order, paused and told to read
- * their settings; upstreams misbehave, are cut off one way or both, leave and start anew; the store
- * is away in every way; configurations follow each other. Callers keep their connections until they
- * break. What callers and upstreams see is held against the promises. */
+/* Randomized fault soak of the relay. Instances run as processes; callers, upstreams and the store
+ * run in this process. Faults overlap: instances are killed, terminated, paused and sent SIGHUP;
+ * upstreams misbehave, lose their connections in one or both directions, drain and restart; the
+ * store fails; new configurations are published. Callers reuse their connections. What callers and
+ * upstreams observe is checked against docs/PROMISES.md. Prints each violation. */
 
 #define INSTANCES_MAX 240
 #define SMALL_RUN_INSTANCES_MAX 16
@@ -29,7 +29,7 @@
 #define N_UPSTREAMS 9
 #define N_PROXIES (N_UPSTREAMS + 1)
 #define CONCURRENT_FAULTS_MAX 3
-/* Ports of one run; runs of neighbouring seeds go side by side, but for large ones. */
+/* Port ranges. Runs with neighbouring seeds may run concurrently, except large ones. */
 #define FIRST_PORT 20000
 #define LARGE_FIRST_PORT 26000
 #define PORTS_PER_RUN 120
@@ -37,16 +37,18 @@
 #define CONCURRENT_RUNS_MAX 50
 #define REQUESTS_MAX 65536
 #define ID_BYTES 40
-/* Time to settle at the start, and without faults at the end. */
+/* Phases without faults at the start and at the end of a run. */
 #define WARM_UP_US (1500 * MF_US_PER_MS)
 #define RECOVERY_US (6 * MF_US_PER_S)
+/* How long requests may still arrive at an upstream after it began to drain. */
 #define DRAIN_ARRIVAL_MAX_US (2200 * MF_US_PER_MS)
-/* An upstream that has crashed is back after this time. */
+/* Time until a crashed upstream restarts. */
 #define CRASH_DOWN_S 2.
+/* The instances' setting bounds.contactMs. */
 #define CONTACT_MS 1500
-/* Sends of a request that crashes upstreams, from CONTACT_MS after it has crashed the third on. */
+/* Maximum number of sends of a crashing request later than CONTACT_MS after its third crash. */
 #define LATE_SENDS_MAX 3
-/* Of the requests of the calm end, so many of a hundred are served. */
+/* Percentage of the requests of the recovery phase that must be served. */
 #define RECOVERY_SERVED_MIN_PERCENT 95
 
 typedef enum
@@ -58,7 +60,7 @@
   KIND_COUNT,
 } RequestKind;
 
-/* How one kind of request is sent, and how often it may run. */
+/* How one kind of request is sent, and how often it may run at most. */
 typedef struct
 {
   const char *method;
@@ -77,8 +79,8 @@
 {
   char id[ID_BYTES];
   RequestKind kind;
-  bool refused; /* the caller was told that it has not run */
-  bool crashes;
+  bool refused; /* answered 503, which states that it has not run */
+  bool crashes; /* upstreams that run it */
 } SentRequest;
 
 typedef struct
@@ -96,10 +98,10 @@
   int fd; /* -1: not connected */
   uint32_t instance;
   ev_io io;
-  ev_timer timer; /* the next request, or when the caller leaves */
-  bool waiting;
-  bool disconnects;
-  bool crashes; /* sends one request that crashes upstreams again and again */
+  ev_timer timer;   /* next request; while waiting: disconnect or time-out */
+  bool waiting;     /* for an answer */
+  bool disconnects; /* before the answer, when it takes long */
+  bool crashes;     /* sends the same crashing request repeatedly */
   uint32_t sent_index;
   MfMessage message;
   MfBuffer body;
@@ -114,13 +116,13 @@
   uint64_t until_us;
 } Fault;
 
-/* A kind of fault; end is NULL when it ends by itself. */
+/* A kind of fault. */
 struct FaultKind
 {
   const char *name;
   void (*begin) (Soak *soak, uint32_t target);
-  void (*end) (Soak *soak, uint32_t target);
-  bool delays_updates; /* instances may be late to learn what the store says */
+  void (*end) (Soak *soak, uint32_t target); /* NULL: nothing to undo */
+  bool delays_updates;                       /* instances may receive updates of the store late */
 };
 
 struct Soak
@@ -129,7 +131,7 @@
   uint64_t random;
   uint64_t seed;
   uint32_t first_port;
-  uint32_t proxy_port; /* the first; the others follow */
+  uint32_t proxy_port; /* of the first proxy; the others use the next ports */
   uint32_t seconds;
   uint32_t n_instances;
   uint32_t n_callers;
@@ -140,9 +142,9 @@
   SoakLedger *ledger;
   SoakUpstream *upstreams[N_UPSTREAMS];
   uint32_t n_restarts[N_UPSTREAMS];
-  uint64_t drain_start_us[N_UPSTREAMS];
+  uint64_t drain_start_us[N_UPSTREAMS]; /* 0: not draining */
   FakeRelay *proxies;
-  FakeRelay *proxy[N_PROXIES]; /* the last stands before the store */
+  FakeRelay *proxy[N_PROXIES]; /* in front of each upstream; the last: of the store */
   FakeStore *store;
   uint32_t version;
   Caller callers[CALLERS_MAX];
@@ -153,14 +155,15 @@
   uint64_t started_us;
   uint64_t updates_delayed_until_us;
   uint32_t n_faults;
+  /* Numbers of requests by result. */
   uint32_t n_served;
   uint32_t n_refused;
   uint32_t n_failed;
   uint32_t n_incomplete;
   uint32_t n_abandoned;
-  uint32_t n_recovery;
+  uint32_t n_recovery; /* ended at least 3 s into the recovery phase; no crashing ones */
   uint32_t n_recovery_served;
-  uint32_t n_ordinary;
+  uint32_t n_ordinary; /* ended; no crashing ones */
   uint32_t n_ordinary_served;
   uint32_t n_violations;
   ev_timer tick;
@@ -236,7 +239,8 @@
   fake_store_put_upstream (soak->store, id, index < 3 ? "shop" : "engines", address, role, state);
 }
 
-/* Holds the last request of an upstream that leaves against the bound. */
+/* Reports a violation when a draining upstream received requests for too long. Skipped when other
+ * faults may have kept instances from learning of the drain. */
 static void
 drain_check (Soak *soak, uint32_t index)
 {
@@ -246,10 +250,10 @@
   soak->drain_start_us[index] = 0;
   if (since_us > soak->updates_delayed_until_us + 3 * MF_US_PER_S
       && last_us > since_us + DRAIN_ARRIVAL_MAX_US)
-    report_violation (soak, "a request reached an upstream long after it began to leave", "");
+    report_violation (soak, "a request reached an upstream too long after it began to drain", "");
 }
 
-/* An upstream starts anew: with a new id, and its old entry gone. */
+/* Restarts an upstream under a new id and removes its old entry from the store. */
 static void
 upstream_restart (Soak *soak, uint32_t index)
 {
@@ -316,7 +320,7 @@
   caller->fd = -1;
 }
 
-/* Waits a little before the next request. */
+/* Schedules the caller's next request in 10 to 130 ms. */
 static void
 caller_schedule_next (Caller *caller)
 {
@@ -326,7 +330,7 @@
   ev_timer_start (caller->soak->loop, &caller->timer);
 }
 
-/* Whether the body of a whole answer is the one of this request. */
+/* Returns whether the body of a complete answer is the one that belongs to the request. */
 static bool
 body_matches_request (const Caller *caller)
 {
@@ -344,6 +348,7 @@
          && memcmp (mf_buffer_data (&caller->body), expected, n_bytes) == 0;
 }
 
+/* Returns whether the recovery phase began at least margin_us ago. */
 static bool
 is_recovering (const Soak *soak, uint64_t margin_us)
 {
@@ -352,7 +357,8 @@
   return mf_clock_now_us () + RECOVERY_US > end_us + margin_us;
 }
 
-/* The answer has come whole, or the connection has ended without one. */
+/* Counts and checks the result of a request. complete is false when the connection ended before the
+ * end of the answer. */
 static void
 caller_finish (Caller *caller, bool complete)
 {
@@ -362,7 +368,7 @@
 
   soak->n_ordinary += !sent->crashes;
   soak->n_ordinary_served += !sent->crashes && status == 200;
-  /* The faults have ended three seconds before. */
+  /* Leaves the instances three seconds to recover after the last fault. */
   if (is_recovering (soak, 3 * MF_US_PER_S) && !sent->crashes)
     {
       soak->n_recovery++;
@@ -374,7 +380,7 @@
     {
       soak->n_served++;
       if (!body_matches_request (caller))
-        report_violation (soak, "an answer is not the one of its request", sent->id);
+        report_violation (soak, "the body of an answer does not belong to its request", sent->id);
     }
   else if (status == 503)
     {
@@ -382,7 +388,7 @@
       sent->refused = true;
     }
   else if (status >= 400 && status < 500)
-    report_violation (soak, "a proper request was denied", sent->id);
+    report_violation (soak, "a valid request got a 4xx answer", sent->id);
   else
     soak->n_failed++;
   if (!complete || !http_should_keep_alive (&caller->message.parser))
@@ -422,14 +428,14 @@
     }
   if (!caller->waiting)
     {
-      report_violation (caller->soak, "bytes without a request", "");
+      report_violation (caller->soak, "received bytes without an open request", "");
       caller_disconnect (caller);
       return;
     }
   mf_message_feed (&caller->message, bytes, (size_t)n_read);
   if (caller->message.error_code != MF_CODE_OK)
     {
-      report_violation (caller->soak, "an answer is not HTTP",
+      report_violation (caller->soak, "an answer is not valid HTTP",
                         caller->soak->sent[caller->sent_index].id);
       caller_finish (caller, false);
     }
@@ -447,7 +453,7 @@
 
   if (caller->fd >= 0)
     return true;
-  /* Each caller has a host of its own. */
+  /* Instances tell callers apart by address, so each caller has its own. */
   source.sin_addr.s_addr = htonl (INADDR_LOOPBACK + 1 + (uint32_t)(caller - soak->callers));
   caller->instance = draw (soak, soak->n_instances);
   address.sin_port = htons ((uint16_t)soak->instances[caller->instance].port);
@@ -510,6 +516,7 @@
     caller_schedule_next (caller);
 }
 
+/* Sends the next request, or abandons the open one. */
 static void
 on_caller_timer (struct ev_loop *loop, ev_timer *watcher, int events)
 {
@@ -524,7 +531,7 @@
     }
   if (!caller->disconnects && !caller->soak->instances[caller->instance].paused
       && is_recovering (caller->soak, 0))
-    report_violation (caller->soak, "no answer for five seconds",
+    report_violation (caller->soak, "no answer within 5 s",
                       caller->soak->sent[caller->sent_index].id);
   caller->soak->n_abandoned++;
   caller_disconnect (caller);
@@ -618,7 +625,7 @@
 {
   uint32_t index = target % N_UPSTREAMS;
 
-  /* Unless another fault has put a new process in its place. */
+  /* 0 when another fault has restarted the upstream since. */
   if (soak->drain_start_us[index] > 0)
     upstream_restart (soak, index);
 }
@@ -651,7 +658,7 @@
   { "term", begin_term, NULL, true },
   { "pause", begin_pause, end_pause, true },
   { "hup", begin_hup, NULL, false },
-  { "mood", begin_mode, end_mode, false },
+  { "mode", begin_mode, end_mode, false },
   { "cut", begin_link_fault, end_link_fault, true },
   { "restart", begin_restart, NULL, false },
   { "drain", begin_drain, end_drain, false },
@@ -659,7 +666,7 @@
   { "config", begin_config, NULL, false },
 };
 
-/* Starts instances that have ended anew. */
+/* Restarts instances that have exited. */
 static void
 instances_reap (Soak *soak)
 {
@@ -676,12 +683,13 @@
           char detail[ID_BYTES];
 
           snprintf (detail, sizeof detail, "instance %u, status %x", i, (unsigned int)status);
-          report_violation (soak, "an instance ended by itself", detail);
+          report_violation (soak, "an instance crashed or exited with an error", detail);
         }
       instance_start (soak, i);
     }
 }
 
+/* Ends faults that are due, and starts a random one when the next is due. */
 static void
 faults_step (Soak *soak, uint64_t now_us)
 {
@@ -729,6 +737,7 @@
     ev_break (loop, EVBREAK_ALL);
 }
 
+/* Starts the upstreams, the store, their proxies, the instances and the callers. */
 static void
 soak_start (Soak *soak)
 {
@@ -784,7 +793,8 @@
     }
 }
 
-/* Stops the callers and lets what they leave behind end; then holds all against the ledger. */
+/* Disconnects the callers, waits 800 ms for the cancels to reach the upstreams, and checks the
+ * ledger and the counts. */
 static void
 soak_check (Soak *soak)
 {
@@ -800,19 +810,20 @@
   for (uint32_t i = 0; i < N_UPSTREAMS; i++)
     {
       if (soak_upstream_n_active (soak->upstreams[i]) > 0)
-        report_violation (soak, "an upstream works for callers who left", "");
+        report_violation (soak, "an upstream still runs a request after its caller disconnected",
+                          "");
     }
   if (soak_ledger_n_wrong (soak->ledger) > 0)
-    report_violation (soak, "what only a router may set came from a caller", "");
+    report_violation (soak, "a caller's X-Pin-Ms header reached an upstream", "");
   for (uint32_t i = 0; i < soak->n_sent; i++)
     {
       const SentRequest *sent = &soak->sent[i];
       uint32_t n_runs = soak_ledger_runs (soak->ledger, sent->id);
 
       if (n_runs > request_kinds[sent->kind].runs_max)
-        report_violation (soak, "a request ran more often than it may", sent->id);
+        report_violation (soak, "a request ran more often than allowed", sent->id);
       if (sent->refused && n_runs > 0 && request_kinds[sent->kind].runs_max == 1)
-        report_violation (soak, "a refused request has run", sent->id);
+        report_violation (soak, "a request answered with 503 has run", sent->id);
     }
   for (uint32_t i = 0; i < soak->n_crashers; i++)
     {
@@ -821,12 +832,12 @@
       printf ("crasher %u: %u crashes, %u arrivals, %u of them late\n", i, crasher.n_crashes,
               crasher.n_arrivals, crasher.n_late);
       if (crasher.n_late > LATE_SENDS_MAX)
-        report_violation (soak, "a request that had crashed three upstreams was sent on", "");
+        report_violation (soak, "a request that had crashed three upstreams was still sent", "");
     }
   if (soak->n_recovery == 0)
-    report_violation (soak, "nobody was served once the faults had ended", "");
+    report_violation (soak, "no request finished after the faults had ended", "");
   if (soak->n_recovery_served * 100 < soak->n_recovery * RECOVERY_SERVED_MIN_PERCENT)
-    report_violation (soak, "too few were served once the faults had ended", "");
+    report_violation (soak, "too few requests were served after the faults had ended", "");
 }
 
 static void
@@ -871,18 +882,24 @@
 }
 
 static const struct argp_option options[] = {
-  { .name = "seed", .key = 's', .arg = "N", .doc = "Faults and requests are drawn from it" },
-  { .name = "seconds", .key = 't', .arg = "N", .doc = "Length, the calm end included" },
-  { .name = "crashers", .key = 'c', .arg = "N", .doc = "Callers whose request crashes upstreams" },
-  { .name = "faultless", .key = 'f', .doc = "No fault besides" },
-  { .name = "instances", .key = 'n', .arg = "N", .doc = "Relay processes" },
+  { .name = "seed", .key = 's', .arg = "N", .doc = "Seed of the random faults and requests" },
+  { .name = "seconds",
+    .key = 't',
+    .arg = "N",
+    .doc = "Length of the run, with its phases without faults" },
+  { .name = "crashers",
+    .key = 'c',
+    .arg = "N",
+    .doc = "Number of callers whose request crashes upstreams" },
+  { .name = "faultless", .key = 'f', .doc = "Inject no other faults" },
+  { .name = "instances", .key = 'n', .arg = "N", .doc = "Number of relay instances" },
   { 0 },
 };
 
 static const struct argp parser = {
   .options = options,
   .parser = parse_option,
-  .doc = "Runs relay instances under faults and holds the promises against what is seen.",
+  .doc = "Runs relay instances under random faults and checks what callers and upstreams observe.",
 };
 
 int
@@ -893,7 +910,7 @@
   argp_parse (&parser, argc, argv, 0, NULL, &soak);
   signal (SIGPIPE, SIG_IGN);
   setvbuf (stdout, NULL, _IOLBF, 0);
-  /* Not the default loop, which would collect the instances that have ended. */
+  /* Not the default loop: that one reaps child processes, which instances_reap has to see. */
   soak.loop = ev_loop_new (0);
   soak.first_port = soak.n_instances > SMALL_RUN_INSTANCES_MAX
                         ? LARGE_FIRST_PORT
@@ -911,13 +928,14 @@
   ev_run (soak.loop, 0);
   soak_check (&soak);
   soak_stop (&soak);
-  printf ("seed %llu: %u faults, %u requests: %u whole, %u refused, %u failed, %u broken, %u left; "
-          "calm end %u of %u; of all but crashers %u of %u; %u violations; logs in %s\n",
+  printf ("seed %llu: %u faults, %u requests: %u served, %u refused, %u failed, "
+          "%u incomplete, %u abandoned; recovery phase %u of %u; without crashers %u of %u; "
+          "%u violations; logs in %s\n",
           (unsigned long long)soak.seed, soak.n_faults, soak.n_sent, soak.n_served, soak.n_refused,
           soak.n_failed, soak.n_incomplete, soak.n_abandoned, soak.n_recovery_served,
           soak.n_recovery, soak.n_ordinary_served, soak.n_ordinary, soak.n_violations,
           soak.directory);
-  /* As the test runner reads it. */
+  /* The format of cmocka, which scripts/test-results reads. */
   printf (soak.n_violations == 0 ? "[       OK ] soak_%llu\n" : "[  FAILED  ] soak_%llu\n",
           (unsigned long long)soak.seed);
   return soak.n_violations == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
--- a/tests/soak/soak_upstream.c
+++ b/tests/soak/soak_upstream.c
@@ -11,7 +11,7 @@
 #define RUNS_MAX 65536
 #define ACTIVE_RUNS_MAX 512
 #define ID_BYTES 40
-/* Parts of the requests, in percent, that an upstream of a bad mood treats badly. */
+/* Percentage of the requests that an upstream in a misbehaving mode mistreats. */
 #define MISBEHAVING_PERCENT 60
 
 typedef struct
@@ -29,16 +29,16 @@
   SoakCrasher crashers[SOAK_CRASHERS_MAX];
 };
 
-/* One request at work. */
+/* One request that runs. */
 typedef struct
 {
   SoakUpstream *upstream;
   FakeWireConn *conn; /* NULL: free */
   char id[ID_BYTES];
   ev_timer timer;
-  uint32_t next_event; /* of a stream; counts from 1 */
+  uint32_t next_event; /* of a stream; the first is 1 */
   bool answers_twice;
-  SoakCrasher *crasher; /* NULL: the request does no harm */
+  SoakCrasher *crasher; /* NULL: the request crashes nothing */
 } Run;
 
 struct SoakUpstream
@@ -74,6 +74,7 @@
   free (ledger);
 }
 
+/* Returns how often a request has run, prefill not counted. */
 uint32_t
 soak_ledger_runs (const SoakLedger *ledger, const char *id)
 {
@@ -85,6 +86,7 @@
   return 0;
 }
 
+/* Returns the number of requests that arrived with X-Pin-Ms, which only the router may set. */
 uint32_t
 soak_ledger_n_wrong (const SoakLedger *ledger)
 {
@@ -97,13 +99,14 @@
   return ledger->crashers[crasher];
 }
 
+/* Sets how long after its third crash a crashing request may still arrive without being late. */
 void
 soak_ledger_set_grace (SoakLedger *ledger, uint64_t grace_us)
 {
   ledger->grace_us = grace_us;
 }
 
-/* Counts the arrival of a request that crashes upstreams. NULL when it is another. */
+/* Counts the arrival of a crashing request. Returns NULL for any other request. */
 static SoakCrasher *
 ledger_count_crasher (SoakLedger *ledger, const char *text)
 {
@@ -119,6 +122,7 @@
   return crasher;
 }
 
+/* Counts one run of a request. */
 static void
 ledger_add (SoakLedger *ledger, const char *id)
 {
@@ -152,7 +156,7 @@
   run->conn = NULL;
 }
 
-/* One step of a stream. Returns whether it goes on. */
+/* Sends the next event of a stream. Returns false after the last one. */
 static bool
 stream_step (Run *run)
 {
@@ -168,6 +172,7 @@
   return false;
 }
 
+/* Resets the connections of all requests that run. */
 static void
 runs_abort (SoakUpstream *upstream)
 {
@@ -193,7 +198,7 @@
   upstream->on_down (upstream->data, upstream, false);
 }
 
-/* The process ends with all that it runs. */
+/* Acts like a crash of the process: resets all connections and refuses new ones for down_s. */
 static void
 upstream_crash (SoakUpstream *upstream, SoakCrasher *crasher)
 {
@@ -277,7 +282,8 @@
   ev_timer_start (run->upstream->loop, &run->timer);
 }
 
-/* Treats a request as the mood says. Returns whether it is done with. */
+/* Mistreats a request in the way of the upstream's mode. Returns false when the request still has
+ * to run as usual. */
 static bool
 run_misbehave (SoakUpstream *upstream, Run *run)
 {
@@ -371,6 +377,8 @@
     }
 }
 
+/* Listens at a free port of the loopback address. The seed determines which requests are
+ * mistreated and how long requests run. */
 SoakUpstream *
 soak_upstream_new (struct ev_loop *loop, SoakLedger *ledger, MfRole role, const char *id,
                    uint64_t seed)
@@ -391,6 +399,8 @@
   return upstream;
 }
 
+/* Lets crashing requests crash the upstream, which listens again after down_s. Without this call,
+ * or with down_s 0, such requests run like any other. */
 void
 soak_upstream_crashes (SoakUpstream *upstream, double down_s, SoakDownFunc func, void *data)
 {
@@ -414,6 +424,8 @@
   return fake_wire_address (upstream->fake);
 }
 
+/* Acts like a restart under a new id: resets the requests that run, and answers 421 to requests for
+ * another id. */
 void
 soak_upstream_restart (SoakUpstream *upstream, const char *id)
 {
@@ -427,6 +439,7 @@
   upstream->mood = mood;
 }
 
+/* Returns the number of requests that run now. */
 uint32_t
 soak_upstream_n_active (const SoakUpstream *upstream)
 {
@@ -437,6 +450,7 @@
   return n_active;
 }
 
+/* Returns when the last request that was meant for this upstream arrived; 0: none yet. */
 uint64_t
 soak_upstream_last_arrival_us (const SoakUpstream *upstream)
 {
