--- a/tests/soak/soak_upstream.c
+++ b/tests/soak/soak_upstream.c
@@ -9,53 +9,53 @@
 #include <string.h>
 
 #define RUNS_MAX 65536
-#define ACTIVE_MAX 512
+#define ACTIVE_RUNS_MAX 512
 #define ID_BYTES 40
-/* Parts of the requests, in percent, that an upstream of a bad mood treats badly. */
-#define BAD_PERCENT 60
+/* Percentage of the requests that an upstream in a misbehaving mode mistreats. */
+#define MISBEHAVING_PERCENT 60
 
 typedef struct
 {
   char id[ID_BYTES];
   uint32_t n_runs;
-} RunRow;
+} RunCount;
 
 struct SoakLedger
 {
-  RunRow rows[RUNS_MAX];
+  RunCount rows[RUNS_MAX];
   uint32_t n_rows;
-  uint32_t n_wrong;
+  uint32_t n_reserved_headers;
   uint64_t grace_us;
   SoakCrasher crashers[SOAK_CRASHERS_MAX];
 };
 
-/* One request at work. */
+/* One request that runs. */
 typedef struct
 {
   SoakUpstream *upstream;
   FakeUpstreamConn *conn; /* NULL: free */
   char id[ID_BYTES];
   ev_timer timer;
-  uint32_t next_event; /* of a stream; counts from 1 */
-  bool doubles;
-  SoakCrasher *crasher; /* NULL: the request does no harm */
+  uint32_t next_event; /* of a stream; the first is 1 */
+  bool answers_twice;
+  SoakCrasher *crasher; /* NULL: the request crashes nothing */
 } Run;
 
 struct SoakUpstream
 {
   struct ev_loop *loop;
-  FakeUpstream *wire;
+  FakeUpstream *fake;
   SoakLedger *ledger;
   MfRole role;
   char id[ID_BYTES];
   SoakMood mood;
   uint64_t random;
-  Run runs[ACTIVE_MAX];
+  Run runs[ACTIVE_RUNS_MAX];
   uint64_t last_arrival_us;
   double down_s;
   SoakDownFunc on_down;
   void *data;
-  ev_timer back;
+  ev_timer restart_timer;
 };
 
 SoakLedger *
@@ -74,6 +74,7 @@
   free (ledger);
 }
 
+/* Returns how often a request has run, prefill not counted. */
 uint32_t
 soak_ledger_runs (const SoakLedger *ledger, const char *id)
 {
@@ -85,10 +86,11 @@
   return 0;
 }
 
+/* Returns the number of requests that arrived with X-Pin-Ms, which only the router may set. */
 uint32_t
 soak_ledger_n_wrong (const SoakLedger *ledger)
 {
-  return ledger->n_wrong;
+  return ledger->n_reserved_headers;
 }
 
 SoakCrasher
@@ -97,15 +99,16 @@
   return ledger->crashers[crasher];
 }
 
+/* Sets how long after its third crash a crashing request may still arrive without being late. */
 void
 soak_ledger_set_grace (SoakLedger *ledger, uint64_t grace_us)
 {
   ledger->grace_us = grace_us;
 }
 
-/* Counts the arrival of a request that crashes upstreams. NULL when it is another. */
+/* Counts the arrival of a crashing request. Returns NULL for any other request. */
 static SoakCrasher *
-ledger_note_crasher (SoakLedger *ledger, const char *text)
+ledger_count_crasher (SoakLedger *ledger, const char *text)
 {
   const char *body = strstr (text, "\r\n\r\n" SOAK_CRASH);
   SoakCrasher *crasher;
@@ -119,6 +122,7 @@
   return crasher;
 }
 
+/* Counts one run of a request. */
 static void
 ledger_add (SoakLedger *ledger, const char *id)
 {
@@ -136,7 +140,7 @@
 }
 
 static void
-send_plain (const Run *run, const char *status, const char *headers, const char *body)
+send_answer (const Run *run, const char *status, const char *headers, const char *body)
 {
   char text[512];
 
@@ -146,13 +150,13 @@
 }
 
 static void
-run_end (Run *run)
+run_finish (Run *run)
 {
   ev_timer_stop (run->upstream->loop, &run->timer);
   run->conn = NULL;
 }
 
-/* One step of a stream. Returns whether it goes on. */
+/* Sends the next event of a stream. Returns false after the last one. */
 static bool
 stream_step (Run *run)
 {
@@ -168,41 +172,42 @@
   return false;
 }
 
+/* Resets the connections of all requests that run. */
 static void
-runs_end (SoakUpstream *upstream)
+runs_abort (SoakUpstream *upstream)
 {
-  for (uint32_t i = 0; i < ACTIVE_MAX; i++)
+  for (uint32_t i = 0; i < ACTIVE_RUNS_MAX; i++)
     {
       FakeUpstreamConn *conn = upstream->runs[i].conn;
 
       if (conn == NULL)
         continue;
-      run_end (&upstream->runs[i]);
+      run_finish (&upstream->runs[i]);
       fake_upstream_conn_close (conn, true);
     }
 }
 
 static void
-on_back (struct ev_loop *loop, ev_timer *watcher, int events)
+on_restart_timer (struct ev_loop *loop, ev_timer *watcher, int events)
 {
   SoakUpstream *upstream = watcher->data;
 
   (void)loop;
   (void)events;
-  fake_upstream_start (upstream->wire);
+  fake_upstream_start (upstream->fake);
   upstream->on_down (upstream->data, upstream, false);
 }
 
-/* The process ends with all that it runs. */
+/* Acts like a crash of the process: resets all connections and refuses new ones for down_s. */
 static void
 upstream_crash (SoakUpstream *upstream, SoakCrasher *crasher)
 {
   if (++crasher->n_crashes == 3)
     crasher->third_us = mf_clock_now_us ();
-  runs_end (upstream);
-  fake_upstream_stop (upstream->wire);
-  ev_timer_set (&upstream->back, upstream->down_s, 0.);
-  ev_timer_start (upstream->loop, &upstream->back);
+  runs_abort (upstream);
+  fake_upstream_stop (upstream->fake);
+  ev_timer_set (&upstream->restart_timer, upstream->down_s, 0.);
+  ev_timer_start (upstream->loop, &upstream->restart_timer);
   upstream->on_down (upstream->data, upstream, true);
 }
 
@@ -228,15 +233,15 @@
         }
     }
   else if (run->upstream->role == MF_ROLE_PREFILL)
-    send_plain (run, "200 OK", "", "{\"kvHandle\":\"h\",\"tokens\":10,\"version\":1}");
+    send_answer (run, "200 OK", "", "{\"kvHandle\":\"h\",\"tokens\":10,\"version\":1}");
   else
     {
       snprintf (body, sizeof body, "answer to %s", run->id);
-      send_plain (run, "200 OK", "X-Response-Seal: s\r\n", body);
-      if (run->doubles)
-        send_plain (run, "200 OK", "X-Response-Seal: s\r\n", body);
+      send_answer (run, "200 OK", "X-Response-Seal: s\r\n", body);
+      if (run->answers_twice)
+        send_answer (run, "200 OK", "X-Response-Seal: s\r\n", body);
     }
-  run_end (run);
+  run_finish (run);
 }
 
 static uint32_t
@@ -251,7 +256,7 @@
 static Run *
 run_new (SoakUpstream *upstream, FakeUpstreamConn *conn, const char *id)
 {
-  for (uint32_t i = 0; i < ACTIVE_MAX; i++)
+  for (uint32_t i = 0; i < ACTIVE_RUNS_MAX; i++)
     {
       Run *run = &upstream->runs[i];
 
@@ -267,7 +272,7 @@
 }
 
 static void
-run_begin (Run *run, double after_s)
+run_start (Run *run, double after_s)
 {
   if (run->upstream->role == MF_ROLE_DECODE)
     fake_upstream_conn_send (
@@ -277,33 +282,34 @@
   ev_timer_start (run->upstream->loop, &run->timer);
 }
 
-/* Treats a request as the mood says. Returns whether it is done with. */
+/* Mistreats a request in the way of the upstream's mode. Returns false when the request still has
+ * to run as usual. */
 static bool
-run_badly (SoakUpstream *upstream, Run *run)
+run_misbehave (SoakUpstream *upstream, Run *run)
 {
   FakeUpstreamConn *conn = run->conn;
 
   switch (upstream->mood)
     {
     case SOAK_DECLINES:
-      send_plain (run, "503 Service Unavailable", "X-Not-Executed: 1\r\n", "");
-      run_end (run);
+      send_answer (run, "503 Service Unavailable", "X-Not-Executed: 1\r\n", "");
+      run_finish (run);
       return true;
     case SOAK_FAILS:
       ledger_add (upstream->ledger, run->id);
-      send_plain (run, "500 Internal Server Error", "X-Response-Seal: s\r\n", "failed");
-      run_end (run);
+      send_answer (run, "500 Internal Server Error", "X-Response-Seal: s\r\n", "failed");
+      run_finish (run);
       return true;
     case SOAK_RESETS:
       ledger_add (upstream->ledger, run->id);
-      run_end (run);
+      run_finish (run);
       fake_upstream_conn_close (conn, true);
       return true;
     case SOAK_MUTE:
       ledger_add (upstream->ledger, run->id);
       return true;
     default:
-      run->doubles = upstream->mood == SOAK_DOUBLES;
+      run->answers_twice = upstream->mood == SOAK_DOUBLES;
       return false;
     }
 }
@@ -325,20 +331,20 @@
   run = run_new (upstream, conn, id);
   if (strncmp (text, "DELETE ", 7) == 0)
     {
-      send_plain (run, "200 OK", "", "");
-      run_end (run);
+      send_answer (run, "200 OK", "", "");
+      run_finish (run);
       return;
     }
   if (strcmp (expected, upstream->id) != 0 || prefill != (upstream->role == MF_ROLE_PREFILL))
     {
-      send_plain (run, "421 Misdirected Request", "", "");
-      run_end (run);
+      send_answer (run, "421 Misdirected Request", "", "");
+      run_finish (run);
       return;
     }
   if (fake_upstream_request_header (text, "X-Pin-Ms", value, sizeof value))
-    upstream->ledger->n_wrong++;
+    upstream->ledger->n_reserved_headers++;
   upstream->last_arrival_us = mf_clock_now_us ();
-  run->crasher = upstream->down_s > 0. ? ledger_note_crasher (upstream->ledger, text) : NULL;
+  run->crasher = upstream->down_s > 0. ? ledger_count_crasher (upstream->ledger, text) : NULL;
   if (run->crasher != NULL)
     {
       ev_timer_set (&run->timer, 0.005, 0.);
@@ -347,30 +353,32 @@
     }
   if (upstream->role == MF_ROLE_PREFILL)
     {
-      run_begin (run, 0.005);
+      run_start (run, 0.005);
       return;
     }
   if (upstream->mood == SOAK_DARK)
     return;
-  if (draw (upstream, 100) < BAD_PERCENT && run_badly (upstream, run))
+  if (draw (upstream, 100) < MISBEHAVING_PERCENT && run_misbehave (upstream, run))
     return;
   ledger_add (upstream->ledger, id);
   run->next_event = (uint32_t)strtoul (last, NULL, 10) + 1;
-  run_begin (run, upstream->mood == SOAK_SLOW ? 0.15 : 0.003 + draw (upstream, 8) * 0.001);
+  run_start (run, upstream->mood == SOAK_SLOW ? 0.15 : 0.003 + draw (upstream, 8) * 0.001);
 }
 
 static void
-on_left (FakeUpstreamConn *conn, void *data)
+on_conn_closed (FakeUpstreamConn *conn, void *data)
 {
   SoakUpstream *upstream = data;
 
-  for (uint32_t i = 0; i < ACTIVE_MAX; i++)
+  for (uint32_t i = 0; i < ACTIVE_RUNS_MAX; i++)
     {
       if (upstream->runs[i].conn == conn)
-        run_end (&upstream->runs[i]);
+        run_finish (&upstream->runs[i]);
     }
 }
 
+/* Listens at a free port of the loopback address. The seed determines which requests are
+ * mistreated and how long requests run. */
 SoakUpstream *
 soak_upstream_new (struct ev_loop *loop, SoakLedger *ledger, MfRole role, const char *id,
                    uint64_t seed)
@@ -384,13 +392,15 @@
   upstream->role = role;
   upstream->random = seed * 2 + 1;
   snprintf (upstream->id, sizeof upstream->id, "%s", id);
-  upstream->wire = fake_upstream_new (loop, on_request, upstream);
-  fake_upstream_set_closed_func (upstream->wire, on_left);
-  ev_init (&upstream->back, on_back);
-  upstream->back.data = upstream;
+  upstream->fake = fake_upstream_new (loop, on_request, upstream);
+  fake_upstream_set_closed_func (upstream->fake, on_conn_closed);
+  ev_init (&upstream->restart_timer, on_restart_timer);
+  upstream->restart_timer.data = upstream;
   return upstream;
 }
 
+/* Lets crashing requests crash the upstream, which listens again after down_s. Without this call,
+ * or with down_s 0, such requests run like any other. */
 void
 soak_upstream_crashes (SoakUpstream *upstream, double down_s, SoakDownFunc func, void *data)
 {
@@ -402,22 +412,24 @@
 void
 soak_upstream_free (SoakUpstream *upstream)
 {
-  runs_end (upstream);
-  ev_timer_stop (upstream->loop, &upstream->back);
-  fake_upstream_free (upstream->wire);
+  runs_abort (upstream);
+  ev_timer_stop (upstream->loop, &upstream->restart_timer);
+  fake_upstream_free (upstream->fake);
   free (upstream);
 }
 
 const char *
 soak_upstream_address (const SoakUpstream *upstream)
 {
-  return fake_upstream_address (upstream->wire);
+  return fake_upstream_address (upstream->fake);
 }
 
+/* Acts like a restart under a new id: resets the requests that run, and answers 421 to requests for
+ * another id. */
 void
 soak_upstream_restart (SoakUpstream *upstream, const char *id)
 {
-  runs_end (upstream);
+  runs_abort (upstream);
   snprintf (upstream->id, sizeof upstream->id, "%s", id);
 }
 
@@ -427,16 +439,18 @@
   upstream->mood = mood;
 }
 
+/* Returns the number of requests that run now. */
 uint32_t
 soak_upstream_n_active (const SoakUpstream *upstream)
 {
   uint32_t n_active = 0;
 
-  for (uint32_t i = 0; i < ACTIVE_MAX; i++)
+  for (uint32_t i = 0; i < ACTIVE_RUNS_MAX; i++)
     n_active += upstream->runs[i].conn != NULL;
   return n_active;
 }
 
+/* Returns when the last request that was meant for this upstream arrived; 0: none yet. */
 uint64_t
 soak_upstream_last_arrival_us (const SoakUpstream *upstream)
 {
