--- a/tests/soak/relay_soak.c
+++ b/tests/soak/relay_soak.c
@@ -335,13 +335,13 @@
 body_matches_request (const Caller *caller)
 {
   const SentRequest *sent = &caller->soak->sent[caller->sent_index];
-  char expected[SOAK_EVENTS * 64] = "";
+  char expected[SOAK_STREAM_EVENTS * 64] = "";
   size_t n_bytes = 0;
 
   if (sent->kind == KIND_ORDER || sent->kind == KIND_READ)
     n_bytes = (size_t)snprintf (expected, sizeof expected, "answer to %s", sent->id);
-  for (uint32_t i = 1; i <= SOAK_EVENTS && (sent->kind == KIND_ONCE || sent->kind == KIND_STREAM);
-       i++)
+  for (uint32_t i = 1;
+       i <= SOAK_STREAM_EVENTS && (sent->kind == KIND_ONCE || sent->kind == KIND_STREAM); i++)
     n_bytes += (size_t)snprintf (expected + n_bytes, sizeof expected - n_bytes,
                                  "id: %u\ndata: %s\n\n", i, sent->id);
   return mf_buffer_bytes (&caller->body) == n_bytes
@@ -582,14 +582,14 @@
 static void
 begin_mode (Soak *soak, uint32_t target)
 {
-  soak_upstream_mood (soak->upstreams[target % N_UPSTREAMS],
-                      (SoakMood)(1 + draw (soak, SOAK_MOOD_COUNT - 1)));
+  soak_upstream_set_mode (soak->upstreams[target % N_UPSTREAMS],
+                          (SoakMode)(1 + draw (soak, SOAK_MODE_COUNT - 1)));
 }
 
 static void
 end_mode (Soak *soak, uint32_t target)
 {
-  soak_upstream_mood (soak->upstreams[target % N_UPSTREAMS], SOAK_GOOD);
+  soak_upstream_set_mode (soak->upstreams[target % N_UPSTREAMS], SOAK_SERVES);
 }
 
 static void
@@ -769,7 +769,7 @@
         continue;
       upstream_publish (soak, i, "ready");
       if (soak->n_crashers > 0)
-        soak_upstream_crashes (soak->upstreams[i], CRASH_DOWN_S, on_upstream_down, soak);
+        soak_upstream_enable_crashes (soak->upstreams[i], CRASH_DOWN_S, on_upstream_down, soak);
     }
   soak_ledger_set_grace (soak->ledger, CONTACT_MS * MF_US_PER_MS);
   config_publish (soak);
@@ -813,12 +813,12 @@
         report_violation (soak, "an upstream still runs a request after its caller disconnected",
                           "");
     }
-  if (soak_ledger_n_wrong (soak->ledger) > 0)
+  if (soak_ledger_n_reserved_headers (soak->ledger) > 0)
     report_violation (soak, "a caller's X-Pin-Ms header reached an upstream", "");
   for (uint32_t i = 0; i < soak->n_sent; i++)
     {
       const SentRequest *sent = &soak->sent[i];
-      uint32_t n_runs = soak_ledger_runs (soak->ledger, sent->id);
+      uint32_t n_runs = soak_ledger_n_runs (soak->ledger, sent->id);
 
       if (n_runs > request_kinds[sent->kind].runs_max)
         report_violation (soak, "a request ran more often than allowed", sent->id);
@@ -830,8 +830,8 @@
       SoakCrasher crasher = soak_ledger_crasher (soak->ledger, i);
 
       printf ("crasher %u: %u crashes, %u arrivals, %u of them late\n", i, crasher.n_crashes,
-              crasher.n_arrivals, crasher.n_late);
-      if (crasher.n_late > LATE_SENDS_MAX)
+              crasher.n_arrivals, crasher.n_late_arrivals);
+      if (crasher.n_late_arrivals > LATE_SENDS_MAX)
         report_violation (soak, "a request that had crashed three upstreams was still sent", "");
     }
   if (soak->n_recovery == 0)
--- a/tests/soak/soak_upstream.c
+++ b/tests/soak/soak_upstream.c
@@ -48,7 +48,7 @@
   SoakLedger *ledger;
   MfRole role;
   char id[ID_BYTES];
-  SoakMood mood;
+  SoakMode mode;
   uint64_t random;
   Run runs[ACTIVE_RUNS_MAX];
   uint64_t last_arrival_us;
@@ -76,7 +76,7 @@
 
 /* Returns how often a request has run, prefill not counted. */
 uint32_t
-soak_ledger_runs (const SoakLedger *ledger, const char *id)
+soak_ledger_n_runs (const SoakLedger *ledger, const char *id)
 {
   for (uint32_t i = 0; i < ledger->n_rows; i++)
     {
@@ -88,7 +88,7 @@
 
 /* Returns the number of requests that arrived with X-Pin-Ms, which only the router may set. */
 uint32_t
-soak_ledger_n_wrong (const SoakLedger *ledger)
+soak_ledger_n_reserved_headers (const SoakLedger *ledger)
 {
   return ledger->n_reserved_headers;
 }
@@ -117,8 +117,8 @@
     return NULL;
   crasher = &ledger->crashers[(uint32_t)(body[4 + strlen (SOAK_CRASH)] - '0') % SOAK_CRASHERS_MAX];
   crasher->n_arrivals++;
-  crasher->n_late
-      += crasher->third_us > 0 && mf_clock_now_us () > crasher->third_us + ledger->grace_us;
+  crasher->n_late_arrivals += crasher->third_crash_us > 0
+                              && mf_clock_now_us () > crasher->third_crash_us + ledger->grace_us;
   return crasher;
 }
 
@@ -166,7 +166,7 @@
   snprintf (event, sizeof event, "id: %u\ndata: %s\n\n", run->next_event, run->id);
   snprintf (chunk, sizeof chunk, "%zx\r\n%s\r\n", strlen (event), event);
   fake_wire_send (run->conn, chunk);
-  if (run->next_event++ < SOAK_EVENTS)
+  if (run->next_event++ < SOAK_STREAM_EVENTS)
     return true;
   fake_wire_send (run->conn, "0\r\n\r\n");
   return false;
@@ -203,7 +203,7 @@
 upstream_crash (SoakUpstream *upstream, SoakCrasher *crasher)
 {
   if (++crasher->n_crashes == 3)
-    crasher->third_us = mf_clock_now_us ();
+    crasher->third_crash_us = mf_clock_now_us ();
   runs_abort (upstream);
   fake_wire_shut (upstream->fake);
   ev_timer_set (&upstream->restart_timer, upstream->down_s, 0.);
@@ -289,7 +289,7 @@
 {
   FakeWireConn *conn = run->conn;
 
-  switch (upstream->mood)
+  switch (upstream->mode)
     {
     case SOAK_DECLINES:
       send_answer (run, "503 Service Unavailable", "X-Not-Executed: 1\r\n", "");
@@ -305,11 +305,11 @@
       run_finish (run);
       fake_wire_close (conn, true);
       return true;
-    case SOAK_MUTE:
+    case SOAK_NO_ANSWER:
       ledger_add (upstream->ledger, run->id);
       return true;
     default:
-      run->answers_twice = upstream->mood == SOAK_DOUBLES;
+      run->answers_twice = upstream->mode == SOAK_ANSWERS_TWICE;
       return false;
     }
 }
@@ -356,13 +356,13 @@
       run_start (run, 0.005);
       return;
     }
-  if (upstream->mood == SOAK_DARK)
+  if (upstream->mode == SOAK_UNRESPONSIVE)
     return;
   if (draw (upstream, 100) < MISBEHAVING_PERCENT && run_misbehave (upstream, run))
     return;
   ledger_add (upstream->ledger, id);
   run->next_event = (uint32_t)strtoul (last, NULL, 10) + 1;
-  run_start (run, upstream->mood == SOAK_SLOW ? 0.15 : 0.003 + draw (upstream, 8) * 0.001);
+  run_start (run, upstream->mode == SOAK_SLOW ? 0.15 : 0.003 + draw (upstream, 8) * 0.001);
 }
 
 static void
@@ -402,7 +402,7 @@
 /* Lets crashing requests crash the upstream, which listens again after down_s. Without this call,
  * or with down_s 0, such requests run like any other. */
 void
-soak_upstream_crashes (SoakUpstream *upstream, double down_s, SoakDownFunc func, void *data)
+soak_upstream_enable_crashes (SoakUpstream *upstream, double down_s, SoakDownFunc func, void *data)
 {
   upstream->down_s = down_s;
   upstream->on_down = func;
@@ -434,9 +434,9 @@
 }
 
 void
-soak_upstream_mood (SoakUpstream *upstream, SoakMood mood)
+soak_upstream_set_mode (SoakUpstream *upstream, SoakMode mode)
 {
-  upstream->mood = mood;
+  upstream->mode = mode;
 }
 
 /* Returns the number of requests that run now. */
--- a/tests/soak/soak_upstream.h
+++ b/tests/soak/soak_upstream.h
@@ -11,34 +11,34 @@
 typedef struct SoakLedger SoakLedger;
 
 /* Number of events of a complete stream. */
-#define SOAK_EVENTS 8
+#define SOAK_STREAM_EVENTS 8
 
 /* How an upstream treats requests; without effect on prefill engines. The modes from SOAK_DECLINES
- * to SOAK_DOUBLES affect only a part of the requests. */
+ * to SOAK_ANSWERS_TWICE affect only a part of the requests. */
 typedef enum
 {
-  SOAK_GOOD,
+  SOAK_SERVES,
   SOAK_SLOW,
-  SOAK_DECLINES, /* 503 without running the request */
-  SOAK_FAILS,    /* 500 after running the request */
-  SOAK_RESETS,   /* runs the request, then resets the connection */
-  SOAK_MUTE,     /* runs the request, but never answers */
-  SOAK_DOUBLES,  /* sends its answer twice */
-  SOAK_MOOD_COUNT,
-  SOAK_DARK, /* never answers and runs nothing; the soak does not draw it */
-} SoakMood;
+  SOAK_DECLINES,      /* 503 without running the request */
+  SOAK_FAILS,         /* 500 after running the request */
+  SOAK_RESETS,        /* runs the request, then resets the connection */
+  SOAK_NO_ANSWER,     /* runs the request, but never answers */
+  SOAK_ANSWERS_TWICE, /* sends its answer twice */
+  SOAK_MODE_COUNT,
+  SOAK_UNRESPONSIVE, /* never answers and runs nothing; the soak does not draw it */
+} SoakMode;
 
 SoakLedger *soak_ledger_new (void);
 void soak_ledger_free (SoakLedger *ledger);
-uint32_t soak_ledger_runs (const SoakLedger *ledger, const char *id);
-uint32_t soak_ledger_n_wrong (const SoakLedger *ledger);
+uint32_t soak_ledger_n_runs (const SoakLedger *ledger, const char *id);
+uint32_t soak_ledger_n_reserved_headers (const SoakLedger *ledger);
 
 SoakUpstream *soak_upstream_new (struct ev_loop *loop, SoakLedger *ledger, MfRole role,
                                  const char *id, uint64_t seed);
 void soak_upstream_free (SoakUpstream *upstream);
 const char *soak_upstream_address (const SoakUpstream *upstream);
 void soak_upstream_restart (SoakUpstream *upstream, const char *id);
-void soak_upstream_mood (SoakUpstream *upstream, SoakMood mood);
+void soak_upstream_set_mode (SoakUpstream *upstream, SoakMode mode);
 uint32_t soak_upstream_n_active (const SoakUpstream *upstream);
 uint64_t soak_upstream_last_arrival_us (const SoakUpstream *upstream);
 
@@ -51,15 +51,17 @@
  * callback gives it a new id with soak_upstream_restart. */
 typedef void (*SoakDownFunc) (void *data, SoakUpstream *upstream, bool down);
 
-void soak_upstream_crashes (SoakUpstream *upstream, double down_s, SoakDownFunc func, void *data);
+void soak_upstream_enable_crashes (SoakUpstream *upstream, double down_s, SoakDownFunc func,
+                                   void *data);
 
 /* Effects of one such request on all upstreams of a ledger. */
 typedef struct
 {
   uint32_t n_arrivals; /* at prefill engines too */
   uint32_t n_crashes;
-  uint64_t third_us; /* time of its third crash; 0: none yet */
-  uint32_t n_late;   /* arrivals later than the grace time of the ledger after the third crash */
+  uint64_t third_crash_us; /* time of its third crash; 0: none yet */
+  uint32_t
+      n_late_arrivals; /* arrivals later than the grace time of the ledger after the third crash */
 } SoakCrasher;
 
 SoakCrasher soak_ledger_crasher (const SoakLedger *ledger, uint32_t crasher);
--- a/tests/test_job_suspect.c
+++ b/tests/test_job_suspect.c
@@ -90,7 +90,7 @@
       id_write (fixture, index, id, sizeof id);
       fixture->upstreams[index]
           = soak_upstream_new (fixture->fleet.loop, fixture->ledger, roles[index], id, index);
-      soak_upstream_crashes (fixture->upstreams[index], DOWN_S, on_down_changed, fixture);
+      soak_upstream_enable_crashes (fixture->upstreams[index], DOWN_S, on_down_changed, fixture);
       for (uint32_t i = 0; i < RELAY_FLEET_N_INSTANCES; i++)
         instance_list_upstream (fixture, i, index);
     }
@@ -175,7 +175,7 @@
 
       crash_fixture_setup (&fixture);
       n_served = n_served_beside_crasher (&fixture, paths[i]);
-      assert_in_range (soak_ledger_crasher (fixture.ledger, 0).n_late, 0, LATE_SENDS_MAX);
+      assert_in_range (soak_ledger_crasher (fixture.ledger, 0).n_late_arrivals, 0, LATE_SENDS_MAX);
       assert_in_range (soak_ledger_crasher (fixture.ledger, 0).n_crashes, 1, 3);
       assert_in_range (n_served, N_CALLS * 9 / 10, N_CALLS);
       crash_fixture_teardown (&fixture);
@@ -327,7 +327,7 @@
   (void)state;
   crash_fixture_setup (&fixture);
   for (uint32_t index = 0; index < 3; index++)
-    soak_upstream_mood (fixture.upstreams[index], SOAK_DARK);
+    soak_upstream_set_mode (fixture.upstreams[index], SOAK_UNRESPONSIVE);
   for (uint32_t i = 0; i < 2; i++)
     {
       assert_int_equal (call (&fixture, i, CRASHER_HOST, "/order/1", "silence"), 504);
@@ -381,11 +381,11 @@
   (void)state;
   crash_fixture_setup (&fixture);
   for (uint32_t index = 0; index < 3; index++)
-    soak_upstream_mood (fixture.upstreams[index], SOAK_RESETS);
+    soak_upstream_set_mode (fixture.upstreams[index], SOAK_RESETS);
   for (uint32_t i = 0; i < 12; i++)
     call (&fixture, i % RELAY_FLEET_N_INSTANCES, INNOCENT_HOST, "/order/1", "again");
   for (uint32_t index = 0; index < 3; index++)
-    soak_upstream_mood (fixture.upstreams[index], SOAK_GOOD);
+    soak_upstream_set_mode (fixture.upstreams[index], SOAK_SERVES);
   for (uint32_t i = 0; i < RELAY_FLEET_N_INSTANCES; i++)
     {
       assert_int_equal (call (&fixture, i, INNOCENT_HOST, "/order/1", "again"), 200);
