--- a/tests/soak/soak_upstream.h
+++ b/tests/soak/soak_upstream.h
@@ -59,9 +59,8 @@
 {
   uint32_t n_arrivals; /* at prefill engines too */
   uint32_t n_crashes;
-  uint64_t third_crash_us; /* time of its third crash; 0: none yet */
-  uint32_t
-      n_late_arrivals; /* arrivals later than the grace time of the ledger after the third crash */
+  uint64_t third_crash_us;  /* time of its third crash; 0: none yet */
+  uint32_t n_late_arrivals; /* later after the third crash than the grace time of the ledger */
 } SoakCrasher;
 
 SoakCrasher soak_ledger_crasher (const SoakLedger *ledger, uint32_t crasher);
