--- a/bench/policy.c
+++ b/bench/policy.c
@@ -67,7 +67,7 @@
   uint32_t n_reads_lost;
   uint32_t n_orders_twice;
   uint32_t n_orders_lost;
-  uint32_t n_held;
+  uint32_t n_kv_entries;
   uint32_t deaths;
   double ttft_p99_ms;
 } Figures;
@@ -342,7 +342,7 @@
   figures->wasted_share = prefilled > 0 ? (double)figures->wasted_tokens / (double)prefilled : 0;
   figures->read_p99_ms = percentile (reads_ms, n_reads, 0.99);
   figures->ttft_p99_ms = percentile (ttfts_ms, n_ttfts, 0.99);
-  figures->n_held = rig_n_kv_entries (rig);
+  figures->n_kv_entries = rig_n_kv_entries (rig);
   free (reads_ms);
   free (ttfts_ms);
 }
@@ -374,7 +374,7 @@
       per_s, figures.n_offered, (double)figures.n_good / figures.n_offered,
       (double)figures.n_complete / figures.n_offered, (double)figures.n_refused / figures.n_offered,
       figures.good_work, figures.wasted_share, figures.ttft_p99_ms, figures.read_p99_ms,
-      figures.n_reads_lost, figures.n_orders_twice, figures.n_violations, figures.n_held);
+      figures.n_reads_lost, figures.n_orders_twice, figures.n_violations, figures.n_kv_entries);
   fflush (stdout);
   rig_free (rig);
   return figures;
@@ -416,7 +416,7 @@
     {
       if (l <= LOAD_1_0_INDEX && figures[l][0].wasted_share > worst_waste)
         worst_waste = figures[l][0].wasted_share;
-      n_violations += figures[l][0].n_violations + figures[l][0].n_held;
+      n_violations += figures[l][0].n_violations + figures[l][0].n_kv_entries;
       n_twice += figures[l][0].n_orders_twice;
       n_lost += figures[l][0].n_orders_lost;
     }
@@ -467,7 +467,7 @@
       snprintf (text, sizeof text, "%s_goodput_over_naive", names[f]);
       result (name, text, ratio (figures[f][0].good_work, figures[f][1].good_work), ">=", 1);
       snprintf (text, sizeof text, "%s_broken_and_held", names[f]);
-      result (name, text, figures[f][0].n_violations + figures[f][0].n_held, "<=", 0);
+      result (name, text, figures[f][0].n_violations + figures[f][0].n_kv_entries, "<=", 0);
     }
 }
 
--- a/bench/relay_upstream.c
+++ b/bench/relay_upstream.c
@@ -228,18 +228,18 @@
 relay_upstream_run (uint16_t prefill_port, const uint16_t decode_ports[RELAY_N_DECODES],
                     uint16_t platform_port)
 {
-  static const FakeHttpCallbacks hooks = { .on_request = on_request, .on_closed = on_closed };
+  static const FakeHttpCallbacks callbacks = { .on_request = on_request, .on_closed = on_closed };
   struct ev_loop *loop = ev_loop_new (EVFLAG_AUTO);
   Upstream prefill = { .loop = loop, .role = "prefill" };
   Upstream decode = { .loop = loop, .role = "decode" };
   char address[MF_ADDRESS_BYTES];
 
   snprintf (address, sizeof address, "127.0.0.1:%u", prefill_port);
-  fake_http_new (loop, address, &hooks, &prefill);
+  fake_http_new (loop, address, &callbacks, &prefill);
   for (int i = 0; i < RELAY_N_DECODES; i++)
     {
       snprintf (address, sizeof address, "127.0.0.1:%u", decode_ports[i]);
-      fake_http_new (loop, address, &hooks, &decode);
+      fake_http_new (loop, address, &callbacks, &decode);
     }
   platform_start (loop, platform_port, prefill_port, decode_ports);
   run_until_signal (loop);
--- a/libmangofork/claim_row.h
+++ b/libmangofork/claim_row.h
@@ -64,7 +64,7 @@
 void mf_claim_assign_id (MfClaims *claims, MfClaim *claim);
 void mf_claim_clear_id (MfClaims *claims, MfClaim *claim);
 void mf_claim_free (MfClaims *claims, MfClaim *claim);
-void mf_claim_settle (MfCore *core, MfClaim *claim, MfClaimDecision verdict, MfCode code,
+void mf_claim_settle (MfCore *core, MfClaim *claim, MfClaimDecision decision, MfCode code,
                       MfOutcome outcome);
 void mf_claim_settle_recorded (MfCore *core, MfClaim *claim, MfKeyState state,
                                const MfClaimResult *recorded);
--- a/libmangofork/claim_table.c
+++ b/libmangofork/claim_table.c
@@ -69,10 +69,10 @@
 
 /* Passes the result to the request; frees the claim unless it was granted. */
 void
-mf_claim_settle (MfCore *core, MfClaim *claim, MfClaimDecision verdict, MfCode code,
+mf_claim_settle (MfCore *core, MfClaim *claim, MfClaimDecision decision, MfCode code,
                  MfOutcome outcome)
 {
-  MfClaimResult result = { .decision = verdict, .code = code, .outcome = outcome };
+  MfClaimResult result = { .decision = decision, .code = code, .outcome = outcome };
 
   settle (core, claim, &result);
 }
--- a/libmangofork/exchange.c
+++ b/libmangofork/exchange.c
@@ -69,7 +69,7 @@
     return;
   exchange_leave_core (exchange);
   if (!exchange->set->closing)
-    exchange->set->hooks.on_event (&event, exchange->set->data);
+    exchange->set->callbacks.on_event (&event, exchange->set->data);
 }
 
 void
@@ -111,7 +111,7 @@
   if (paused == exchange->reading_paused || exchange->call_id == 0 || !exchange->in_core)
     return;
   exchange->reading_paused = paused;
-  set->hooks.on_pause_reading (exchange->call_id, paused, set->data);
+  set->callbacks.on_pause_reading (exchange->call_id, paused, set->data);
 }
 
 /* Content reader of a streamed answer. Suspends the connection while there is nothing to send. */
@@ -216,7 +216,7 @@
     mf_name_set (exchange->intake.name, sizeof exchange->intake.name, exchange->generated_name);
   response_create_problem (exchange, &refusal, error->text);
   mf_buffer_clear (&exchange->body);
-  exchange->set->hooks.on_refused (error->code, exchange->set->data);
+  exchange->set->callbacks.on_refused (error->code, exchange->set->data);
 }
 
 /* MHD_NO makes libmicrohttpd close the connection. */
@@ -259,7 +259,7 @@
   };
   exchange->in_core = true;
   HASH_ADD (hh, set->in_core, id, sizeof exchange->id, exchange);
-  set->hooks.on_event (&event, set->data);
+  set->callbacks.on_event (&event, set->data);
 }
 
 /* The list comes from the configuration in force; the core takes no part. */
@@ -270,7 +270,7 @@
 
   if (strcmp (exchange->path, "/v1/models") != 0 || strcmp (exchange->method, "GET") != 0)
     return false;
-  mf_answer_models (&body, exchange->set->hooks.on_config (exchange->set->data));
+  mf_answer_models (&body, exchange->set->callbacks.on_config (exchange->set->data));
   response_create (exchange, MHD_HTTP_OK, "application/json", mf_buffer_data (&body),
                    mf_buffer_bytes (&body));
   mf_buffer_clear (&body);
@@ -300,7 +300,7 @@
   mf_buffer_clear (&body);
   shutdown (exchange->fd, SHUT_RDWR);
   exchange->departed = true;
-  exchange->set->hooks.on_refused (code, exchange->set->data);
+  exchange->set->callbacks.on_refused (code, exchange->set->data);
 }
 
 static void
--- a/libmangofork/exchange.h
+++ b/libmangofork/exchange.h
@@ -18,7 +18,7 @@
 {
   struct ev_loop *loop;
   MfHttpInOptions options;
-  MfHttpInHooks hooks;
+  MfHttpInCallbacks callbacks;
   void *data;
   MfHttpd *httpd;
   MfExchange *in_core; /* those submitted to the core and not ended, by id */
--- a/libmangofork/guardian.c
+++ b/libmangofork/guardian.c
@@ -8,14 +8,14 @@
 
 #define GUARDIANS_MAX 3
 /* An upstream not reported again within this time is assumed to hold no more work. */
-#define HELD_WORK_LIFE_US (60 * MF_US_PER_S)
-#define HELD_WORK_MAX 512
+#define REPORTED_WORK_LIFE_US (60 * MF_US_PER_S)
+#define REPORTED_WORK_MAX 512
 /* With at most this many upstreams, a guardian cancels the work of a dead instance at all of them,
  * which includes work that no digest has reported yet. */
 #define CANCEL_ALL_UPSTREAMS_MAX 64
 
 /* An upstream at which a guarded instance has work. */
-struct MfHeldWork
+struct MfReportedWork
 {
   uint64_t upstream; /* hash of the name */
   uint64_t reported_us;
@@ -80,19 +80,20 @@
 }
 
 /* Returns the entry of an upstream, or one to overwrite: a free entry, or else the oldest. */
-static MfHeldWork *
-held_find (MfMemberRow *row, uint64_t upstream)
+static MfReportedWork *
+reported_work_find (MfMemberRow *row, uint64_t upstream)
 {
-  MfHeldWork *oldest = &row->held[0];
+  MfReportedWork *oldest = &row->reported_work[0];
 
-  for (uint32_t i = 0; i < row->n_held; i++)
+  for (uint32_t i = 0; i < row->n_reported_work; i++)
     {
-      if (row->held[i].upstream == upstream)
-        return &row->held[i];
-      if (row->held[i].reported_us < oldest->reported_us)
-        oldest = &row->held[i];
+      if (row->reported_work[i].upstream == upstream)
+        return &row->reported_work[i];
+      if (row->reported_work[i].reported_us < oldest->reported_us)
+        oldest = &row->reported_work[i];
     }
-  return row->n_held < HELD_WORK_MAX ? &row->held[row->n_held++] : oldest;
+  return row->n_reported_work < REPORTED_WORK_MAX ? &row->reported_work[row->n_reported_work++]
+                                                  : oldest;
 }
 
 /* Records the upstreams at which a neighbour has work if this instance is its guardian. */
@@ -101,19 +102,19 @@
 {
   if (!digest->guardian)
     return;
-  if (row->held == NULL)
-    row->held = calloc (HELD_WORK_MAX, sizeof *row->held);
-  if (row->held == NULL)
+  if (row->reported_work == NULL)
+    row->reported_work = calloc (REPORTED_WORK_MAX, sizeof *row->reported_work);
+  if (row->reported_work == NULL)
     return;
   for (uint32_t i = 0; i < digest->n_shares; i++)
     {
-      MfHeldWork *held;
+      MfReportedWork *work;
 
       if (digest->shares[i].slots_used == 0)
         continue;
-      held = held_find (row, digest->shares[i].upstream);
-      held->upstream = digest->shares[i].upstream;
-      held->reported_us = core->board.now_us;
+      work = reported_work_find (row, digest->shares[i].upstream);
+      work->upstream = digest->shares[i].upstream;
+      work->reported_us = core->board.now_us;
     }
 }
 
@@ -132,11 +133,12 @@
 static void
 cancel_at_reported_upstreams (MfCore *core, const MfMemberRow *row, const MfInstanceId *instance)
 {
-  for (uint32_t i = 0; i < row->n_held; i++)
+  for (uint32_t i = 0; i < row->n_reported_work; i++)
     {
-      uint32_t upstream = mf_upstream_find (core, row->held[i].upstream);
+      uint32_t upstream = mf_upstream_find (core, row->reported_work[i].upstream);
 
-      if (upstream != MF_NONE && core->board.now_us - row->held[i].reported_us < HELD_WORK_LIFE_US)
+      if (upstream != MF_NONE
+          && core->board.now_us - row->reported_work[i].reported_us < REPORTED_WORK_LIFE_US)
         mf_cancel_add_instance (core, upstream, instance);
     }
 }
@@ -156,13 +158,13 @@
       else
         cancel_at_reported_upstreams (core, row, &instance);
     }
-  row->n_held = 0;
+  row->n_reported_work = 0;
 }
 
 void
 mf_guardian_clear (MfMemberRow *row)
 {
-  free (row->held);
-  row->held = NULL;
-  row->n_held = 0;
+  free (row->reported_work);
+  row->reported_work = NULL;
+  row->n_reported_work = 0;
 }
--- a/libmangofork/health.c
+++ b/libmangofork/health.c
@@ -112,7 +112,7 @@
   MfUpstream *row = &core->board.upstreams[upstream];
 
   row->slow_start_ppm = SLOW_START_PPM;
-  row->n_failures_in_row = 0;
+  row->n_consecutive_failures = 0;
   row->n_window_failures = 0;
   row->n_window_calls = 0;
   row->ejected_by_polls = false;
@@ -170,7 +170,7 @@
 
   if (event->type == MF_EVENT_CALL_DONE && event->call.status < 300)
     {
-      row->n_failures_in_row = 0;
+      row->n_consecutive_failures = 0;
       if (row->call_failed)
         mf_suspect_upstream_alive (core, upstream);
       row->call_failed = false;
@@ -179,11 +179,11 @@
         reinstate (core, upstream);
       return;
     }
-  row->n_failures_in_row++;
+  row->n_consecutive_failures++;
   if (event->call.connect_failed
-      && (row->call_failed || row->n_failures_in_row >= DEAD_AFTER_FAILURES))
+      && (row->call_failed || row->n_consecutive_failures >= DEAD_AFTER_FAILURES))
     declare_dead (core, upstream);
-  else if (event->call.timed_out && row->n_failures_in_row >= STALLED_AFTER_POLLS)
+  else if (event->call.timed_out && row->n_consecutive_failures >= STALLED_AFTER_POLLS)
     {
       eject (core, upstream, MF_CODE_UPSTREAM_STALLED);
       row->ejected_by_polls = row->health == MF_HEALTH_EJECTED;
@@ -249,12 +249,12 @@
     return;
   if (!failed)
     {
-      row->n_failures_in_row = 0;
+      row->n_consecutive_failures = 0;
       count_call (core, upstream, call->status >= 500);
       return;
     }
   count_call (core, upstream, true);
-  if (call->connect_failed && ++row->n_failures_in_row >= DEAD_AFTER_FAILURES)
+  if (call->connect_failed && ++row->n_consecutive_failures >= DEAD_AFTER_FAILURES)
     declare_dead (core, upstream);
   else if (!call->timed_out)
     {
--- a/libmangofork/http_in.c
+++ b/libmangofork/http_in.c
@@ -400,8 +400,8 @@
 /* Starts to listen for callers. Returns a handle owned by the caller of this function, or NULL with
  * error set. */
 MfHttpIn *
-mf_http_in_new (struct ev_loop *loop, const MfHttpInOptions *options, const MfHttpInHooks *hooks,
-                void *data, MfError *error)
+mf_http_in_new (struct ev_loop *loop, const MfHttpInOptions *options,
+                const MfHttpInCallbacks *callbacks, void *data, MfError *error)
 {
   MfHttpIn *in = calloc (1, sizeof *in);
 
@@ -412,7 +412,7 @@
     }
   in->exchanges.loop = loop;
   in->exchanges.options = *options;
-  in->exchanges.hooks = *hooks;
+  in->exchanges.callbacks = *callbacks;
   in->exchanges.data = data;
   randombytes_buf (&in->name_prefix, sizeof in->name_prefix);
   if (watch_open (in, error))
@@ -493,7 +493,7 @@
     return;
   exchange->call_id = call_id;
   if (exchange->reading_paused)
-    in->exchanges.hooks.on_pause_reading (call_id, true, in->exchanges.data);
+    in->exchanges.callbacks.on_pause_reading (call_id, true, in->exchanges.data);
 }
 
 bool
--- a/libmangofork/http_in.h
+++ b/libmangofork/http_in.h
@@ -31,10 +31,10 @@
   const MfConfig *(*on_config) (void *data);
   /* A request was refused before it was submitted to the core. */
   void (*on_refused) (MfCode code, void *data);
-} MfHttpInHooks;
+} MfHttpInCallbacks;
 
 MfHttpIn *mf_http_in_new (struct ev_loop *loop, const MfHttpInOptions *options,
-                          const MfHttpInHooks *hooks, void *data, MfError *error);
+                          const MfHttpInCallbacks *callbacks, void *data, MfError *error);
 /* Closes every connection. Accepts NULL. */
 void mf_http_in_free (MfHttpIn *in);
 uint16_t mf_http_in_port (const MfHttpIn *in);
--- a/libmangofork/http_out.c
+++ b/libmangofork/http_out.c
@@ -57,7 +57,7 @@
 struct MfHttpOut
 {
   struct ev_loop *loop;
-  MfHttpOutHooks hooks;
+  MfHttpOutOptions options;
   void *data;
   MfMulti *multi;
   Call *calls;
@@ -74,7 +74,7 @@
 {
   event->now_us = mf_clock_now_us ();
   event->wall_ms = mf_clock_wall_ms ();
-  out->hooks.on_event (event, out->data);
+  out->options.on_event (event, out->data);
 }
 
 static void
@@ -342,7 +342,7 @@
   if (call->ended)
     return 0;
   call->answer_bytes += data_bytes;
-  if (!streams && call->answer_bytes > call->out->hooks.answer_bytes_max)
+  if (!streams && call->answer_bytes > call->out->options.answer_bytes_max)
     {
       call->too_large = true;
       return 0;
@@ -437,7 +437,7 @@
       with_handle.kv_handle_bytes = handle->text_bytes;
     }
   if (call->adapter == NULL
-      || !call->adapter->build (action, &with_handle, &call->out->hooks.self, &call->request,
+      || !call->adapter->build (action, &with_handle, &call->out->options.self, &call->request,
                                 &error))
     return false;
   call->state = call->adapter->begin (action, on_call_event, on_upstream_event, call);
@@ -543,16 +543,16 @@
 
   /* libcurl counts connections in use among its cached ones: with a cache limit below the total
    * limit it would search all of them, and close one, at the end of each call. */
-  curl_multi_setopt (multi, CURLMOPT_MAXCONNECTS, (long)out->hooks.connections_max);
-  curl_multi_setopt (multi, CURLMOPT_MAX_TOTAL_CONNECTIONS, (long)out->hooks.connections_max);
-  curl_multi_setopt (multi, CURLMOPT_MAX_HOST_CONNECTIONS, (long)out->hooks.host_connections_max);
+  curl_multi_setopt (multi, CURLMOPT_MAXCONNECTS, (long)out->options.connections_max);
+  curl_multi_setopt (multi, CURLMOPT_MAX_TOTAL_CONNECTIONS, (long)out->options.connections_max);
+  curl_multi_setopt (multi, CURLMOPT_MAX_HOST_CONNECTIONS, (long)out->options.host_connections_max);
 }
 
 /* Returns a handle owned by the caller, or NULL with error set. */
 MfHttpOut *
-mf_http_out_new (struct ev_loop *loop, const MfHttpOutHooks *hooks, void *data, MfError *error)
+mf_http_out_new (struct ev_loop *loop, const MfHttpOutOptions *options, void *data, MfError *error)
 {
-  static const MfMultiHooks multi_hooks = { .on_done = on_done, .on_deferred = on_deferred };
+  static const MfMultiCallbacks multi_hooks = { .on_done = on_done, .on_deferred = on_deferred };
   MfHttpOut *out = calloc (1, sizeof *out);
 
   if (out == NULL)
@@ -561,14 +561,14 @@
       return NULL;
     }
   out->loop = loop;
-  out->hooks = *hooks;
+  out->options = *options;
   out->data = data;
-  if (out->hooks.answer_bytes_max == 0)
-    out->hooks.answer_bytes_max = ANSWER_BYTES_MAX_DEFAULT;
-  if (out->hooks.connections_max == 0)
-    out->hooks.connections_max = CONNECTIONS_MAX_DEFAULT;
-  if (out->hooks.host_connections_max == 0)
-    out->hooks.host_connections_max = HOST_CONNECTIONS_MAX_DEFAULT;
+  if (out->options.answer_bytes_max == 0)
+    out->options.answer_bytes_max = ANSWER_BYTES_MAX_DEFAULT;
+  if (out->options.connections_max == 0)
+    out->options.connections_max = CONNECTIONS_MAX_DEFAULT;
+  if (out->options.host_connections_max == 0)
+    out->options.host_connections_max = HOST_CONNECTIONS_MAX_DEFAULT;
   out->multi = mf_multi_new (loop, &multi_hooks, out, error);
   if (out->multi == NULL)
     {
--- a/libmangofork/http_out.h
+++ b/libmangofork/http_out.h
@@ -18,9 +18,9 @@
    * mf_http_out_start, mf_http_out_abort, mf_http_out_pause_reading or mf_http_out_drop_kv_handle.
    * May call any of them. */
   void (*on_event) (const MfEvent *event, void *data);
-} MfHttpOutHooks;
+} MfHttpOutOptions;
 
-MfHttpOut *mf_http_out_new (struct ev_loop *loop, const MfHttpOutHooks *hooks, void *data,
+MfHttpOut *mf_http_out_new (struct ev_loop *loop, const MfHttpOutOptions *options, void *data,
                             MfError *error);
 void mf_http_out_free (MfHttpOut *out);
 void mf_http_out_start (MfHttpOut *out, const MfCallAction *call, const MfCallInput *input);
--- a/libmangofork/member_row.h
+++ b/libmangofork/member_row.h
@@ -15,7 +15,7 @@
 /* Messages to one peer that wait for a link. */
 #define MF_MEMBER_PENDING_MAX 8
 
-typedef struct MfHeldWork MfHeldWork; /* guardian.c */
+typedef struct MfReportedWork MfReportedWork; /* guardian.c */
 
 /* An encoded message that waits for a link. */
 typedef struct
@@ -35,10 +35,10 @@
   uint64_t digest_us;                  /* when its last digest arrived; 0 for never */
   uint64_t config_revision;            /* applied there, from its digest */
   uint64_t list_index;
-  bool is_guardian; /* of this instance */
-  bool is_guarded;  /* by this instance */
-  MfHeldWork *held; /* upstreams it reported to hold work on, while guarded */
-  uint32_t n_held;
+  bool is_guardian;              /* of this instance */
+  bool is_guarded;               /* by this instance */
+  MfReportedWork *reported_work; /* upstreams it reported to hold work on, while guarded */
+  uint32_t n_reported_work;
   bool opening;
   uint64_t open_us; /* start of the current attempt, or time of the next one */
   uint32_t n_open_failures;
--- a/libmangofork/multi.c
+++ b/libmangofork/multi.c
@@ -5,7 +5,7 @@
 struct MfMulti
 {
   struct ev_loop *loop;
-  MfMultiHooks hooks;
+  MfMultiCallbacks callbacks;
   void *data;
   CURLM *handle;
   ev_timer timer;    /* the time-out requested by libcurl */
@@ -33,10 +33,10 @@
   while ((message = curl_multi_info_read (multi->handle, &n_left)) != NULL)
     {
       if (message->msg == CURLMSG_DONE)
-        multi->hooks.on_done (message->easy_handle, message->data.result, multi->data);
+        multi->callbacks.on_done (message->easy_handle, message->data.result, multi->data);
     }
-  if (multi->hooks.on_deferred != NULL)
-    multi->hooks.on_deferred (multi->data);
+  if (multi->callbacks.on_deferred != NULL)
+    multi->callbacks.on_deferred (multi->data);
 }
 
 static void
@@ -138,7 +138,7 @@
 
 /* Returns a handle owned by the caller, or NULL with error set. */
 MfMulti *
-mf_multi_new (struct ev_loop *loop, const MfMultiHooks *hooks, void *data, MfError *error)
+mf_multi_new (struct ev_loop *loop, const MfMultiCallbacks *callbacks, void *data, MfError *error)
 {
   MfMulti *multi = calloc (1, sizeof *multi);
 
@@ -148,7 +148,7 @@
       return NULL;
     }
   multi->loop = loop;
-  multi->hooks = *hooks;
+  multi->callbacks = *callbacks;
   multi->data = data;
   ev_timer_init (&multi->timer, on_timeout, 0.0, 0.0);
   ev_timer_init (&multi->deferred, on_deferred_event, 0.0, 0.0);
--- a/libmangofork/multi.h
+++ b/libmangofork/multi.h
@@ -15,9 +15,10 @@
   void (*on_done) (CURL *easy, CURLcode result, void *data);
   /* libcurl is off the stack, so transfers may be added, removed and unpaused. May be NULL. */
   void (*on_deferred) (void *data);
-} MfMultiHooks;
+} MfMultiCallbacks;
 
-MfMulti *mf_multi_new (struct ev_loop *loop, const MfMultiHooks *hooks, void *data, MfError *error);
+MfMulti *mf_multi_new (struct ev_loop *loop, const MfMultiCallbacks *callbacks, void *data,
+                       MfError *error);
 /* All transfers must have been removed. Accepts NULL. */
 void mf_multi_free (MfMulti *multi);
 CURLM *mf_multi_handle (MfMulti *multi);
--- a/libmangofork/order.c
+++ b/libmangofork/order.c
@@ -87,8 +87,8 @@
 {
   const OrderRow *row = &core->board.orders->rows[upstream];
 
-  core->board.upstreams[upstream].on_hold = row->differs && row->kind != MF_ORDER_ADAPTER
-                                            && (row->kind == MF_ORDER_MODEL || row->selected);
+  core->board.upstreams[upstream].order_pending = row->differs && row->kind != MF_ORDER_ADAPTER
+                                                  && (row->kind == MF_ORDER_MODEL || row->selected);
 }
 
 static DesiredState
--- a/libmangofork/platform.c
+++ b/libmangofork/platform.c
@@ -243,7 +243,7 @@
 mf_platform_new (struct ev_loop *loop, const MfSettings *settings,
                  void (*on_event) (const MfEvent *event, void *data), void *data, MfError *error)
 {
-  static const MfMultiHooks hooks = { .on_done = on_done, .on_deferred = on_deferred };
+  static const MfMultiCallbacks callbacks = { .on_done = on_done, .on_deferred = on_deferred };
   MfPlatform *platform = calloc (1, sizeof *platform);
 
   if (platform == NULL)
@@ -255,7 +255,7 @@
   platform->backend = &mf_platform_consul;
   platform->on_event = on_event;
   platform->data = data;
-  platform->multi = mf_multi_new (loop, &hooks, platform, error);
+  platform->multi = mf_multi_new (loop, &callbacks, platform, error);
   if (platform->multi == NULL)
     {
       free (platform);
--- a/libmangofork/relay/budget.c
+++ b/libmangofork/relay/budget.c
@@ -24,15 +24,16 @@
 
   if (bucket_us == 0)
     return;
-  for (uint32_t i = 0; i < MF_BUDGET_BUCKETS && now_us - budget->bucket_begun_us >= bucket_us; i++)
+  for (uint32_t i = 0; i < MF_BUDGET_BUCKETS && now_us - budget->bucket_started_us >= bucket_us;
+       i++)
     {
       budget->bucket = (budget->bucket + 1) % MF_BUDGET_BUCKETS;
       budget->n_requests[budget->bucket] = 0;
       budget->n_retries[budget->bucket] = 0;
-      budget->bucket_begun_us += bucket_us;
+      budget->bucket_started_us += bucket_us;
     }
-  if (now_us - budget->bucket_begun_us >= bucket_us)
-    budget->bucket_begun_us = now_us;
+  if (now_us - budget->bucket_started_us >= bucket_us)
+    budget->bucket_started_us = now_us;
 }
 
 /* Counts a caller's request. */
--- a/libmangofork/relay/budget.h
+++ b/libmangofork/relay/budget.h
@@ -12,7 +12,7 @@
 {
   uint64_t window_us;
   double ratio;
-  uint64_t bucket_begun_us;
+  uint64_t bucket_started_us;
   uint32_t bucket;
   uint32_t n_requests[MF_BUDGET_BUCKETS];
   uint32_t n_retries[MF_BUDGET_BUCKETS];
--- a/libmangofork/relay/caller.c
+++ b/libmangofork/relay/caller.c
@@ -63,7 +63,7 @@
   MfBuffer out;
   void *job;
   uint64_t address_hash; /* of the peer's IP address, without the port */
-  uint64_t begun_us;
+  uint64_t started_us;
   uint64_t timer_us;
   bool chunked;
   bool closing; /* the connection closes after the response */
@@ -401,7 +401,7 @@
   while (caller->fd >= 0 && caller->state == CALLER_READING && mf_buffer_bytes (&caller->in) > 0)
     {
       MfMessage *message = &caller->message;
-      bool had_begun = message->begun;
+      bool had_started = message->started;
       bool had_head = message->head_done;
       size_t taken;
 
@@ -409,8 +409,8 @@
       taken
           = mf_message_feed (message, mf_buffer_data (&caller->in), mf_buffer_bytes (&caller->in));
       mf_buffer_consume (&caller->in, taken);
-      if (!had_begun)
-        caller->begun_us = mf_clock_now_us ();
+      if (!had_started)
+        caller->started_us = mf_clock_now_us ();
       if (message->error_code == MF_CODE_OK && message->done)
         message->error_code = request_check (caller);
       if (message->error_code != MF_CODE_OK)
@@ -420,7 +420,7 @@
         }
       if (!message->done)
         {
-          if (!had_begun || (!had_head && message->head_done))
+          if (!had_started || (!had_head && message->head_done))
             timer_set (caller, caller->listener->limits.header_timeout_us);
           out_flush (caller);
           continue;
@@ -488,7 +488,7 @@
   caller_hold (caller);
   if (caller->write_failed)
     caller_disconnect (caller);
-  else if (caller->state == CALLER_READING && caller->message.begun)
+  else if (caller->state == CALLER_READING && caller->message.started)
     {
       caller->message.error_code = MF_CODE_SLOW_SENDER;
       caller_reject (caller, MF_CODE_SLOW_SENDER);
@@ -637,7 +637,7 @@
   for (MfCaller *caller = listener->callers; caller != NULL; caller = next)
     {
       next = caller->next;
-      if (caller->state != CALLER_READING || caller->message.begun)
+      if (caller->state != CALLER_READING || caller->message.started)
         continue;
       caller_hold (caller);
       caller_close (caller);
@@ -677,9 +677,9 @@
 
 /* Returns when the first byte of the request was read, on the monotonic clock. */
 uint64_t
-mf_caller_begun_us (const MfCaller *caller)
+mf_caller_started_us (const MfCaller *caller)
 {
-  return caller->begun_us;
+  return caller->started_us;
 }
 
 /* Returns a hash of the peer's IP address, without the port. */
--- a/libmangofork/relay/caller.h
+++ b/libmangofork/relay/caller.h
@@ -45,7 +45,7 @@
 const MfHead *mf_caller_head (const MfCaller *caller);
 const char *mf_caller_method (const MfCaller *caller);
 const MfBuffer *mf_caller_body (const MfCaller *caller);
-uint64_t mf_caller_begun_us (const MfCaller *caller);
+uint64_t mf_caller_started_us (const MfCaller *caller);
 uint64_t mf_caller_address_hash (const MfCaller *caller);
 void mf_caller_set_job (MfCaller *caller, void *job);
 void *mf_caller_job (const MfCaller *caller);
--- a/libmangofork/relay/dispatch.c
+++ b/libmangofork/relay/dispatch.c
@@ -129,15 +129,15 @@
     }
   while (*pending != NULL)
     {
-      PendingGrant *gone = *pending;
+      PendingGrant *removed = *pending;
 
-      if (gone->requester != requester)
+      if (removed->requester != requester)
         {
-          pending = &gone->next;
+          pending = &removed->next;
           continue;
         }
-      *pending = gone->next;
-      free (gone);
+      *pending = removed->next;
+      free (removed);
     }
 }
 
--- a/libmangofork/relay/job.c
+++ b/libmangofork/relay/job.c
@@ -123,7 +123,7 @@
 {
   MfJobs *jobs = job->jobs;
   uint64_t now_us = mf_clock_now_us ();
-  uint64_t took_us = now_us - job->begun_us;
+  uint64_t took_us = now_us - job->started_us;
 
   mf_job_note_outcome (job, code == MF_CODE_OK);
   jobs->counters.by_code[mf_code_index (code)]++;
@@ -133,7 +133,7 @@
   if (job->waited_us > 0)
     mf_relay_histogram_observe (&jobs->counters.waited, job->waited_us);
   if (code == MF_CODE_OK && job->first_event_us > 0)
-    mf_relay_histogram_observe (&jobs->counters.first_event, job->first_event_us - job->begun_us);
+    mf_relay_histogram_observe (&jobs->counters.first_event, job->first_event_us - job->started_us);
   else if (code == MF_CODE_OK)
     mf_relay_histogram_observe (&jobs->counters.answer, took_us);
   mf_relay_log_event (
@@ -143,7 +143,7 @@
       "last_upstream=%s left_ms=%lld config=%llu",
       job->id, (unsigned long long)job->digest, job->route->name, job->service->name, (int)code,
       status, why, (double)took_us / 1e3,
-      job->first_event_us > 0 ? (double)(job->first_event_us - job->begun_us) / 1e3 : 0.,
+      job->first_event_us > 0 ? (double)(job->first_event_us - job->started_us) / 1e3 : 0.,
       (double)job->waited_us / 1e3, job->n_arrivals, job->n_runs, job->n_prefills,
       (unsigned long long)job->events.n_events,
       job->last_upstream[0] != '\0' ? job->last_upstream : "none",
@@ -378,24 +378,24 @@
   uint64_t left_ms = 0;
   uint64_t abandon_us = abandon_timeout_us (route);
 
-  job->deadline_us = job->begun_us + route->timeout_us;
-  job->first_try_us = job->begun_us;
+  job->deadline_us = job->started_us + route->timeout_us;
+  job->first_try_us = job->started_us;
   if (mf_head_number (head, MF_HEADER_DEADLINE, &left_ms)
       && left_ms * MF_US_PER_MS < route->timeout_us)
-    job->deadline_us = job->begun_us + left_ms * MF_US_PER_MS;
+    job->deadline_us = job->started_us + left_ms * MF_US_PER_MS;
   if (left_ms > 0 && left_ms * MF_US_PER_MS < route->timeout_us * FIRST_TRY_PERCENT / 100)
     job->first_try_us -= route->timeout_us * FIRST_TRY_PERCENT / 100 - left_ms * MF_US_PER_MS;
   job->give_up_us = job->deadline_us;
-  if (route->kind == MF_ROUTE_STREAMING && job->begun_us + abandon_us < job->deadline_us)
-    job->give_up_us = job->begun_us + abandon_us;
-  if (job->is_engine && job->begun_us + job_answer_min_us (job) < job->deadline_us)
+  if (route->kind == MF_ROUTE_STREAMING && job->started_us + abandon_us < job->deadline_us)
+    job->give_up_us = job->started_us + abandon_us;
+  if (job->is_engine && job->started_us + job_answer_min_us (job) < job->deadline_us)
     {
       uint64_t latest_us = job->deadline_us - job_answer_min_us (job);
 
       job->give_up_us = latest_us < job->give_up_us ? latest_us : job->give_up_us;
     }
   else if (job->is_engine)
-    job->give_up_us = job->begun_us;
+    job->give_up_us = job->started_us;
 }
 
 static MfJob *
@@ -413,7 +413,7 @@
   job->service = &jobs->routes->services[service];
   job->is_engine = job->service->is_engine;
   job->is_head_request = strcmp (mf_caller_method (caller), "HEAD") == 0;
-  job->begun_us = mf_caller_begun_us (caller);
+  job->started_us = mf_caller_started_us (caller);
   job->next = jobs->first;
   if (jobs->first != NULL)
     jobs->first->prev = job;
@@ -530,7 +530,7 @@
       mf_job_refuse (job, MF_CODE_DRAINING, "instance exits before the answer could be complete");
       return;
     }
-  if (job->is_engine && job->give_up_us <= job->begun_us)
+  if (job->is_engine && job->give_up_us <= job->started_us)
     {
       mf_job_refuse (job, MF_CODE_QUEUE_FULL, "not enough time left for a complete answer");
       return;
--- a/libmangofork/relay/job_lead.c
+++ b/libmangofork/relay/job_lead.c
@@ -39,13 +39,13 @@
 leadership_begin (const MfJobs *jobs, MfLeadership *lead, uint64_t now_us)
 {
   uint64_t instance_bits = mf_load_hash (jobs->instance) & ((1U << MF_FENCE_OWN_BITS) - 1);
-  uint64_t begun_ms = mf_clock_wall_ms ();
+  uint64_t started_ms = mf_clock_wall_ms ();
   uint64_t known_ms = mf_peers_fence (jobs->peers, lead->service) >> MF_FENCE_OWN_BITS;
 
-  if (known_ms >= begun_ms)
-    begun_ms = known_ms + 1;
+  if (known_ms >= started_ms)
+    started_ms = known_ms + 1;
   lead->led_since_us = now_us;
-  lead->fence = begun_ms << MF_FENCE_OWN_BITS | instance_bits;
+  lead->fence = started_ms << MF_FENCE_OWN_BITS | instance_bits;
   mf_budget_init (&lead->retry_pool, jobs->budget_window_us, 0.);
   mf_stage_reset (&lead->trend);
 }
--- a/libmangofork/relay/job_room.c
+++ b/libmangofork/relay/job_room.c
@@ -223,16 +223,16 @@
 }
 
 static void
-on_grant (void *data, uint64_t asker, const MfGrant *grant)
+on_grant (void *data, uint64_t requester, const MfGrant *grant)
 {
   MfJobs *jobs = data;
   MfJob *job;
 
-  if (asker != MF_DISPATCH_SELF)
+  if (requester != MF_DISPATCH_SELF)
     {
       jobs->message.kind = MF_RELAY_MESSAGE_GRANT;
       jobs->message.grant = *grant;
-      mf_peers_send (jobs->peers, asker, &jobs->message);
+      mf_peers_send (jobs->peers, requester, &jobs->message);
       return;
     }
   job = job_by_slot_request (jobs, grant->id);
@@ -329,7 +329,7 @@
 
 /* A peer has disconnected. */
 static void
-on_peer_gone (void *data, uint64_t peer)
+on_peer_lost (void *data, uint64_t peer)
 {
   MfJobs *jobs = data;
   uint64_t now_us = mf_clock_now_us ();
@@ -374,5 +374,5 @@
   .loads_changed = on_loads_changed,
   .message = on_message,
   .reached = on_peer_reached,
-  .gone = on_peer_gone,
+  .lost = on_peer_lost,
 };
--- a/libmangofork/relay/job_row.h
+++ b/libmangofork/relay/job_row.h
@@ -50,7 +50,7 @@
   char id[MF_JOB_ID_BYTES];
   uint64_t digest; /* the same for all tries of a request */
   uint64_t try_id; /* identifies this try within the instance */
-  uint64_t begun_us;
+  uint64_t started_us;
   /* When the caller sent its first try, estimated from its deadline header. */
   uint64_t first_try_us;
   uint64_t deadline_us; /* the earlier of the caller's deadline and the route's timeout */
--- a/libmangofork/relay/message.c
+++ b/libmangofork/relay/message.c
@@ -169,7 +169,7 @@
   enum http_parser_type type = message->parser.type;
 
   head_reset (&message->head);
-  message->begun = false;
+  message->started = false;
   message->head_done = false;
   message->done = false;
   message->in_value = false;
@@ -213,7 +213,7 @@
 
   if (message->done || message->error_code != MF_CODE_OK || n_bytes == 0)
     return 0;
-  message->begun = true;
+  message->started = true;
   n_consumed = http_parser_execute (&message->parser, &parser_settings, bytes, n_bytes);
   fault = HTTP_PARSER_ERRNO (&message->parser);
   if (message->done)
--- a/libmangofork/relay/message.h
+++ b/libmangofork/relay/message.h
@@ -49,7 +49,7 @@
   void *data;
   MfHead head;
   uint64_t head_bytes_max; /* 0: no limit */
-  bool begun;              /* its first byte has been read */
+  bool started;            /* its first byte has been read */
   bool head_done;
   bool done;
   bool in_value;
--- a/libmangofork/relay/peers.c
+++ b/libmangofork/relay/peers.c
@@ -202,13 +202,13 @@
 
 /* Calls the gone callback, once until the next report of the peer. */
 static void
-peer_notify_gone (MfPeers *peers, MfPeer *peer)
+peer_notify_lost (MfPeers *peers, MfPeer *peer)
 {
   peer->connection_lost = false;
-  if (peer->gone_notified || peers->closing)
+  if (peer->loss_notified || peers->closing)
     return;
-  peer->gone_notified = true;
-  peers->callbacks->gone (peers->data, peer->hash);
+  peer->loss_notified = true;
+  peers->callbacks->lost (peers->data, peer->hash);
 }
 
 /* Replaces the last report of the peer. */
@@ -228,7 +228,7 @@
                           peers->n_peers);
     }
   peer->last_report_us = now_us;
-  peer->gone_notified = false;
+  peer->loss_notified = false;
   peer->seen_us = now_us;
   peer->report_lifetime_us
       = (uint64_t)report->heartbeat_ms * MF_US_PER_MS * MF_PEERS_REPORT_LIFETIME_PERCENT / 100;
@@ -279,7 +279,7 @@
                           peer->n_entries);
       peer->n_entries = 0;
       peer->last_report_us = 0;
-      peer_notify_gone (peers, peer);
+      peer_notify_lost (peers, peer);
     }
   for (MfPeerIncoming **link = &peers->incoming; *link != NULL; link = &(*link)->next)
     {
@@ -411,7 +411,7 @@
       MfPeer *peer = peers->list[i];
 
       if (peer->connection_lost)
-        peer_notify_gone (peers, peer);
+        peer_notify_lost (peers, peer);
       if (!peer->is_seed && peer->fd < 0 && now_us - peer->seen_us > FORGET_AFTER_US
           && peer->reconnect_delay_us >= RECONNECT_MAX_US)
         {
--- a/libmangofork/relay/peers.h
+++ b/libmangofork/relay/peers.h
@@ -25,7 +25,7 @@
    * NULL. */
   void (*reached) (void *data, uint64_t peer);
   /* A peer closed its connection, or the connection to it broke. */
-  void (*gone) (void *data, uint64_t peer);
+  void (*lost) (void *data, uint64_t peer);
 } MfPeersCallbacks;
 
 MfPeers *mf_peers_new (struct ev_loop *loop, const char *address, const MfPeersCallbacks *callbacks,
--- a/libmangofork/relay/peers_row.h
+++ b/libmangofork/relay/peers_row.h
@@ -36,7 +36,7 @@
   uint64_t grant_id;                 /* latest grant accepted from it */
   bool grant_acked;
   bool connection_lost; /* the connection broke; the gone callback runs from the next tick */
-  bool gone_notified;   /* the gone callback has run, and no report has come since */
+  bool loss_notified;   /* the gone callback has run, and no report has come since */
   uint64_t last_report_us;
   uint64_t report_lifetime_us; /* how long its last report is valid */
   MfLoadEntry *entries;
--- a/libmangofork/relay/relay.c
+++ b/libmangofork/relay/relay.c
@@ -64,10 +64,10 @@
   ev_timer tick;
   bool is_ready;
   bool source_is_up;
-  bool has_listed;         /* the first list of upstreams is complete */
-  uint64_t source_seen_us; /* last answer of the source */
-  uint64_t keep_until_us;  /* upstreams without an entry are kept until then */
-  uint64_t drain_begun_us; /* 0: no shutdown */
+  bool has_listed;           /* the first list of upstreams is complete */
+  uint64_t source_seen_us;   /* last answer of the source */
+  uint64_t keep_until_us;    /* upstreams without an entry are kept until then */
+  uint64_t drain_started_us; /* 0: no shutdown */
   bool idle_closed;
   MfFeedFreshness freshness;
   uint64_t settings_checked_us; /* last check of the settings file */
@@ -77,7 +77,7 @@
 static void
 ready_update (MfRelay *relay)
 {
-  bool is_ready = relay->jobs.routes != NULL && relay->has_listed && relay->drain_begun_us == 0;
+  bool is_ready = relay->jobs.routes != NULL && relay->has_listed && relay->drain_started_us == 0;
 
   if (is_ready == relay->is_ready)
     return;
@@ -85,7 +85,7 @@
   mf_relay_log_state (
       relay->log, "ready", "ready=%s config=%llu upstreams=%u draining=%s", is_ready ? "yes" : "no",
       (unsigned long long)(relay->jobs.routes != NULL ? relay->jobs.routes->version : 0),
-      relay->jobs.targets.n_targets, relay->drain_begun_us > 0 ? "yes" : "no");
+      relay->jobs.targets.n_targets, relay->drain_started_us > 0 ? "yes" : "no");
 }
 
 static void
@@ -450,7 +450,7 @@
 static void
 drain_step (MfRelay *relay)
 {
-  uint64_t elapsed_us = mf_clock_now_us () - relay->drain_begun_us;
+  uint64_t elapsed_us = mf_clock_now_us () - relay->drain_started_us;
   uint64_t limit_us = relay->settings.grace_us - EXIT_MARGIN_US;
 
   if (elapsed_us >= DRAIN_CLOSE_IDLE_US)
@@ -489,7 +489,7 @@
   settings_watch (relay, now_us);
   /* Reports of a peer that has become silent expire. */
   relay->jobs.remote_load_stale = true;
-  if (relay->drain_begun_us > 0)
+  if (relay->drain_started_us > 0)
     drain_step (relay);
   else
     mf_jobs_tick_leadership (&relay->jobs, now_us, mf_clock_boottime_us ());
@@ -502,12 +502,12 @@
 
   (void)loop;
   (void)events;
-  if (relay->drain_begun_us > 0)
+  if (relay->drain_started_us > 0)
     return;
-  relay->drain_begun_us = mf_clock_now_us ();
+  relay->drain_started_us = mf_clock_now_us ();
   relay->jobs.no_streams_after_us
-      = relay->drain_begun_us + relay->settings.grace_us * DRAIN_STREAMS_PERCENT / 100;
-  relay->jobs.exit_by_us = relay->drain_begun_us + relay->settings.grace_us - EXIT_MARGIN_US;
+      = relay->drain_started_us + relay->settings.grace_us * DRAIN_STREAMS_PERCENT / 100;
+  relay->jobs.exit_by_us = relay->drain_started_us + relay->settings.grace_us - EXIT_MARGIN_US;
   mf_relay_log_state (relay->log, "stop", "signal=%d requests=%u callers=%u", watcher->signum,
                       relay->jobs.n_jobs, mf_listener_n_callers (relay->listener));
   mf_listener_end_keep_alive (relay->listener);
--- a/libmangofork/server.c
+++ b/libmangofork/server.c
@@ -330,7 +330,7 @@
     .slow_sender_us = settings->slow_sender_us,
     .caller_buffer_bytes = settings->caller_buffer_bytes,
   };
-  const MfHttpInHooks hooks = {
+  const MfHttpInCallbacks hooks = {
     .on_event = on_event,
     .on_pause_reading = on_pause_reading,
     .on_config = on_config,
@@ -344,7 +344,7 @@
 static bool
 http_out_open (MfServer *server, MfError *error)
 {
-  const MfHttpOutHooks hooks = {
+  const MfHttpOutOptions hooks = {
     .self = server->settings.options.self,
     .answer_bytes_max = server->settings.answer_bytes_max,
     .on_event = on_event,
--- a/libmangofork/upstream.c
+++ b/libmangofork/upstream.c
@@ -38,7 +38,7 @@
 bool
 mf_upstream_is_usable (const MfUpstream *upstream)
 {
-  return upstream->in_config && upstream->health <= MF_HEALTH_SLOW && !upstream->on_hold;
+  return upstream->in_config && upstream->health <= MF_HEALTH_SLOW && !upstream->order_pending;
 }
 
 /* Returns the number of slots: that of the last load report, or the configured one before the
--- a/libmangofork/upstream.h
+++ b/libmangofork/upstream.h
@@ -33,7 +33,7 @@
   uint64_t leaving_at_us; /* time of the last sign that it is leaving */
   MfLoadEvent load;       /* last load report */
   uint64_t load_at_us;    /* when that was received; 0 for never */
-  bool load_asked;
+  bool load_requested;
   uint32_t own_slots; /* slots in use by calls of this instance */
   uint32_t own_pieces;
   int32_t own_since_report;    /* own placements less ends that the last report does not include */
@@ -48,7 +48,7 @@
   uint64_t token_gap_us;     /* mean gap between tokens */
   uint64_t answer_us;        /* plain services: mean time to the complete answer */
   uint64_t link_bytes_per_s; /* measured rate of its transfers */
-  uint32_t n_failures_in_row;
+  uint32_t n_consecutive_failures;
   uint32_t slow_start_ppm; /* share of full weight in slow start, in parts per million */
   uint64_t probe_at_us;
   uint32_t pool;                              /* row of its pool */
@@ -64,7 +64,7 @@
   uint64_t window_start_us;      /* start of the window of the next two counters */
   uint32_t n_window_calls;
   uint32_t n_window_failures;
-  bool on_hold;           /* given no work because of an order; set by order.c */
+  bool order_pending;     /* given no work because of an order; set by order.c */
   uint64_t full_until_us; /* it refused a call for lack of capacity; given no work until then */
   bool ejected_by_polls;  /* ejected because its polls timed out */
   bool call_failed;       /* a call failed; a poll will show whether the upstream died */
--- a/tests/fakes/engine_http.c
+++ b/tests/fakes/engine_http.c
@@ -665,16 +665,16 @@
 }
 
 static bool
-add_kv_entry (const FakeKvEntry *held, void *data)
+add_kv_entry (const FakeKvEntry *entry, void *data)
 {
   json_object *row = json_object_new_object ();
   char rid[RID_BYTES];
 
-  format_rid (rid, &held->id);
+  format_rid (rid, &entry->id);
   fake_add_text (row, "rid", rid);
-  fake_add_number (row, "pieces", held->pieces);
-  json_object_object_add (row, "decoding", json_object_new_boolean (held->decoding));
-  json_object_object_add (row, "exporting", json_object_new_boolean (held->exporting));
+  fake_add_number (row, "pieces", entry->pieces);
+  json_object_object_add (row, "decoding", json_object_new_boolean (entry->decoding));
+  json_object_object_add (row, "exporting", json_object_new_boolean (entry->exporting));
   json_object_array_add (data, row);
   return true;
 }
@@ -684,9 +684,9 @@
 {
   const FakeLedger *ledger = fake_engine_ledger (engine->model);
   json_object *row = json_object_new_object ();
-  json_object *held = json_object_new_array ();
+  json_object *entries = json_object_new_array ();
 
-  fake_engine_foreach_kv_entry (engine->model, add_kv_entry, held);
+  fake_engine_foreach_kv_entry (engine->model, add_kv_entry, entries);
   fake_add_text (row, "name", fake_engine_http_name (engine));
   json_object_object_add (row, "dead",
                           json_object_new_boolean (fake_engine_is_dead (engine->model)));
@@ -704,7 +704,7 @@
   fake_add_number (row, "resumes", engine->n_calls[MF_CALL_RESUME]);
   fake_add_number (row, "cancels", engine->n_calls[MF_CALL_CANCEL]);
   fake_add_number (row, "owner_cancels", engine->n_calls[MF_CALL_CANCEL_OWNER]);
-  json_object_object_add (row, "held", held);
+  json_object_object_add (row, "held", entries);
   return row;
 }
 
--- a/tests/fakes/engine_model.h
+++ b/tests/fakes/engine_model.h
@@ -93,7 +93,7 @@
   bool exporting; /* KV of a finished prefill that waits for its import */
 } FakeKvEntry;
 
-typedef bool (*FakeKvEntryFunc) (const FakeKvEntry *held, void *data);
+typedef bool (*FakeKvEntryFunc) (const FakeKvEntry *entry, void *data);
 
 /* Totals since the engine was created, over all its incarnations. */
 typedef struct
--- a/tests/one_core.c
+++ b/tests/one_core.c
@@ -93,7 +93,7 @@
 }
 
 void
-one_core_request (OneCore *one, const char *name, const char *path, OneResult fate,
+one_core_request (OneCore *one, const char *name, const char *path, OneResult result,
                   uint64_t answer_us)
 {
   uint64_t id = ++one->next_request;
@@ -109,11 +109,12 @@
   event = (MfEvent){ .type = MF_EVENT_CALL_SENT, .call = { .call_id = one->call_id } };
   one_core_step (one, &event);
   one_core_wait (one, answer_us);
-  if (fate == ONE_CALLER_LEAVES)
+  if (result == ONE_CALLER_LEAVES)
     event = (MfEvent){ .type = MF_EVENT_DEPARTED, .departed_id = id };
   else
     {
-      event = (MfEvent){ .type = fate == ONE_ANSWERS ? MF_EVENT_CALL_DONE : MF_EVENT_CALL_FAILED };
+      event
+          = (MfEvent){ .type = result == ONE_ANSWERS ? MF_EVENT_CALL_DONE : MF_EVENT_CALL_FAILED };
       event.call = (MfCallEvent){ .call_id = one->call_id,
                                   .sent = true,
                                   .status = 200,
--- a/tests/one_core.h
+++ b/tests/one_core.h
@@ -31,7 +31,7 @@
 void one_core_step (OneCore *one, MfEvent *event);
 void one_core_wait (OneCore *one, uint64_t us);
 /* Sends GET path with a request name; the answer arrives after answer_us. */
-void one_core_request (OneCore *one, const char *name, const char *path, OneResult fate,
+void one_core_request (OneCore *one, const char *name, const char *path, OneResult result,
                        uint64_t answer_us);
 
 /* Parses the output of a renderer; the caller frees the object with json_object_put. */
--- a/tests/relay_fixture.c
+++ b/tests/relay_fixture.c
@@ -85,8 +85,8 @@
   mf_jobs_clear (&fixture->jobs);
   for (uint32_t i = 0; i < RELAY_FIXTURE_N_UPSTREAMS; i++)
     {
-      if (fixture->upstreams[i].wire != NULL)
-        fake_upstream_free (fixture->upstreams[i].wire);
+      if (fixture->upstreams[i].server != NULL)
+        fake_upstream_free (fixture->upstreams[i].server);
     }
   mf_relay_log_free (fixture->log);
   close (fixture->log_fd);
@@ -113,10 +113,10 @@
   char id[MF_TARGET_ID_BYTES];
 
   *upstream
-      = (RelayFixtureUpstream){ .wire = fake_upstream_new (fixture->loop, on_request, upstream),
+      = (RelayFixtureUpstream){ .server = fake_upstream_new (fixture->loop, on_request, upstream),
                                 .handler = handler };
   snprintf (id, sizeof id, "u%u", index);
-  list_target (fixture, id, role, fake_upstream_address (upstream->wire),
+  list_target (fixture, id, role, fake_upstream_address (upstream->server),
                index == 0 || index == 2 ? "" : "far");
 }
 
@@ -130,7 +130,7 @@
 uint32_t
 relay_fixture_n_requests (const RelayFixture *fixture, uint32_t index)
 {
-  return fake_upstream_n_requests (fixture->upstreams[index].wire);
+  return fake_upstream_n_requests (fixture->upstreams[index].server);
 }
 
 void
--- a/tests/relay_fixture.h
+++ b/tests/relay_fixture.h
@@ -16,7 +16,7 @@
 
 typedef struct
 {
-  FakeUpstream *wire;
+  FakeUpstream *server;
   RelayFixtureHandler handler;
 } RelayFixtureUpstream;
 
--- a/tests/relay_fleet.c
+++ b/tests/relay_fleet.c
@@ -100,6 +100,6 @@
       for (uint32_t i = 1; i < RELAY_FLEET_N_INSTANCES; i++)
         relay_fixture_list_upstream (
             &fleet->instances[i], id, MF_ROLE_DECODE,
-            fake_upstream_address (fleet->instances[0].upstreams[engine].wire));
+            fake_upstream_address (fleet->instances[0].upstreams[engine].server));
     }
 }
--- a/tests/test_dispatch.c
+++ b/tests/test_dispatch.c
@@ -429,7 +429,7 @@
 /* One stream of a burst. */
 typedef struct
 {
-  uint64_t begun_us;
+  uint64_t started_us;
   uint64_t granted_us; /* 0: queued */
   uint32_t engine;
 } Stream;
@@ -457,7 +457,7 @@
           MfSlotRequest request = request_make (++n_streams, 0, 8000);
 
           request.objective_us = latest_age_us;
-          streams[n_streams - 1].begun_us = now_us;
+          streams[n_streams - 1].started_us = now_us;
           mf_dispatch_enqueue (fixture.dispatch, MF_DISPATCH_SELF, &request, now_us);
         }
       for (uint32_t i = 0; i < n_streams; i++)
@@ -472,7 +472,7 @@
 
           stream->granted_us = now_us;
           stream->engine = (uint32_t)fixture.given[n_applied].grant.decode - 1;
-          n_in_time += now_us + first_event_us <= stream->begun_us + OBJECTIVE_US;
+          n_in_time += now_us + first_event_us <= stream->started_us + OBJECTIVE_US;
         }
     }
   fixture_teardown (&fixture);
--- a/tests/test_house_libraries.c
+++ b/tests/test_house_libraries.c
@@ -127,14 +127,14 @@
 {
   struct ev_loop *loop = ev_loop_new (0);
   unsigned n_requests = 0;
-  FakeUpstream *wire = fake_upstream_new (loop, on_upstream_request, &n_requests);
+  FakeUpstream *upstream = fake_upstream_new (loop, on_upstream_request, &n_requests);
   CURLM *multi = curl_multi_init ();
   CURL *easy = curl_easy_init ();
   char url[128];
   char body[64] = "";
 
   (void)state;
-  snprintf (url, sizeof url, "http://%s/", fake_upstream_address (wire));
+  snprintf (url, sizeof url, "http://%s/", fake_upstream_address (upstream));
   curl_easy_setopt (easy, CURLOPT_URL, url);
   curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, on_curl_body);
   curl_easy_setopt (easy, CURLOPT_WRITEDATA, body);
@@ -148,7 +148,7 @@
       loop_spin (loop, 1);
     }
   assert_int_equal (n_requests, 2);
-  fake_upstream_conn_send (fake_upstream_last_conn (wire),
+  fake_upstream_conn_send (fake_upstream_last_conn (upstream),
                            "HTTP/1.1 200 OK\r\nX-Attempt-Id: 1\r\nContent-Length: 5\r\n\r\nfirst");
   for (int i = 0, n_running = 1; i < 500 && n_running > 0; i++)
     {
@@ -159,7 +159,7 @@
   curl_multi_remove_handle (multi, easy);
   curl_easy_cleanup (easy);
   curl_multi_cleanup (multi);
-  fake_upstream_free (wire);
+  fake_upstream_free (upstream);
   ev_loop_destroy (loop);
 }
 
--- a/tests/test_http_in.c
+++ b/tests/test_http_in.c
@@ -94,14 +94,14 @@
     .slow_sender_us = 100000,
     .caller_buffer_bytes = 1024,
   };
-  const MfHttpInHooks hooks = { .on_event = on_event,
-                                .on_pause_reading = on_pause_reading,
-                                .on_config = on_config,
-                                .on_refused = on_refused };
+  const MfHttpInCallbacks callbacks = { .on_event = on_event,
+                                        .on_pause_reading = on_pause_reading,
+                                        .on_config = on_config,
+                                        .on_refused = on_refused };
   MfError error = { 0 };
 
   fixture->loop = ev_loop_new (EVFLAG_AUTO);
-  fixture->in = mf_http_in_new (fixture->loop, &options, &hooks, fixture, &error);
+  fixture->in = mf_http_in_new (fixture->loop, &options, &callbacks, fixture, &error);
   assert_non_null (fixture->in);
   *state = fixture;
   return 0;
--- a/tests/test_http_out.c
+++ b/tests/test_http_out.c
@@ -113,7 +113,7 @@
 {
   static const FakeHttpCallbacks server_hooks
       = { .on_request = on_request, .on_closed = on_closed };
-  const MfHttpOutHooks hooks = {
+  const MfHttpOutOptions options = {
     .self = { .name = "entry-1", .incarnation = 1 },
     .answer_bytes_max = BODY_BYTES / 2,
     .on_event = on_event,
@@ -125,7 +125,7 @@
   fixture->http = fake_http_new (fixture->loop, "127.0.0.1:0", &server_hooks, fixture);
   snprintf (fixture->address, sizeof fixture->address, "127.0.0.1:%u",
             fake_http_port (fixture->http));
-  fixture->out = mf_http_out_new (fixture->loop, &hooks, fixture, &error);
+  fixture->out = mf_http_out_new (fixture->loop, &options, fixture, &error);
   *state = fixture;
   return fixture->out == NULL;
 }
--- a/tests/test_job.c
+++ b/tests/test_job.c
@@ -118,17 +118,20 @@
   assert_status (&fixture, "200");
   assert_non_null (strstr (fixture.received, RELAY_FIXTURE_SEAL));
   assert_non_null (strstr (fixture.received, "\r\n\r\ngood"));
-  assert_memory_equal (fake_upstream_last_request (fixture.upstreams[0].wire),
+  assert_memory_equal (fake_upstream_last_request (fixture.upstreams[0].server),
                        "POST /order/1?q=2 HTTP/1.1\r\n", 28);
-  assert_true (fake_upstream_request_header (fake_upstream_last_request (fixture.upstreams[0].wire),
-                                             "X-Expect-Instance", value, sizeof value));
+  assert_true (
+      fake_upstream_request_header (fake_upstream_last_request (fixture.upstreams[0].server),
+                                    "X-Expect-Instance", value, sizeof value));
   assert_string_equal (value, "u0");
   /* Headers that only a router may set are not forwarded; the route's timeout bounds the
    * deadline. */
-  assert_false (fake_upstream_request_header (
-      fake_upstream_last_request (fixture.upstreams[0].wire), "X-Kv-Source", value, sizeof value));
-  assert_true (fake_upstream_request_header (fake_upstream_last_request (fixture.upstreams[0].wire),
-                                             "X-Deadline-Ms", value, sizeof value));
+  assert_false (
+      fake_upstream_request_header (fake_upstream_last_request (fixture.upstreams[0].server),
+                                    "X-Kv-Source", value, sizeof value));
+  assert_true (
+      fake_upstream_request_header (fake_upstream_last_request (fixture.upstreams[0].server),
+                                    "X-Deadline-Ms", value, sizeof value));
   assert_in_range (atoi (value), 500, 601);
   teardown (&fixture);
 }
@@ -321,7 +324,7 @@
   fixture.jobs.started_us = mf_clock_now_us ();
   relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PREFILL, handle_prefill_counted);
   relay_fixture_add_upstream (&fixture, 1, MF_ROLE_DECODE, handle_full_at_first);
-  full_engine = fixture.upstreams[1].wire;
+  full_engine = fixture.upstreams[1].server;
   n_prefills = 0;
   for (size_t i = 0; i < MF_ARRAY_LEN (fds); i++)
     {
@@ -378,9 +381,11 @@
   assert_status (&fixture, "200");
   assert_non_null (strstr (fixture.received, "id: 2\ndata: b\n\n"));
   assert_non_null (strstr (fixture.received, "\r\n0\r\n\r\n"));
-  assert_true (fake_upstream_request_header (fake_upstream_last_request (fixture.upstreams[1].wire),
-                                             "X-Kv-Source", value, sizeof value));
-  snprintf (expected, sizeof expected, "%s/h1", fake_upstream_address (fixture.upstreams[0].wire));
+  assert_true (
+      fake_upstream_request_header (fake_upstream_last_request (fixture.upstreams[1].server),
+                                    "X-Kv-Source", value, sizeof value));
+  snprintf (expected, sizeof expected, "%s/h1",
+            fake_upstream_address (fixture.upstreams[0].server));
   assert_string_equal (value, expected);
   loop_spin (fixture.loop, 10);
   assert_int_equal (relay_fixture_n_requests (&fixture, 0), 1);
@@ -415,7 +420,7 @@
   call (&fixture, "POST", "/once/1");
   assert_status (&fixture, "503");
   loop_spin (fixture.loop, 20);
-  assert_memory_equal (fake_upstream_last_request (fixture.upstreams[0].wire),
+  assert_memory_equal (fake_upstream_last_request (fixture.upstreams[0].server),
                        "DELETE /kv-handle/h1 ", 21);
   teardown (&fixture);
 }
@@ -438,8 +443,9 @@
   assert_null (strstr (first + 1, "id: 1"));
   assert_non_null (strstr (first, "id: 2\ndata: b\n\n"));
   assert_non_null (strstr (first, "\r\n0\r\n\r\n"));
-  assert_true (fake_upstream_request_header (fake_upstream_last_request (fixture.upstreams[1].wire),
-                                             "Last-Event-Id", value, sizeof value));
+  assert_true (
+      fake_upstream_request_header (fake_upstream_last_request (fixture.upstreams[1].server),
+                                    "Last-Event-Id", value, sizeof value));
   assert_string_equal (value, "1");
   teardown (&fixture);
 }
@@ -456,7 +462,7 @@
   call (&fixture, "POST", "/llm/1");
   assert_status (&fixture, "200");
   assert_non_null (strstr (fixture.received, "id: 2\ndata: b\n\n"));
-  assert_int_equal (fake_upstream_n_closed (fixture.upstreams[0].wire), 1);
+  assert_int_equal (fake_upstream_n_closed (fixture.upstreams[0].server), 1);
   teardown (&fixture);
 }
 
@@ -481,11 +487,11 @@
     {
       loop_spin (fixture.loop, 5);
       /* Bytes keep arriving, so that the stream is not abandoned for its silence. */
-      fake_upstream_conn_send (fake_upstream_last_conn (fixture.upstreams[0].wire),
+      fake_upstream_conn_send (fake_upstream_last_conn (fixture.upstreams[0].server),
                                "3\r\n:\n\n\r\n");
     }
   relay_fixture_add_upstream (&fixture, 1, MF_ROLE_DECODE, handle_stream);
-  fake_upstream_conn_close (fake_upstream_last_conn (fixture.upstreams[0].wire), true);
+  fake_upstream_conn_close (fake_upstream_last_conn (fixture.upstreams[0].server), true);
   loop_receive (fixture.loop, fd, "\r\n0\r\n\r\n", fixture.received, sizeof fixture.received);
   assert_int_equal (relay_fixture_n_requests (&fixture, 1), 1);
   assert_non_null (strstr (fixture.received, "id: 2\ndata: b\n\n"));
@@ -560,7 +566,7 @@
       close (fd);
       assert_true (loop_pump (fixture.loop, no_jobs_left, &fixture));
       loop_spin (fixture.loop, 20);
-      assert_int_equal (fake_upstream_n_closed (fixture.upstreams[0].wire), 1);
+      assert_int_equal (fake_upstream_n_closed (fixture.upstreams[0].server), 1);
       teardown (&fixture);
     }
 }
@@ -751,8 +757,8 @@
   relay_fixture_setup (&fixture, ev_loop_new (0), PORT);
   relay_fixture_add_upstream (&fixture, 0, MF_ROLE_PLAIN, handle_good);
   relay_fixture_add_upstream (&fixture, 1, MF_ROLE_PLAIN, handle_good);
-  fake_upstream_free (fixture.upstreams[0].wire);
-  fixture.upstreams[0].wire = NULL;
+  fake_upstream_free (fixture.upstreams[0].server);
+  fixture.upstreams[0].server = NULL;
   call (&fixture, "POST", "/order/1");
   assert_status (&fixture, "200");
   assert_int_equal (relay_fixture_n_requests (&fixture, 1), 1);
--- a/tests/test_job_answer.c
+++ b/tests/test_job_answer.c
@@ -143,7 +143,7 @@
 static bool
 has_disconnected (void *data)
 {
-  return fake_upstream_n_closed (((RelayFixture *)data)->upstreams[0].wire) > 0;
+  return fake_upstream_n_closed (((RelayFixture *)data)->upstreams[0].server) > 0;
 }
 
 /* The request fails by its deadline, without a promise that it was not executed, and the upstream's
@@ -285,7 +285,7 @@
       FakeUpstreamConn *conn;
 
       loop_spin (fixture.loop, 5);
-      conn = fake_upstream_last_conn (fixture.upstreams[0].wire);
+      conn = fake_upstream_last_conn (fixture.upstreams[0].server);
       if (conn != NULL)
         fake_upstream_conn_send (conn, "1\r\nd\r\n");
     }
--- a/tests/test_job_stage.c
+++ b/tests/test_job_stage.c
@@ -140,7 +140,7 @@
 
   while (index + 1 < RELAY_FIXTURE_N_UPSTREAMS && relay_fixture_n_requests (relay, index) == 0)
     index++;
-  return fake_upstream_last_request (relay->upstreams[index].wire);
+  return fake_upstream_last_request (relay->upstreams[index].server);
 }
 
 /* The leader orders one idle prefill engine to decode, and only after the previous leader has
--- a/tests/test_link.c
+++ b/tests/test_link.c
@@ -22,7 +22,7 @@
 typedef struct
 {
   struct ev_loop *loop;
-  FakeUpstream *wire;
+  FakeUpstream *upstream;
   MfLinkPool pool;
   const char *responses; /* sent by the upstream for each request */
   bool close_after;
@@ -82,7 +82,7 @@
 exchange_begin (Exchange *exchange, const char *responses)
 {
   *exchange = (Exchange){ .loop = ev_loop_new (0), .responses = responses };
-  exchange->wire = fake_upstream_new (exchange->loop, on_request, exchange);
+  exchange->upstream = fake_upstream_new (exchange->loop, on_request, exchange);
   exchange->pool = (MfLinkPool){
     .loop = exchange->loop,
     .dialect = &platform_dialect,
@@ -90,14 +90,14 @@
     .connect_timeout_us = 200 * MF_US_PER_MS,
   };
   mf_name_set (exchange->pool.address, sizeof exchange->pool.address,
-               fake_upstream_address (exchange->wire));
+               fake_upstream_address (exchange->upstream));
 }
 
 static void
 exchange_end (Exchange *exchange)
 {
   mf_link_pool_close (&exchange->pool);
-  fake_upstream_free (exchange->wire);
+  fake_upstream_free (exchange->upstream);
   ev_loop_destroy (exchange->loop);
 }
 
@@ -145,8 +145,8 @@
   assert_string_equal (exchange.body, "ok");
   assert_int_equal (exchange.pool.n_idle, 1);
   run (&exchange, "mine");
-  assert_int_equal (fake_upstream_n_conns (exchange.wire), 1);
-  assert_int_equal (fake_upstream_n_requests (exchange.wire), 2);
+  assert_int_equal (fake_upstream_n_conns (exchange.upstream), 1);
+  assert_int_equal (fake_upstream_n_requests (exchange.upstream), 2);
   exchange_end (&exchange);
 }
 
@@ -189,12 +189,12 @@
   exchange_begin (&exchange, RESPONSE ("mine", "ok"));
   run (&exchange, "mine");
   assert_int_equal (exchange.pool.n_idle, 1);
-  fake_upstream_conn_send (fake_upstream_last_conn (exchange.wire), RESPONSE ("mine", "no"));
+  fake_upstream_conn_send (fake_upstream_last_conn (exchange.upstream), RESPONSE ("mine", "no"));
   loop_spin (exchange.loop, 20);
   assert_int_equal (exchange.pool.n_idle, 0);
   run (&exchange, "mine");
   assert_string_equal (exchange.body, "ok");
-  assert_int_equal (fake_upstream_n_conns (exchange.wire), 2);
+  assert_int_equal (fake_upstream_n_conns (exchange.upstream), 2);
   exchange_end (&exchange);
 }
 
@@ -267,11 +267,11 @@
   exchange_begin (&exchange, NULL);
   link = start (&exchange, "mine");
   loop_spin (exchange.loop, 20);
-  assert_int_equal (fake_upstream_n_requests (exchange.wire), 1);
+  assert_int_equal (fake_upstream_n_requests (exchange.upstream), 1);
   assert_true (mf_link_has_sent (link));
   mf_link_cancel (link);
   loop_spin (exchange.loop, 20);
-  assert_int_equal (fake_upstream_n_closed (exchange.wire), 1);
+  assert_int_equal (fake_upstream_n_closed (exchange.upstream), 1);
   assert_int_equal (exchange.n_ends, 0);
   assert_int_equal (exchange.pool.n_links, 0);
   exchange_end (&exchange);
--- a/tests/test_order.c
+++ b/tests/test_order.c
@@ -150,7 +150,7 @@
   char name[MF_NAME_BYTES];
 
   snprintf (name, sizeof name, "d%u", at);
-  return core->board.upstreams[mf_upstream_find (core, mf_hash_name (name))].on_hold;
+  return core->board.upstreams[mf_upstream_find (core, mf_hash_name (name))].order_pending;
 }
 
 /* Ends a load that is due. A busy engine loses its work step by step while it is on hold or
--- a/tests/test_peers.c
+++ b/tests/test_peers.c
@@ -63,7 +63,7 @@
 }
 
 static void
-on_gone (void *data, uint64_t peer)
+on_lost (void *data, uint64_t peer)
 {
   Node *node = data;
 
@@ -75,7 +75,7 @@
   .fill_report = on_fill,
   .loads_changed = on_changed,
   .message = on_message,
-  .gone = on_gone,
+  .lost = on_lost,
 };
 
 static void
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -347,7 +347,7 @@
 }
 
 static void
-on_peer_gone (void *data, uint64_t peer)
+on_peer_lost (void *data, uint64_t peer)
 {
   (void)data;
   (void)peer;
@@ -357,7 +357,7 @@
   .fill_report = on_peer_fill,
   .loads_changed = on_peer_changed,
   .message = on_peer_message,
-  .gone = on_peer_gone,
+  .lost = on_peer_lost,
 };
 
 static bool
--- a/tests/test_stage.c
+++ b/tests/test_stage.c
@@ -97,7 +97,7 @@
 
 typedef struct
 {
-  uint64_t begun_us;
+  uint64_t started_us;
   uint64_t prefilled_us; /* end of the prefill; 0: no slot granted yet */
   uint32_t prefill;
   uint32_t decode;
@@ -132,20 +132,20 @@
 }
 
 static void
-on_grant (void *data, uint64_t asker, const MfGrant *grant)
+on_grant (void *data, uint64_t requester, const MfGrant *grant)
 {
   Simulation *simulation = data;
   Call *call = &simulation->calls[grant->id];
   uint64_t *free_us;
 
-  (void)asker;
+  (void)requester;
   assert_int_not_equal (grant->prefill, 0);
   call->decode = (uint32_t)grant->decode - 1;
   call->prefill = (uint32_t)grant->prefill - 1;
   free_us = &simulation->free_us[call->prefill];
   *free_us = (*free_us > simulation->now_us ? *free_us : simulation->now_us) + PREFILL_US;
   call->prefilled_us = *free_us;
-  simulation->n_in_time += call->prefilled_us <= call->begun_us + OBJECTIVE_US;
+  simulation->n_in_time += call->prefilled_us <= call->started_us + OBJECTIVE_US;
   mf_target_begin_request (&simulation->engines[call->decode], TOKENS, simulation->now_us);
   mf_target_begin_request (&simulation->engines[call->prefill], TOKENS / 2, simulation->now_us);
 }
@@ -247,15 +247,16 @@
       for (; due_us <= simulation->now_us && simulation->n_calls < N_CALLS_MAX;
            due_us += interval_us)
         {
-          MfSlotRequest ask = { .id = simulation->n_calls,
-                                .service = "llm",
-                                .prompt_tokens = TOKENS / 2,
-                                .kv_tokens = TOKENS,
-                                .objective_us = OBJECTIVE_US - 2 * PREFILL_US,
-                                .max_age_us = MAX_AGE_US };
-
-          simulation->calls[simulation->n_calls++].begun_us = simulation->now_us;
-          mf_dispatch_enqueue (simulation->dispatch, MF_DISPATCH_SELF, &ask, simulation->now_us);
+          MfSlotRequest request = { .id = simulation->n_calls,
+                                    .service = "llm",
+                                    .prompt_tokens = TOKENS / 2,
+                                    .kv_tokens = TOKENS,
+                                    .objective_us = OBJECTIVE_US - 2 * PREFILL_US,
+                                    .max_age_us = MAX_AGE_US };
+
+          simulation->calls[simulation->n_calls++].started_us = simulation->now_us;
+          mf_dispatch_enqueue (simulation->dispatch, MF_DISPATCH_SELF, &request,
+                               simulation->now_us);
         }
       simulation_finish_due (simulation);
       mf_dispatch_run (simulation->dispatch, simulation->now_us);
