--- a/tests/fakes/text.c
+++ b/tests/fakes/config_text.c
@@ -1,4 +1,4 @@
-#include "text.h"
+#include "config_text.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/fakes/text.h
+++ b/tests/fakes/config_text.h
@@ -1,5 +1,5 @@
-#ifndef FAKE_TEXT_H
-#define FAKE_TEXT_H
+#ifndef FAKE_CONFIG_TEXT_H
+#define FAKE_CONFIG_TEXT_H
 
 #include "libmangofork/config.h"
 
--- a/tests/fakes/wire.c
+++ b/tests/fakes/upstream.c
@@ -1,4 +1,4 @@
-#include "wire.h"
+#include "upstream.h"
 
 #include "libmangofork/socket.h"
 
--- a/tests/fakes/wire.h
+++ b/tests/fakes/upstream.h
@@ -1,5 +1,5 @@
-#ifndef FAKE_WIRE_H
-#define FAKE_WIRE_H
+#ifndef FAKE_UPSTREAM_H
+#define FAKE_UPSTREAM_H
 
 #include "libmangofork/types.h"
 
--- a/tests/relay_fixture.h
+++ b/tests/relay_fixture.h
@@ -3,7 +3,7 @@
 
 #include "libmangofork/relay/job.h"
 
-#include "fakes/wire.h"
+#include "fakes/upstream.h"
 
 #define RELAY_FIXTURE_N_UPSTREAMS 4
 #define RELAY_FIXTURE_SEAL "X-Response-Seal: s\r\n"
--- a/tests/soak/soak_upstream.c
+++ b/tests/soak/soak_upstream.c
@@ -1,6 +1,6 @@
 #include "soak_upstream.h"
 
-#include "tests/fakes/wire.h"
+#include "tests/fakes/upstream.h"
 
 #include "libmangofork/clock.h"
 
--- a/tests/test_confsync.c
+++ b/tests/test_confsync.c
@@ -2,7 +2,7 @@
 #include "libmangofork/text_delta.h"
 
 #include "fakes/cores.h"
-#include "fakes/text.h"
+#include "fakes/config_text.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_gossip.c
+++ b/tests/test_gossip.c
@@ -3,7 +3,7 @@
 #include "libmangofork/suspect_core.h"
 
 #include "fakes/cores.h"
-#include "fakes/text.h"
+#include "fakes/config_text.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_health.c
+++ b/tests/test_health.c
@@ -2,7 +2,7 @@
 #include "libmangofork/service.h"
 
 #include "fakes/cores.h"
-#include "fakes/text.h"
+#include "fakes/config_text.h"
 #include "one_core.h"
 
 #include <setjmp.h>
--- a/tests/test_house_libraries.c
+++ b/tests/test_house_libraries.c
@@ -1,4 +1,4 @@
-#include "fakes/wire.h"
+#include "fakes/upstream.h"
 #include "loop_pump.h"
 
 #include <curl/curl.h>
--- a/tests/test_link.c
+++ b/tests/test_link.c
@@ -2,7 +2,7 @@
 
 #include "platform/platform.h"
 
-#include "fakes/wire.h"
+#include "fakes/upstream.h"
 #include "loop_pump.h"
 
 #include <setjmp.h>
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -1,7 +1,7 @@
 #include "libmangofork/member_row.h"
 
 #include "fakes/cores.h"
-#include "fakes/text.h"
+#include "fakes/config_text.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -4,7 +4,7 @@
 #include "platform/platform.h"
 
 #include "fakes/store.h"
-#include "fakes/wire.h"
+#include "fakes/upstream.h"
 #include "loop_pump.h"
 
 #include <fcntl.h>
