--- a/libmangofork/admin.c
+++ b/libmangofork/admin.c
@@ -179,7 +179,7 @@
 
   if (admin == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the admin interface");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while starting the admin interface");
       return NULL;
     }
   admin->options = *options;
--- a/libmangofork/cancel.c
+++ b/libmangofork/cancel.c
@@ -213,7 +213,8 @@
 {
   core->board.cancels = calloc (1, sizeof *core->board.cancels);
   if (core->board.cancels == NULL)
-    mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the pending cancels");
+    mf_error_set (error, MF_CODE_NO_MEMORY,
+                  "out of memory while creating the table of pending cancels");
   return core->board.cancels != NULL;
 }
 
--- a/libmangofork/claim.c
+++ b/libmangofork/claim.c
@@ -440,7 +440,7 @@
 
   if (claims == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the claims");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while creating the table of claims");
       return false;
     }
   core->board.claims = claims;
--- a/libmangofork/config_read.c
+++ b/libmangofork/config_read.c
@@ -643,7 +643,8 @@
     }
   if (!config_reserve (config, count_upstreams (pools)))
     {
-      mf_jsonc_fault (jsonc, "", MF_CODE_NO_MEMORY, "no memory for the configuration");
+      mf_jsonc_fault (jsonc, "", MF_CODE_NO_MEMORY,
+                      "out of memory while reading the configuration");
       return;
     }
   read_pools (&reader, pools);
--- a/libmangofork/confsync.c
+++ b/libmangofork/confsync.c
@@ -484,7 +484,8 @@
   core->board.confsync = calloc (1, sizeof *core->board.confsync);
   if (core->board.confsync == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the operators' text");
+      mf_error_set (error, MF_CODE_NO_MEMORY,
+                    "out of memory while creating the configuration sync");
       return false;
     }
   mf_platform_reads_init (core, &core->board.confsync->reads);
--- a/libmangofork/core.c
+++ b/libmangofork/core.c
@@ -72,7 +72,7 @@
 
   if (core == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the core");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while creating the core");
       return NULL;
     }
   core->board.options = *options;
@@ -86,7 +86,7 @@
   core->board.burn = mf_burn_new (now_us);
   if (core->board.trace == NULL || core->board.burn == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the core");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while creating the core");
       mf_core_free (core);
       return NULL;
     }
--- a/libmangofork/digest.c
+++ b/libmangofork/digest.c
@@ -170,7 +170,7 @@
   core->board.digests = calloc (1, sizeof *core->board.digests);
   if (core->board.digests == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for digests");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while creating the digest state");
       return false;
     }
   core->board.digests->n_urgent_left = URGENT_BURST;
--- a/libmangofork/drain.c
+++ b/libmangofork/drain.c
@@ -98,7 +98,7 @@
 {
   core->board.drain = calloc (1, sizeof *core->board.drain);
   if (core->board.drain == NULL)
-    mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the drain");
+    mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while creating the drain state");
   return core->board.drain != NULL;
 }
 
--- a/libmangofork/frame.c
+++ b/libmangofork/frame.c
@@ -484,7 +484,7 @@
   zone = msgpack_zone_new (MSGPACK_ZONE_CHUNK_SIZE);
   if (zone == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for a frame");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while decoding a frame");
       return false;
     }
   frame->memory = zone;
--- a/libmangofork/gossip.c
+++ b/libmangofork/gossip.c
@@ -323,7 +323,7 @@
 {
   core->board.gossip_log = calloc (1, sizeof *core->board.gossip_log);
   if (core->board.gossip_log == NULL)
-    mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the gossip log");
+    mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while creating the gossip log");
   return core->board.gossip_log != NULL;
 }
 
--- a/libmangofork/health.c
+++ b/libmangofork/health.c
@@ -497,7 +497,7 @@
 {
   core->board.health = calloc (1, sizeof *core->board.health);
   if (core->board.health == NULL)
-    mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for health");
+    mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while creating the health state");
   return core->board.health != NULL;
 }
 
--- a/libmangofork/http_in.c
+++ b/libmangofork/http_in.c
@@ -186,7 +186,7 @@
     mf_error_set (error, MF_CODE_BODY_TOO_LARGE, "the body exceeds %llu bytes",
                   (unsigned long long)exchange->set->options.body_bytes_max);
   else if (exchange->body.failed)
-    mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory for the request body");
+    mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while buffering the request body");
   return !mf_error_is_set (error)
          && mf_intake_read (&source, exchange->id, &exchange->intake, error);
 }
@@ -407,7 +407,7 @@
 
   if (in == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory for the HTTP server");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while creating the HTTP server");
       return NULL;
     }
   in->exchanges.loop = loop;
--- a/libmangofork/http_out.c
+++ b/libmangofork/http_out.c
@@ -557,7 +557,8 @@
 
   if (out == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory for calls to upstreams");
+      mf_error_set (error, MF_CODE_NO_MEMORY,
+                    "out of memory while creating the HTTP client for upstreams");
       return NULL;
     }
   out->loop = loop;
--- a/libmangofork/intake.c
+++ b/libmangofork/intake.c
@@ -172,7 +172,7 @@
 
   if (reader.state == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory for the prompt");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while reading the prompt");
       return false;
     }
   XXH3_64bits_reset (reader.state);
@@ -195,7 +195,7 @@
   if (tokener == NULL || body_bytes > INT32_MAX)
     {
       json_tokener_free (tokener);
-      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory for parsing the body");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while parsing the body");
       return NULL;
     }
   json_tokener_set_flags (tokener, JSON_TOKENER_STRICT | JSON_TOKENER_VALIDATE_UTF8);
--- a/libmangofork/jsonc.c
+++ b/libmangofork/jsonc.c
@@ -148,7 +148,7 @@
   tokener = json_tokener_new ();
   if (tokener == NULL)
     {
-      fault_add (jsonc, NULL, false, 0, MF_CODE_NO_MEMORY, "no memory to parse the text");
+      fault_add (jsonc, NULL, false, 0, MF_CODE_NO_MEMORY, "out of memory while parsing the text");
       return;
     }
   json_tokener_set_flags (tokener, JSON_TOKENER_STRICT | JSON_TOKENER_VALIDATE_UTF8);
--- a/libmangofork/logger.c
+++ b/libmangofork/logger.c
@@ -60,7 +60,7 @@
 
   if (logger == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the logger");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while creating the logger");
       return NULL;
     }
   mf_name_set (logger->instance, sizeof logger->instance, instance);
--- a/libmangofork/member.c
+++ b/libmangofork/member.c
@@ -569,7 +569,7 @@
 
   if (members == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the members");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while creating the table of members");
       return false;
     }
   members->self_hash = mf_hash_name (core->board.options.self.name);
--- a/libmangofork/multi.c
+++ b/libmangofork/multi.c
@@ -144,7 +144,7 @@
 
   if (multi == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory for HTTP transfers");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while creating the HTTP transfers");
       return NULL;
     }
   multi->loop = loop;
--- a/libmangofork/order.c
+++ b/libmangofork/order.c
@@ -526,7 +526,7 @@
 {
   core->board.orders = calloc (1, sizeof *core->board.orders);
   if (core->board.orders == NULL)
-    mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for orders");
+    mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while creating the table of orders");
   return core->board.orders != NULL;
 }
 
--- a/libmangofork/peer_auth.c
+++ b/libmangofork/peer_auth.c
@@ -306,7 +306,7 @@
   proof_compute (auth, auth->initiator, stream, proof);
   mf_buffer_add (payload, stream, sizeof stream);
   mf_buffer_add (payload, proof, sizeof proof);
-  return payload->failed ? auth_error (error, "no memory for the proof") : true;
+  return payload->failed ? auth_error (error, "out of memory while encoding the proof") : true;
 }
 
 /* Checks the peer's proof and opens the incoming stream. trailer holds its header and the proof. */
@@ -341,7 +341,7 @@
     key_id (options->keys.old_key, hello.key_ids[hello.n_key_ids++]);
   hello_pack (&hello, payload);
   if (payload->failed)
-    return auth_error (error, "no memory for the hello");
+    return auth_error (error, "out of memory while encoding the hello");
   crypto_generichash_init (&auth->transcript, NULL, 0, MF_DIGEST_BYTES);
   transcript_add (auth, mf_buffer_data (payload), mf_buffer_bytes (payload));
   return true;
--- a/libmangofork/peer_link.c
+++ b/libmangofork/peer_link.c
@@ -473,7 +473,7 @@
 
   if (links == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the peer links");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while creating the peer links");
       return NULL;
     }
   links->fd = mf_socket_listen (options->listen, error);
--- a/libmangofork/plain.c
+++ b/libmangofork/plain.c
@@ -58,7 +58,7 @@
   if (!ok)
     {
       mf_http_request_clear (request);
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for a call");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while starting a call");
     }
   return ok;
 }
@@ -85,7 +85,7 @@
 
   mf_buffer_add (&answer->body, data, data_bytes);
   if (answer->body.failed)
-    mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for an answer");
+    mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while reading an answer");
   return !answer->body.failed;
 }
 
--- a/libmangofork/platform.c
+++ b/libmangofork/platform.c
@@ -248,7 +248,7 @@
 
   if (platform == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the platform client");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while creating the platform client");
       return NULL;
     }
   platform->settings = settings;
--- a/libmangofork/prefix.c
+++ b/libmangofork/prefix.c
@@ -178,7 +178,7 @@
 {
   core->board.caches = calloc (1, sizeof *core->board.caches);
   if (core->board.caches == NULL)
-    mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the prefixes");
+    mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while creating the table of prefixes");
   return core->board.caches != NULL;
 }
 
--- a/libmangofork/queue.c
+++ b/libmangofork/queue.c
@@ -558,7 +558,7 @@
 {
   core->board.queue = calloc (1, sizeof *core->board.queue);
   if (core->board.queue == NULL)
-    mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the queue");
+    mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while creating the queue");
   return core->board.queue != NULL;
 }
 
--- a/libmangofork/relay/link.c
+++ b/libmangofork/relay/link.c
@@ -533,7 +533,7 @@
   mf_buffer_add (&link->out, request->head, request->head_bytes);
   mf_buffer_add (&link->out, request->body, request->body_bytes);
   if (link->out.failed)
-    link_fail_later (link, "out of memory");
+    link_fail_later (link, "out of memory while sending a request");
   else if (link->state == LINK_BUSY)
     {
       link_set_timeout (link);
--- a/libmangofork/relay/peers.c
+++ b/libmangofork/relay/peers.c
@@ -437,7 +437,7 @@
 
   if (peers == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory allocating the peer list");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while creating the peer list");
       return NULL;
     }
   peers->loop = loop;
--- a/libmangofork/request.c
+++ b/libmangofork/request.c
@@ -336,7 +336,7 @@
 {
   core->board.requests = calloc (1, sizeof *core->board.requests);
   if (core->board.requests == NULL)
-    mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the requests");
+    mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while creating the table of requests");
   return core->board.requests != NULL;
 }
 
--- a/libmangofork/series.c
+++ b/libmangofork/series.c
@@ -94,7 +94,7 @@
   core->board.series = calloc (1, sizeof *core->board.series);
   if (core->board.series == NULL)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the series");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while creating the time series");
       return false;
     }
   for (uint32_t i = 0; i < MF_SERIES_COUNT; i++)
--- a/libmangofork/server.c
+++ b/libmangofork/server.c
@@ -436,7 +436,7 @@
 
   if (server == NULL || sodium_init () < 0)
     {
-      mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the server");
+      mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while creating the server");
       free (server);
       return NULL;
     }
--- a/libmangofork/share.c
+++ b/libmangofork/share.c
@@ -465,7 +465,7 @@
 {
   core->board.shares = calloc (1, sizeof *core->board.shares);
   if (core->board.shares == NULL)
-    mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for shares");
+    mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while creating the table of shares");
   return core->board.shares != NULL;
 }
 
--- a/libmangofork/suspect_core.c
+++ b/libmangofork/suspect_core.c
@@ -208,7 +208,8 @@
                                              .two_deaths_quarantine_us = QUARANTINE_US,
                                              .three_deaths_quarantine_us = QUARANTINE_US });
   if (core->board.suspects == NULL)
-    mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the suspected requests");
+    mf_error_set (error, MF_CODE_NO_MEMORY,
+                  "out of memory while creating the table of suspect requests");
   return core->board.suspects != NULL;
 }
 
--- a/libmangofork/upstream.c
+++ b/libmangofork/upstream.c
@@ -480,7 +480,7 @@
 {
   core->board.polls = calloc (1, sizeof *core->board.polls);
   if (core->board.polls == NULL)
-    mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the upstreams");
+    mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while creating the table of upstreams");
   return core->board.polls != NULL;
 }
 
