--- a/bench/policy.c
+++ b/bench/policy.c
@@ -48,7 +48,7 @@
   Fault fault;
   bool naive;
   uint64_t seed;
-  uint64_t length_us;
+  uint64_t duration_us;
 } Trial;
 
 typedef struct
@@ -206,7 +206,7 @@
 send_all (Rig *rig, const Trial *trial, double per_s)
 {
   uint64_t state = trial->seed;
-  uint64_t end_us = rig_now_us (rig) + trial->length_us;
+  uint64_t end_us = rig_now_us (rig) + trial->duration_us;
   double plain_per_s = 600 * trial->load;
   RigRequest request;
 
@@ -299,7 +299,7 @@
   double *ttfts_ms = calloc (n, sizeof *ttfts_ms);
   uint32_t n_reads = 0;
   uint32_t n_ttfts = 0;
-  double window_s = (double)(trial->length_us - WARM_UP_US) / 1e6;
+  double window_s = (double)(trial->duration_us - WARM_UP_US) / 1e6;
   double complete_work = 0;
   uint64_t prefilled = 0;
 
@@ -362,9 +362,9 @@
   rig = rig_new (&options);
   start_us = rig_now_us (rig);
   send_all (rig, trial, per_s);
-  rig_run (rig, start_us + trial->length_us / 2);
+  rig_run (rig, start_us + trial->duration_us / 2);
   inject_fault (rig, trial);
-  rig_run (rig, start_us + trial->length_us + 70 * MF_US_PER_S);
+  rig_run (rig, start_us + trial->duration_us + 70 * MF_US_PER_S);
   count (rig, trial, per_s, prefill_limits, &figures);
   printf (
       "%-8s %-5s load %.1f %-5s (%.1f/s) offered %5u good %.3f whole %.3f refused %.3f "
@@ -443,7 +443,7 @@
 remaining_capacity_share (const Deployment *deployment, const Trial *trial, int fault)
 {
   double left = (double)(deployment->n_decode - 1) / deployment->n_decode / FAULT_LOAD;
-  double after = (double)trial->length_us / 2 / (double)(trial->length_us - WARM_UP_US);
+  double after = (double)trial->duration_us / 2 / (double)(trial->duration_us - WARM_UP_US);
 
   if ((fault != FAULT_DEATH && fault != FAULT_GRAY) || left >= 1)
     return 1;
@@ -505,14 +505,14 @@
 main (int argc, char **argv)
 {
   static Results results;
-  Trial trial = { .seed = 1, .length_us = 60 * MF_US_PER_S };
+  Trial trial = { .seed = 1, .duration_us = 60 * MF_US_PER_S };
   const char *only = NULL;
   double only_load = 0;
 
   for (int i = 1; i < argc; i++)
     {
       if (strcmp (argv[i], "--quick") == 0)
-        trial.length_us = 30 * MF_US_PER_S;
+        trial.duration_us = 30 * MF_US_PER_S;
       else if (strcmp (argv[i], "--seed") == 0 && i + 1 < argc)
         trial.seed = strtoull (argv[++i], NULL, 10);
       else if (strcmp (argv[i], "--only") == 0 && i + 1 < argc)
--- a/bench/soak.c
+++ b/bench/soak.c
@@ -16,11 +16,11 @@
  * an order desk that dies before or after it ran, a platform that is down or stale, callers that
  * leave. In the end every answer is held against the stand-ins' ledgers. */
 
-#define SECONDS 60
-#define SECONDS_QUICK 15
+#define DURATION_S 60
+#define DURATION_QUICK_S 15
 #define WARM_UP_MS 2000
 #define STEP_MS 40
-#define FAULT_US (900 * MF_US_PER_MS)
+#define FAULT_INTERVAL_MAX_US (900 * MF_US_PER_MS)
 #define FAULTS_AT_ONCE 2
 #define CALLS_MAX 8192
 #define ORDERS_MAX 2048
@@ -68,7 +68,7 @@
   Fleet *fleet;
   uint64_t random_state;
   uint64_t start_us;
-  unsigned seconds;
+  unsigned duration_s;
   Call calls[CALLS_MAX];
   unsigned n_calls;
   Order orders[ORDERS_MAX];
@@ -338,7 +338,7 @@
       if (has_fault (soak, fault->kind, fault->target))
         continue;
       fault->end_us = now_us + (300 + draw (soak, 2700)) * MF_US_PER_MS;
-      soak->next_fault_us = now_us + draw (soak, FAULT_US);
+      soak->next_fault_us = now_us + draw (soak, FAULT_INTERVAL_MAX_US);
       soak->n_faults++;
       fault_begin (soak, fault);
     }
@@ -472,7 +472,7 @@
     fleet_wait_voting (soak->fleet, i);
   fleet_sleep_ms (soak->fleet, WARM_UP_MS);
   soak->start_us = mf_clock_now_us ();
-  end_us = soak->start_us + soak->seconds * MF_US_PER_S;
+  end_us = soak->start_us + soak->duration_s * MF_US_PER_S;
   while (mf_clock_now_us () < end_us)
     {
       send_something (soak);
@@ -505,7 +505,7 @@
 int
 main (int argc, char **argv)
 {
-  static Soak soak = { .random_state = 1, .seconds = SECONDS };
+  static Soak soak = { .random_state = 1, .duration_s = DURATION_S };
   const struct CMUnitTest tests[] = {
     cmocka_unit_test_prestate_setup_teardown (soak_run, soak_setup, soak_teardown, &soak),
   };
@@ -513,7 +513,7 @@
   for (int i = 1; i < argc; i++)
     {
       if (strcmp (argv[i], "--quick") == 0)
-        soak.seconds = SECONDS_QUICK;
+        soak.duration_s = DURATION_QUICK_S;
       else if (strcmp (argv[i], "--seed") == 0 && i + 1 < argc)
         soak.random_state = strtoull (argv[++i], NULL, 10);
       else
