--- a/bench/decide.c
+++ b/bench/decide.c
@@ -5,7 +5,8 @@
 #include <string.h>
 #include <time.h>
 
-/* What one placement costs as the number of upstreams grows, and whether tokens allocate. */
+/* Measures the cost of one placement as the number of upstreams grows, and whether forwarding a
+ * token allocates memory. */
 
 #define TEXT_BYTES (1024 * 1024)
 #define N_SIZES 5
@@ -130,8 +131,7 @@
   step (bench, &event);
 }
 
-/* One request from its arrival to its placement, then on to its end. Returns the time of the first
- * part. */
+/* Runs one request to its end. Returns the time from its arrival to its placement. */
 static uint64_t
 run_request (Bench *bench)
 {
@@ -175,7 +175,7 @@
   return (double)sum_ns / n_requests / 1000;
 }
 
-/* Streams tokens of one request; returns the allocations and the time of one token. */
+/* Streams the tokens of one request. Returns the number of allocations and the time per token. */
 static uint64_t
 measure_stream (uint64_t seed, double *token_us)
 {
--- a/bench/pages.c
+++ b/bench/pages.c
@@ -1,5 +1,5 @@
-/* Time that the operators' pages take on the loop, at the target's 2,400 upstreams and customers
- * and at today's sizes, and the memory that burn takes. */
+/* Measures how long the operators' pages block the event loop, at the target size of 2,400
+ * upstreams and customers and at today's sizes, and the memory that burn rates use. */
 
 #include "libmangofork/metrics.h"
 #include "libmangofork/report.h"
@@ -143,7 +143,7 @@
   return core;
 }
 
-/* One request of each customer, every tenth of them late. */
+/* Adds one request of each customer; every tenth misses its target. */
 static void
 add_samples (MfCore *core, uint32_t seed)
 {
@@ -158,7 +158,7 @@
     }
 }
 
-/* The median time of a renderer. */
+/* Returns the median time of a renderer. */
 static double
 median_ms (const MfCore *core, RenderFunc render, uint32_t n_rounds, size_t *n_bytes)
 {
--- a/bench/policy.c
+++ b/bench/policy.c
@@ -7,8 +7,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Goodput and wasted prefill of the real core against the naive policy on the same engines, in
- * virtual time. */
+/* Compares goodput and wasted prefill of the core with those of the naive policy on the same
+ * simulated engines, in virtual time. */
 
 #define WARM_UP_US (10 * MF_US_PER_S)
 #define N_CORES 6
@@ -57,8 +57,8 @@
   uint32_t n_good;
   uint32_t n_complete;
   uint32_t n_refused;
-  uint32_t n_violations; /* promises broken: garbled, answered twice, never answered */
-  double offered_work;   /* of the resource that limits, as a share of its capacity */
+  uint32_t n_violations; /* answers that are garbled, duplicated or missing */
+  double offered_work;   /* of the limiting pool, as a share of its capacity */
   double good_work;
   double wasted_share;
   uint64_t wasted_tokens;
@@ -139,13 +139,14 @@
   options->decode.role = MF_ROLE_DECODE;
 }
 
-/* Seconds of one prefill engine, and of one decode slot of a full engine. */
+/* Seconds that a request occupies a prefill engine. */
 static double
 prefill_s (const RigRequest *request)
 {
   return 0.008 + request->prompt_tokens / 40000.0;
 }
 
+/* Seconds that a request occupies a decode slot of an engine whose slots are all in use. */
 static double
 decode_s (const RigRequest *request)
 {
@@ -175,7 +176,7 @@
     request->prefix_hashes[i] = i < shared ? 1000 * (group + 1) + i : request->digest + i;
 }
 
-/* Requests a second that the engines can carry, by the pool that limits. */
+/* Returns the requests per second that the engines can serve, and which pool limits them. */
 static double
 capacity_per_s (const Deployment *deployment, bool *prefill_limits)
 {
@@ -367,9 +368,9 @@
   rig_run (rig, start_us + trial->duration_us + 70 * MF_US_PER_S);
   count (rig, trial, per_s, prefill_limits, &figures);
   printf (
-      "%-8s %-5s load %.1f %-5s (%.1f/s) offered %5u good %.3f whole %.3f refused %.3f "
-      "good/capacity %.3f wasted %.4f ttft99 %6.0f read99 %5.1f lost %u twice %u broken %u "
-      "held %u\n",
+      "%-8s %-5s load %.1f %-5s (%.1f/s) offered %5u good %.3f complete %.3f refused %.3f "
+      "good/capacity %.3f wasted %.4f ttft99 %6.0f read99 %5.1f lost %u twice %u "
+      "violations %u kv_entries %u\n",
       trial->deployment->name, trial->naive ? "naive" : "ours", trial->load, faults[trial->fault],
       per_s, figures.n_offered, (double)figures.n_good / figures.n_offered,
       (double)figures.n_complete / figures.n_offered, (double)figures.n_refused / figures.n_offered,
@@ -380,7 +381,7 @@
   return figures;
 }
 
-/* Everything that was measured, by deployment, load or fault, and policy. */
+/* The figures of all trials, by deployment, load or fault, and policy. */
 typedef struct
 {
   Figures loads[MF_ARRAY_LEN (deployments)][N_LOADS][2];
@@ -437,8 +438,8 @@
   result (name, "promises_broken_and_memory_held", n_violations, "<=", 0);
 }
 
-/* The share of the work offered that the engines left can carry, when one decode engine is lost
- * half-way. */
+/* Returns the share of the offered work that the remaining engines can serve when one decode engine
+ * fails half-way through the trial. */
 static double
 remaining_capacity_share (const Deployment *deployment, const Trial *trial, int fault)
 {
--- a/bench/relay.c
+++ b/bench/relay.c
@@ -17,12 +17,11 @@
 #define OPEN_STREAMS 1000
 #define TTFT_TARGET_MS 0.5
 #define TOKENS_TARGET 200000.0
-/* Growth that the allocator's own unevenness may cause over the whole run. */
+/* Growth over the complete run that fragmentation in the allocator may cause. */
 #define GROWTH_TARGET_KB 1024
 #define MEMORY_CALLERS 64
 #define BODY_BYTES 512
 
-/* What is run. Times are in microseconds. */
 typedef struct
 {
   uint64_t seed;
@@ -113,7 +112,7 @@
   snprintf (address, MF_ADDRESS_BYTES, "127.0.0.1:%u", port);
 }
 
-/* The life of the child that is measured. */
+/* Runs the server that is measured, in a child process. */
 static void
 server_run (const Bench *bench)
 {
@@ -143,7 +142,7 @@
   mf_server_free (server);
 }
 
-/* Starts a child that ends with this process. */
+/* Starts a child process that is terminated when this process ends. */
 static pid_t
 child_fork (void)
 {
@@ -190,7 +189,7 @@
     }
 }
 
-/* Seconds of processor time a child has used. */
+/* Returns the processor time that a child has used. */
 static double
 cpu_s (pid_t pid)
 {
@@ -219,7 +218,8 @@
   return resident * (sysconf (_SC_PAGESIZE) / 1024);
 }
 
-/* A body that asks for tokens; directly, it stands for the decode after a prefill. */
+/* Writes the body of a completion request; sent to an engine directly, it is the decode request
+ * that follows a prefill. */
 static void
 body_write (char body[BODY_BYTES], bool direct, bool stream, uint32_t n_tokens, uint32_t gap_us)
 {
@@ -235,11 +235,11 @@
 {
   (void)client;
   (void)data;
-  fprintf (stderr, "relay: a connection broke\n");
+  fprintf (stderr, "relay: a connection failed\n");
   exit (1);
 }
 
-/* Many streams at once. */
+/* Concurrent streams. */
 typedef struct
 {
   struct ev_loop *loop;
@@ -286,7 +286,7 @@
     }
 }
 
-/* Ends the connections and returns the tokens that arrived. */
+/* Closes the connections and returns the number of tokens received. */
 static uint64_t
 streams_close (Streams *streams)
 {
@@ -300,11 +300,12 @@
   return n_tokens;
 }
 
-/* One probe after another on one connection; directly, a prefill and then a decode. */
+/* Sequential requests on one connection. When sent to the engines directly, each is a prefill
+ * followed by a decode. */
 typedef struct
 {
   struct ev_loop *loop;
-  RelayClient *prefill; /* NULL through the process */
+  RelayClient *prefill; /* NULL when sent through the process */
   RelayClient *decode;
   char body[BODY_BYTES];
   double start_s;
@@ -383,7 +384,7 @@
   free (probe->first_ms);
 }
 
-/* Keeps a result for the end of the output. */
+/* Records a result, to be printed at the end of the output. */
 static void
 result (Bench *bench, const char *name, double value, double target, bool met)
 {
@@ -393,7 +394,8 @@
             value, target, met ? "met" : "missed");
 }
 
-/* First-token times, the two ways in turns, while many streams are open. */
+/* Measures the time to the first token while many streams are open, alternately through the process
+ * and directly. */
 static double
 measure_ttft (Bench *bench)
 {
@@ -429,7 +431,8 @@
   return added_ms;
 }
 
-/* Tokens that one core of a child carries a second, over streams that run to their end. */
+/* Returns the tokens per second of processor time of a child, over streams that run to completion.
+ */
 static double
 measure_tokens (Bench *bench, bool direct, uint32_t gap_us, const char *what)
 {
@@ -457,11 +460,11 @@
   return n_tokens == wanted ? rate : 0;
 }
 
-/* Requests one after another on several connections. */
+/* Sequential requests on each of several connections. */
 typedef struct
 {
   struct ev_loop *loop;
-  char bodies[2][BODY_BYTES]; /* whole and streamed */
+  char bodies[2][BODY_BYTES]; /* not streamed and streamed */
   uint32_t n_wanted;
   uint32_t n_sent;
   uint32_t n_done;
@@ -567,7 +570,8 @@
   run_tokens (bench, 10000, "a token every 10 ms on each stream", "relay_tokens_per_core_paced");
 }
 
-/* The load of the first-token part, for what a token costs when few are read at once. */
+/* Uses the same load as the first-token part, to show the cost of a token when few tokens are read
+ * at once. */
 static void
 run_light (Bench *bench)
 {
--- a/bench/relay_client.c
+++ b/bench/relay_client.c
@@ -11,7 +11,7 @@
 #include <unistd.h>
 
 #define READ_BYTES 262144
-/* Bytes kept from one read to the next, so that a mark that is cut in two is seen. */
+/* Bytes kept from one read to the next, so that a mark split between two reads is found. */
 #define TAIL_BYTES 16
 #define TOKEN_MARK " token"
 #define STREAM_END "data: [DONE]\n\n\r\n0\r\n\r\n"
--- a/bench/relay_client.h
+++ b/bench/relay_client.h
@@ -12,16 +12,17 @@
 {
   void (*on_first_token) (RelayClient *client,
                           void *data); /* the first token has arrived; may be NULL */
-  void (*on_complete) (RelayClient *client, void *data); /* the answer is whole */
+  void (*on_complete) (RelayClient *client, void *data); /* the answer is complete */
   void (*on_failure) (RelayClient *client, void *data);
 } RelayClientCallbacks;
 
 RelayClient *relay_client_new (struct ev_loop *loop, uint16_t port,
                                const RelayClientCallbacks *callbacks, void *data);
 void relay_client_free (RelayClient *client);
-/* Sends a completion. Streams end at their end mark, whole answers at their length. */
+/* Sends a completion request. A stream ends at its end mark, any other answer at its
+ * Content-Length. */
 void relay_client_send (RelayClient *client, const char *body, bool stream);
-/* Tokens taken so far by all answers on this connection. */
+/* Returns the number of tokens received so far in all answers on this connection. */
 uint64_t relay_client_tokens (const RelayClient *client);
 double relay_clock_s (void);
 
--- a/bench/relay_upstream.c
+++ b/bench/relay_upstream.c
@@ -17,7 +17,8 @@
 #define SLOTS 8000
 #define PIECES 100000
 #define PROXY_READ_BYTES 65536
-/* Steps by which the streams' first gaps are spread, so that their tokens do not come in step. */
+/* Steps by which the first gaps of the streams are spread, so that their tokens are not sent at the
+ * same time. */
 #define N_STAGGER_STEPS 97
 #define KV_HANDLE                                                                                  \
   "{\"usage\":{\"total_tokens\":1},\"choices\":[{\"index\":0,\"text\":\"\"}],\"kv_transfer_"       \
@@ -48,7 +49,7 @@
   struct ev_loop *loop;
   const char *role;
   Stream *streams;
-  uint64_t n_streams; /* begun so far */
+  uint64_t n_streams; /* started so far */
 };
 
 static void
@@ -70,7 +71,7 @@
   ev_run (loop, 0);
 }
 
-/* The number after a key of a JSON body, or 0. */
+/* Returns the number after a key of a JSON body, or 0. */
 static uint64_t
 body_number (const FakeHttpRequest *request, const char *key)
 {
@@ -193,7 +194,7 @@
     }
 }
 
-/* Publishes a text with one prefill engine and all that decode. */
+/* Publishes an operators' text with one prefill engine and all decode engines. */
 static void
 platform_start (struct ev_loop *loop, uint16_t platform_port, uint16_t prefill_port,
                 const uint16_t *decode_ports)
@@ -245,13 +246,13 @@
   run_until_signal (loop);
 }
 
-/* One direction of a copied connection; the other is its twin. */
+/* One direction of a proxied connection; peer is the other direction. */
 typedef struct Pipe
 {
   struct Pipe *peer;
   ev_io read;
   ev_io write;
-  MfBuffer out; /* for the own descriptor */
+  MfBuffer out; /* unsent bytes for this descriptor */
 } Pipe;
 
 typedef struct
--- a/bench/relay_upstream.h
+++ b/bench/relay_upstream.h
@@ -3,14 +3,14 @@
 
 #include <stdint.h>
 
-/* Engines that decode; each takes at most a few hundred connections of one process. */
+/* Number of decode engines. One process opens at most a few hundred connections to each. */
 #define RELAY_N_DECODES 4
 
-/* The upstream side of the relay bench, each function the whole life of one child process. */
+/* The upstream side of the relay bench. Each function is the main function of one child process. */
 
 /* Serves prefill, decode and the platform on these ports of the loopback address until SIGTERM. A
- * decode sends as many tokens as the body's max_tokens says, one every bench_gap_us, or all at once
- * when that is 0. */
+ * decode sends max_tokens tokens, one every bench_gap_us, or all at once when that is 0. Both are
+ * fields of the request body. */
 void relay_upstream_run (uint16_t prefill_port, const uint16_t decode_ports[RELAY_N_DECODES],
                          uint16_t platform_port);
 /* Copies bytes between each connection to one port and a connection to another, until SIGTERM. */
--- a/bench/soak.c
+++ b/bench/soak.c
@@ -11,10 +11,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Three instances and their stand-ins as real processes, under steady work and faults that come two
- * at a time: kills, freezes, cuts both ways and one way, dying, stalled, slow and leaving engines,
- * an order desk that dies before or after it ran, a platform that is down or stale, callers that
- * leave. In the end every answer is held against the stand-ins' ledgers. */
+/* Runs three instances and their stand-ins as processes under constant load, with up to two faults
+ * at a time: killed or frozen instances, links cut in both directions or one, engines that crash,
+ * stall, slow down or leave, an order service that crashes before or after it ran an order, a
+ * platform that is down or serves old data, and callers that disconnect. At the end every answer is
+ * compared with the stand-ins' ledgers. */
 
 #define DURATION_S 60
 #define DURATION_QUICK_S 15
@@ -43,7 +44,7 @@
   unsigned n_kills; /* of the instance when it was sent */
   unsigned order;
   bool abandoned;
-  bool counted; /* its end has been taken in */
+  bool counted; /* its end has been counted */
 } Call;
 
 typedef struct
@@ -60,7 +61,7 @@
 {
   unsigned kind;
   unsigned target;
-  uint64_t end_us; /* 0 when the place is free */
+  uint64_t end_us; /* 0 when this entry is free */
 } Fault;
 
 typedef struct
@@ -95,7 +96,7 @@
   return (z ^ (z >> 31)) % bound;
 }
 
-/* Returns an instance that runs, or 0. The balancer does not send to one that is down. */
+/* Returns a running instance, or 0. A load balancer does not send to one that is down. */
 static int
 pick_instance (Soak *soak)
 {
@@ -136,7 +137,7 @@
             number);
 }
 
-/* A new order, whose key is a UUIDv7 minted now. */
+/* Sends a new order with a new UUIDv7 as its idempotency key. */
 static void
 send_new_order (Soak *soak)
 {
@@ -151,8 +152,8 @@
   send_order (soak, soak->n_orders++);
 }
 
-/* An order that is not known to be placed is sent again, as its caller would, also while its first
- * call still runs. */
+/* Sends an order again that is not known to have run, as its caller would, even while its first
+ * call is still running. */
 static void
 resend_order (Soak *soak)
 {
@@ -198,7 +199,7 @@
 
 typedef struct
 {
-  char prefix; /* of the stand-ins it is for, which are numbered; 0 for the platform */
+  char prefix; /* of the names of the stand-ins, before their number; 0 for the platform */
   const char *begin;
   const char *end; /* NULL when it ends by itself */
   unsigned value;
@@ -355,7 +356,7 @@
   order->n_not_run += strcmp (caller_outcome (call->caller), "not-run") == 0;
 }
 
-/* Counts how a call ended. A call whose instance was killed under it ends as it may. */
+/* Counts how a call ended. A call whose instance was killed may end in any way. */
 static void
 count_end (Soak *soak, Call *call)
 {
@@ -381,7 +382,7 @@
   else
     {
       soak->n_failed++;
-      print_message ("broken at entry-%d, kind %d, status %u: %s\n", call->instance, call->kind,
+      print_message ("failed at entry-%d, kind %d, status %u: %s\n", call->instance, call->kind,
                      caller_status (call->caller), caller_body_tail (call->caller));
     }
 }
@@ -450,10 +451,11 @@
       n_false_reports
           += (order->done && runs == 0) || (runs > 0 && order->n_not_run == order->n_sends);
     }
-  printf ("%u faults; %u calls: %u whole, %u refused, %u broken, %u lost with a killed instance, "
-          "%u left; %u orders, %u ran\n",
-          soak->n_faults, soak->n_calls, soak->n_complete, soak->n_refused, soak->n_failed,
-          soak->n_lost_with_instance, soak->n_abandoned, soak->n_orders, n_ran);
+  printf (
+      "%u faults; %u calls: %u complete, %u refused, %u failed, %u lost with a killed instance, "
+      "%u abandoned; %u orders, %u ran\n",
+      soak->n_faults, soak->n_calls, soak->n_complete, soak->n_refused, soak->n_failed,
+      soak->n_lost_with_instance, soak->n_abandoned, soak->n_orders, n_ran);
   result ("soak_orders_run_twice", n_run_twice, 0, false);
   result ("soak_refusals_untrue", n_false_reports, 0, false);
   result ("soak_answers_broken", soak->n_failed, 0, false);
--- a/libmangofork/board.h
+++ b/libmangofork/board.h
@@ -61,8 +61,8 @@
   uint64_t platform_failed_us;   /* last read of the platform that failed; 0 for never */
 } MfConfigState;
 
-/* The blackboard: the whole state of this instance. Controllers may read any part of it, and write
- * only their own. */
+/* The blackboard: the complete state of this instance. Controllers may read any part of it, and
+ * write only their own. */
 typedef struct
 {
   uint64_t now_us;
--- a/libmangofork/core.c
+++ b/libmangofork/core.c
@@ -23,7 +23,7 @@
   return (value << bits) | (value >> (64 - bits));
 }
 
-/* Spreads a small seed over the whole state of the generator (splitmix64). */
+/* Spreads a small seed over the complete state of the generator (splitmix64). */
 static void
 random_seed (MfCore *core, uint64_t seed)
 {
--- a/libmangofork/exchange.h
+++ b/libmangofork/exchange.h
@@ -43,7 +43,7 @@
   bool has_length;
   bool headers_seen;
   bool too_large;
-  bool complete;   /* the whole request has been received */
+  bool complete;   /* the request has been received completely */
   bool in_core;    /* submitted to the core, which has not ended it */
   bool in_handler; /* libmicrohttpd is inside its access handler */
   bool suspended;
--- a/libmangofork/place.c
+++ b/libmangofork/place.c
@@ -36,7 +36,8 @@
   uint32_t n_rows;
 } Sample;
 
-/* Samples candidates without a scan of the whole pool: evenly spaced ones from a random start. */
+/* Samples candidates without a scan of the complete pool: evenly spaced ones from a random start.
+ */
 static void
 sample_pool (MfCore *core, uint32_t pool, Sample *sample)
 {
--- a/libmangofork/relay/dispatch.c
+++ b/libmangofork/relay/dispatch.c
@@ -113,7 +113,7 @@
     }
 }
 
-/* Removes the requests of a requester that is gone and the grants to it. */
+/* Removes the requests of a requester whose connection was lost, and the grants to it. */
 void
 mf_dispatch_drop_requester (MfDispatch *dispatch, uint64_t requester)
 {
--- a/libmangofork/relay/peers.c
+++ b/libmangofork/relay/peers.c
@@ -200,7 +200,7 @@
     }
 }
 
-/* Calls the gone callback, once until the next report of the peer. */
+/* Calls the lost callback, once until the next report of the peer. */
 static void
 peer_notify_lost (MfPeers *peers, MfPeer *peer)
 {
--- a/libmangofork/relay/peers_row.h
+++ b/libmangofork/relay/peers_row.h
@@ -35,8 +35,8 @@
   uint64_t leader_excluded_until_us; /* not chosen as leader before this time */
   uint64_t grant_id;                 /* latest grant accepted from it */
   bool grant_acked;
-  bool connection_lost; /* the connection broke; the gone callback runs from the next tick */
-  bool loss_notified;   /* the gone callback has run, and no report has come since */
+  bool connection_lost; /* the connection broke; the lost callback runs from the next tick */
+  bool loss_notified;   /* the lost callback has run, and no report has come since */
   uint64_t last_report_us;
   uint64_t report_lifetime_us; /* how long its last report is valid */
   MfLoadEntry *entries;
