--- a/bench/relay.c
+++ b/bench/relay.c
@@ -16,7 +16,7 @@
 
 #define OPEN_STREAMS 1000
 #define TTFT_TARGET_MS 0.5
-#define TOKENS_TARGET 200000.0
+#define TOKENS_PER_S_TARGET 200000.0
 /* Growth over the complete run that fragmentation in the allocator may cause. */
 #define GROWTH_TARGET_KB 1024
 #define MEMORY_CALLERS 64
@@ -561,7 +561,7 @@
 
   measure_tokens (bench, true, gap_us, what);
   rate = measure_tokens (bench, false, gap_us, what);
-  result (bench, name, rate, TOKENS_TARGET, rate >= TOKENS_TARGET);
+  result (bench, name, rate, TOKENS_PER_S_TARGET, rate >= TOKENS_PER_S_TARGET);
 }
 
 static void
--- a/libmangofork/limit.c
+++ b/libmangofork/limit.c
@@ -6,7 +6,7 @@
 #define BURST_S 2
 
 static bool
-take_rate_credit (const MfCore *core, MfCustomerRow *row, uint64_t *retry_after_ms)
+consume_rate_credit (const MfCore *core, MfCustomerRow *row, uint64_t *retry_after_ms)
 {
   uint64_t rate = row->config.requests_per_s;
   uint64_t now = core->board.now_us;
@@ -36,7 +36,7 @@
   row = &core->board.services.customers[customer];
   if (row->config.in_flight_max > 0 && row->n_in_flight >= row->config.in_flight_max)
     return false;
-  if (!take_rate_credit (core, row, retry_after_ms))
+  if (!consume_rate_credit (core, row, retry_after_ms))
     return false;
   row->n_in_flight++;
   return true;
--- a/libmangofork/service.c
+++ b/libmangofork/service.c
@@ -86,12 +86,12 @@
                                          sizeof *services->config_customer_rows);
   for (uint32_t i = 0; i < config->n_customers; i++)
     {
-      HashRow want = { .hash = mf_hash_name (config->customers[i].name) };
-      HashRow *found = bsearch (&want, known, n_known, sizeof *known, hash_row_compare);
+      HashRow key = { .hash = mf_hash_name (config->customers[i].name) };
+      HashRow *found = bsearch (&key, known, n_known, sizeof *known, hash_row_compare);
       uint32_t row = found != NULL ? found->row : services->n_customers++;
 
       if (found == NULL)
-        services->customers[row] = (MfCustomerRow){ .name_hash = want.hash };
+        services->customers[row] = (MfCustomerRow){ .name_hash = key.hash };
       services->customers[row].config = config->customers[i];
       services->customers[row].in_config = true;
       services->customers[row].index_in_config = i;
--- a/libmangofork/suspect.c
+++ b/libmangofork/suspect.c
@@ -267,8 +267,8 @@
 
 /* Removes one failure at an upstream, or at any when it is 0, that is older than before_us. */
 static bool
-take_failure (MfSuspects *suspects, uint64_t upstream_id, uint64_t before_us,
-              MfSuspectFailure *failure)
+remove_failure (MfSuspects *suspects, uint64_t upstream_id, uint64_t before_us,
+                MfSuspectFailure *failure)
 {
   for (uint32_t i = 0; i < suspects->n_failures; i++)
     {
@@ -302,7 +302,7 @@
   uint32_t n_suspects = count_suspects_at (suspects, upstream_id);
   MfSuspectFailure failure;
 
-  while (take_failure (suspects, upstream_id, UINT64_MAX, &failure))
+  while (remove_failure (suspects, upstream_id, UINT64_MAX, &failure))
     {
       MfSuspectDeath death
           = { .process_id = process_id, .sent_us = failure.sent_us, .at_us = failure.failed_us };
@@ -348,7 +348,7 @@
 {
   MfSuspectFailure failure;
 
-  while (take_failure (suspects, upstream_id, before_us, &failure))
+  while (remove_failure (suspects, upstream_id, before_us, &failure))
     func (data, &failure, MF_SUSPECT_UNRELATED);
 }
 
