--- a/libmangofork/action.h
+++ b/libmangofork/action.h
@@ -12,7 +12,7 @@
   MF_ACTION_ANSWER_TOKENS,  /* send tokens to the caller */
   MF_ACTION_ANSWER_END,     /* the streamed or collected answer is complete */
   MF_ACTION_ANSWER_PLAIN,   /* the complete answer of a plain call */
-  MF_ACTION_ANSWER_REFUSE,  /* a refusal; ends a stream that has begun with an error event */
+  MF_ACTION_ANSWER_REFUSE,  /* a refusal; ends a stream that has started with an error event */
   MF_ACTION_KV_HANDLE_DROP, /* discard the call's KV handle */
   MF_ACTION_PEER_OPEN,
   MF_ACTION_PEER_CLOSE,
@@ -30,7 +30,7 @@
 {
   MF_CALL_PREFILL,
   MF_CALL_DECODE,
-  MF_CALL_RESUME, /* continue a broken stream whose KV the engine still holds */
+  MF_CALL_RESUME, /* continue a failed stream whose KV the engine still holds */
   MF_CALL_PLAIN,
   MF_CALL_CANCEL,       /* free what the call target_call_id holds */
   MF_CALL_CANCEL_OWNER, /* free everything of one incarnation of an instance */
@@ -61,7 +61,7 @@
   uint32_t max_tokens;      /* decode, resume: tokens still to generate */
   uint64_t prefill_call_id; /* decode: prefill call whose KV to import */
   uint64_t target_call_id;  /* cancel */
-  uint32_t target_attempt;  /* cancel: attempt of the call to free; resume: of the broken stream */
+  uint32_t target_attempt;  /* cancel: attempt of the call to free; resume: of the failed stream */
   uint64_t cache_after;     /* load: number of the last cache event seen; 0 for none */
   MfInstanceId owner;       /* cancel_owner: instance whose work to free */
   uint32_t priority;        /* lower values are more urgent */
--- a/libmangofork/burn.h
+++ b/libmangofork/burn.h
@@ -44,7 +44,7 @@
   MF_SLI_COUNT,
 } MfSli;
 
-/* Windows over which burn rates are computed; an alert combines a short one with a long one. */
+/* Windows over which burn rates are computed; an alert combines a short window with a long one. */
 typedef enum
 {
   MF_BURN_WINDOW_5M,
--- a/libmangofork/exchange.c
+++ b/libmangofork/exchange.c
@@ -262,7 +262,7 @@
   set->callbacks.on_event (&event, set->data);
 }
 
-/* The list comes from the configuration in force; the core takes no part. */
+/* Answers with the models of the configuration in force, without the core. */
 bool
 mf_exchange_answer_models (MfExchange *exchange)
 {
--- a/libmangofork/limit.c
+++ b/libmangofork/limit.c
@@ -42,7 +42,7 @@
   return true;
 }
 
-/* A request of the customer has ended. */
+/* Releases what a request that has ended counted against its customer. */
 void
 mf_limit_release (MfCore *core, const MfRequest *request)
 {
--- a/libmangofork/peer.h
+++ b/libmangofork/peer.h
@@ -50,7 +50,7 @@
   uint32_t age_ms; /* since it was first published, summed over hops */
 } MfGossip;
 
-/* Slots of one upstream that an instance uses and wants. */
+/* Slots of one upstream that an instance uses, and those that it would use without a limit. */
 typedef struct
 {
   uint64_t upstream; /* hash of the name */
@@ -128,7 +128,7 @@
   uint8_t key[MF_DIGEST_BYTES];
   bool granted;
   bool abstained;
-  bool forgotten; /* abstained for good: the voter may have lost a record of so old a key */
+  bool forgotten; /* the voter never votes on this key: its record of so old a key may be lost */
   bool body_differs;
   MfInstanceId holder; /* the claimant that holds the key, when not granted */
   uint64_t holder_claim_id;
--- a/libmangofork/platform_read.c
+++ b/libmangofork/platform_read.c
@@ -6,7 +6,8 @@
 #define START_JITTER_US (500 * MF_US_PER_MS)
 /* The election is repeated at this interval, as instances fail and recover. */
 #define ELECTION_PERIOD_US MF_US_PER_S
-/* Other readers are elected at this interval, so that no instance bears their load for long. */
+/* Other readers are elected at this interval, so that no instance carries the load of a reader for
+ * long. */
 #define READER_TERM_MS (600 * UINT64_C (1000))
 /* A read without a result after this time counts as failed. */
 #define READ_TIMEOUT_US (600 * MF_US_PER_S)
--- a/libmangofork/policy.h
+++ b/libmangofork/policy.h
@@ -21,19 +21,19 @@
 {
   const char *name;
   bool queues;  /* requests wait here for capacity; otherwise they are sent at once */
-  bool resumes; /* broken streams are resumed at the same engine */
+  bool resumes; /* failed streams are resumed at the same engine */
   bool hedges;
   bool isolates; /* suspects run on separate upstreams */
   MfPlaceResult (*place_model) (MfCore *core, MfRequest *request, MfPlacement *placement);
-  /* The decode engine for a KV that waits; MF_NONE if none has capacity now. */
+  /* Returns the decode engine for a waiting KV, or MF_NONE if none has capacity now. */
   uint32_t (*place_decode) (MfCore *core, MfRequest *request);
-  /* Whether there is capacity that requests still on time will not need. */
+  /* Returns whether there is capacity that requests still on time will not need. */
   bool (*has_spare_slots) (MfCore *core, const MfRequest *request);
-  /* MF_NONE if no upstream has capacity now. */
+  /* Returns MF_NONE if no upstream has capacity now. */
   uint32_t (*place_plain) (MfCore *core, MfRequest *request);
-  /* Whether one more retry is allowed, and after what delay. */
+  /* Returns whether one more retry is allowed, and sets its delay. */
   bool (*may_retry) (MfCore *core, MfRequest *request, uint64_t *delay_us);
-  /* Time from placement to the first token without queueing. */
+  /* Returns the time from placement to the first token without queueing. */
   uint64_t (*unloaded_us) (const MfCore *core, const MfRequest *request);
 };
 
--- a/libmangofork/request.h
+++ b/libmangofork/request.h
@@ -60,8 +60,8 @@
   size_t body_bytes;
 } MfClaimResult;
 
-/* Called by the claim controller when a claim begun with mf_claim_begin has a result. May be called
- * before mf_claim_begin returns. */
+/* Called by the claim controller when a claim started with mf_claim_begin has a result. May be
+ * called before mf_claim_begin returns. */
 void mf_request_claim_settled (MfCore *core, uint64_t request_id, const MfClaimResult *result);
 
 typedef struct MfRequest MfRequest;
@@ -101,7 +101,7 @@
   bool has_idempotency_key;
   bool claimed;       /* granted; mf_claim_finish must be called */
   bool departed;      /* the caller has disconnected, but the call continues for its key */
-  bool ran;           /* some of the work has certainly begun at an upstream */
+  bool ran;           /* some of the work has certainly started at an upstream */
   uint32_t n_unknown; /* ended calls that may have run */
   uint8_t key_digest[MF_DIGEST_BYTES];
   uint64_t key_created_ms;
@@ -163,7 +163,7 @@
 MfRequest *mf_request_find (const MfCore *core, uint64_t request_id);
 uint32_t mf_request_count (const MfCore *core);
 void mf_request_foreach (MfCore *core, void (*func) (MfRequest *request, void *data), void *data);
-/* The upstream's process has ended: fails every call on it that was made before. */
+/* Fails every call in progress on an upstream whose process has ended. */
 void mf_request_upstream_died (MfCore *core, uint32_t upstream);
 /* Schedules the next MF_INPUT_TIMER; the deadline may fire it earlier. */
 void mf_request_check_at (MfCore *core, MfRequest *request, uint64_t at_us);
@@ -195,7 +195,7 @@
 /* Closes the call's connection. If the engine may hold memory for it, a cancel is sent until
  * confirmed. */
 void mf_call_abandon (MfCore *core, MfCall *call);
-/* Clears the request and its running calls of suspicion. */
+/* Clears the suspect marks of the request and of its running calls. */
 void mf_call_clear_suspect (MfCore *core, MfRequest *request);
 void mf_call_abandon_all (MfCore *core, MfRequest *request);
 MfCall *mf_call_find (const MfCore *core, uint64_t call_id);
--- a/libmangofork/retry.c
+++ b/libmangofork/retry.c
@@ -43,7 +43,7 @@
   return true;
 }
 
-/* A request of the service has been accepted. */
+/* Adds to the budgets of a service after it has accepted a request. */
 void
 mf_retry_earn (MfCore *core, uint32_t service)
 {
--- a/libmangofork/share.c
+++ b/libmangofork/share.c
@@ -15,7 +15,7 @@
 /* A share that has become zero is reported this many more times. */
 #define ZERO_REPEATS 2
 
-/* What another instance uses and wants of one upstream. */
+/* Slots of one upstream that another instance uses, and those that it would use without a limit. */
 typedef struct
 {
   uint64_t instance; /* hash of the instance's name */
@@ -87,8 +87,8 @@
   return rank;
 }
 
-/* The share when demand exceeds the slots, by max-min fairness: instances that want less than the
- * common level get what they want, and what they leave raises the level for the others. */
+/* Returns the share when demand exceeds the slots, by max-min fairness: instances that want less
+ * than the common level get what they want, and what they leave raises the level for the others. */
 static uint32_t
 max_min_share (const MfCore *core, uint32_t upstream, uint32_t n_slots)
 {
@@ -124,8 +124,9 @@
             < n_remaining - level * n_unsatisfied);
 }
 
-/* The share when all demand fits: every instance with demand may grow by an equal part of the rest,
- * so that all of them together cannot exceed it before they know of each other's growth. */
+/* Returns the share when all demand fits: every instance with demand may grow by an equal part of
+ * the free slots, so that all of them together cannot exceed the slots before they know of each
+ * other's growth. */
 static uint32_t
 slack_share (const MfCore *core, uint32_t upstream, uint32_t n_slots, uint32_t demand)
 {
@@ -140,9 +141,10 @@
          + (remainder_rank (core, row, core->board.upstreams[upstream].name_hash, 0) < remainder);
 }
 
-/* The share by the slots in use now: an equal part of the free slots is left to every instance that
- * wants more. Until two digest periods after this instance's demand has risen, the others may not
- * know of it, nor this one of theirs; until then every live instance is assumed to want more. */
+/* Returns the share by the slots in use now: an equal part of the free slots is left to every
+ * instance that wants more. For two digest periods after the demand of this instance has risen, the
+ * instances may not know of each other's demand; until then every live instance is assumed to want
+ * more. */
 static uint32_t
 free_share (const MfCore *core, uint32_t upstream, uint32_t n_slots)
 {
--- a/libmangofork/share.h
+++ b/libmangofork/share.h
@@ -3,8 +3,8 @@
 
 #include "core.h"
 
-/* Returns how many of an upstream's slots this instance may use at once, given what the other
- * instances use and want; at least 1. */
+/* Returns how many of an upstream's slots this instance may use at once, given the slots
+ * that the other instances use and request; at least 1. */
 uint32_t mf_share_limit (const MfCore *core, uint32_t upstream);
 /* Sets how many of the upstream's slots this instance would use if it were not limited. */
 void mf_share_set_demand (MfCore *core, uint32_t upstream, uint32_t n_slots);
--- a/libmangofork/suspect.c
+++ b/libmangofork/suspect.c
@@ -341,7 +341,7 @@
     mf_suspects_upstream_died (suspects, upstream_id, upstream_id, now_us, func, data);
 }
 
-/* Handles a sign of life from an upstream: calls that failed there earlier had another cause. */
+/* Handles evidence that an upstream is alive: calls that failed there earlier had another cause. */
 void
 mf_suspects_upstream_alive (MfSuspects *suspects, uint64_t upstream_id, uint64_t before_us,
                             MfSuspectFailureFunc func, void *data)
--- a/libmangofork/suspect.h
+++ b/libmangofork/suspect.h
@@ -27,7 +27,7 @@
   uint64_t request_id;   /* identifies the attempt */
   uint64_t upstream_id;  /* that ran it; not 0 */
   uint64_t address_hash; /* of the upstream; 0 when unknown */
-  bool was_suspect;      /* the request was a was_suspect when it was sent */
+  bool was_suspect;      /* the request was already a suspect when it was sent */
   uint64_t sent_us;
   uint64_t failed_us;
 } MfSuspectFailure;
--- a/libmangofork/suspect_core.c
+++ b/libmangofork/suspect_core.c
@@ -5,8 +5,8 @@
 
 #include <xxhash.h>
 
-/* The same after two and after three deaths: each suspect runs without other suspects at its
- * upstream, so that two deaths are as strong evidence as three. */
+/* The quarantine is the same after two and after three deaths: each suspect runs without other
+ * suspects at its upstream, so that two deaths are as strong evidence as three. */
 #define QUARANTINE_US (UINT64_C (600) * MF_US_PER_S)
 #define CRASH_WINDOW_US (3 * MF_US_PER_S)
 /* A request stops waiting for an upstream that has neither answered nor been declared dead within
@@ -104,7 +104,7 @@
   mf_request_trace (core, request, MF_TRACE_SUSPECTED, upstream, MF_NONE, request->n_deaths);
 }
 
-/* Lets the request of a resolved failure continue, or refuses it. */
+/* Continues or refuses the request of a resolved failure. */
 static void
 on_failure_resolved (void *data, const MfSuspectFailure *failure, MfSuspectResult result)
 {
@@ -189,7 +189,7 @@
   mf_suspects_foreach (core->board.suspects, core->board.now_us, func, data);
 }
 
-/* Resolves failures whose upstream gave no sign of life or death in time. */
+/* Resolves failures whose upstream has neither answered nor been declared dead in time. */
 static void
 suspect_tick (MfCore *core)
 {
--- a/libmangofork/types.h
+++ b/libmangofork/types.h
@@ -15,7 +15,7 @@
 #define MF_PREFIX_HASHES_MAX 32
 /* Size of the digest of an idempotency key or an API key. */
 #define MF_DIGEST_BYTES 32
-/* No index, of upstreams, services, customers and pools. */
+/* Value of an index that refers to no upstream, service, customer or pool. */
 #define MF_NONE UINT32_MAX
 
 #define MF_US_PER_MS UINT64_C (1000)
--- a/libmangofork/window.c
+++ b/libmangofork/window.c
@@ -15,10 +15,10 @@
  * above that, and otherwise grows by PLAIN_RISE_MILLI. */
 #define PLAIN_RISE_MILLI 20
 #define PLAIN_FALL_DIVISOR 64
-/* One answer counts for one part in this of the moving mean, which is used after as many answers.
- */
+/* The weight of one answer in the moving mean is 1/MEAN_DIVISOR. The mean is used only after
+ * MEAN_DIVISOR answers. */
 #define MEAN_DIVISOR 32
-/* With less than one part in this of the window in flight, the mean is taken as the new base. */
+/* The mean becomes the new base when less than 1/IDLE_DIVISOR of the window is in flight. */
 #define IDLE_DIVISOR 4
 /* The initial window is small, so that the first answers are measured without queueing. It grows
  * faster until it has been narrowed once. */
