--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -23,7 +23,7 @@
 typedef struct
 {
   uint32_t key;
-  uint32_t slot;
+  uint32_t instance;
   uint64_t incarnation;
   bool received; /* by the order service */
   uint64_t call_id;
@@ -61,12 +61,12 @@
 static const char long_deadline_text[] = TEXT (600000, "\"n0\", \"n1\", \"n2\", \"n3\", \"n4\"", 5);
 
 static void
-on_call (FakeCores *cores, uint32_t slot, const MfCallAction *call, void *data)
+on_call (FakeCores *cores, uint32_t instance, const MfCallAction *call, void *data)
 {
   Fleet *fleet = data;
   Request *request = &fleet->requests[call->request_id];
 
-  (void)slot;
+  (void)instance;
   if (call->kind != MF_CALL_PLAIN)
     return;
   assert_true (call->fresh_connection);
@@ -77,13 +77,13 @@
 }
 
 static void
-on_answer (FakeCores *cores, uint32_t slot, const MfAction *action, void *data)
+on_answer (FakeCores *cores, uint32_t instance, const MfAction *action, void *data)
 {
   Fleet *fleet = data;
   Request *request = &fleet->requests[action->answer.request_id];
 
   (void)cores;
-  (void)slot;
+  (void)instance;
   assert_false (request->answered);
   request->answered = true;
   request->replayed = action->answer.replayed;
@@ -116,21 +116,21 @@
 static void
 service_answer (Fleet *fleet, Request *request)
 {
-  MfCore *core = fake_cores_core (fleet->cores, request->slot);
+  MfCore *core = fake_cores_core (fleet->cores, request->instance);
   MfEvent event = { .type = MF_EVENT_CALL_SENT, .call = { .call_id = request->call_id } };
   char body[32];
 
   request->done_us = 0;
   if (core == NULL || core->board.options.self.incarnation != request->incarnation)
     return;
-  fake_cores_handle_event (fleet->cores, request->slot, &event);
+  fake_cores_handle_event (fleet->cores, request->instance, &event);
   snprintf (body, sizeof body, "order %u", request->key);
   event.type = MF_EVENT_CALL_DONE;
   event.call.status = 201;
   event.call.content_type = "text/plain";
   event.call.data = body;
   event.call.data_bytes = strlen (body);
-  fake_cores_handle_event (fleet->cores, request->slot, &event);
+  fake_cores_handle_event (fleet->cores, request->instance, &event);
 }
 
 static void
@@ -153,10 +153,11 @@
 
 /* Sends an order with a key through an instance; returns its entry in fleet->requests. */
 static Request *
-fleet_send (Fleet *fleet, uint32_t slot, uint32_t key, uint64_t created_ms, uint64_t body_digest)
+fleet_send (Fleet *fleet, uint32_t instance, uint32_t key, uint64_t created_ms,
+            uint64_t body_digest)
 {
   uint32_t id = ++fleet->n_requests;
-  MfCore *core = fake_cores_core (fleet->cores, slot);
+  MfCore *core = fake_cores_core (fleet->cores, instance);
   MfEvent event = { .type = MF_EVENT_REQUEST,
                     .request = { .request_id = id,
                                  .name = "order",
@@ -167,9 +168,10 @@
                                  .key_created_ms = created_ms } };
 
   snprintf ((char *)event.request.key_digest, MF_DIGEST_BYTES, "key %u", key);
-  fleet->requests[id]
-      = (Request){ .key = key, .slot = slot, .incarnation = core->board.options.self.incarnation };
-  fake_cores_handle_event (fleet->cores, slot, &event);
+  fleet->requests[id] = (Request){ .key = key,
+                                   .instance = instance,
+                                   .incarnation = core->board.options.self.incarnation };
+  fake_cores_handle_event (fleet->cores, instance, &event);
   return &fleet->requests[id];
 }
 
@@ -422,9 +424,9 @@
       uint8_t key[MF_DIGEST_BYTES] = { 0 };
 
       snprintf ((char *)key, sizeof key, "filler %u", i);
-      for (uint32_t slot = 1; slot < N_INSTANCES; slot++)
+      for (uint32_t instance = 1; instance < N_INSTANCES; instance++)
         {
-          MfVoterState *voter = mf_claim_voter (fake_cores_core (fleet->cores, slot));
+          MfVoterState *voter = mf_claim_voter (fake_cores_core (fleet->cores, instance));
 
           assert_non_null (mf_key_table_add (voter->key_table, key, core->board.now_us));
         }
@@ -494,27 +496,27 @@
 static void
 inject_fault (Fleet *fleet)
 {
-  uint32_t slot = (uint32_t)random_below (fleet, N_INSTANCES);
+  uint32_t instance = (uint32_t)random_below (fleet, N_INSTANCES);
   uint32_t other = (uint32_t)random_below (fleet, N_INSTANCES);
 
   switch (random_below (fleet, 6))
     {
     case 0:
-      fake_cores_kill (fleet->cores, slot, random_below (fleet, 2) == 0);
+      fake_cores_kill (fleet->cores, instance, random_below (fleet, 2) == 0);
       break;
     case 1:
     case 2:
-      if (fake_cores_core (fleet->cores, slot) == NULL || random_below (fleet, 4) == 0)
-        fake_cores_start (fleet->cores, slot);
+      if (fake_cores_core (fleet->cores, instance) == NULL || random_below (fleet, 4) == 0)
+        fake_cores_start (fleet->cores, instance);
       break;
     case 3:
-      fake_cores_pause (fleet->cores, slot, random_below (fleet, 4 * MF_US_PER_S));
+      fake_cores_pause (fleet->cores, instance, random_below (fleet, 4 * MF_US_PER_S));
       break;
     case 4:
-      fake_cores_set_link_cut (fleet->cores, slot, other, true);
+      fake_cores_set_link_cut (fleet->cores, instance, other, true);
       break;
     default:
-      fake_cores_set_link_cut (fleet->cores, slot, other, false);
+      fake_cores_set_link_cut (fleet->cores, instance, other, false);
       break;
     }
 }
@@ -546,7 +548,7 @@
   fleet_run (fleet, 30 * MF_US_PER_S);
   for (uint32_t key = 1; key < 100; key++)
     {
-      uint32_t slot = (uint32_t)random_below (fleet, N_INSTANCES);
+      uint32_t instance = (uint32_t)random_below (fleet, N_INSTANCES);
 
       created_ms[key] = random_below (fleet, 4) == 0
                             ? 0
@@ -555,9 +557,9 @@
         {
           uint32_t resent = key - (uint32_t)random_below (fleet, key < 5 ? key : 5);
 
-          if (fake_cores_core (fleet->cores, slot) != NULL)
-            fleet_send (fleet, slot, resent, created_ms[resent], 7);
-          slot = (uint32_t)random_below (fleet, N_INSTANCES);
+          if (fake_cores_core (fleet->cores, instance) != NULL)
+            fleet_send (fleet, instance, resent, created_ms[resent], 7);
+          instance = (uint32_t)random_below (fleet, N_INSTANCES);
           fleet_run (fleet, random_below (fleet, 30) * MF_US_PER_MS);
           if (random_below (fleet, 5) == 0)
             {
--- a/tests/test_confsync.c
+++ b/tests/test_confsync.c
@@ -46,17 +46,17 @@
 }
 
 static uint64_t
-revision_at (FakeCores *cores, uint32_t slot)
+revision_at (FakeCores *cores, uint32_t instance)
 {
-  const MfConfig *config = fake_cores_core (cores, slot)->board.config;
+  const MfConfig *config = fake_cores_core (cores, instance)->board.config;
 
   return config != NULL ? config->revision : 0;
 }
 
 static uint64_t
-counter_at (FakeCores *cores, uint32_t slot, MfCounter counter)
+counter_at (FakeCores *cores, uint32_t instance, MfCounter counter)
 {
-  return fake_cores_core (cores, slot)->board.counters.values[counter];
+  return fake_cores_core (cores, instance)->board.counters.values[counter];
 }
 
 static uint32_t
--- a/tests/test_gossip.c
+++ b/tests/test_gossip.c
@@ -23,11 +23,11 @@
 } Calls;
 
 static void
-on_call (FakeCores *cores, uint32_t slot, const MfCallAction *call, void *data)
+on_call (FakeCores *cores, uint32_t instance, const MfCallAction *call, void *data)
 {
   Calls *calls = data;
 
-  (void)slot;
+  (void)instance;
   if (call->kind != MF_CALL_CANCEL_OWNER)
     return;
   if (calls->n_released++ == 0)
@@ -61,9 +61,9 @@
 /* Delivers a load report of an upstream to an instance: the first makes the upstream usable, a
  * later one may report that it is leaving. */
 static void
-report_load (FakeCores *cores, uint32_t slot, const char *name, bool leaving)
+report_load (FakeCores *cores, uint32_t instance, const char *name, bool leaving)
 {
-  MfCore *core = fake_cores_core (cores, slot);
+  MfCore *core = fake_cores_core (cores, instance);
   uint32_t upstream = mf_upstream_find (core, mf_hash_name (name));
   MfEvent event = { .type = MF_EVENT_LOAD,
                     .load = { .upstream = upstream,
@@ -77,7 +77,7 @@
                               .model = "m0" } };
 
   assert_int_not_equal (upstream, MF_NONE);
-  fake_cores_handle_event (cores, slot, &event);
+  fake_cores_handle_event (cores, instance, &event);
 }
 
 static uint32_t
@@ -109,8 +109,8 @@
       Calls calls = { 0 };
       FakeCores *cores = fleet_new (sizes[i], 4, &calls);
 
-      for (uint32_t slot = 0; slot < sizes[i]; slot++)
-        report_load (cores, slot, "d1", false);
+      for (uint32_t instance = 0; instance < sizes[i]; instance++)
+        report_load (cores, instance, "d1", false);
       assert_int_equal (count_usable (cores, sizes[i], "d1"), sizes[i]);
       report_load (cores, 3, "d1", true);
       fake_cores_run (cores, 3 * MF_US_PER_S);
@@ -130,15 +130,15 @@
   uint32_t upstream = mf_upstream_find (core, mf_hash_name ("d1"));
 
   (void)state;
-  for (uint32_t slot = 0; slot < 3; slot++)
-    report_load (cores, slot, "d1", false);
+  for (uint32_t instance = 0; instance < 3; instance++)
+    report_load (cores, instance, "d1", false);
   report_load (cores, 0, "d1", true);
   fake_cores_run (cores, MF_US_PER_S);
   report_load (cores, 1, "d1", false);
   assert_int_equal (count_usable (cores, 3, "d1"), 0);
   fake_cores_run (cores, 3 * MF_US_PER_S);
-  for (uint32_t slot = 0; slot < 3; slot++)
-    report_load (cores, slot, "d1", false);
+  for (uint32_t instance = 0; instance < 3; instance++)
+    report_load (cores, instance, "d1", false);
   assert_int_equal (count_usable (cores, 3, "d1"), 3);
   mf_upstream_note_leaving (core, upstream, 77);
   assert_int_equal (count_usable (cores, 3, "d1"), 3);
@@ -185,8 +185,8 @@
   for (uint32_t i = 0; i < 500; i++)
     mf_gossip_publish (core, MF_GOSSIP_REQUEST_SUSPECT, 1000 + i, 1);
   mf_gossip_publish (core, MF_GOSSIP_UPSTREAM_LEAVING, mf_hash_name ("d1"), 0);
-  for (uint32_t slot = 0; slot < 7; slot++)
-    report_load (cores, slot, "d1", false);
+  for (uint32_t instance = 0; instance < 7; instance++)
+    report_load (cores, instance, "d1", false);
   n_bytes = fake_cores_bytes_sent (cores, 0);
   fake_cores_run (cores, 500 * MF_US_PER_MS);
   assert_int_equal (count_usable (cores, 7, "d1"), 1); /* only the publisher */
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -74,11 +74,11 @@
 
 /* Marks the instances that can be reached over links between neighbours. */
 static void
-mark_reachable (FakeCores *cores, uint32_t slot, bool *reached)
+mark_reachable (FakeCores *cores, uint32_t instance, bool *reached)
 {
-  const MfMembers *members = fake_cores_core (cores, slot)->board.members;
+  const MfMembers *members = fake_cores_core (cores, instance)->board.members;
 
-  reached[slot] = true;
+  reached[instance] = true;
   for (uint32_t i = 0; i < MF_NEIGHBOURS_MAX; i++)
     {
       uint32_t other;
--- a/tests/test_order.c
+++ b/tests/test_order.c
@@ -11,7 +11,7 @@
 
 #include <cmocka.h>
 
-#define N_SLOTS 6
+#define N_INSTANCES 6
 #define ENGINES_MAX 8
 #define STEP_US (100 * MF_US_PER_MS)
 #define LAG_US (50 * MF_US_PER_MS)
@@ -33,7 +33,7 @@
 
 typedef struct
 {
-  uint32_t slot;
+  uint32_t instance;
   uint64_t call_id;
   uint16_t status;
 } Reply;
@@ -44,20 +44,20 @@
   Engine engines[ENGINES_MAX];
   uint32_t n_engines;
   bool checks_fencing;
-  bool paused[N_SLOTS]; /* instances that are paused and get no reports */
+  bool paused[N_INSTANCES]; /* instances that are paused and get no reports */
   Reply replies[64];
   uint32_t n_replies;
   uint32_t n_loading_max; /* highest number of engines loading at once */
 } Fleet;
 
 static void
-on_call (FakeCores *cores, uint32_t slot, const MfCallAction *call, void *data)
+on_call (FakeCores *cores, uint32_t instance, const MfCallAction *call, void *data)
 {
   Fleet *fleet = data;
-  uint32_t at = call->kind == MF_CALL_ORDER
-                    ? (uint32_t)strtoul (strrchr (call->address, ':') + 1, NULL, 10) - 20000
-                    : ENGINES_MAX;
-  Engine *engine = &fleet->engines[at % ENGINES_MAX];
+  uint32_t index = call->kind == MF_CALL_ORDER
+                       ? (uint32_t)strtoul (strrchr (call->address, ':') + 1, NULL, 10) - 20000
+                       : ENGINES_MAX;
+  Engine *engine = &fleet->engines[index % ENGINES_MAX];
   uint16_t status = 200;
 
   if (call->kind != MF_CALL_ORDER)
@@ -75,14 +75,14 @@
       engine->load_end_us = fake_cores_now_us (cores) + LOAD_US;
       memcpy (engine->next_version, call->order_value, sizeof engine->next_version);
     }
-  fleet->replies[fleet->n_replies++] = (Reply){ slot, call->call_id, status };
+  fleet->replies[fleet->n_replies++] = (Reply){ instance, call->call_id, status };
 }
 
 static void
 fleet_new (Fleet *fleet, uint32_t n_engines, bool checks_fencing)
 {
   const FakeCoresOptions options = {
-    .n_instances = N_SLOTS,
+    .n_instances = N_INSTANCES,
     .n_data_centres = 3,
     .delay_us = MF_US_PER_MS,
     .seed = 9,
@@ -101,7 +101,7 @@
     strcpy (fleet->engines[i].version, "v1");
   fake_cores_publish (fleet->cores, 1, text);
   free (text);
-  for (uint32_t i = 0; i < N_SLOTS; i++)
+  for (uint32_t i = 0; i < N_INSTANCES; i++)
     fake_cores_start (fleet->cores, i);
   fake_cores_run (fleet->cores, 5 * MF_US_PER_S);
 }
@@ -120,10 +120,10 @@
 }
 
 static void
-report (Fleet *fleet, uint32_t slot, uint32_t at)
+report (Fleet *fleet, uint32_t instance, uint32_t index)
 {
-  MfCore *core = fake_cores_core (fleet->cores, slot);
-  const Engine *engine = &fleet->engines[at];
+  MfCore *core = fake_cores_core (fleet->cores, instance);
+  const Engine *engine = &fleet->engines[index];
   MfEvent event = { .type = MF_EVENT_LOAD,
                     .load = { .incarnation = 1,
                               .measured_us = fake_cores_now_us (fleet->cores) - LAG_US,
@@ -137,28 +137,28 @@
                               .fence_seen = engine->fence_seen } };
   char name[MF_NAME_BYTES];
 
-  snprintf (name, sizeof name, "d%u", at);
+  snprintf (name, sizeof name, "d%u", index);
   event.load.upstream = mf_upstream_find (core, mf_hash_name (name));
   memcpy (event.load.version, engine->version, sizeof engine->version);
-  fake_cores_handle_event (fleet->cores, slot, &event);
+  fake_cores_handle_event (fleet->cores, instance, &event);
 }
 
 static bool
-is_on_hold (Fleet *fleet, uint32_t slot, uint32_t at)
+is_order_pending (Fleet *fleet, uint32_t instance, uint32_t index)
 {
-  MfCore *core = fake_cores_core (fleet->cores, slot);
+  MfCore *core = fake_cores_core (fleet->cores, instance);
   char name[MF_NAME_BYTES];
 
-  snprintf (name, sizeof name, "d%u", at);
+  snprintf (name, sizeof name, "d%u", index);
   return core->board.upstreams[mf_upstream_find (core, mf_hash_name (name))].order_pending;
 }
 
 /* Ends a load that is due. A busy engine loses its work step by step while it is on hold or
  * loading, and gets new work afterwards. */
 static void
-engine_step (Fleet *fleet, uint32_t at, bool busy)
+engine_step (Fleet *fleet, uint32_t index, bool busy)
 {
-  Engine *engine = &fleet->engines[at];
+  Engine *engine = &fleet->engines[index];
 
   if (engine->load_end_us != 0 && engine->load_end_us <= fake_cores_now_us (fleet->cores))
     {
@@ -167,7 +167,7 @@
     }
   if (!busy)
     return;
-  if (is_on_hold (fleet, 0, at) || engine->load_end_us != 0)
+  if (is_order_pending (fleet, 0, index) || engine->load_end_us != 0)
     engine->n_used -= engine->n_used > 0;
   else
     engine->n_used = 10;
@@ -184,10 +184,10 @@
         {
           engine_step (fleet, i, busy);
           n_loading += fleet->engines[i].load_end_us != 0;
-          for (uint32_t slot = 0; slot < N_SLOTS; slot++)
+          for (uint32_t instance = 0; instance < N_INSTANCES; instance++)
             {
-              if (!fleet->paused[slot] && fake_cores_core (fleet->cores, slot) != NULL)
-                report (fleet, slot, i);
+              if (!fleet->paused[instance] && fake_cores_core (fleet->cores, instance) != NULL)
+                report (fleet, instance, i);
             }
         }
       fleet->n_loading_max = n_loading > fleet->n_loading_max ? n_loading : fleet->n_loading_max;
@@ -197,8 +197,8 @@
           MfEvent event = { .type = MF_EVENT_CALL_DONE,
                             .call = { .call_id = reply->call_id, .status = reply->status } };
 
-          if (fake_cores_core (fleet->cores, reply->slot) != NULL)
-            fake_cores_handle_event (fleet->cores, reply->slot, &event);
+          if (fake_cores_core (fleet->cores, reply->instance) != NULL)
+            fake_cores_handle_event (fleet->cores, reply->instance, &event);
         }
       fleet->n_replies = 0;
       fake_cores_run (fleet->cores, STEP_US);
@@ -262,8 +262,8 @@
     {
       publish (&fleet, 2 + round, round % 2 == 0 ? "v2" : "v1");
       fleet_run (&fleet, 90 * MF_US_PER_S, false);
-      for (uint32_t slot = 0; slot < N_SLOTS; slot++)
-        fake_cores_start (fleet.cores, slot);
+      for (uint32_t instance = 0; instance < N_INSTANCES; instance++)
+        fake_cores_start (fleet.cores, instance);
       fleet_run (&fleet, 5 * MF_US_PER_S, false);
     }
   assert_int_equal (engine->n_orders, 4);
@@ -281,18 +281,18 @@
   static const bool checks[] = { true, false };
 
   (void)state;
-  for (size_t i = 0; i < 2 * N_SLOTS; i++)
+  for (size_t i = 0; i < 2 * N_INSTANCES; i++)
     {
       Fleet fleet;
-      uint32_t slot = (uint32_t)i / 2;
+      uint32_t instance = (uint32_t)i / 2;
 
       fleet_new (&fleet, 1, checks[i % 2]);
       publish (&fleet, 2, "v2");
       fleet_run (&fleet, MF_US_PER_S, false);
-      fake_cores_pause (fleet.cores, slot, 30 * MF_US_PER_S);
-      fleet.paused[slot] = true;
+      fake_cores_pause (fleet.cores, instance, 30 * MF_US_PER_S);
+      fleet.paused[instance] = true;
       fleet_run (&fleet, 30 * MF_US_PER_S, false);
-      fleet.paused[slot] = false;
+      fleet.paused[instance] = false;
       fleet_run (&fleet, 30 * MF_US_PER_S, false);
       assert_all_at (&fleet, "v2", 1);
       fake_cores_free (fleet.cores);
@@ -313,11 +313,11 @@
       uint32_t n_orders = 0;
 
       fleet_new (&fleet, 4, checks[i]);
-      for (uint32_t a = 0; a < N_SLOTS; a++)
+      for (uint32_t a = 0; a < N_INSTANCES; a++)
         {
           if (a < 2)
             fake_cores_set_platform (fleet.cores, a, FAKE_PLATFORM_DOWN);
-          for (uint32_t b = 0; b < N_SLOTS; b++)
+          for (uint32_t b = 0; b < N_INSTANCES; b++)
             fake_cores_set_link_cut (fleet.cores, a, b, (a < 2) != (b < 2));
         }
       fleet_run (&fleet, 10 * MF_US_PER_S, false);
