--- a/libmangofork/order.c
+++ b/libmangofork/order.c
@@ -83,7 +83,7 @@
 /* Puts an upstream on hold while it serves another model than its pool, or is emptied for an
  * order. An adapter is loaded without emptying the engine. */
 static void
-update_hold (MfCore *core, uint32_t upstream)
+update_order_pending (MfCore *core, uint32_t upstream)
 {
   const OrderRow *row = &core->board.orders->rows[upstream];
 
@@ -185,7 +185,7 @@
   row->issuer_since_us = 0;
   if (now_us - row->ordered_us > BACKOFF_MAX_US)
     row->backoff_us = 0;
-  update_hold (core, upstream);
+  update_order_pending (core, upstream);
 }
 
 /* State of a selection: loads in the fleet, and for each pool the engines that are emptied or
@@ -254,7 +254,7 @@
   if (selected && !row->selected)
     row->selected_us = core->board.now_us;
   row->selected = selected;
-  update_hold (core, upstream);
+  update_order_pending (core, upstream);
 }
 
 /* Selects the engines that may be ordered now from those that differ. Every instance computes the
