--- a/libmangofork/action.h
+++ b/libmangofork/action.h
@@ -98,7 +98,8 @@
 /* One change of state for the log. */
 typedef struct
 {
-  const char *subject; /* "upstream", "peer", "config", "request", "drain", "order" */
+  /* "upstream", "peer", "config", "request", "drain", "order", "voter", "keys" */
+  const char *subject;
   const char *name;
   const char *from;
   const char *to;
--- a/libmangofork/event.h
+++ b/libmangofork/event.h
@@ -46,7 +46,7 @@
   MfClass class_; /* requested; may only be less urgent than the service's */
   uint32_t prompt_tokens;
   uint32_t max_tokens;
-  uint64_t digest; /* of the body and model, equal when a request is repeated */
+  uint64_t digest; /* of the body and model; equal when the caller sends a request again */
   uint64_t prefix_hashes[MF_PREFIX_HASHES_MAX]; /* of the prompt's first 1, 2, ... pieces */
   uint32_t n_prefix_hashes;
   bool has_idempotency_key; /* it has an Idempotency-Key */
--- a/libmangofork/order.c
+++ b/libmangofork/order.c
@@ -80,8 +80,8 @@
   uint32_t n_calls;
 };
 
-/* Puts an upstream on hold while it serves another model than its pool, or is emptied for an
- * order. An adapter is loaded without emptying the engine. */
+/* Withholds new work from an upstream while it serves another model than its pool, or is emptied
+ * for an order. An adapter is loaded without emptying the engine. */
 static void
 update_order_pending (MfCore *core, uint32_t upstream)
 {
--- a/libmangofork/prefix.h
+++ b/libmangofork/prefix.h
@@ -11,7 +11,7 @@
 void mf_prefix_add (MfCore *core, uint32_t upstream, const MfRequest *request);
 /* Returns the number of the last cache event seen of the upstream; 0 for none. */
 uint64_t mf_prefix_last_event (const MfCore *core, uint32_t upstream);
-/* The upstream has restarted: its cache is empty. */
+/* Removes all prefixes known of an upstream that has restarted, as its cache is empty. */
 void mf_prefix_clear (MfCore *core, uint32_t upstream);
 
 #endif
--- a/libmangofork/window.h
+++ b/libmangofork/window.h
@@ -10,13 +10,14 @@
 bool mf_window_allows (const MfPoolRow *pool);
 void mf_window_acquire (MfPoolRow *pool, bool slot_reserved);
 void mf_window_release (MfPoolRow *pool);
-/* A KV waited this long for its decode slot, although there seemed to be capacity. */
+/* Records how long a KV waited for its decode slot although there seemed to be capacity. A long
+ * wait narrows the window. */
 void mf_window_note_wait (MfPoolRow *pool, uint64_t wait_us);
-/* Some of the pool's slots can no longer be used. */
+/* Narrows the window after some of the pool's slots have become unusable. */
 void mf_window_note_slots_lost (MfPoolRow *pool, uint32_t n_slots, uint32_t n_slots_before);
-/* A KV expired while it waited for a decode slot. */
+/* Narrows the window after a KV has expired while it waited for a decode slot. */
 void mf_window_note_kv_expired (MfPoolRow *pool);
-/* A plain call was answered in this time. */
+/* Adjusts the window to the duration of a plain call. */
 void mf_window_note_answer (MfPoolRow *pool, uint64_t answer_us);
 
 #endif
--- a/tests/test_order.c
+++ b/tests/test_order.c
@@ -153,8 +153,8 @@
   return core->board.upstreams[mf_upstream_find (core, mf_hash_name (name))].order_pending;
 }
 
-/* Ends a load that is due. A busy engine loses its work step by step while it is on hold or
- * loading, and gets new work afterwards. */
+/* Ends a load that is due. A busy engine loses its work step by step while an order is pending or
+ * it is loading, and gets new work afterwards. */
 static void
 engine_step (Fleet *fleet, uint32_t index, bool busy)
 {
--- a/tests/test_peers.c
+++ b/tests/test_peers.c
@@ -184,7 +184,7 @@
       requester = i;
     }
   assert_int_equal (n_self, 1);
-  /* A leader that does not answer is passed over by the instance that waited for it. */
+  /* An instance excludes a leader that did not answer it, and chooses the next one. */
   mf_peers_exclude_leader (fleet.nodes[requester].peers, leader);
   assert_int_not_equal (mf_peers_leader (fleet.nodes[requester].peers, "llm", mf_clock_now_us ()),
                         leader);
