--- a/libmangofork/server.c
+++ b/libmangofork/server.c
@@ -330,27 +330,27 @@
     .slow_sender_us = settings->slow_sender_us,
     .caller_buffer_bytes = settings->caller_buffer_bytes,
   };
-  const MfHttpInCallbacks hooks = {
+  const MfHttpInCallbacks callbacks = {
     .on_event = on_event,
     .on_pause_reading = on_pause_reading,
     .on_config = on_config,
     .on_refused = on_refused,
   };
 
-  server->http_in = mf_http_in_new (server->loop, &options, &hooks, server, error);
+  server->http_in = mf_http_in_new (server->loop, &options, &callbacks, server, error);
   return server->http_in != NULL;
 }
 
 static bool
 http_out_open (MfServer *server, MfError *error)
 {
-  const MfHttpOutOptions hooks = {
+  const MfHttpOutOptions options = {
     .self = server->settings.options.self,
     .answer_bytes_max = server->settings.answer_bytes_max,
     .on_event = on_event,
   };
 
-  server->http_out = mf_http_out_new (server->loop, &hooks, server, error);
+  server->http_out = mf_http_out_new (server->loop, &options, server, error);
   if (server->http_out == NULL)
     return false;
   server->platform = mf_platform_new (server->loop, &server->settings, on_event, server, error);
--- a/tests/test_route.c
+++ b/tests/test_route.c
@@ -77,13 +77,13 @@
 test_a_version_lasts_as_long_as_its_requests (void **state)
 {
   MfRoutes *routes = routes_new ();
-  MfRoutes *held = mf_routes_ref (routes);
+  MfRoutes *ref = mf_routes_ref (routes);
 
   (void)state;
   mf_routes_unref (routes);
-  assert_int_equal (mf_routes_service (held, "two"), 1);
-  assert_int_equal (mf_routes_service (held, "three"), MF_NONE);
-  mf_routes_unref (held);
+  assert_int_equal (mf_routes_service (ref, "two"), 1);
+  assert_int_equal (mf_routes_service (ref, "three"), MF_NONE);
+  mf_routes_unref (ref);
 }
 
 int
