--- a/libmangofork/relay/caller.c
+++ b/libmangofork/relay/caller.c
@@ -628,7 +628,7 @@
   listener->keep_alive_ended = true;
 }
 
-/* Closes the connections on which no request has begun. */
+/* Closes the connections on which no request has started. */
 void
 mf_listener_close_idle (MfListener *listener)
 {
