--- a/bench/policy.c
+++ b/bench/policy.c
@@ -7,8 +7,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Goodput and wasted prefill of the real core against the naive policy on the same engines, in
- * virtual time. */
+/* Compares goodput and wasted prefill of the core with those of the naive policy on the same
+ * simulated engines, in virtual time. */
 
 #define WARM_UP_US (10 * MF_US_PER_S)
 #define N_CORES 6
@@ -48,7 +48,7 @@
   Fault fault;
   bool naive;
   uint64_t seed;
-  uint64_t length_us;
+  uint64_t duration_us;
 } Trial;
 
 typedef struct
@@ -57,8 +57,8 @@
   uint32_t n_good;
   uint32_t n_complete;
   uint32_t n_refused;
-  uint32_t n_violations; /* promises broken: garbled, answered twice, never answered */
-  double offered_work;   /* of the resource that limits, as a share of its capacity */
+  uint32_t n_violations; /* answers that are garbled, duplicated or missing */
+  double offered_work;   /* of the limiting pool, as a share of its capacity */
   double good_work;
   double wasted_share;
   uint64_t wasted_tokens;
@@ -67,7 +67,7 @@
   uint32_t n_reads_lost;
   uint32_t n_orders_twice;
   uint32_t n_orders_lost;
-  uint32_t n_held;
+  uint32_t n_kv_entries;
   uint32_t deaths;
   double ttft_p99_ms;
 } Figures;
@@ -139,13 +139,14 @@
   options->decode.role = MF_ROLE_DECODE;
 }
 
-/* Seconds of one prefill engine, and of one decode slot of a full engine. */
+/* Seconds that a request occupies a prefill engine. */
 static double
 prefill_s (const RigRequest *request)
 {
   return 0.008 + request->prompt_tokens / 40000.0;
 }
 
+/* Seconds that a request occupies a decode slot of an engine whose slots are all in use. */
 static double
 decode_s (const RigRequest *request)
 {
@@ -175,7 +176,7 @@
     request->prefix_hashes[i] = i < shared ? 1000 * (group + 1) + i : request->digest + i;
 }
 
-/* Requests a second that the engines can carry, by the pool that limits. */
+/* Returns the requests per second that the engines can serve, and which pool limits them. */
 static double
 capacity_per_s (const Deployment *deployment, bool *prefill_limits)
 {
@@ -206,7 +207,7 @@
 send_all (Rig *rig, const Trial *trial, double per_s)
 {
   uint64_t state = trial->seed;
-  uint64_t end_us = rig_now_us (rig) + trial->length_us;
+  uint64_t end_us = rig_now_us (rig) + trial->duration_us;
   double plain_per_s = 600 * trial->load;
   RigRequest request;
 
@@ -299,7 +300,7 @@
   double *ttfts_ms = calloc (n, sizeof *ttfts_ms);
   uint32_t n_reads = 0;
   uint32_t n_ttfts = 0;
-  double window_s = (double)(trial->length_us - WARM_UP_US) / 1e6;
+  double window_s = (double)(trial->duration_us - WARM_UP_US) / 1e6;
   double complete_work = 0;
   uint64_t prefilled = 0;
 
@@ -342,7 +343,7 @@
   figures->wasted_share = prefilled > 0 ? (double)figures->wasted_tokens / (double)prefilled : 0;
   figures->read_p99_ms = percentile (reads_ms, n_reads, 0.99);
   figures->ttft_p99_ms = percentile (ttfts_ms, n_ttfts, 0.99);
-  figures->n_held = rig_n_kv_entries (rig);
+  figures->n_kv_entries = rig_n_kv_entries (rig);
   free (reads_ms);
   free (ttfts_ms);
 }
@@ -362,25 +363,25 @@
   rig = rig_new (&options);
   start_us = rig_now_us (rig);
   send_all (rig, trial, per_s);
-  rig_run (rig, start_us + trial->length_us / 2);
+  rig_run (rig, start_us + trial->duration_us / 2);
   inject_fault (rig, trial);
-  rig_run (rig, start_us + trial->length_us + 70 * MF_US_PER_S);
+  rig_run (rig, start_us + trial->duration_us + 70 * MF_US_PER_S);
   count (rig, trial, per_s, prefill_limits, &figures);
   printf (
-      "%-8s %-5s load %.1f %-5s (%.1f/s) offered %5u good %.3f whole %.3f refused %.3f "
-      "good/capacity %.3f wasted %.4f ttft99 %6.0f read99 %5.1f lost %u twice %u broken %u "
-      "held %u\n",
+      "%-8s %-5s load %.1f %-5s (%.1f/s) offered %5u good %.3f complete %.3f refused %.3f "
+      "good/capacity %.3f wasted %.4f ttft99 %6.0f read99 %5.1f lost %u twice %u "
+      "violations %u kv_entries %u\n",
       trial->deployment->name, trial->naive ? "naive" : "ours", trial->load, faults[trial->fault],
       per_s, figures.n_offered, (double)figures.n_good / figures.n_offered,
       (double)figures.n_complete / figures.n_offered, (double)figures.n_refused / figures.n_offered,
       figures.good_work, figures.wasted_share, figures.ttft_p99_ms, figures.read_p99_ms,
-      figures.n_reads_lost, figures.n_orders_twice, figures.n_violations, figures.n_held);
+      figures.n_reads_lost, figures.n_orders_twice, figures.n_violations, figures.n_kv_entries);
   fflush (stdout);
   rig_free (rig);
   return figures;
 }
 
-/* Everything that was measured, by deployment, load or fault, and policy. */
+/* The figures of all trials, by deployment, load or fault, and policy. */
 typedef struct
 {
   Figures loads[MF_ARRAY_LEN (deployments)][N_LOADS][2];
@@ -416,7 +417,7 @@
     {
       if (l <= LOAD_1_0_INDEX && figures[l][0].wasted_share > worst_waste)
         worst_waste = figures[l][0].wasted_share;
-      n_violations += figures[l][0].n_violations + figures[l][0].n_held;
+      n_violations += figures[l][0].n_violations + figures[l][0].n_kv_entries;
       n_twice += figures[l][0].n_orders_twice;
       n_lost += figures[l][0].n_orders_lost;
     }
@@ -437,13 +438,13 @@
   result (name, "promises_broken_and_memory_held", n_violations, "<=", 0);
 }
 
-/* The share of the work offered that the engines left can carry, when one decode engine is lost
- * half-way. */
+/* Returns the share of the offered work that the remaining engines can serve when one decode engine
+ * fails half-way through the trial. */
 static double
 remaining_capacity_share (const Deployment *deployment, const Trial *trial, int fault)
 {
   double left = (double)(deployment->n_decode - 1) / deployment->n_decode / FAULT_LOAD;
-  double after = (double)trial->length_us / 2 / (double)(trial->length_us - WARM_UP_US);
+  double after = (double)trial->duration_us / 2 / (double)(trial->duration_us - WARM_UP_US);
 
   if ((fault != FAULT_DEATH && fault != FAULT_GRAY) || left >= 1)
     return 1;
@@ -467,7 +468,7 @@
       snprintf (text, sizeof text, "%s_goodput_over_naive", names[f]);
       result (name, text, ratio (figures[f][0].good_work, figures[f][1].good_work), ">=", 1);
       snprintf (text, sizeof text, "%s_broken_and_held", names[f]);
-      result (name, text, figures[f][0].n_violations + figures[f][0].n_held, "<=", 0);
+      result (name, text, figures[f][0].n_violations + figures[f][0].n_kv_entries, "<=", 0);
     }
 }
 
@@ -505,14 +506,14 @@
 main (int argc, char **argv)
 {
   static Results results;
-  Trial trial = { .seed = 1, .length_us = 60 * MF_US_PER_S };
+  Trial trial = { .seed = 1, .duration_us = 60 * MF_US_PER_S };
   const char *only = NULL;
   double only_load = 0;
 
   for (int i = 1; i < argc; i++)
     {
       if (strcmp (argv[i], "--quick") == 0)
-        trial.length_us = 30 * MF_US_PER_S;
+        trial.duration_us = 30 * MF_US_PER_S;
       else if (strcmp (argv[i], "--seed") == 0 && i + 1 < argc)
         trial.seed = strtoull (argv[++i], NULL, 10);
       else if (strcmp (argv[i], "--only") == 0 && i + 1 < argc)
--- a/libmangofork/relay/dispatch.c
+++ b/libmangofork/relay/dispatch.c
@@ -113,7 +113,7 @@
     }
 }
 
-/* Removes the requests of a requester that is gone and the grants to it. */
+/* Removes the requests of a requester whose connection was lost, and the grants to it. */
 void
 mf_dispatch_drop_requester (MfDispatch *dispatch, uint64_t requester)
 {
@@ -129,15 +129,15 @@
     }
   while (*pending != NULL)
     {
-      PendingGrant *gone = *pending;
+      PendingGrant *removed = *pending;
 
-      if (gone->requester != requester)
+      if (removed->requester != requester)
         {
-          pending = &gone->next;
+          pending = &removed->next;
           continue;
         }
-      *pending = gone->next;
-      free (gone);
+      *pending = removed->next;
+      free (removed);
     }
 }
 
--- a/libmangofork/upstream.c
+++ b/libmangofork/upstream.c
@@ -38,7 +38,7 @@
 bool
 mf_upstream_is_usable (const MfUpstream *upstream)
 {
-  return upstream->in_config && upstream->health <= MF_HEALTH_SLOW && !upstream->on_hold;
+  return upstream->in_config && upstream->health <= MF_HEALTH_SLOW && !upstream->order_pending;
 }
 
 /* Returns the number of slots: that of the last load report, or the configured one before the
@@ -480,7 +480,7 @@
 {
   core->board.polls = calloc (1, sizeof *core->board.polls);
   if (core->board.polls == NULL)
-    mf_error_set (error, MF_CODE_NO_MEMORY, "no memory for the upstreams");
+    mf_error_set (error, MF_CODE_NO_MEMORY, "out of memory while creating the table of upstreams");
   return core->board.polls != NULL;
 }
 
--- a/tests/relay_fixture.h
+++ b/tests/relay_fixture.h
@@ -3,7 +3,7 @@
 
 #include "libmangofork/relay/job.h"
 
-#include "fakes/wire.h"
+#include "fakes/upstream.h"
 
 #define RELAY_FIXTURE_N_UPSTREAMS 4
 #define RELAY_FIXTURE_SEAL "X-Response-Seal: s\r\n"
@@ -16,7 +16,7 @@
 
 typedef struct
 {
-  FakeUpstream *wire;
+  FakeUpstream *server;
   RelayFixtureHandler handler;
 } RelayFixtureUpstream;
 
--- a/tests/test_peers.c
+++ b/tests/test_peers.c
@@ -63,7 +63,7 @@
 }
 
 static void
-on_gone (void *data, uint64_t peer)
+on_lost (void *data, uint64_t peer)
 {
   Node *node = data;
 
@@ -75,7 +75,7 @@
   .fill_report = on_fill,
   .loads_changed = on_changed,
   .message = on_message,
-  .gone = on_gone,
+  .lost = on_lost,
 };
 
 static void
@@ -184,7 +184,7 @@
       requester = i;
     }
   assert_int_equal (n_self, 1);
-  /* A leader that does not answer is passed over by the instance that waited for it. */
+  /* An instance excludes a leader that did not answer it, and chooses the next one. */
   mf_peers_exclude_leader (fleet.nodes[requester].peers, leader);
   assert_int_not_equal (mf_peers_leader (fleet.nodes[requester].peers, "llm", mf_clock_now_us ()),
                         leader);
