--- a/libmangofork/claim_wait.c
+++ b/libmangofork/claim_wait.c
@@ -33,7 +33,7 @@
   if (strcmp (holder->name, core->board.options.self.name) == 0)
     return holder->incarnation != core->board.options.self.incarnation;
   return member != NULL
-         && (member->owner.incarnation > holder->incarnation || member->state == MF_MEMBER_DEAD);
+         && (member->id.incarnation > holder->incarnation || member->state == MF_MEMBER_DEAD);
 }
 
 /* Schedules a new claim after a random delay. */
--- a/libmangofork/confsync.c
+++ b/libmangofork/confsync.c
@@ -308,7 +308,7 @@
 
       if (!row->member.listed)
         continue;
-      mf_name_set (to->name, sizeof to->name, row->member.owner.name);
+      mf_name_set (to->name, sizeof to->name, row->member.id.name);
       mf_name_set (to->address, sizeof to->address, row->member.address);
       mf_name_set (to->data_centre, sizeof to->data_centre, row->member.data_centre);
       to->leaving = row->member.state == MF_MEMBER_LEAVING;
--- a/libmangofork/gossip.c
+++ b/libmangofork/gossip.c
@@ -293,7 +293,7 @@
   if (event->type != MF_EVENT_PEER_MESSAGE || event->peer.message->type != MF_PEER_DIGEST)
     return;
   row = mf_member_row (core, event->peer.peer.name);
-  if (row == NULL || row->member.owner.incarnation != event->peer.peer.incarnation)
+  if (row == NULL || row->member.id.incarnation != event->peer.peer.incarnation)
     return;
   digest = &event->peer.message->digest;
   apply_digest (core, row, digest);
--- a/libmangofork/guardian.c
+++ b/libmangofork/guardian.c
@@ -146,7 +146,7 @@
 void
 mf_guardian_instance_died (MfCore *core, MfMemberRow *row, uint64_t incarnation)
 {
-  MfInstanceId instance = row->member.owner;
+  MfInstanceId instance = row->member.id;
 
   instance.incarnation = incarnation;
   if (row->is_guarded && incarnation != 0)
--- a/libmangofork/member.c
+++ b/libmangofork/member.c
@@ -66,7 +66,7 @@
   row = calloc (1, sizeof *row);
   if (row == NULL)
     return NULL;
-  mf_name_set (row->member.owner.name, sizeof row->member.owner.name, name);
+  mf_name_set (row->member.id.name, sizeof row->member.id.name, name);
   row->name_hash = name_hash;
   row->neighbour = MF_NONE;
   row->unlisted_since_us = core->board.now_us;
@@ -197,16 +197,16 @@
   row->suspected_since_us = state == MF_MEMBER_SUSPECT ? core->board.now_us : 0;
   if (state == MF_MEMBER_DEAD || old == MF_MEMBER_DEAD || state == MF_MEMBER_LEAVING)
     core->board.members->choose_pending = true;
-  mf_core_log (core, "peer", row->member.owner.name, state_names[old], state_names[state], reason);
+  mf_core_log (core, "peer", row->member.id.name, state_names[old], state_names[state], reason);
   if (state == MF_MEMBER_DEAD)
-    mf_guardian_instance_died (core, row, row->member.owner.incarnation);
+    mf_guardian_instance_died (core, row, row->member.id.incarnation);
 }
 
 /* Handles a new incarnation of a member: the one before is dead, whatever its state was. */
 static void
 incarnation_raise (MfCore *core, MfMemberRow *row, uint64_t incarnation)
 {
-  uint64_t old = row->member.owner.incarnation;
+  uint64_t old = row->member.id.incarnation;
 
   if (old != 0)
     {
@@ -214,7 +214,7 @@
       mf_gossip_publish (core, MF_GOSSIP_INSTANCE_DEAD, row->name_hash, old);
       mf_member_close_links (core, row);
     }
-  row->member.owner.incarnation = incarnation;
+  row->member.id.incarnation = incarnation;
   row->member.admitted = false;
   row->is_guarded = false;
   row->is_guardian = false;
@@ -229,11 +229,11 @@
 {
   bool was_known_dead = row->member.state == MF_MEMBER_DEAD;
 
-  if (incarnation < row->member.owner.incarnation)
+  if (incarnation < row->member.id.incarnation)
     return false;
-  if (incarnation > row->member.owner.incarnation)
+  if (incarnation > row->member.id.incarnation)
     {
-      was_known_dead |= row->member.owner.incarnation != 0;
+      was_known_dead |= row->member.id.incarnation != 0;
       incarnation_raise (core, row, incarnation);
     }
   row->member.last_seen_us = core->board.now_us;
@@ -267,19 +267,19 @@
 static void
 apply_death (MfCore *core, MfMemberRow *row, const MfGossip *gossip, uint64_t origin_us)
 {
-  if (gossip->value < row->member.owner.incarnation)
+  if (gossip->value < row->member.id.incarnation)
     return;
   if (row->neighbour != MF_NONE && row->member.link_id != 0
       && row->member.last_seen_us + scaled_periods_us (core, row, SUSPECT_PERIODS)
              > core->board.now_us
-      && row->member.owner.incarnation == gossip->value)
+      && row->member.id.incarnation == gossip->value)
     {
       mf_gossip_publish (core, MF_GOSSIP_INSTANCE_ALIVE, gossip->subject, gossip->value);
       return;
     }
   if (gossip->kind == MF_GOSSIP_INSTANCE_SUSPECT || origin_us < row->evidence_us)
     return;
-  row->member.owner.incarnation = gossip->value;
+  row->member.id.incarnation = gossip->value;
   mf_member_set_state (core, row, MF_MEMBER_DEAD, origin_us, "reported by a peer");
 }
 
@@ -301,9 +301,9 @@
       apply_death (core, row, gossip, origin_us);
       return;
     }
-  if (gossip->value > row->member.owner.incarnation)
+  if (gossip->value > row->member.id.incarnation)
     incarnation_raise (core, row, gossip->value);
-  else if (gossip->value < row->member.owner.incarnation || origin_us < row->evidence_us)
+  else if (gossip->value < row->member.id.incarnation || origin_us < row->evidence_us)
     return;
   if (row->member.state == MF_MEMBER_SUSPECT && row->n_refutations < REFUTATIONS_MAX)
     row->n_refutations++;
@@ -492,15 +492,14 @@
     {
       mf_member_set_state (core, row, MF_MEMBER_SUSPECT, now_us, "no messages");
       mf_gossip_publish (core, MF_GOSSIP_INSTANCE_SUSPECT, row->name_hash,
-                         row->member.owner.incarnation);
+                         row->member.id.incarnation);
     }
   else if (state == MF_MEMBER_SUSPECT
            && now_us - row->suspected_since_us >= scaled_periods_us (core, row, CONFIRM_PERIODS))
     {
       mf_member_close_links (core, row);
       mf_member_set_state (core, row, MF_MEMBER_DEAD, now_us, "no messages");
-      mf_gossip_publish (core, MF_GOSSIP_INSTANCE_DEAD, row->name_hash,
-                         row->member.owner.incarnation);
+      mf_gossip_publish (core, MF_GOSSIP_INSTANCE_DEAD, row->name_hash, row->member.id.incarnation);
       mf_member_drop_neighbour (core, row);
     }
 }
--- a/libmangofork/member.h
+++ b/libmangofork/member.h
@@ -14,7 +14,7 @@
 
 typedef struct
 {
-  MfInstanceId owner;
+  MfInstanceId id;
   char address[MF_ADDRESS_BYTES];
   char data_centre[MF_NAME_BYTES];
   MfMemberState state;
--- a/libmangofork/member_link.c
+++ b/libmangofork/member_link.c
@@ -141,7 +141,7 @@
   uint64_t now_us = core->board.now_us;
   MfAction action = {
     .type = MF_ACTION_PEER_OPEN,
-    .peer = { .name = row->member.owner.name, .address = row->member.address },
+    .peer = { .name = row->member.id.name, .address = row->member.address },
   };
 
   if (row->member.link_id != 0 || row->member.address[0] == '\0')
--- a/libmangofork/queue.c
+++ b/libmangofork/queue.c
@@ -21,7 +21,7 @@
 #define RETRY_AFTER_MIN_MS 200
 #define RETRY_AFTER_MAX_MS 60000
 /* Upper bound of one sample of the time between two placements. */
-#define DRAIN_GAP_MAX_US MF_US_PER_S
+#define PLACEMENT_GAP_MAX_US MF_US_PER_S
 
 /* The queued requests of one customer for one service, oldest first. */
 typedef struct CustomerQueue
@@ -404,15 +404,15 @@
 /* Updates the drain rate of a service's queue from the time between two placements while requests
  * wait. */
 static void
-note_drain (MfCore *core, uint32_t service, bool others_wait)
+note_placement (MfCore *core, uint32_t service, bool others_wait)
 {
   MfServiceRow *row = &core->board.services.rows[service];
   uint64_t gap_us = core->board.now_us - row->last_placement_us;
 
   if (others_wait && row->last_placement_us > 0)
     {
-      if (gap_us > DRAIN_GAP_MAX_US)
-        gap_us = DRAIN_GAP_MAX_US;
+      if (gap_us > PLACEMENT_GAP_MAX_US)
+        gap_us = PLACEMENT_GAP_MAX_US;
       row->placement_gap_us += ((int64_t)gap_us - (int64_t)row->placement_gap_us) / 16;
     }
   row->last_placement_us = core->board.now_us;
@@ -491,7 +491,7 @@
   else
     placed = on_time != NULL && place_on_time (core, service_queue (core, service), on_time);
   if (placed)
-    note_drain (core, service, mf_queue_service_length (core, service) > 0);
+    note_placement (core, service, mf_queue_service_length (core, service) > 0);
   else
     queue->n_placements--;
   return placed;
--- a/libmangofork/relay/caller.c
+++ b/libmangofork/relay/caller.c
@@ -403,12 +403,12 @@
       MfMessage *message = &caller->message;
       bool had_begun = message->begun;
       bool had_head = message->head_done;
-      size_t taken;
+      size_t n_consumed;
 
       message->head_bytes_max = caller->listener->limits.header_bytes_max;
-      taken
+      n_consumed
           = mf_message_feed (message, mf_buffer_data (&caller->in), mf_buffer_bytes (&caller->in));
-      mf_buffer_consume (&caller->in, taken);
+      mf_buffer_consume (&caller->in, n_consumed);
       if (!had_begun)
         caller->begun_us = mf_clock_now_us ();
       if (message->error_code == MF_CODE_OK && message->done)
--- a/libmangofork/relay/dispatch.c
+++ b/libmangofork/relay/dispatch.c
@@ -31,7 +31,7 @@
   uint64_t requester;
   MfGrant grant;
   uint64_t prompt_tokens;
-  uint64_t memory_tokens;
+  uint64_t kv_tokens;
   uint64_t granted_us;
 };
 
@@ -43,7 +43,7 @@
   WaitingRequest *waiting;
   uint32_t n_waiting;
   PendingGrant *pending;
-  uint32_t point;
+  uint32_t next_tie_break;
 };
 
 /* The targets, the callbacks and their data are borrowed. Returns NULL when out of memory. */
@@ -129,15 +129,15 @@
     }
   while (*pending != NULL)
     {
-      PendingGrant *gone = *pending;
+      PendingGrant *dropped = *pending;
 
-      if (gone->requester != requester)
+      if (dropped->requester != requester)
         {
-          pending = &gone->next;
+          pending = &dropped->next;
           continue;
         }
-      *pending = gone->next;
-      free (gone);
+      *pending = dropped->next;
+      free (dropped);
     }
 }
 
@@ -173,7 +173,7 @@
   mf_load_add_remote (dispatch->targets,
                       &(MfLoadEntry){ .upstream = pending->grant.decode,
                                       .n_active = 1,
-                                      .tokens = (uint32_t)pending->memory_tokens },
+                                      .tokens = (uint32_t)pending->kv_tokens },
                       pending->granted_us);
   mf_load_add_remote (dispatch->targets,
                       &(MfLoadEntry){ .upstream = pending->grant.prefill,
@@ -225,7 +225,7 @@
     .n_avoid = request->n_avoid,
     .data_centre = request->data_centre,
     .must_fit = role == MF_ROLE_DECODE,
-    .tie_break = dispatch->point++,
+    .tie_break = dispatch->next_tie_break++,
   };
 
   memcpy (query.avoid, request->avoid, sizeof query.avoid);
@@ -287,12 +287,12 @@
   MfPlaceQuery query;
   MfTarget *decode;
   MfTarget *prefill;
-  bool any_alive = false;
+  bool any_available = false;
 
   if (config == NULL)
     return false;
   query = place_query (dispatch, request, config, MF_ROLE_DECODE);
-  decode = mf_place_choose (dispatch->targets, &query, now_us, &any_alive);
+  decode = mf_place_choose (dispatch->targets, &query, now_us, &any_available);
   /* No slot is granted at an engine that could not be reached. */
   if (decode == NULL || mf_target_is_suspect (decode, now_us))
     return false;
@@ -300,7 +300,7 @@
   if (request->is_prefilled)
     return true;
   query = place_query (dispatch, request, config, MF_ROLE_PREFILL);
-  prefill = mf_place_choose (dispatch->targets, &query, now_us, &any_alive);
+  prefill = mf_place_choose (dispatch->targets, &query, now_us, &any_available);
   if (prefill != NULL && !mf_target_is_suspect (prefill, now_us))
     grant->prefill = prefill->id_hash;
   return true;
@@ -331,7 +331,7 @@
     .requester = waiting->requester,
     .grant = *grant,
     .prompt_tokens = waiting->request.prompt_tokens,
-    .memory_tokens = waiting->request.kv_tokens,
+    .kv_tokens = waiting->request.kv_tokens,
     .granted_us = now_us,
   };
   while (*link != NULL)
--- a/libmangofork/relay/job.h
+++ b/libmangofork/relay/job.h
@@ -100,7 +100,7 @@
 void mf_jobs_refresh_remote_load (MfJobs *jobs, uint64_t now_us);
 void mf_jobs_tick_leadership (MfJobs *jobs, uint64_t now_us, uint64_t boottime_us);
 MfLeadership *mf_jobs_find_leadership (MfJobs *jobs, const char *service);
-void mf_jobs_balance_stages (MfJobs *jobs, MfLeadership *lead, const MfRouteService *service,
+void mf_jobs_balance_stages (MfJobs *jobs, MfLeadership *leadership, const MfRouteService *service,
                              uint64_t now_us);
 void mf_jobs_cancel_orders (MfJobs *jobs);
 void mf_jobs_expire_failures (MfJobs *jobs, uint64_t now_us);
--- a/libmangofork/relay/job_lead.c
+++ b/libmangofork/relay/job_lead.c
@@ -23,31 +23,31 @@
 static MfLeadership *
 leadership_add (MfJobs *jobs, const char *service)
 {
-  MfLeadership *lead;
+  MfLeadership *leadership;
 
   if (jobs->n_leaderships == MF_JOBS_LEADERSHIPS_MAX)
     return NULL;
-  lead = &jobs->leaderships[jobs->n_leaderships++];
-  *lead = (MfLeadership){ 0 };
-  mf_name_set (lead->service, MF_NAME_BYTES, service);
-  return lead;
+  leadership = &jobs->leaderships[jobs->n_leaderships++];
+  *leadership = (MfLeadership){ 0 };
+  mf_name_set (leadership->service, MF_NAME_BYTES, service);
+  return leadership;
 }
 
 /* Starts a leadership. Observations from an earlier one are discarded, as another instance has led
  * since. The fence is higher than all known ones, whatever the local wall clock says. */
 static void
-leadership_begin (const MfJobs *jobs, MfLeadership *lead, uint64_t now_us)
+leadership_begin (const MfJobs *jobs, MfLeadership *leadership, uint64_t now_us)
 {
   uint64_t instance_bits = mf_load_hash (jobs->instance) & ((1U << MF_FENCE_OWN_BITS) - 1);
   uint64_t begun_ms = mf_clock_wall_ms ();
-  uint64_t known_ms = mf_peers_fence (jobs->peers, lead->service) >> MF_FENCE_OWN_BITS;
+  uint64_t known_ms = mf_peers_fence (jobs->peers, leadership->service) >> MF_FENCE_OWN_BITS;
 
   if (known_ms >= begun_ms)
     begun_ms = known_ms + 1;
-  lead->led_since_us = now_us;
-  lead->fence = begun_ms << MF_FENCE_OWN_BITS | instance_bits;
-  mf_budget_init (&lead->retry_pool, jobs->budget_window_us, 0.);
-  mf_stage_reset (&lead->trend);
+  leadership->led_since_us = now_us;
+  leadership->fence = begun_ms << MF_FENCE_OWN_BITS | instance_bits;
+  mf_budget_init (&leadership->retry_pool, jobs->budget_window_us, 0.);
+  mf_stage_reset (&leadership->trend);
 }
 
 /* Called about ten times a second; performs the leader's duties for each engine service.
@@ -63,21 +63,22 @@
   for (uint32_t i = 0; i < jobs->routes->n_services; i++)
     {
       const MfRouteService *service = &jobs->routes->services[i];
-      MfLeadership *lead = mf_jobs_find_leadership (jobs, service->name);
+      MfLeadership *leadership = mf_jobs_find_leadership (jobs, service->name);
 
       if (!service->is_engine
-          || (lead == NULL && (lead = leadership_add (jobs, service->name)) == NULL))
+          || (leadership == NULL && (leadership = leadership_add (jobs, service->name)) == NULL))
         continue;
       if (was_suspended || !mf_peers_is_leader (jobs->peers, service->name, now_us))
         {
-          lead->led_since_us = 0;
+          leadership->led_since_us = 0;
           continue;
         }
       /* A higher fence than its own means that another instance has led since: starts a new
        * leadership. */
-      if (lead->led_since_us == 0 || mf_peers_fence (jobs->peers, service->name) > lead->fence)
-        leadership_begin (jobs, lead, now_us);
+      if (leadership->led_since_us == 0
+          || mf_peers_fence (jobs->peers, service->name) > leadership->fence)
+        leadership_begin (jobs, leadership, now_us);
       mf_jobs_refresh_remote_load (jobs, now_us);
-      mf_jobs_balance_stages (jobs, lead, service, now_us);
+      mf_jobs_balance_stages (jobs, leadership, service, now_us);
     }
 }
--- a/libmangofork/relay/job_place.c
+++ b/libmangofork/relay/job_place.c
@@ -32,11 +32,11 @@
 
 /* Ends a request that has no upstream left to try. */
 static void
-job_end_without_upstream (MfJob *job, bool any_alive)
+job_end_without_upstream (MfJob *job, bool any_available)
 {
   if (job->n_runs > 0)
     mf_job_finish (job, MF_CODE_UPSTREAM_DIED, "no other upstream to try");
-  else if (any_alive)
+  else if (any_available)
     mf_job_refuse (job, MF_CODE_QUEUE_FULL, "all upstreams declined");
   else
     mf_job_refuse (job, MF_CODE_NO_UPSTREAM, "service has no upstream");
@@ -53,14 +53,14 @@
 job_place_plain (MfJob *job)
 {
   MfPlaceQuery query = job_place_query (job, MF_ROLE_PLAIN);
-  bool any_alive = false;
+  bool any_available = false;
   uint64_t now_us = mf_clock_now_us ();
-  MfTarget *target = mf_place_choose (&job->jobs->targets, &query, now_us, &any_alive);
+  MfTarget *target = mf_place_choose (&job->jobs->targets, &query, now_us, &any_available);
 
   if (target == NULL)
     {
       job_note_pause_end (job, MF_ROLE_PLAIN, now_us);
-      job_end_without_upstream (job, any_alive);
+      job_end_without_upstream (job, any_available);
     }
   else
     mf_job_send (job, target, false);
@@ -101,7 +101,7 @@
 {
   MfTargets *targets = &job->jobs->targets;
   MfPlaceQuery query = job_place_query (job, MF_ROLE_PREFILL);
-  bool any_alive = false;
+  bool any_available = false;
   MfTarget *prefill;
 
   prefill = mf_targets_by_hash (targets, job->granted_prefill);
@@ -109,7 +109,7 @@
       && mf_target_accepts (prefill, now_us) && prefill->suspect_until_us <= now_us
       && !mf_place_avoids (job->avoid, job->n_avoid, prefill))
     return prefill;
-  prefill = mf_place_choose (targets, &query, now_us, &any_alive);
+  prefill = mf_place_choose (targets, &query, now_us, &any_available);
   return prefill != NULL && prefill->suspect_until_us <= now_us ? prefill : NULL;
 }
 
@@ -195,7 +195,7 @@
 mf_job_step_expired (MfJob *job)
 {
   MfTarget *target = job->target;
-  bool any_alive = false;
+  bool any_available = false;
   MfPlaceQuery query;
 
   if (job->phase == MF_JOB_WAITING)
@@ -219,7 +219,7 @@
       mf_job_set_timer (job);
       return;
     }
-  if (mf_place_choose (&job->jobs->targets, &query, mf_clock_now_us (), &any_alive) == NULL
+  if (mf_place_choose (&job->jobs->targets, &query, mf_clock_now_us (), &any_available) == NULL
       || !mf_job_acquire_retry (job))
     {
       mf_job_set_timer (job);
--- a/libmangofork/relay/job_retry.c
+++ b/libmangofork/relay/job_retry.c
@@ -99,10 +99,10 @@
 static void
 pool_charge (MfJobs *jobs, const char *service, uint32_t n_sends)
 {
-  MfLeadership *lead = mf_jobs_find_leadership (jobs, service);
+  MfLeadership *leadership = mf_jobs_find_leadership (jobs, service);
 
-  if (lead != NULL && lead->led_since_us > 0)
-    mf_budget_charge (&lead->retry_pool, n_sends, mf_clock_now_us ());
+  if (leadership != NULL && leadership->led_since_us > 0)
+    mf_budget_charge (&leadership->retry_pool, n_sends, mf_clock_now_us ());
 }
 
 /* Counts a send. All but the first prefill and the first run of a request are retries. A retry that
@@ -137,16 +137,16 @@
 static bool
 pool_acquire (MfJobs *jobs, const char *service, uint32_t n_sends)
 {
-  MfLeadership *lead = mf_jobs_find_leadership (jobs, service);
+  MfLeadership *leadership = mf_jobs_find_leadership (jobs, service);
   uint64_t now_us = mf_clock_now_us ();
   uint32_t pool;
 
-  if (lead == NULL || lead->led_since_us == 0 || jobs->peers == NULL
-      || now_us - lead->led_since_us < jobs->budget_window_us)
+  if (leadership == NULL || leadership->led_since_us == 0 || jobs->peers == NULL
+      || now_us - leadership->led_since_us < jobs->budget_window_us)
     return false;
   pool
       = mf_budget_pool (jobs->budget_slack, mf_peers_n_known (jobs->peers), jobs->budget_window_us);
-  if (!mf_budget_allows (&lead->retry_pool, pool, n_sends, now_us))
+  if (!mf_budget_allows (&leadership->retry_pool, pool, n_sends, now_us))
     return false;
   pool_charge (jobs, service, n_sends);
   return true;
--- a/libmangofork/relay/job_send.c
+++ b/libmangofork/relay/job_send.c
@@ -164,9 +164,9 @@
 }
 
 static void
-head_add (const MfJob *job, MfBuffer *out, MfHeaderId word, const char *value)
+head_add (const MfJob *job, MfBuffer *out, MfHeaderId header, const char *value)
 {
-  mf_head_write (out, mf_dialect_header_name (job->jobs->dialect, word), value, strlen (value));
+  mf_head_write (out, mf_dialect_header_name (job->jobs->dialect, header), value, strlen (value));
 }
 
 /* Writes the head of the upstream request. */
--- a/libmangofork/relay/job_stage.c
+++ b/libmangofork/relay/job_stage.c
@@ -208,7 +208,7 @@
 };
 
 static void
-order_send (MfJobs *jobs, MfLeadership *lead, const MfRouteService *service, MfTarget *target,
+order_send (MfJobs *jobs, MfLeadership *leadership, const MfRouteService *service, MfTarget *target,
             MfRole role, uint64_t now_us)
 {
   MfStageOrder *order = calloc (1, sizeof *order);
@@ -218,7 +218,7 @@
 
   if (order == NULL)
     return;
-  jobs->dialect->write_stage_order (role, jobs->instance, lead->fence, &body);
+  jobs->dialect->write_stage_order (role, jobs->instance, leadership->fence, &body);
   head_bytes = snprintf (head, sizeof head,
                          "POST %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n"
                          "Content-Type: application/json\r\nContent-Length: %zu\r\n\r\n",
@@ -234,8 +234,8 @@
     = service->stage_change_us + (role == MF_ROLE_DECODE ? PREFILL_DRAIN_US : DECODE_DRAIN_US),
   };
   jobs->orders = order;
-  mf_peers_record_fence (jobs->peers, service->name, lead->fence);
-  lead->ordered_us = now_us;
+  mf_peers_record_fence (jobs->peers, service->name, leadership->fence);
+  leadership->ordered_us = now_us;
   target->stage_ordered = role;
   target->stage_until_us = now_us + order->unavailable_us;
   order->link = mf_link_start (&target->pool, &(MfLinkRequest){
@@ -282,7 +282,7 @@
 
 /* Balances prefill and decode engines of a service that this instance leads. */
 void
-mf_jobs_balance_stages (MfJobs *jobs, MfLeadership *lead, const MfRouteService *service,
+mf_jobs_balance_stages (MfJobs *jobs, MfLeadership *leadership, const MfRouteService *service,
                         uint64_t now_us)
 {
   MfStageSnapshot snapshot;
@@ -294,14 +294,14 @@
     return;
   orders_expire (jobs, now_us);
   snapshot = snapshot_make (jobs, service, now_us);
-  move = mf_stage_decide (&lead->trend, &snapshot, now_us);
+  move = mf_stage_decide (&leadership->trend, &snapshot, now_us);
   /* Before this delay has passed, the previous leader may still give orders and not all instances
    * have sent their votes. */
   if (move == MF_STAGE_STAY
       || n_changing (jobs, service, now_us) * CHANGING_DIVISOR
              >= snapshot.n_prefill + snapshot.n_decode
-      || now_us - lead->led_since_us < first_order_delay_us (jobs)
-      || now_us - lead->ordered_us < ORDER_INTERVAL_US)
+      || now_us - leadership->led_since_us < first_order_delay_us (jobs)
+      || now_us - leadership->ordered_us < ORDER_INTERVAL_US)
     return;
   role = move == MF_STAGE_TO_DECODE ? MF_ROLE_DECODE : MF_ROLE_PREFILL;
   if (role == MF_ROLE_PREFILL && n_changing (jobs, service, now_us) > 0)
@@ -314,8 +314,9 @@
   mf_relay_log_state (jobs->log, "engine.ordered",
                       "upstream=%s stage=%s fence=%llu led_ms=%llu prefill=%u decode=%u "
                       "prefill_busy=%.2f decode_used=%.2f",
-                      target->info.id, mf_role_name (role), (unsigned long long)lead->fence,
-                      (unsigned long long)(now_us - lead->led_since_us) / 1000, snapshot.n_prefill,
-                      snapshot.n_decode, lead->trend.prefill_busy, lead->trend.decode_used);
-  order_send (jobs, lead, service, target, role, now_us);
+                      target->info.id, mf_role_name (role), (unsigned long long)leadership->fence,
+                      (unsigned long long)(now_us - leadership->led_since_us) / 1000,
+                      snapshot.n_prefill, snapshot.n_decode, leadership->trend.prefill_busy,
+                      leadership->trend.decode_used);
+  order_send (jobs, leadership, service, target, role, now_us);
 }
--- a/libmangofork/relay/line.c
+++ b/libmangofork/relay/line.c
@@ -111,7 +111,7 @@
 }
 
 static bool
-rate_limit_take (RateLimit *limit, uint64_t now_us)
+rate_limit_acquire (RateLimit *limit, uint64_t now_us)
 {
   uint64_t second = now_us / MF_US_PER_S;
 
@@ -157,7 +157,7 @@
 {
   char pairs[LINE_BYTES];
 
-  if (!rate_limit_take (limit, mf_clock_now_us ())
+  if (!rate_limit_acquire (limit, mf_clock_now_us ())
       || mf_buffer_bytes (&log->pending) > PENDING_BYTES_MAX)
     {
       log->n_dropped++;
--- a/libmangofork/relay/message.c
+++ b/libmangofork/relay/message.c
@@ -316,7 +316,7 @@
 
 /* Whether a comma-separated list contains a name; case is ignored. */
 static bool
-list_holds (const char *list, size_t list_bytes, const char *name, size_t name_bytes)
+list_contains (const char *list, size_t list_bytes, const char *name, size_t name_bytes)
 {
   size_t at = 0;
 
@@ -347,8 +347,8 @@
       const MfHeadField *list = &head->fields[i];
 
       if (list->header == MF_HEADER_CONNECTION
-          && list_holds (mf_head_text (head, list->value_at), list->value_bytes,
-                         mf_head_text (head, field->name_at), field->name_bytes))
+          && list_contains (mf_head_text (head, list->value_at), list->value_bytes,
+                            mf_head_text (head, field->name_at), field->name_bytes))
         return true;
     }
   return false;
--- a/libmangofork/relay/place.c
+++ b/libmangofork/relay/place.c
@@ -90,13 +90,13 @@
 {
   uint32_t slots = target->info.slots > 0 ? target->info.slots : 1;
   double slot_share = (double)(mf_target_load (target) + 1) / slots;
-  double memory_share = 0.;
+  double kv_share = 0.;
   double share;
 
   if (query->service_config != NULL && query->service_config->kv_capacity_tokens > 0)
-    memory_share = (double)(mf_target_load_tokens (target) + query->tokens)
-                   / (double)query->service_config->kv_capacity_tokens;
-  share = slot_share > memory_share ? slot_share : memory_share;
+    kv_share = (double)(mf_target_load_tokens (target) + query->tokens)
+               / (double)query->service_config->kv_capacity_tokens;
+  share = slot_share > kv_share ? slot_share : kv_share;
   if (query->kv_data_centre != NULL ? strcmp (query->kv_data_centre, target->info.data_centre) != 0
                                     : !is_same_data_centre (target, query))
     share += CROSS_DATA_CENTRE_KV_SHARE;
--- a/libmangofork/relay/relay.c
+++ b/libmangofork/relay/relay.c
@@ -23,7 +23,7 @@
 /* Memory of one caller: its buffers and its request. */
 #define BYTES_PER_CALLER 100000
 /* The responses buffered for plain requests may use this part (one in) of the process's memory. */
-#define KEPT_ANSWERS_MEMORY_DIVISOR 4
+#define ANSWERS_MEMORY_DIVISOR 4
 /* During shutdown, idle connections are closed when the load balancer has had time to notice it: it
  * checks readiness every second and acts on the second failure. */
 #define DRAIN_CLOSE_IDLE_US (2500 * MF_US_PER_MS)
@@ -394,7 +394,7 @@
   relay->jobs.order_interval_us = relay->settings.order_interval_us;
   relay->freshness.staleness_max_us = relay->settings.change_bound_us;
   if (relay->settings.memory_bytes > 0)
-    relay->jobs.answer_bytes_max = relay->settings.memory_bytes / KEPT_ANSWERS_MEMORY_DIVISOR;
+    relay->jobs.answer_bytes_max = relay->settings.memory_bytes / ANSWERS_MEMORY_DIVISOR;
   if (relay->listener != NULL)
     limits_apply (relay);
 }
--- a/libmangofork/report.c
+++ b/libmangofork/report.c
@@ -245,13 +245,13 @@
 add_missing (const MfMember *member, void *data)
 {
   const Coverage *coverage = data;
-  PeerSearch search = { .name = member->owner.name };
+  PeerSearch search = { .name = member->id.name };
 
   if (!mf_member_is_live (member))
     return true;
   mf_burn_foreach_peer (coverage->core->board.burn, search_merged, &search);
   if (!search.found)
-    json_object_array_add (coverage->missing, json_object_new_string (member->owner.name));
+    json_object_array_add (coverage->missing, json_object_new_string (member->id.name));
   return true;
 }
 
--- a/libmangofork/status.c
+++ b/libmangofork/status.c
@@ -203,8 +203,8 @@
   const Listing *listing = data;
   json_object *object = json_object_new_object ();
 
-  mf_render_text (object, "instance", member->owner.name);
-  mf_render_hex (object, "incarnation", member->owner.incarnation);
+  mf_render_text (object, "instance", member->id.name);
+  mf_render_hex (object, "incarnation", member->id.incarnation);
   mf_render_text (object, "data_centre", member->data_centre);
   mf_render_text (object, "address", member->address);
   mf_render_text (object, "state", states[member->state]);
--- a/libmangofork/voter.c
+++ b/libmangofork/voter.c
@@ -11,12 +11,12 @@
 #define CLOCK_SKEW_MS 1000
 
 static void
-view_raise (MfVoterState *voter, const MfInstanceId *owner)
+view_raise (MfVoterState *voter, const MfInstanceId *instance)
 {
-  uint32_t i = mf_cell_find (&voter->cell, owner->name);
+  uint32_t i = mf_cell_find (&voter->cell, instance->name);
 
-  if (i != MF_NONE && owner->incarnation > voter->view[i])
-    voter->view[i] = owner->incarnation;
+  if (i != MF_NONE && instance->incarnation > voter->view[i])
+    voter->view[i] = instance->incarnation;
 }
 
 static uint32_t
--- a/tests/test_job.c
+++ b/tests/test_job.c
@@ -173,7 +173,7 @@
 }
 
 static void
-test_declined_everywhere_is_refused_with_a_time (void **state)
+test_declined_everywhere_is_refused_with_retry_after (void **state)
 {
   RelayFixture fixture;
 
@@ -264,7 +264,7 @@
 
 /* A stream that is resumed after a separate prefill costs two retries, a prefill and a run. */
 static void
-test_both_sends_of_a_repeat_count (void **state)
+test_both_sends_of_a_retry_count (void **state)
 {
   RelayFixture fixture;
   uint32_t n_sends;
@@ -310,7 +310,7 @@
 /* The granted decode engine is unreachable, and the next one has a free slot only after the KV has
  * expired. That engine prefills the prompt itself, as another separate prefill would be a retry. */
 static void
-test_prompt_is_not_read_again_beyond_the_budget (void **state)
+test_prompt_is_not_prefilled_again_beyond_the_budget (void **state)
 {
   RelayFixture fixture;
   int fds[4];
@@ -344,7 +344,7 @@
 
 /* A resumed stream needs a second prefill and a second run. */
 static void
-test_repeat_of_two_sends_needs_room_for_both (void **state)
+test_retry_of_two_sends_needs_budget_for_both (void **state)
 {
   RelayFixture fixture;
   uint32_t n_sends;
@@ -364,7 +364,7 @@
 }
 
 static void
-test_prompt_is_read_and_decoded_apart (void **state)
+test_prefill_and_decode_run_at_separate_engines (void **state)
 {
   RelayFixture fixture;
   char value[64];
@@ -389,7 +389,7 @@
 }
 
 static void
-test_decode_reads_the_prompt_when_no_engine_does_that_alone (void **state)
+test_decode_engine_prefills_when_no_prefill_engine_exists (void **state)
 {
   RelayFixture fixture;
 
@@ -404,7 +404,7 @@
 
 /* KV that no engine decodes from is freed. */
 static void
-test_unused_memory_is_released (void **state)
+test_unused_kv_is_released (void **state)
 {
   RelayFixture fixture;
 
@@ -421,7 +421,7 @@
 }
 
 static void
-test_broken_stream_goes_on_after_its_last_event (void **state)
+test_broken_stream_is_resumed_after_its_last_event (void **state)
 {
   RelayFixture fixture;
   char value[16] = "";
@@ -445,7 +445,7 @@
 }
 
 static void
-test_silent_stream_goes_on_elsewhere (void **state)
+test_silent_stream_is_resumed_elsewhere (void **state)
 {
   RelayFixture fixture;
 
@@ -463,7 +463,7 @@
 /* A stream that fails later than its caller would have waited for its first event is still resumed:
  * the caller's time limit starts again with each event. */
 static void
-test_stream_that_breaks_late_goes_on (void **state)
+test_stream_that_breaks_late_is_resumed (void **state)
 {
   static const char text[] = "POST /llm/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: t\r\n"
                              "Connection: close\r\n\r\n";
@@ -495,7 +495,7 @@
 }
 
 static void
-test_broken_stream_that_cannot_go_on_does_not_look_whole (void **state)
+test_broken_stream_that_cannot_be_resumed_does_not_look_complete (void **state)
 {
   RelayFixture fixture;
 
@@ -720,7 +720,7 @@
 }
 
 static void
-test_pauses_that_cannot_be_read_are_passed_over (void **state)
+test_invalid_pauses_are_ignored (void **state)
 {
   static const char *const values[]
       = { "", "-1", "soon", "Fri, 04 Dec 2026 10:00:00 GMT", "1e400", "0", "1s", "nan" };
@@ -812,28 +812,28 @@
     cmocka_unit_test (test_answer_is_passed_on),
     cmocka_unit_test (test_order_that_may_have_run_is_not_sent_again),
     cmocka_unit_test (test_order_that_was_declined_runs_elsewhere),
-    cmocka_unit_test (test_declined_everywhere_is_refused_with_a_time),
+    cmocka_unit_test (test_declined_everywhere_is_refused_with_retry_after),
     cmocka_unit_test (test_refusals_without_upstream_or_route),
     cmocka_unit_test (test_read_is_tried_elsewhere),
     cmocka_unit_test (test_read_fails_in_the_end),
     cmocka_unit_test (test_retries_keep_to_the_budget),
-    cmocka_unit_test (test_both_sends_of_a_repeat_count),
-    cmocka_unit_test (test_prompt_is_not_read_again_beyond_the_budget),
-    cmocka_unit_test (test_repeat_of_two_sends_needs_room_for_both),
-    cmocka_unit_test (test_prompt_is_read_and_decoded_apart),
-    cmocka_unit_test (test_decode_reads_the_prompt_when_no_engine_does_that_alone),
-    cmocka_unit_test (test_unused_memory_is_released),
-    cmocka_unit_test (test_broken_stream_goes_on_after_its_last_event),
-    cmocka_unit_test (test_silent_stream_goes_on_elsewhere),
-    cmocka_unit_test (test_stream_that_breaks_late_goes_on),
-    cmocka_unit_test (test_broken_stream_that_cannot_go_on_does_not_look_whole),
+    cmocka_unit_test (test_both_sends_of_a_retry_count),
+    cmocka_unit_test (test_prompt_is_not_prefilled_again_beyond_the_budget),
+    cmocka_unit_test (test_retry_of_two_sends_needs_budget_for_both),
+    cmocka_unit_test (test_prefill_and_decode_run_at_separate_engines),
+    cmocka_unit_test (test_decode_engine_prefills_when_no_prefill_engine_exists),
+    cmocka_unit_test (test_unused_kv_is_released),
+    cmocka_unit_test (test_broken_stream_is_resumed_after_its_last_event),
+    cmocka_unit_test (test_silent_stream_is_resumed_elsewhere),
+    cmocka_unit_test (test_stream_that_breaks_late_is_resumed),
+    cmocka_unit_test (test_broken_stream_that_cannot_be_resumed_does_not_look_complete),
     cmocka_unit_test (test_stream_without_time_is_refused_at_once),
     cmocka_unit_test (test_departed_caller_stops_its_work),
     cmocka_unit_test (test_upstream_that_says_it_leaves_gets_no_more),
     cmocka_unit_test (test_engine_that_says_it_leaves_gets_no_more),
     cmocka_unit_test (test_upstream_that_asks_for_a_pause_gets_it),
     cmocka_unit_test (test_streams_wait_for_the_end_of_a_pause),
-    cmocka_unit_test (test_pauses_that_cannot_be_read_are_passed_over),
+    cmocka_unit_test (test_invalid_pauses_are_ignored),
     cmocka_unit_test (test_unreachable_upstream_costs_no_request),
     cmocka_unit_test (test_deadline_ends_what_does_not_answer),
     cmocka_unit_test (test_requests_wait_for_a_free_slot),
--- a/tests/test_job_answer.c
+++ b/tests/test_job_answer.c
@@ -265,7 +265,7 @@
 /* Bytes that complete no event do not count as progress: the stream is resumed elsewhere, as after
  * silence. */
 static void
-test_stream_that_trickles_goes_on_elsewhere (void **state)
+test_stream_that_trickles_is_resumed_elsewhere (void **state)
 {
   static const char text[] = "POST /llm/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: t\r\n"
                              "Connection: close\r\n\r\n";
@@ -334,12 +334,12 @@
     fds[i] = call_begin (&fixture, "POST", "/order/1");
   while (!no_jobs_left (&fixture))
     {
-      uint64_t kept_bytes = 0;
+      uint64_t buffered_bytes = 0;
 
       loop_spin (fixture.loop, 1);
       for (const MfJob *job = fixture.jobs.first; job != NULL; job = job->next)
-        kept_bytes += mf_buffer_bytes (&job->answer.body);
-      most_bytes = kept_bytes > most_bytes ? kept_bytes : most_bytes;
+        buffered_bytes += mf_buffer_bytes (&job->answer.body);
+      most_bytes = buffered_bytes > most_bytes ? buffered_bytes : most_bytes;
     }
   assert_in_range (most_bytes, 1, limit_bytes + 65536);
   for (uint32_t i = 0; i < N_CALLERS; i++)
@@ -359,7 +359,7 @@
     cmocka_unit_test (test_endless_answer_to_a_prefill_is_retried),
     cmocka_unit_test (test_endless_event_ends_the_stream),
     cmocka_unit_test (test_endless_answer_of_a_removed_upstream),
-    cmocka_unit_test (test_stream_that_trickles_goes_on_elsewhere),
+    cmocka_unit_test (test_stream_that_trickles_is_resumed_elsewhere),
     cmocka_unit_test (test_endless_answer_to_a_release_times_out),
     cmocka_unit_test (test_buffered_answers_keep_to_the_memory_limit),
   };
--- a/tests/test_job_room.c
+++ b/tests/test_job_room.c
@@ -146,7 +146,7 @@
 /* Instances that have used up their own allowance get retries from the leader, and the sum stays
  * within the common slack. A leader of less than a window grants none. */
 static void
-test_leader_gives_repeats_that_others_do_not_use (void **state)
+test_leader_grants_retries_that_others_do_not_use (void **state)
 {
   (void)state;
   assert_in_range (n_retries_of_ten (false, relay_fixture_decline, false), 1, N_INSTANCES);
@@ -155,7 +155,7 @@
 
 /* A resumed stream needs a second prefill and a second run, and both count as retries. */
 static void
-test_repeats_of_two_sends_keep_to_what_is_common (void **state)
+test_retries_of_two_sends_keep_to_the_common_budget (void **state)
 {
   (void)state;
   assert_in_range (n_retries_of_ten (true, relay_fixture_stream_breaks, true), 2, SLACK);
@@ -197,8 +197,8 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_waiting_requests_ask_the_next_leader),
-    cmocka_unit_test (test_leader_gives_repeats_that_others_do_not_use),
-    cmocka_unit_test (test_repeats_of_two_sends_keep_to_what_is_common),
+    cmocka_unit_test (test_leader_grants_retries_that_others_do_not_use),
+    cmocka_unit_test (test_retries_of_two_sends_keep_to_the_common_budget),
     cmocka_unit_test (test_engine_that_the_requester_does_not_know_is_avoided),
   };
 
--- a/tests/test_job_stage.c
+++ b/tests/test_job_stage.c
@@ -262,7 +262,7 @@
 
 /* An order without a reply may have been accepted, so the engine gets no other order. */
 static void
-test_order_without_an_answer_counts_as_taken (void **state)
+test_order_without_a_reply_counts_as_accepted (void **state)
 {
   OrderFixture fixture;
 
@@ -285,7 +285,7 @@
     cmocka_unit_test (test_first_order_waits_longer_without_fences),
     cmocka_unit_test (test_new_fence_exceeds_all_known_fences),
     cmocka_unit_test (test_refused_orders_end),
-    cmocka_unit_test (test_order_without_an_answer_counts_as_taken),
+    cmocka_unit_test (test_order_without_a_reply_counts_as_accepted),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_job_suspect.c
+++ b/tests/test_job_suspect.c
@@ -253,23 +253,23 @@
 test_isolated_instance_receives_quarantines (void **state)
 {
   CrashFixture fixture;
-  RelayFixture *alone = &fixture.fleet.instances[3];
+  RelayFixture *isolated = &fixture.fleet.instances[3];
   MfPeers *peers;
   MfError error = { 0 };
   char address[MF_ADDRESS_BYTES];
 
   (void)state;
   crash_fixture_setup (&fixture);
-  peers = alone->jobs.peers;
-  alone->jobs.peers = NULL;
+  peers = isolated->jobs.peers;
+  isolated->jobs.peers = NULL;
   mf_peers_free (peers);
   quarantine_request (&fixture);
   snprintf (address, sizeof address, "127.0.0.1:%u", PEER_PORT + 3);
-  alone->jobs.peers = mf_peers_new (fixture.fleet.loop, address, &mf_jobs_peers_callbacks,
-                                    &alone->jobs, alone->log, &error);
-  assert_non_null (alone->jobs.peers);
+  isolated->jobs.peers = mf_peers_new (fixture.fleet.loop, address, &mf_jobs_peers_callbacks,
+                                       &isolated->jobs, isolated->log, &error);
+  assert_non_null (isolated->jobs.peers);
   snprintf (address, sizeof address, "127.0.0.1:%u", PEER_PORT);
-  mf_peers_add_seeds (alone->jobs.peers, address);
+  mf_peers_add_seeds (isolated->jobs.peers, address);
   relay_fleet_wait_connected (&fixture.fleet);
   loop_spin (fixture.fleet.loop, 50);
   assert_int_equal (call (&fixture, 3, CRASHER_HOST, "/order/1", SOAK_CRASH "0"), 503);
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -85,7 +85,7 @@
 
       if (members->neighbours[i] == NULL)
         continue;
-      other = (uint32_t)strtoul (members->neighbours[i]->member.owner.name + 1, NULL, 10);
+      other = (uint32_t)strtoul (members->neighbours[i]->member.id.name + 1, NULL, 10);
       if (!reached[other])
         mark_reachable (cores, other, reached);
     }
@@ -265,7 +265,7 @@
   (void)state;
   while (row->member.link_id != 0)
     row = row->hh.next;
-  assert_true (mf_member_send (fake_cores_core (cores, 0), row->member.owner.name, &message));
+  assert_true (mf_member_send (fake_cores_core (cores, 0), row->member.id.name, &message));
   assert_int_equal (row->n_pending, 1);
   fake_cores_run (cores, 10 * MF_US_PER_MS);
   assert_int_equal (row->n_pending, 0);
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -290,7 +290,7 @@
 /* An upstream whose entry expired during an outage of the store stays in use for a while, and is
  * removed when it has not registered again by then. */
 static void
-test_lapsed_entries_are_kept_for_a_while (void **state)
+test_expired_entries_are_kept_for_a_while (void **state)
 {
   Fixture fixture;
 
@@ -538,7 +538,7 @@
 {
   static const char request[] = "GET /a/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: t\r\n\r\n";
   Fixture fixture;
-  int kept;
+  int open_fd;
 
   (void)state;
   fixture_begin (&fixture);
@@ -549,15 +549,15 @@
   wait_for (&fixture, READY_PORT, "/ready", 503);
   assert_int_equal (status_of (&fixture, PORT, "/a/1"), 200);
   assert_non_null (strstr (fixture.received, "Connection: close"));
-  kept = loop_connect (PORT);
+  open_fd = loop_connect (PORT);
   assert_true (loop_pump (fixture.loop, cannot_connect, &fixture));
   assert_int_equal (status_of (&fixture, READY_PORT, "/ready"), 503);
   /* Before this, a response could still be complete before the exit. */
   loop_spin (fixture.loop, 100);
-  loop_send (kept, request, strlen (request));
-  loop_receive (fixture.loop, kept, NULL, fixture.received, sizeof fixture.received);
+  loop_send (open_fd, request, strlen (request));
+  loop_receive (fixture.loop, open_fd, NULL, fixture.received, sizeof fixture.received);
   assert_true (fixture.received[0] == '\0' || strncmp (fixture.received, "HTTP/1.1 503", 12) == 0);
-  close (kept);
+  close (open_fd);
   mf_relay_run (fixture.relay);
   fixture_end (&fixture);
   /* A second signal during the exit does not kill the process. */
@@ -620,7 +620,7 @@
     cmocka_unit_test (test_leaving_upstreams_get_nothing),
     cmocka_unit_test (test_lists_have_pages),
     cmocka_unit_test (test_store_outages_of_every_kind),
-    cmocka_unit_test (test_lapsed_entries_are_kept_for_a_while),
+    cmocka_unit_test (test_expired_entries_are_kept_for_a_while),
     cmocka_unit_test (test_follower_does_not_read_the_store_while_it_is_fed),
     cmocka_unit_test (test_reader_sends_changes_to_other_instances),
     cmocka_unit_test (test_shutdown),
