--- a/libmangofork/claim.c
+++ b/libmangofork/claim.c
@@ -56,7 +56,7 @@
   mf_claim_settle (core, claim, MF_CLAIM_GRANTED, MF_CODE_OK, MF_OUTCOME_NOT_RUN);
 }
 
-/* Another claim holds so many votes that a quorum is impossible: waits for its outcome. */
+/* Another claim has so many votes that this one cannot reach a quorum: waits for its outcome. */
 static void
 claim_wait (MfCore *core, MfClaim *claim, const MfVoteMessage *refusal)
 {
--- a/libmangofork/health.c
+++ b/libmangofork/health.c
@@ -190,7 +190,7 @@
     }
 }
 
-/* Reports a load report. A new incarnation means that the previous one has died. */
+/* Handles a load report. A new incarnation means that the previous one has died. */
 void
 mf_health_note_load (MfCore *core, uint32_t upstream, const MfLoadEvent *load)
 {
@@ -231,7 +231,7 @@
     eject (core, upstream, MF_CODE_UPSTREAM_ERROR);
 }
 
-/* Reports the end of a call. After a failure other than a time-out, the upstream is polled at once;
+/* Reports the end of a call. After a failure other than a timeout, the upstream is polled at once;
  * if it cannot be connected to, it is dead. */
 void
 mf_health_note_call (MfCore *core, uint32_t upstream, const MfEvent *event)
@@ -322,7 +322,7 @@
     row->link_bytes_per_s = rate_per_s (row->link_sum_bytes, row->link_sum_us);
 }
 
-/* Reports that a KV did not get across the upstream's link before it expired. */
+/* Reports that the KV transfers on the upstream's link make no progress. */
 void
 mf_health_note_transfer_stall (MfCore *core, uint32_t upstream)
 {
--- a/libmangofork/life.c
+++ b/libmangofork/life.c
@@ -31,7 +31,7 @@
 /* A suspect is cleared once it has delivered this many tokens more than when its upstream
  * failed. */
 #define SUSPECT_CLEAR_TOKENS 8
-/* Times that a request may claim its key again, at most. */
+/* Maximum number of times that a request claims its idempotency key again. */
 #define CLAIMS_MAX 3
 /* After a pause of this process, time to read the input that arrived meanwhile before an upstream
  * is considered stalled. */
@@ -39,6 +39,8 @@
 /* An upstream that refused a call for lack of capacity gets no new one for this long, or until a
  * call of this instance there ends. */
 #define UPSTREAM_FULL_US (40 * MF_US_PER_MS)
+/* An idempotent plain call is hedged after HEDGE_ANSWER_FACTOR times the service's mean time to an
+ * answer, but not before HEDGE_DELAY_MIN_US. */
 #define HEDGE_DELAY_MIN_US (10 * MF_US_PER_MS)
 #define HEDGE_ANSWER_FACTOR 3
 
--- a/libmangofork/member.c
+++ b/libmangofork/member.c
@@ -16,16 +16,22 @@
  * this process was paused. */
 #define PAUSE_PERIODS 3
 #define PAUSE_MIN_US (500 * MF_US_PER_MS)
+/* The health penalty rises by one with each pause of this process, up to this, and falls by one in
+ * each PENALTY_DECAY_US without a pause. */
 #define HEALTH_PENALTY_MAX 7
 #define PENALTY_DECAY_US (10 * MF_US_PER_S)
+/* Each refuted suspicion of a member doubles its timeouts, up to this many times, until it sends a
+ * message. */
 #define REFUTATIONS_MAX 5
-/* Limit of the factor by which the health penalty and refutations lengthen the time-outs. */
+/* Limit of the factor by which the health penalty and refutations lengthen the timeouts. */
 #define TIMEOUT_MULTIPLIER_MAX 16
+/* Mean time between two sweeps; each is drawn at random from half to one and a half of it. */
 #define SWEEP_PERIOD_US (2 * MF_US_PER_S)
 /* A neighbour that this instance did not choose is dropped this long after its last digest. */
 #define UNCHOSEN_LIFE_US (10 * MF_US_PER_S)
 /* A link to an instance that is no neighbour is closed after this time without messages. */
 #define LINK_IDLE_US (30 * MF_US_PER_S)
+/* A member that the published list has not named for this long is removed once it has no link. */
 #define UNLISTED_LIFE_US (300 * MF_US_PER_S)
 /* Most instances in the table, listed or not. */
 #define ROWS_MAX 4096
@@ -312,8 +318,8 @@
     mf_member_set_state (core, row, MF_MEMBER_ALIVE, origin_us, "reported by a peer");
 }
 
-/* Detects that this process was paused. It received nothing meanwhile, so the time-outs of its
- * neighbours restart, and the health penalty lengthens its time-outs until it has decayed. */
+/* Detects that this process was paused. It received nothing meanwhile, so the timeouts of its
+ * neighbours restart, and the health penalty lengthens its timeouts until it has decayed. */
 static void
 detect_pause (MfCore *core)
 {
--- a/libmangofork/queue.c
+++ b/libmangofork/queue.c
@@ -215,7 +215,7 @@
          + queue->services[service].requeued.n_requests;
 }
 
-/* Estimates the wait of a request behind n others from the rate at which the queue drains. */
+/* Estimates the wait of a request behind n others from the mean time between two placements. */
 static uint64_t
 expected_wait_us (const MfCore *core, uint32_t service, uint32_t n)
 {
@@ -401,8 +401,7 @@
   return true;
 }
 
-/* Updates the drain rate of a service's queue from the time between two placements while requests
- * wait. */
+/* Updates the mean time between two placements of a service while requests wait. */
 static void
 note_placement (MfCore *core, uint32_t service, bool others_wait)
 {
--- a/libmangofork/relay/dispatch.c
+++ b/libmangofork/relay/dispatch.c
@@ -6,7 +6,7 @@
 /* A grant that does not show in the load report of its requester within this time counts as lost: a
  * few round trips and iterations of its event loop. */
 #define PENDING_GRANT_MAX_US (500 * MF_US_PER_MS)
-/* Services known to be full in one run; after this many, the run ends. */
+/* A run ends when it has found this many services without a free slot. */
 #define FULL_SERVICES_MAX 16
 
 /* A request whose KV use exceeds 1/OVERSIZED_DIVISOR of the capacity of an engine does not block
@@ -193,7 +193,7 @@
     }
 }
 
-/* Removes grants that were lost on the way. */
+/* Removes grants that count as lost. */
 static void
 pending_expire (MfDispatch *dispatch, uint64_t now_us)
 {
--- a/libmangofork/relay/dispatch.h
+++ b/libmangofork/relay/dispatch.h
@@ -5,16 +5,15 @@
 #include "place.h"
 
 /* Assigns engine slots to waiting requests. For each service one instance, the leader, assigns the
- * slots for all instances; an instance that cannot reach the leader assigns slots itself. This
- * serves bursts that exceed the engines' KV memory: each slot that becomes free is granted to one
- * request, and those that can still meet their objective come first. Without it, every instance
- * with a waiting request would send one to the same free slot at once.
+ * slots for all instances; an instance that cannot reach the leader assigns slots itself. It is
+ * needed in bursts that exceed the KV capacity of the engines. Each slot that becomes free is
+ * granted to one request, and requests that can still meet their objective come first. Without it,
+ * every instance with a waiting request would send one to the same free slot at once.
  *
  * A grant reserves nothing at the engine, which may still decline the request. */
 typedef struct MfDispatch MfDispatch;
 
-/* Requester that stands for this instance; the others are identified by the hash of their address.
- */
+/* Id of this instance as a requester; others have the hash of their address. */
 #define MF_DISPATCH_SELF 0
 
 /* A request for a slot at an engine. */
--- a/libmangofork/relay/feed.c
+++ b/libmangofork/relay/feed.c
@@ -12,8 +12,8 @@
 /* With fewer instances in a data centre, the frequent calls of readers cost more than infrequent
  * calls by all. */
 #define READERS_INSTANCES_MIN 8
-/* A follower reads the store when its state is older than this percentage of the bound; the rest is
- * for that call. */
+/* A follower reads the store when its state is older than this percentage of the bound
+ * (staleness_max_us); the rest is for that call. */
 #define READ_AFTER_PERCENT 50
 /* Calls of followers that are late together are spread over this percentage of that time. */
 #define SPREAD_PERCENT 20
@@ -23,8 +23,8 @@
 /* Pauses between failed calls, doubled from the first up to the maximum. */
 #define RETRY_FIRST_US (50 * MF_US_PER_MS)
 #define RETRY_MAX_US (400 * MF_US_PER_MS)
-/* Maximum pause of followers, as a percentage of the bound: readers notify them when the store is
- * back. The rules on changes apply again only some seconds after that. */
+/* Maximum pause of followers, as a percentage of the bound. They need not check often: readers
+ * notify them when the store is back, and the bound applies again only some seconds after that. */
 #define RETRY_FOLLOWER_PERCENT 50
 /* Upper bound of the transit time of an answer of the store; sixty times the usual value. */
 #define ANSWER_TRANSIT_MAX_US (250 * MF_US_PER_MS)
--- a/libmangofork/relay/job.c
+++ b/libmangofork/relay/job.c
@@ -9,8 +9,8 @@
 #include <string.h>
 #include <sys/random.h>
 
-/* Maximum number of concurrent requests. At 60 KB each, the largest size at the sites, they take
- * half of the smallest instance's memory. */
+/* Maximum number of concurrent requests. At 60 KB each, the largest size at the known sites, they
+ * take half of the smallest instance's memory. */
 #define JOBS_MAX 700
 /* Limit of buffered answers where the process does not know how much memory it has. */
 #define ANSWERS_BYTES_MAX (64 * 1024 * 1024)
@@ -34,7 +34,8 @@
 #define ANSWER_TIME_MIN_SHARE 0.5
 /* Weight of one answer in the moving averages; answer lengths vary by half. */
 #define ANSWER_WEIGHT 0.05
-/* Weight of one sample of the time to the first event, which follows the load within seconds. */
+/* Weight of one sample in the moving average of the time to the first event, which changes with the
+ * load within seconds. */
 #define FIRST_EVENT_WEIGHT 0.1
 
 /* Returns a uniform random number; not for secrets. */
@@ -566,7 +567,8 @@
   if (job == NULL || job->link == NULL)
     return;
   mf_link_pause_reading (job->link, !can_write);
-  /* A pause of the stream may be caused by the slow caller, so the upstream gets no timeout. */
+  /* The stream may pause because its caller reads slowly, so the upstream does not time out until
+   * its next event. */
   job->step_deadline_us = 0;
 }
 
--- a/libmangofork/relay/job_answer.c
+++ b/libmangofork/relay/job_answer.c
@@ -12,8 +12,8 @@
 #define ANSWER_BYTES_MAX (4 * 1024 * 1024)
 /* The same for an answer to a prefill, which contains only the KV handle. */
 #define PREFILL_BYTES_MAX (64 * 1024)
-/* Smaller answers do not trigger the check of the common limit; the number of callers bounds their
- * sum. */
+/* Answers smaller than this are not checked against the limit for all buffered answers
+ * (MfJobs.answer_bytes_max); the number of callers bounds their sum. */
 #define ANSWER_BYTES_SMALL (64 * 1024)
 /* Failed connection attempts cost only time; after more than this many the request is refused. */
 #define CONNECT_FAILURES_MAX 5
@@ -89,8 +89,8 @@
   callbacks->end (job, MF_LINK_BROKEN, why);
 }
 
-/* Returns the request with the largest answer being received if all buffered answers exceed their
- * common limit, else NULL. */
+/* Returns the request with the largest answer being received if all buffered answers together
+ * exceed their limit, else NULL. */
 static MfJob *
 jobs_find_largest_answer (const MfJobs *jobs)
 {
@@ -254,7 +254,7 @@
 job_connect_failed (MfJob *job, MfTarget *target, const char *why)
 {
   job->jobs->counters.counts[MF_RELAY_COUNT_UNREACHED]++;
-  /* The send did not arrive; the next one takes its place in the budget. */
+  /* The request did not arrive, so the send is returned to the budget. */
   if (job->is_retry)
     job->n_reserved_sends++;
   else if (target->info.role == MF_ROLE_PREFILL)
--- a/libmangofork/relay/job_retry.c
+++ b/libmangofork/relay/job_retry.c
@@ -8,7 +8,7 @@
  * instance. */
 #define REPLY_TIMEOUT_US (80 * MF_US_PER_MS)
 
-/* Returns the retry budget of a service. */
+/* Returns the retry budget of a service, and creates it at the first call. */
 MfServiceBudget *
 mf_jobs_budget (MfJobs *jobs, const char *service)
 {
@@ -27,7 +27,8 @@
   return budget;
 }
 
-/* This instance's allowance of the common slack. */
+/* Retries that this instance may send regardless of its request count: its part of the slack that
+ * all instances share. */
 static uint32_t
 jobs_allowance (const MfJobs *jobs)
 {
@@ -77,8 +78,8 @@
   return n_before == 0 || job->n_reserved_sends > 0 || acquire_sends (job, 1);
 }
 
-/* Sends a retry message to the leader of the service. Returns the leader; MF_DISPATCH_SELF if this
- * instance leads or the message could not be sent. */
+/* Sends a retry request to the leader of the service. Returns the leader, or MF_DISPATCH_SELF if
+ * this instance leads or the message could not be sent. */
 static uint64_t
 leader_send (MfJobs *jobs, const char *service, const MfRetryRequest *retry)
 {
@@ -176,7 +177,7 @@
   mf_job_advance (job);
 }
 
-/* Requests a retry from the leader; returns false if there is none to ask. */
+/* Requests a retry from the leader. Returns false if the request could not be sent. */
 static bool
 request_retry (MfJob *job)
 {
--- a/libmangofork/relay/job_room.c
+++ b/libmangofork/relay/job_room.c
@@ -175,8 +175,8 @@
     request_enqueue_local (job);
 }
 
-/* The leader has not replied: asks the next one. If all waiting instances granted slots themselves,
- * they would take the same ones. */
+/* The leader has not replied: sends the slot request to the next one. If all waiting instances
+ * granted slots themselves, they would take the same ones. */
 void
 mf_job_slot_request_expired (MfJob *job)
 {
@@ -336,7 +336,8 @@
 
   mf_dispatch_drop_requester (jobs->dispatch, peer);
   jobs->remote_load_stale = true;
-  /* The new leader must have received this instance's load before its slot requests. */
+  /* The new leader must have received this instance's load before its slot requests:
+   * mf_peers_leader sends a report to a new leader. */
   for (uint32_t i = 0; jobs->peers != NULL && jobs->routes != NULL && i < jobs->routes->n_services;
        i++)
     {
--- a/libmangofork/relay/job_row.h
+++ b/libmangofork/relay/job_row.h
@@ -3,8 +3,8 @@
 
 #include "job.h"
 
-/* Upstreams that a request avoids because they declined or failed it. Its slot requests also list
- * the upstreams that this instance cannot use. */
+/* Maximum upstreams that a request avoids because they declined or failed it. Its slot requests
+ * also list the upstreams that this instance cannot use. */
 #define MF_JOB_AVOID_MAX 6
 
 /* State of a request. */
@@ -49,7 +49,7 @@
   bool is_head_request;
   char id[MF_JOB_ID_BYTES];
   uint64_t digest; /* the same for all tries of a request */
-  uint64_t try_id; /* identifies this try within the instance */
+  uint64_t try_id; /* number of this try at this instance */
   uint64_t begun_us;
   /* When the caller sent its first try, estimated from its deadline header. */
   uint64_t first_try_us;
@@ -81,7 +81,8 @@
   bool kv_used;
   uint32_t n_prefills;
 
-  uint64_t pause_end_us; /* end of the first upstream's pause, or of the quarantine; 0: not known */
+  /* End of the first pause to end, if all upstreams are paused, or of the quarantine; 0: none. */
+  uint64_t pause_end_us;
 
   MfTarget *reserved_target; /* decode engine with a slot reserved for this request; NULL: none */
 
--- a/libmangofork/relay/job_send.c
+++ b/libmangofork/relay/job_send.c
@@ -15,6 +15,7 @@
  * minimum. */
 #define PREFILL_FACTOR 4.
 #define PREFILL_TIMEOUT_MIN_US (350 * MF_US_PER_MS)
+/* Prefill time per token before any was observed, as in place.c. */
 #define DEFAULT_US_PER_TOKEN 18.
 /* A resumable stream is moved to another upstream after this many latency objectives without a
  * first event. */
--- a/libmangofork/relay/job_stage.c
+++ b/libmangofork/relay/job_stage.c
@@ -20,8 +20,8 @@
 #define CONNECT_TIME_US (500 * MF_US_PER_MS)
 /* Engines reply to an order at once; one without a reply may have been accepted. */
 #define ORDER_TIMEOUT_US (2 * MF_US_PER_S)
-/* At most one in this many engines changes at a time, so that the effect shows before the next
- * change. */
+/* An order is sent only while fewer than one in this many engines are changing, so that the effect
+ * shows before the next change. */
 #define CHANGING_DIVISOR 8
 /* An engine that has refused or not followed this many orders gets no more. */
 #define ORDERS_FAILED_MAX 2
--- a/libmangofork/relay/job_suspect.c
+++ b/libmangofork/relay/job_suspect.c
@@ -5,8 +5,9 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* A crash becomes known within this time of the failed exchange: the host refuses connections at
- * once, or, if the host is silent, discovery lists the next process at the address. */
+/* A crash becomes known within this time of the failed exchange: the host of the upstream refuses
+ * connections at once, or, if it does not answer, discovery lists the next process at the
+ * address. */
 #define CRASH_WINDOW_US (10 * MF_US_PER_S)
 /* Quarantine after two crashes: they may be a coincidence, and the callers of an innocent request
  * wait no longer than this anyway. */
@@ -137,7 +138,7 @@
   entry_send (jobs, &entry);
 }
 
-/* Collects the entries of one message, either quarantined requests or the others. */
+/* Arguments of entry_add, which adds either the quarantined requests to a message or the others. */
 typedef struct
 {
   MfSuspectUpdate *update;
@@ -158,7 +159,8 @@
   return true;
 }
 
-/* Sends all published suspects to an instance that may have restarted, quarantined ones first. */
+/* Sends the suspects that all instances were informed of to one that may have restarted.
+ * Quarantined ones come first, as a message holds only MF_SUSPECT_ENTRIES_MAX. */
 void
 mf_jobs_send_suspects (MfJobs *jobs, uint64_t peer)
 {
@@ -359,8 +361,8 @@
     upstream_died (jobs, target);
 }
 
-/* Retries a request after a failure, or ends it. A suspect waits until it is known whether this
- * upstream has crashed as well. */
+/* Retries a request after a failure, or ends it. A suspect waits until a probe has shown whether
+ * this upstream has crashed as well. */
 void
 mf_job_retry_after_failure (MfJob *job, MfTarget *target, const MfJobDenial *denial)
 {
--- a/libmangofork/relay/line.c
+++ b/libmangofork/relay/line.c
@@ -14,8 +14,10 @@
 #include <unistd.h>
 
 #define LINE_BYTES 1024
-/* Twice the highest request rate of one instance at the known sites. */
+/* Limit of lines about requests: twice the highest request rate of one instance at the known
+ * sites. */
 #define REQUEST_LINES_PER_S 120
+/* Limit of lines about changes of state. */
 #define STATE_LINES_PER_S 60
 /* Lines are dropped while more than this is waiting for a slow reader. */
 #define PENDING_BYTES_MAX 65536
--- a/libmangofork/relay/link.c
+++ b/libmangofork/relay/link.c
@@ -12,9 +12,9 @@
 
 /* Bytes read from a connection at a time; the events of an engine's stream are below 3 KB. */
 #define READ_BYTES 16384
-/* Size of a request id, its closing NUL included. */
+/* Bytes of a request id, including the terminating NUL. */
 #define REQUEST_ID_BYTES 128
-/* Part of the peer's Keep-Alive time-out for which an idle connection is reused. The margin keeps a
+/* Part of the peer's Keep-Alive timeout for which an idle connection is reused. The margin keeps a
  * request from being sent while the peer closes the connection. */
 #define KEEP_ALIVE_PERCENT 60
 /* TCP keep-alive: a peer that has vanished is detected within four seconds. */
@@ -39,7 +39,7 @@
   LinkState state;
   ev_io reader;
   ev_io writer;
-  ev_timer timer; /* connecting and busy: time-out; idle: close; ending: due at once */
+  ev_timer timer; /* connecting and busy: timeout; idle: close; ending: due at once */
   MfMessage message;
   MfBuffer out;
   const MfLinkCallbacks *callbacks;
@@ -47,7 +47,7 @@
   char echo_id[REQUEST_ID_BYTES];
   bool head_only;
   bool id_mismatch;     /* the response being read belongs to another request */
-  bool had_id_mismatch; /* so did an earlier one on this connection, or this one */
+  bool had_id_mismatch; /* a response on this connection belonged to another request */
   bool has_sent;
   bool no_request;  /* opened by mf_link_open */
   bool in_callback; /* a callback is running */
@@ -326,7 +326,7 @@
   return true;
 }
 
-/* Starts the time-out of the exchange, if it has one. */
+/* Starts the timeout of the exchange, if it has one. */
 static void
 link_set_timeout (MfLink *link)
 {
--- a/libmangofork/relay/link.h
+++ b/libmangofork/relay/link.h
@@ -36,10 +36,10 @@
   uint32_t n_idle;
   uint32_t n_idle_max;
   uint32_t n_links;         /* all connections, idle ones included */
-  uint64_t idle_default_us; /* idle time-out for a peer that sends no Keep-Alive time-out */
+  uint64_t idle_default_us; /* idle timeout for a peer that sends no Keep-Alive timeout */
   uint64_t connect_timeout_us;
-  uint64_t
-      unacked_timeout_us; /* sent data must be acknowledged within this time (TCP_USER_TIMEOUT) */
+  /* Sent data must be acknowledged within this time (TCP_USER_TIMEOUT). */
+  uint64_t unacked_timeout_us;
   uint64_t n_connects;
   /* Called with the head of each response from the address, also of one that belongs to another
    * request; may be NULL. */
--- a/libmangofork/relay/load_report.h
+++ b/libmangofork/relay/load_report.h
@@ -3,7 +3,7 @@
 
 #include "libmangofork/types.h"
 
-/* Maximum upstreams in one report; an instance uses fewer at a time. */
+/* Maximum upstreams in one report; an instance uses fewer than this at a time. */
 #define MF_LOAD_ENTRIES_MAX 128
 /* Maximum other instances in one report. */
 #define MF_LOAD_MEMBERS_MAX 512
--- a/libmangofork/relay/place.c
+++ b/libmangofork/relay/place.c
@@ -76,7 +76,7 @@
   double silent_us = silence_us (target, now_us);
   double cost_us = us_per_token * (double)(mf_target_load_tokens (target) + query->tokens);
 
-  /* It declines prompts now. When all engines do, the one that may accept first is chosen. */
+  /* The engine declines prompts for now. When all do, the one that may accept first is chosen. */
   if (target->full_until_us > now_us)
     cost_us += (double)MF_US_PER_S + (double)(target->full_until_us - now_us);
   return (silent_us > cost_us ? silent_us : cost_us)
--- a/libmangofork/relay/place.h
+++ b/libmangofork/relay/place.h
@@ -18,9 +18,9 @@
   uint32_t n_avoid;
   const char *data_centre;    /* of the sending instance */
   const char *kv_data_centre; /* of the prefilled KV; NULL: none */
-  bool avoid_suspects;        /* keep it away from requests under which an upstream has died */
+  bool avoid_suspects;        /* avoid upstreams that run suspect requests */
   bool must_fit;              /* only engines with free capacity */
-  uint32_t tie_break;         /* uniform random number; decides between equals */
+  uint32_t tie_break;         /* uniform random number; decides between equal costs */
 } MfPlaceQuery;
 
 bool mf_place_avoids (const uint64_t *avoid, uint32_t n_avoid, const MfTarget *target);
--- a/libmangofork/relay/relay.c
+++ b/libmangofork/relay/relay.c
@@ -11,7 +11,7 @@
 #include <unistd.h>
 
 /* Upstreams whose entries expired during an outage of the platform's store register again within
- * two seconds of its end. The rest is for latency. */
+ * two seconds of its end; the other 300 ms are for latency. */
 #define REREGISTRATION_US (2300 * MF_US_PER_MS)
 /* No entry expires in a shorter outage of the store. */
 #define OUTAGE_MIN_US (1 * MF_US_PER_S)
@@ -22,10 +22,10 @@
 #define DESCRIPTORS_RESERVED 700
 /* Memory of one caller: its buffers and its request. */
 #define BYTES_PER_CALLER 100000
-/* The responses buffered for plain requests may use this part (one in) of the process's memory. */
+/* All buffered answers together may use this part (one in) of the process's memory. */
 #define ANSWERS_MEMORY_DIVISOR 4
-/* During shutdown, idle connections are closed when the load balancer has had time to notice it: it
- * checks readiness every second and acts on the second failure. */
+/* During shutdown, idle connections are closed when the load balancer has had time to stop using
+ * this instance: it checks readiness every second and acts on the second failure. */
 #define DRAIN_CLOSE_IDLE_US (2500 * MF_US_PER_MS)
 /* Part of the grace period after which no stream is started any more: the longest streams need the
  * rest of it. */
--- a/libmangofork/relay/relay.h
+++ b/libmangofork/relay/relay.h
@@ -4,10 +4,10 @@
 #include "feed.h"
 #include "job.h"
 
-/* Bytes of a path, its closing NUL included. */
+/* Bytes of a path, including the terminating NUL. */
 #define MF_RELAY_PATH_BYTES 256
 
-/* Settings of a relay process. Times are bounds set by the deployment. */
+/* Settings of a relay process. The times are requirements of the deployment. */
 typedef struct
 {
   char name[MF_NAME_BYTES];
--- a/libmangofork/relay/relay_message.h
+++ b/libmangofork/relay/relay_message.h
@@ -18,7 +18,7 @@
   MF_RELAY_MESSAGE_QUEUED = 4,       /* no slot is free; the request stays queued */
   MF_RELAY_MESSAGE_CANCEL = 5,       /* of a slot request */
   MF_RELAY_MESSAGE_GRANT_ACK = 6,    /* the next report includes this and all earlier grants */
-  MF_RELAY_MESSAGE_RETRY = 7,        /* whether a request of a service may be sent again */
+  MF_RELAY_MESSAGE_RETRY = 7,        /* asks whether a request of a service may be sent again */
   MF_RELAY_MESSAGE_RETRY_REPLY = 8,  /* the answer to that */
   MF_RELAY_MESSAGE_FEED = 9,         /* changes that the sender has read from the platform store */
   MF_RELAY_MESSAGE_SUSPECTS = 10,    /* suspect requests */
@@ -45,7 +45,7 @@
   uint32_t age_ms;
 } MfSuspectEntryDeath;
 
-/* A suspect request, under which upstreams have died, as known to one instance. */
+/* A suspect request, which upstreams have died while running, as known to one instance. */
 typedef struct
 {
   uint64_t digest;
--- a/libmangofork/relay/stage.c
+++ b/libmangofork/relay/stage.c
@@ -3,12 +3,12 @@
 #include <math.h>
 
 /* Half-life of an observation: longer than the fluctuation caused by single requests, shorter than
- * the bursts of the sites (3 to 5 s). */
+ * the bursts at the known sites (3 to 5 s). */
 #define HALF_LIFE_US (2. * (double)MF_US_PER_S)
 /* Minimum time observed before the first decision; half of the averages' weight is then covered. */
 #define OBSERVED_MIN_US (2 * MF_US_PER_S)
-/* How long a move must be wanted before it is made: for a few observations or, to give up a decode
- * engine, for about as long as a crashed engine is away. */
+/* How long the averages must suggest a move before it is made: for a few observations, or, if it
+ * takes away a decode engine, for about as long as a crashed engine is down. */
 #define WANTED_MIN_US (500 * MF_US_PER_MS)
 #define WANTED_PREFILL_MIN_US (3 * MF_US_PER_S)
 /* Prefill engines kept beyond those busy on average, as a multiple of the square root of their
@@ -16,10 +16,10 @@
  * prompt waits, the slot reserved for it at a decode engine is wasted. Compared with 1.0 in
  * docs/POLICY.md. */
 #define PREFILL_MARGIN 0.3
-/* Planned share of decode memory in use; the dispatcher fills engines up to 0.97. */
+/* Planned share of the decode capacity in use; the dispatcher fills engines up to 0.97. */
 #define DECODE_USED_SHARE 0.95
-/* Below this share of decode memory in use, a burst of several times the traffic still fits, and no
- * engine is moved. */
+/* Below this share of the decode capacity in use, a burst of several times the traffic still fits,
+ * and no engine is moved. */
 #define DECODE_PRESSURE_SHARE 0.25
 /* From this number of prompts per prefill engine on, including the one being processed, prompts
  * wait longer than their prefill takes. */
--- a/libmangofork/relay/stage.h
+++ b/libmangofork/relay/stage.h
@@ -10,7 +10,7 @@
   uint32_t n_decode;     /* the same for decode engines */
   double prefill_busy;   /* prefill engines that are busy */
   double queued_prompts; /* at the prefill engines, including those being processed */
-  double decode_used;    /* slots or KV in use, in units of whole decode engines */
+  double decode_used;    /* slots or KV in use, in decode engines: 1.5 is one and a half of them */
 } MfStageSnapshot;
 
 /* Decision about the split of the engines. */
--- a/libmangofork/relay/target.c
+++ b/libmangofork/relay/target.c
@@ -13,7 +13,8 @@
 #define AVERAGE_WEIGHT 0.15
 /* Half-life of observations; slow and failing upstreams recover within seconds. */
 #define AVERAGE_HALF_LIFE_US (3. * (double)MF_US_PER_S)
-/* An upstream that cannot be reached is avoided for this long, doubled with each failure. */
+/* An upstream that cannot be reached is avoided for this long, doubled with each further failure up
+ * to the maximum. */
 #define SUSPECT_FIRST_US (300 * MF_US_PER_MS)
 #define SUSPECT_MAX_US (2400 * MF_US_PER_MS)
 #define SUSPECT_DOUBLINGS 3
@@ -30,13 +31,13 @@
  */
 #define CONNECT_TIMEOUT_US (250 * MF_US_PER_MS)
 
-/* Upper bound of the pause that an upstream may ask for. */
+/* A longer pause that an upstream asks for is cut to this. */
 #define PAUSE_MAX_S 300.
 
 /* An upstream that declined for lack of capacity gets no other requests for this long. The time is
- * doubled with each request that it declines without any load, up to DECLINED_DOUBLINGS times: an
- * engine that changes its role declines for seconds, and an instance that has just started does not
- * know of the order. */
+ * doubled with each request that it declines while it has no load, up to DECLINED_DOUBLINGS times:
+ * an engine that changes its stage declines for seconds, and an instance that has just started does
+ * not know of the order to change. */
 #define DECLINED_US (120 * MF_US_PER_MS)
 #define DECLINED_DOUBLINGS 4
 
--- a/libmangofork/relay/target.h
+++ b/libmangofork/relay/target.h
@@ -65,9 +65,9 @@
   double failure_share;           /* moving average, 0 to 1 */
   uint64_t failed_us;             /* when it was last updated */
   uint32_t n_failures;            /* consecutive failures to connect or to get an answer */
-  uint64_t suspect_until_us;
-  bool replaced;            /* it is suspect because another process answers at its address */
-  uint64_t full_until_us;   /* it declined for lack of capacity */
+  uint64_t suspect_until_us;      /* this instance avoids it until then */
+  bool replaced;                  /* it is avoided because another process answers at its address */
+  uint64_t full_until_us;   /* it declined for lack of capacity; it gets no requests until then */
   uint32_t n_declined;      /* consecutive requests declined without any load */
   bool announced_leaving;   /* a response announced that it is about to stop */
   uint64_t paused_until_us; /* it asked this instance to send no requests until then */
--- a/libmangofork/upstream.c
+++ b/libmangofork/upstream.c
@@ -10,7 +10,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Limit of running polls for load reports, and least time between two starts. */
+/* Maximum number of polls for load reports in flight, and minimum time between the starts of two.
+ */
 #define POLLS_MAX 64
 #define POLL_GAP_MIN_US (3 * MF_US_PER_MS)
 #define POLL_TIMEOUT_US (400 * MF_US_PER_MS)
--- a/libmangofork/voter.c
+++ b/libmangofork/voter.c
@@ -5,6 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Interval of the requests for admission; doubled after each up to the maximum. */
 #define ADMIT_PERIOD_FIRST_US (100 * MF_US_PER_MS)
 #define ADMIT_PERIOD_MAX_US MF_US_PER_S
 /* Largest difference assumed between the clocks of key creators and this clock. */
@@ -237,7 +238,8 @@
   view_raise (voter, peer);
 }
 
-/* Returns whether this voter would have a record of any earlier claim of the key. */
+/* Returns whether this voter would have a record of any earlier claim of the key: it has kept all
+ * records since the key was created. */
 static bool
 covers_key_life (const MfCore *core, const MfVoterState *voter, const MfClaimMessage *claim)
 {
--- a/tests/test_job.c
+++ b/tests/test_job.c
@@ -133,6 +133,9 @@
   teardown (&fixture);
 }
 
+/* A non-idempotent request may have run if its upstream fails, does not answer, or answers without
+ * the seal header or with a content encoding. It is neither retried nor answered with 503, which
+ * would promise that it has not run. */
 static void
 test_order_that_may_have_run_is_not_sent_again (void **state)
 {
@@ -630,7 +633,6 @@
     }
 }
 
-/* A prefill engine announces its exit: later prompts go to another one. */
 static void
 handle_prefill_leaving (FakeUpstreamConn *conn, const char *text, const char *id)
 {
@@ -639,6 +641,7 @@
                         "{\"kvHandle\":\"h1\",\"tokens\":10,\"version\":1}");
 }
 
+/* A prefill engine announces its exit: later prompts go to another one. */
 static void
 test_engine_that_says_it_leaves_gets_no_more (void **state)
 {
--- a/tests/test_job_room.c
+++ b/tests/test_job_room.c
@@ -49,7 +49,7 @@
           == MF_DISPATCH_SELF)
         return i;
     }
-  fail_msg ("no instance decides");
+  fail_msg ("no instance is the leader");
   return 0;
 }
 
