--- a/libmangofork/life.c
+++ b/libmangofork/life.c
@@ -727,13 +727,13 @@
   MfRequest *request = step->request;
   const MfCallEvent *event = &step->event->call;
   MfServiceRow *service = &step->core->board.services.rows[request->service];
-  bool nothing_ran = event->refused || event->leaving;
+  bool not_run = event->refused || event->leaving;
   uint64_t answer_us = now_us (step) - step->call->started_us;
   uint64_t delay_us;
 
-  if (nothing_ran || (event->status >= 500 && request->idempotent))
+  if (not_run || (event->status >= 500 && request->idempotent))
     {
-      if (nothing_ran || mf_policy (step->core)->may_retry (step->core, request, &delay_us))
+      if (not_run || mf_policy (step->core)->may_retry (step->core, request, &delay_us))
         {
           end_failed (step);
           if (request->calls == NULL && event->refused)
--- a/libmangofork/relay/message.c
+++ b/libmangofork/relay/message.c
@@ -187,9 +187,9 @@
 
 /* Maps an error of the parser to a result code. */
 static MfCode
-parser_error_code (enum http_errno fault)
+parser_error_code (enum http_errno parser_error)
 {
-  switch (fault)
+  switch (parser_error)
     {
     case HPE_HEADER_OVERFLOW:
       return MF_CODE_HEADERS_TOO_LARGE;
@@ -209,17 +209,17 @@
 mf_message_feed (MfMessage *message, const char *bytes, size_t n_bytes)
 {
   size_t n_consumed;
-  enum http_errno fault;
+  enum http_errno parser_error;
 
   if (message->done || message->error_code != MF_CODE_OK || n_bytes == 0)
     return 0;
   message->begun = true;
   n_consumed = http_parser_execute (&message->parser, &parser_settings, bytes, n_bytes);
-  fault = HTTP_PARSER_ERRNO (&message->parser);
+  parser_error = HTTP_PARSER_ERRNO (&message->parser);
   if (message->done)
     return n_consumed;
-  if (fault != HPE_OK && message->error_code == MF_CODE_OK)
-    message->error_code = parser_error_code (fault);
+  if (parser_error != HPE_OK && message->error_code == MF_CODE_OK)
+    message->error_code = parser_error_code (parser_error);
   /* After CONNECT and the like the parser stops before the end of the input. */
   if (message->parser.upgrade != 0 && message->error_code == MF_CODE_OK && n_consumed < n_bytes)
     message->error_code = MF_CODE_BAD_HEADER;
