--- a/libmangofork/relay/message.c
+++ b/libmangofork/relay/message.c
@@ -238,7 +238,7 @@
   return message->done;
 }
 
-/* Returns the text of the head from an offset on. */
+/* Returns a pointer to the text at an offset such as MfHeadField.name_at. */
 const char *
 mf_head_text (const MfHead *head, uint32_t at)
 {
--- a/libmangofork/relay/route.c
+++ b/libmangofork/relay/route.c
@@ -65,8 +65,9 @@
   return MF_NONE;
 }
 
-/* Returns the route of a host (a port after it is ignored) with the longest prefix of a path, or
- * NULL. */
+/* Returns the route of a host and a path: among the routes with this host whose prefix begins the
+ * path, the one with the longest prefix; NULL if there is none. A port after the host is ignored.
+ */
 const MfRoute *
 mf_routes_find (const MfRoutes *routes, const char *host, size_t host_bytes, const char *path,
                 size_t path_bytes)
