--- a/libmangofork/queue.c
+++ b/libmangofork/queue.c
@@ -21,7 +21,7 @@
 #define RETRY_AFTER_MIN_MS 200
 #define RETRY_AFTER_MAX_MS 60000
 /* Upper bound of one sample of the time between two placements. */
-#define DRAIN_GAP_MAX_US MF_US_PER_S
+#define PLACEMENT_GAP_MAX_US MF_US_PER_S
 
 /* The queued requests of one customer for one service, oldest first. */
 typedef struct CustomerQueue
@@ -215,7 +215,7 @@
          + queue->services[service].requeued.n_requests;
 }
 
-/* Estimates the wait of a request behind n others from the rate at which the queue drains. */
+/* Estimates the wait of a request behind n others from the mean time between two placements. */
 static uint64_t
 expected_wait_us (const MfCore *core, uint32_t service, uint32_t n)
 {
@@ -401,18 +401,17 @@
   return true;
 }
 
-/* Updates the drain rate of a service's queue from the time between two placements while requests
- * wait. */
+/* Updates the mean time between two placements of a service while requests wait. */
 static void
-note_drain (MfCore *core, uint32_t service, bool others_wait)
+note_placement (MfCore *core, uint32_t service, bool others_wait)
 {
   MfServiceRow *row = &core->board.services.rows[service];
   uint64_t gap_us = core->board.now_us - row->last_placement_us;
 
   if (others_wait && row->last_placement_us > 0)
     {
-      if (gap_us > DRAIN_GAP_MAX_US)
-        gap_us = DRAIN_GAP_MAX_US;
+      if (gap_us > PLACEMENT_GAP_MAX_US)
+        gap_us = PLACEMENT_GAP_MAX_US;
       row->placement_gap_us += ((int64_t)gap_us - (int64_t)row->placement_gap_us) / 16;
     }
   row->last_placement_us = core->board.now_us;
@@ -491,7 +490,7 @@
   else
     placed = on_time != NULL && place_on_time (core, service_queue (core, service), on_time);
   if (placed)
-    note_drain (core, service, mf_queue_service_length (core, service) > 0);
+    note_placement (core, service, mf_queue_service_length (core, service) > 0);
   else
     queue->n_placements--;
   return placed;
--- a/libmangofork/relay/job_retry.c
+++ b/libmangofork/relay/job_retry.c
@@ -8,7 +8,7 @@
  * instance. */
 #define REPLY_TIMEOUT_US (80 * MF_US_PER_MS)
 
-/* Returns the retry budget of a service. */
+/* Returns the retry budget of a service, and creates it at the first call. */
 MfServiceBudget *
 mf_jobs_budget (MfJobs *jobs, const char *service)
 {
@@ -27,7 +27,8 @@
   return budget;
 }
 
-/* This instance's allowance of the common slack. */
+/* Retries that this instance may send regardless of its request count: its part of the slack that
+ * all instances share. */
 static uint32_t
 jobs_allowance (const MfJobs *jobs)
 {
@@ -77,8 +78,8 @@
   return n_before == 0 || job->n_reserved_sends > 0 || acquire_sends (job, 1);
 }
 
-/* Sends a retry message to the leader of the service. Returns the leader; MF_DISPATCH_SELF if this
- * instance leads or the message could not be sent. */
+/* Sends a retry request to the leader of the service. Returns the leader, or MF_DISPATCH_SELF if
+ * this instance leads or the message could not be sent. */
 static uint64_t
 leader_send (MfJobs *jobs, const char *service, const MfRetryRequest *retry)
 {
@@ -99,10 +100,10 @@
 static void
 pool_charge (MfJobs *jobs, const char *service, uint32_t n_sends)
 {
-  MfLeadership *lead = mf_jobs_find_leadership (jobs, service);
+  MfLeadership *leadership = mf_jobs_find_leadership (jobs, service);
 
-  if (lead != NULL && lead->led_since_us > 0)
-    mf_budget_charge (&lead->retry_pool, n_sends, mf_clock_now_us ());
+  if (leadership != NULL && leadership->led_since_us > 0)
+    mf_budget_charge (&leadership->retry_pool, n_sends, mf_clock_now_us ());
 }
 
 /* Counts a send. All but the first prefill and the first run of a request are retries. A retry that
@@ -137,16 +138,16 @@
 static bool
 pool_acquire (MfJobs *jobs, const char *service, uint32_t n_sends)
 {
-  MfLeadership *lead = mf_jobs_find_leadership (jobs, service);
+  MfLeadership *leadership = mf_jobs_find_leadership (jobs, service);
   uint64_t now_us = mf_clock_now_us ();
   uint32_t pool;
 
-  if (lead == NULL || lead->led_since_us == 0 || jobs->peers == NULL
-      || now_us - lead->led_since_us < jobs->budget_window_us)
+  if (leadership == NULL || leadership->led_since_us == 0 || jobs->peers == NULL
+      || now_us - leadership->led_since_us < jobs->budget_window_us)
     return false;
   pool
       = mf_budget_pool (jobs->budget_slack, mf_peers_n_known (jobs->peers), jobs->budget_window_us);
-  if (!mf_budget_allows (&lead->retry_pool, pool, n_sends, now_us))
+  if (!mf_budget_allows (&leadership->retry_pool, pool, n_sends, now_us))
     return false;
   pool_charge (jobs, service, n_sends);
   return true;
@@ -176,7 +177,7 @@
   mf_job_advance (job);
 }
 
-/* Requests a retry from the leader; returns false if there is none to ask. */
+/* Requests a retry from the leader. Returns false if the request could not be sent. */
 static bool
 request_retry (MfJob *job)
 {
--- a/libmangofork/relay/job_send.c
+++ b/libmangofork/relay/job_send.c
@@ -15,6 +15,7 @@
  * minimum. */
 #define PREFILL_FACTOR 4.
 #define PREFILL_TIMEOUT_MIN_US (350 * MF_US_PER_MS)
+/* Prefill time per token before any was observed, as in place.c. */
 #define DEFAULT_US_PER_TOKEN 18.
 /* A resumable stream is moved to another upstream after this many latency objectives without a
  * first event. */
@@ -164,9 +165,9 @@
 }
 
 static void
-head_add (const MfJob *job, MfBuffer *out, MfHeaderId word, const char *value)
+head_add (const MfJob *job, MfBuffer *out, MfHeaderId header, const char *value)
 {
-  mf_head_write (out, mf_dialect_header_name (job->jobs->dialect, word), value, strlen (value));
+  mf_head_write (out, mf_dialect_header_name (job->jobs->dialect, header), value, strlen (value));
 }
 
 /* Writes the head of the upstream request. */
--- a/libmangofork/relay/message.c
+++ b/libmangofork/relay/message.c
@@ -187,9 +187,9 @@
 
 /* Maps an error of the parser to a result code. */
 static MfCode
-parser_error_code (enum http_errno fault)
+parser_error_code (enum http_errno parser_error)
 {
-  switch (fault)
+  switch (parser_error)
     {
     case HPE_HEADER_OVERFLOW:
       return MF_CODE_HEADERS_TOO_LARGE;
@@ -209,17 +209,17 @@
 mf_message_feed (MfMessage *message, const char *bytes, size_t n_bytes)
 {
   size_t n_consumed;
-  enum http_errno fault;
+  enum http_errno parser_error;
 
   if (message->done || message->error_code != MF_CODE_OK || n_bytes == 0)
     return 0;
   message->started = true;
   n_consumed = http_parser_execute (&message->parser, &parser_settings, bytes, n_bytes);
-  fault = HTTP_PARSER_ERRNO (&message->parser);
+  parser_error = HTTP_PARSER_ERRNO (&message->parser);
   if (message->done)
     return n_consumed;
-  if (fault != HPE_OK && message->error_code == MF_CODE_OK)
-    message->error_code = parser_error_code (fault);
+  if (parser_error != HPE_OK && message->error_code == MF_CODE_OK)
+    message->error_code = parser_error_code (parser_error);
   /* After CONNECT and the like the parser stops before the end of the input. */
   if (message->parser.upgrade != 0 && message->error_code == MF_CODE_OK && n_consumed < n_bytes)
     message->error_code = MF_CODE_BAD_HEADER;
@@ -238,7 +238,7 @@
   return message->done;
 }
 
-/* Returns the text of the head from an offset on. */
+/* Returns a pointer to the text at an offset such as MfHeadField.name_at. */
 const char *
 mf_head_text (const MfHead *head, uint32_t at)
 {
@@ -316,7 +316,7 @@
 
 /* Whether a comma-separated list contains a name; case is ignored. */
 static bool
-list_holds (const char *list, size_t list_bytes, const char *name, size_t name_bytes)
+list_contains (const char *list, size_t list_bytes, const char *name, size_t name_bytes)
 {
   size_t at = 0;
 
@@ -347,8 +347,8 @@
       const MfHeadField *list = &head->fields[i];
 
       if (list->header == MF_HEADER_CONNECTION
-          && list_holds (mf_head_text (head, list->value_at), list->value_bytes,
-                         mf_head_text (head, field->name_at), field->name_bytes))
+          && list_contains (mf_head_text (head, list->value_at), list->value_bytes,
+                            mf_head_text (head, field->name_at), field->name_bytes))
         return true;
     }
   return false;
--- a/libmangofork/relay/place.c
+++ b/libmangofork/relay/place.c
@@ -76,7 +76,7 @@
   double silent_us = silence_us (target, now_us);
   double cost_us = us_per_token * (double)(mf_target_load_tokens (target) + query->tokens);
 
-  /* It declines prompts now. When all engines do, the one that may accept first is chosen. */
+  /* The engine declines prompts for now. When all do, the one that may accept first is chosen. */
   if (target->full_until_us > now_us)
     cost_us += (double)MF_US_PER_S + (double)(target->full_until_us - now_us);
   return (silent_us > cost_us ? silent_us : cost_us)
@@ -90,13 +90,13 @@
 {
   uint32_t slots = target->info.slots > 0 ? target->info.slots : 1;
   double slot_share = (double)(mf_target_load (target) + 1) / slots;
-  double memory_share = 0.;
+  double kv_share = 0.;
   double share;
 
   if (query->service_config != NULL && query->service_config->kv_capacity_tokens > 0)
-    memory_share = (double)(mf_target_load_tokens (target) + query->tokens)
-                   / (double)query->service_config->kv_capacity_tokens;
-  share = slot_share > memory_share ? slot_share : memory_share;
+    kv_share = (double)(mf_target_load_tokens (target) + query->tokens)
+               / (double)query->service_config->kv_capacity_tokens;
+  share = slot_share > kv_share ? slot_share : kv_share;
   if (query->kv_data_centre != NULL ? strcmp (query->kv_data_centre, target->info.data_centre) != 0
                                     : !is_same_data_centre (target, query))
     share += CROSS_DATA_CENTRE_KV_SHARE;
