--- a/libmangofork/answer.c
+++ b/libmangofork/answer.c
@@ -8,9 +8,9 @@
   mf_buffer_add_text (out, text);
 }
 
-/* Opens an object with the members that every answer of the model interface has. */
+/* Starts an object with the members that all answers of the model interface have. */
 static void
-head_add (MfBuffer *out, const MfAnswerShape *shape, const char *object)
+object_begin (MfBuffer *out, const MfAnswerShape *shape, const char *object)
 {
   add_text (out, "{\"id\":\"");
   mf_buffer_add_escaped (out, shape->name);
@@ -24,17 +24,17 @@
 }
 
 static void
-chunk_head_add (MfBuffer *out, const MfAnswerShape *shape)
+chunk_begin (MfBuffer *out, const MfAnswerShape *shape)
 {
   add_text (out, "data: ");
-  head_add (out, shape, shape->chat ? "chat.completion.chunk" : "text_completion");
+  object_begin (out, shape, shape->chat ? "chat.completion.chunk" : "text_completion");
 }
 
 void
 mf_answer_chunk (MfBuffer *out, const MfAnswerShape *shape, bool first, const char *text,
                  size_t text_bytes)
 {
-  chunk_head_add (out, shape);
+  chunk_begin (out, shape);
   if (!shape->chat)
     add_text (out, "\"text\":\"");
   else
@@ -45,7 +45,7 @@
             shape->chat ? "\"},\"finish_reason\":null}]}\n\n" : "\",\"finish_reason\":null}]}\n\n");
 }
 
-/* Whether the answer ended by itself or by the caller's limit. */
+/* "length" when the answer reached the caller's limit, "stop" when it ended before. */
 static const char *
 finish_reason (const MfAnswerShape *shape, uint32_t n_tokens)
 {
@@ -67,7 +67,7 @@
 void
 mf_answer_chunk_end (MfBuffer *out, const MfAnswerShape *shape, uint32_t n_tokens)
 {
-  chunk_head_add (out, shape);
+  chunk_begin (out, shape);
   add_text (out, shape->chat ? "\"delta\":{}" : "\"text\":\"\"");
   add_text (out, ",\"finish_reason\":\"");
   add_text (out, finish_reason (shape, n_tokens));
@@ -76,9 +76,9 @@
   add_text (out, "\n\ndata: [DONE]\n\n");
 }
 
-/* A stream that cannot be made whole ends with an error event and without its end mark. */
+/* A stream that cannot be completed ends with an error event and without the line data: [DONE]. */
 void
-mf_answer_chunk_refuse (MfBuffer *out, const MfAnswerAction *refusal, const char *name)
+mf_answer_chunk_error (MfBuffer *out, const MfAnswerAction *refusal, const char *name)
 {
   add_text (out, "event: error\ndata: ");
   mf_answer_problem (out, refusal, name, NULL);
@@ -86,10 +86,10 @@
 }
 
 void
-mf_answer_whole (MfBuffer *out, const MfAnswerShape *shape, const char *text, size_t text_bytes,
-                 uint32_t n_tokens)
+mf_answer_full (MfBuffer *out, const MfAnswerShape *shape, const char *text, size_t text_bytes,
+                uint32_t n_tokens)
 {
-  head_add (out, shape, shape->chat ? "chat.completion" : "text_completion");
+  object_begin (out, shape, shape->chat ? "chat.completion" : "text_completion");
   add_text (out,
             shape->chat ? "\"message\":{\"role\":\"assistant\",\"content\":\"" : "\"text\":\"");
   mf_buffer_add (out, text, text_bytes);
--- a/libmangofork/burn.c
+++ b/libmangofork/burn.c
@@ -10,20 +10,20 @@
 #include <xxhash.h>
 
 #define US_PER_MINUTE (60 * MF_US_PER_S)
-#define RINGS 4
-#define RING_SLOTS 13
-/* Rows one instance keeps: customers, with room for services. Further ones are not counted. */
+#define N_RINGS 4
+#define RING_BUCKETS 13
+/* Rows of one instance, for all its customers and services. Further ones are not counted. */
 #define ROWS_MAX 4096
 #define PEERS_MAX 128
-/* Rows of peers whose last counts are remembered. */
+/* Rows of peers whose last totals are kept. */
 #define BASELINES_MAX 65536
-#define PEER_LIFE_US (UINT64_C (24) * 60 * US_PER_MINUTE)
-/* Unchanged rows sent again with each digest, in turn. */
-#define REPEATS 2
+#define PEER_MAX_AGE_US (UINT64_C (24) * 60 * US_PER_MINUTE)
+/* Rows sent again with each digest although unchanged, in rotation, in case a digest was lost. */
+#define ROWS_RESENT_PER_DIGEST 2
 #define PACK_VERSION 1
-#define ROW_NUMBERS (3 * MF_SLI_COUNT + 3)
-#define ROW_HEAD 3 /* kind, hash of the name, age */
-#define ROW_FIELDS (ROW_HEAD + ROW_NUMBERS)
+#define ROW_N_COUNTS (3 * MF_SLI_COUNT + 3)
+#define ROW_N_HEADER_FIELDS 3 /* kind, hash of the name, age in microseconds */
+#define ROW_N_FIELDS (ROW_N_HEADER_FIELDS + ROW_N_COUNTS)
 
 typedef struct
 {
@@ -33,31 +33,31 @@
   uint32_t good;
   uint32_t refused;
   uint32_t departed;
-  uint32_t epoch; /* which stretch of time it counts */
+  uint32_t epoch; /* start of the interval that it counts, in bucket widths */
 } Bucket;
 
 typedef struct
 {
-  Bucket buckets[RINGS][RING_SLOTS];
-} Windows;
+  Bucket buckets[N_RINGS][RING_BUCKETS];
+} WindowCounts;
 
 typedef struct
 {
-  uint64_t key; /* of kind and name_hash */
+  uint64_t key; /* hash of kind and name_hash */
   MfBurnKind kind;
   uint64_t name_hash;
   MfBurnCounts counts; /* since the start */
-  uint64_t first_us;   /* own first request counted; 0 for none */
+  uint64_t first_us;   /* when this instance counted its first request; 0 for none */
   bool changed;        /* since it was last packed */
-  Windows own;
-  Windows *peers; /* NULL until a peer has told of it */
+  WindowCounts own_windows;
+  WindowCounts *peer_windows; /* NULL until a peer has reported the row */
   UT_hash_handle hh;
 } Row;
 
-/* A row as a peer last told it. */
+/* The totals of a row in the last digest of a peer. */
 typedef struct
 {
-  uint64_t key; /* of the peer's slot and the row */
+  uint64_t key; /* hash of the peer's name and the row's key */
   uint64_t incarnation;
   MfBurnCounts counts;
   UT_hash_handle hh;
@@ -68,34 +68,34 @@
   Row *rows[ROWS_MAX];
   uint32_t n_rows;
   Row *table;
-  uint32_t next_changed; /* where packing goes on */
-  uint32_t next_repeat;
+  uint32_t next_changed; /* where the next digest continues */
+  uint32_t next_resent;
   Baseline *baselines;
   MfBurnPeer peers[PEERS_MAX];
   uint32_t n_peers;
   uint64_t started_us;
-  uint64_t missed;
+  uint64_t n_rows_missed;
 };
 
-static const uint64_t ring_widths_us[RINGS]
+static const uint64_t ring_widths_us[N_RINGS]
     = { 30 * MF_US_PER_S, 5 * US_PER_MINUTE, 30 * US_PER_MINUTE, 120 * US_PER_MINUTE };
 
-/* The ring a window is summed from and its length in buckets. */
+/* The ring that a window is summed from, and its length in buckets. */
 static const struct
 {
   const char *name;
   uint32_t ring;
-  uint32_t n;
-} windows[MF_WINDOW_COUNT] = {
-  [MF_WINDOW_5M] = { "5m", 0, 10 }, [MF_WINDOW_30M] = { "30m", 1, 6 },
-  [MF_WINDOW_1H] = { "1h", 1, 12 }, [MF_WINDOW_2H] = { "2h", 2, 4 },
-  [MF_WINDOW_6H] = { "6h", 2, 12 }, [MF_WINDOW_1D] = { "1d", 3, 12 },
+  uint32_t n_buckets;
+} windows[MF_BURN_WINDOW_COUNT] = {
+  [MF_BURN_WINDOW_5M] = { "5m", 0, 10 }, [MF_BURN_WINDOW_30M] = { "30m", 1, 6 },
+  [MF_BURN_WINDOW_1H] = { "1h", 1, 12 }, [MF_BURN_WINDOW_2H] = { "2h", 2, 4 },
+  [MF_BURN_WINDOW_6H] = { "6h", 2, 12 }, [MF_BURN_WINDOW_1D] = { "1d", 3, 12 },
 };
 
-const MfBurnAlert mf_burn_alerts[MF_BURN_ALERTS] = {
-  { MF_WINDOW_5M, MF_WINDOW_1H, 14.4, "page" },
-  { MF_WINDOW_30M, MF_WINDOW_6H, 6, "page" },
-  { MF_WINDOW_2H, MF_WINDOW_1D, 3, "ticket" },
+const MfBurnAlert mf_burn_alerts[MF_BURN_ALERT_COUNT] = {
+  { MF_BURN_WINDOW_5M, MF_BURN_WINDOW_1H, 14.4, "page" },
+  { MF_BURN_WINDOW_30M, MF_BURN_WINDOW_6H, 6, "page" },
+  { MF_BURN_WINDOW_2H, MF_BURN_WINDOW_1D, 3, "ticket" },
 };
 
 const char *
@@ -112,15 +112,15 @@
 }
 
 const char *
-mf_window_name (MfWindow window)
+mf_burn_window_name (MfBurnWindow window)
 {
-  return window < MF_WINDOW_COUNT ? windows[window].name : "start";
+  return window < MF_BURN_WINDOW_COUNT ? windows[window].name : "start";
 }
 
 uint64_t
-mf_window_us (MfWindow window)
+mf_burn_window_us (MfBurnWindow window)
 {
-  return windows[window].n * ring_widths_us[windows[window].ring];
+  return windows[window].n_buckets * ring_widths_us[windows[window].ring];
 }
 
 MfBurn *
@@ -152,13 +152,13 @@
   HASH_CLEAR (hh, burn->table);
   for (uint32_t i = 0; i < burn->n_rows; i++)
     {
-      free (burn->rows[i]->peers);
+      free (burn->rows[i]->peer_windows);
       free (burn->rows[i]);
     }
   free (burn);
 }
 
-/* One key for a pair; two pairs that share one are not met with in practice. */
+/* Hashes a pair to one 64-bit key. Collisions are too rare to be handled. */
 static uint64_t
 pair_key (uint64_t first, uint64_t second)
 {
@@ -178,14 +178,14 @@
 }
 
 static void
-row_index (MfBurn *burn, Row *row)
+row_table_add (MfBurn *burn, Row *row)
 {
   HASH_ADD (hh, burn->table, key, sizeof row->key, row);
 }
 
-/* Finds or makes a row; NULL when there is no room. */
+/* Returns NULL when the table is full or memory ran out. */
 static Row *
-row_need (MfBurn *burn, MfBurnKind kind, uint64_t name_hash)
+row_find_or_add (MfBurn *burn, MfBurnKind kind, uint64_t name_hash)
 {
   Row *row = row_find (burn, kind, name_hash);
 
@@ -197,7 +197,7 @@
   row->key = pair_key (kind, name_hash);
   row->kind = kind;
   row->name_hash = name_hash;
-  row_index (burn, row);
+  row_table_add (burn, row);
   burn->rows[burn->n_rows++] = row;
   return row;
 }
@@ -233,28 +233,29 @@
 }
 
 static void
-windows_add (Windows *dst, const MfBurnCounts *counts, uint64_t now_us)
+window_counts_add (WindowCounts *dst, const MfBurnCounts *counts, uint64_t now_us)
 {
-  for (uint32_t ring = 0; ring < RINGS; ring++)
+  for (uint32_t ring = 0; ring < N_RINGS; ring++)
     {
       uint32_t epoch = (uint32_t)(now_us / ring_widths_us[ring]);
 
-      bucket_add (&dst->buckets[ring][epoch % RING_SLOTS], epoch, counts);
+      bucket_add (&dst->buckets[ring][epoch % RING_BUCKETS], epoch, counts);
     }
 }
 
-/* Sums the running bucket and the n before it. */
+/* Sums the current bucket and the n_buckets before it. */
 static void
-windows_sum (const Windows *src, MfWindow window, uint64_t now_us, MfBurnCounts *counts)
+window_counts_sum (const WindowCounts *src, MfBurnWindow window, uint64_t now_us,
+                   MfBurnCounts *counts)
 {
   uint32_t ring = windows[window].ring;
   uint32_t epoch = (uint32_t)(now_us / ring_widths_us[ring]);
 
-  for (uint32_t i = 0; i < RING_SLOTS; i++)
+  for (uint32_t i = 0; i < RING_BUCKETS; i++)
     {
       const Bucket *bucket = &src->buckets[ring][i];
 
-      if (bucket->epoch > epoch || epoch - bucket->epoch > windows[window].n)
+      if (bucket->epoch > epoch || epoch - bucket->epoch > windows[window].n_buckets)
         continue;
       for (uint32_t sli = 0; sli < MF_SLI_COUNT; sli++)
         {
@@ -268,9 +269,9 @@
     }
 }
 
-/* Whether the code says that the caller's own request was at fault. */
+/* Whether the code means an error in the caller's own request. */
 static bool
-code_is_callers (MfCode code)
+code_is_caller_error (MfCode code)
 {
   return code >= MF_CODE_BAD_JSON && code < MF_CODE_QUEUE_FULL;
 }
@@ -283,8 +284,8 @@
   counts->allowed_ppm[sli] += 1000000 - objective_ppm;
 }
 
-/* Says how one request counts. A departed caller's, and one that was the caller's own fault, count
- * for no objective; an honest refusal is counted apart. */
+/* Counts one request. Requests whose caller disconnected or made an error count for no objective;
+ * refused ones count only for MF_SLI_REFUSALS. */
 static void
 sample_count (const MfService *service, const MfBurnSample *sample, MfBurnCounts *counts)
 {
@@ -293,7 +294,7 @@
 
   if (sample->departed)
     counts->departed++;
-  if (sample->departed || code_is_callers (sample->code))
+  if (sample->departed || code_is_caller_error (sample->code))
     return;
   refused = !answered && sample->refused && sample->outcome == MF_OUTCOME_NOT_RUN;
   count_sli (counts, MF_SLI_REFUSALS, refused, service->objective_availability_ppm);
@@ -312,35 +313,35 @@
 }
 
 static void
-row_note (MfBurn *burn, MfBurnKind kind, const char *name, const MfBurnCounts *counts,
-          uint64_t now_us)
+row_record (MfBurn *burn, MfBurnKind kind, const char *name, const MfBurnCounts *counts,
+            uint64_t now_us)
 {
-  Row *row = row_need (burn, kind, mf_hash_name (name));
+  Row *row = row_find_or_add (burn, kind, mf_hash_name (name));
 
   if (row == NULL)
     {
-      burn->missed++;
+      burn->n_rows_missed++;
       return;
     }
   if (row->first_us == 0)
     row->first_us = now_us;
   counts_add (&row->counts, counts);
-  windows_add (&row->own, counts, now_us);
+  window_counts_add (&row->own_windows, counts, now_us);
   row->changed = true;
 }
 
-/* Counts how one request ended, for its service and its customer. */
+/* Counts the outcome of one request for its service and its customer. */
 void
-mf_burn_note (MfBurn *burn, const MfConfig *config, const MfBurnSample *sample, uint64_t now_us)
+mf_burn_record (MfBurn *burn, const MfConfig *config, const MfBurnSample *sample, uint64_t now_us)
 {
   MfBurnCounts counts = { 0 };
 
   if (config == NULL || sample->service >= config->n_services)
     return;
   sample_count (&config->services[sample->service], sample, &counts);
-  row_note (burn, MF_BURN_SERVICE, config->services[sample->service].name, &counts, now_us);
+  row_record (burn, MF_BURN_SERVICE, config->services[sample->service].name, &counts, now_us);
   if (sample->customer < config->n_customers)
-    row_note (burn, MF_BURN_CUSTOMER, config->customers[sample->customer].name, &counts, now_us);
+    row_record (burn, MF_BURN_CUSTOMER, config->customers[sample->customer].name, &counts, now_us);
 }
 
 bool
@@ -352,7 +353,7 @@
 }
 
 void
-mf_burn_counts (const MfBurn *burn, MfBurnKind kind, uint64_t name_hash, MfWindow window,
+mf_burn_counts (const MfBurn *burn, MfBurnKind kind, uint64_t name_hash, MfBurnWindow window,
                 bool with_peers, uint64_t now_us, MfBurnCounts *counts)
 {
   const Row *row = row_find (burn, kind, name_hash);
@@ -360,14 +361,14 @@
   *counts = (MfBurnCounts){ 0 };
   if (row == NULL)
     return;
-  if (window >= MF_WINDOW_COUNT)
+  if (window >= MF_BURN_WINDOW_COUNT)
     {
       *counts = row->counts;
       return;
     }
-  windows_sum (&row->own, window, now_us, counts);
-  if (with_peers && row->peers != NULL)
-    windows_sum (row->peers, window, now_us, counts);
+  window_counts_sum (&row->own_windows, window, now_us, counts);
+  if (with_peers && row->peer_windows != NULL)
+    window_counts_sum (row->peer_windows, window, now_us, counts);
 }
 
 double
@@ -389,9 +390,9 @@
 }
 
 uint64_t
-mf_burn_missed (const MfBurn *burn)
+mf_burn_n_rows_missed (const MfBurn *burn)
 {
-  return burn->missed;
+  return burn->n_rows_missed;
 }
 
 uint64_t
@@ -400,9 +401,9 @@
   return burn->started_us;
 }
 
-/* The numbers of a row in the order they are packed. */
+/* Lists the counts of a row in the order in which they are packed. */
 static void
-counts_to_array (const MfBurnCounts *counts, uint64_t array[ROW_NUMBERS])
+counts_to_array (const MfBurnCounts *counts, uint64_t array[ROW_N_COUNTS])
 {
   uint32_t n = 0;
 
@@ -418,7 +419,7 @@
 }
 
 static void
-counts_from_array (MfBurnCounts *counts, const uint64_t array[ROW_NUMBERS])
+counts_from_array (MfBurnCounts *counts, const uint64_t array[ROW_N_COUNTS])
 {
   uint32_t n = 0;
 
@@ -433,16 +434,16 @@
   counts->departed = array[n];
 }
 
-/* Appends a row when it fits. */
+/* Appends a row if it fits. */
 static bool
 pack_row (msgpack_sbuffer *packed, const Row *row, uint64_t now_us, size_t max_bytes)
 {
   size_t start = packed->size;
-  uint64_t numbers[ROW_NUMBERS];
+  uint64_t numbers[ROW_N_COUNTS];
   msgpack_packer packer;
 
   msgpack_packer_init (&packer, packed, msgpack_sbuffer_write);
-  msgpack_pack_array (&packer, ROW_FIELDS);
+  msgpack_pack_array (&packer, ROW_N_FIELDS);
   msgpack_pack_uint32 (&packer, row->kind);
   msgpack_pack_uint64 (&packer, row->name_hash);
   msgpack_pack_uint64 (&packer, now_us - row->first_us);
@@ -455,7 +456,8 @@
   return false;
 }
 
-/* Packs the changed rows in turn, so that each gets its share of a digest that is too small. */
+/* Packs the changed rows in rotation, so that each row is sent in time even if a digest cannot hold
+ * all of them. */
 static void
 pack_changed (MfBurn *burn, msgpack_sbuffer *packed, uint64_t now_us, size_t max_bytes)
 {
@@ -484,9 +486,9 @@
   msgpack_pack_uint32 (&packer, PACK_VERSION);
   n_bytes = packed.size;
   pack_changed (burn, &packed, now_us, max_bytes);
-  for (uint32_t i = 0; i < REPEATS && packed.size < max_bytes; i++)
+  for (uint32_t i = 0; i < ROWS_RESENT_PER_DIGEST && packed.size < max_bytes; i++)
     {
-      const Row *row = burn->rows[burn->next_repeat++ % burn->n_rows];
+      const Row *row = burn->rows[burn->next_resent++ % burn->n_rows];
 
       if (row->first_us != 0)
         pack_row (&packed, row, now_us, max_bytes);
@@ -499,7 +501,7 @@
 }
 
 static MfBurnPeer *
-peer_need (MfBurn *burn, const MfInstanceId *owner, uint64_t now_us)
+peer_find_or_add (MfBurn *burn, const MfInstanceId *id, uint64_t now_us)
 {
   MfBurnPeer *free_peer = NULL;
 
@@ -507,15 +509,15 @@
     {
       MfBurnPeer *peer = &burn->peers[i];
 
-      if (strcmp (peer->owner.name, owner->name) == 0)
+      if (strcmp (peer->peer.name, id->name) == 0)
         return peer;
-      if (now_us - peer->last_us > PEER_LIFE_US)
+      if (now_us - peer->last_seen_us > PEER_MAX_AGE_US)
         free_peer = peer;
     }
   if (burn->n_peers < PEERS_MAX)
     free_peer = &burn->peers[burn->n_peers++];
   if (free_peer != NULL)
-    *free_peer = (MfBurnPeer){ .owner = *owner, .first_us = now_us };
+    *free_peer = (MfBurnPeer){ .peer = *id, .merged_since_us = now_us };
   return free_peer;
 }
 
@@ -529,7 +531,7 @@
 }
 
 static Baseline *
-baseline_need (MfBurn *burn, uint64_t key)
+baseline_find_or_add (MfBurn *burn, uint64_t key)
 {
   Baseline *baseline = baseline_find (burn, key);
 
@@ -543,46 +545,46 @@
   return baseline;
 }
 
-/* A peer's digest while it is taken in. */
+/* State while a peer's digest is merged. */
 typedef struct
 {
   MfBurn *burn;
-  const MfInstanceId *owner;
+  const MfInstanceId *peer;
   uint64_t now_us;
 } Merge;
 
-/* Adds what a row has grown by since the peer last told of it. A row heard of for the first time
- * counts whole when the peer began it within this instance's life, age_us ago; else its history is
- * older than this instance, and only what comes from now on is added. */
+/* Adds the growth of a row since the peer's last digest. A row reported for the first time is added
+ * in full if the peer started it, age_us ago, after this instance started. Otherwise its history is
+ * older than this instance, and only its growth from now on is added. */
 static void
 merge_row (const Merge *merge, MfBurnKind kind, uint64_t name_hash, uint64_t age_us,
            const MfBurnCounts *counts)
 {
   MfBurn *burn = merge->burn;
-  Row *row = row_need (burn, kind, name_hash);
-  uint64_t key = pair_key (mf_hash_name (merge->owner->name), pair_key (kind, name_hash));
-  Baseline *baseline = baseline_need (burn, key);
-  uint64_t before[ROW_NUMBERS];
-  uint64_t after[ROW_NUMBERS];
-  MfBurnCounts grown;
+  Row *row = row_find_or_add (burn, kind, name_hash);
+  uint64_t key = pair_key (mf_hash_name (merge->peer->name), pair_key (kind, name_hash));
+  Baseline *baseline = baseline_find_or_add (burn, key);
+  uint64_t previous[ROW_N_COUNTS];
+  uint64_t current[ROW_N_COUNTS];
+  MfBurnCounts growth;
   bool known;
 
-  if (row != NULL && row->peers == NULL)
-    row->peers = calloc (1, sizeof *row->peers);
-  if (row == NULL || row->peers == NULL || baseline == NULL)
+  if (row != NULL && row->peer_windows == NULL)
+    row->peer_windows = calloc (1, sizeof *row->peer_windows);
+  if (row == NULL || row->peer_windows == NULL || baseline == NULL)
     {
-      burn->missed++;
+      burn->n_rows_missed++;
       return;
     }
-  known = baseline->incarnation == merge->owner->incarnation;
-  counts_to_array (known ? &baseline->counts : &(MfBurnCounts){ 0 }, before);
-  counts_to_array (counts, after);
-  for (size_t i = 0; i < MF_ARRAY_LEN (after); i++)
-    after[i] = after[i] > before[i] ? after[i] - before[i] : 0;
-  counts_from_array (&grown, after);
+  known = baseline->incarnation == merge->peer->incarnation;
+  counts_to_array (known ? &baseline->counts : &(MfBurnCounts){ 0 }, previous);
+  counts_to_array (counts, current);
+  for (size_t i = 0; i < MF_ARRAY_LEN (current); i++)
+    current[i] = current[i] > previous[i] ? current[i] - previous[i] : 0;
+  counts_from_array (&growth, current);
   if (known || merge->now_us - burn->started_us >= age_us)
-    windows_add (row->peers, &grown, merge->now_us);
-  baseline->incarnation = merge->owner->incarnation;
+    window_counts_add (row->peer_windows, &growth, merge->now_us);
+  baseline->incarnation = merge->peer->incarnation;
   baseline->counts = *counts;
 }
 
@@ -595,23 +597,23 @@
   return true;
 }
 
-/* Takes in one packed row; false when it is malformed. */
+/* Merges one packed row. Returns false when it is malformed. */
 static bool
 merge_packed (const Merge *merge, const msgpack_object *object)
 {
-  uint64_t numbers[ROW_FIELDS];
+  uint64_t numbers[ROW_N_FIELDS];
   MfBurnCounts counts;
 
-  if (object->type != MSGPACK_OBJECT_ARRAY || object->via.array.size < ROW_FIELDS)
+  if (object->type != MSGPACK_OBJECT_ARRAY || object->via.array.size < ROW_N_FIELDS)
     return false;
-  for (uint32_t i = 0; i < ROW_FIELDS; i++)
+  for (uint32_t i = 0; i < ROW_N_FIELDS; i++)
     {
       if (!number_read (&object->via.array.ptr[i], &numbers[i]))
         return false;
     }
   if (numbers[0] >= MF_BURN_KIND_COUNT)
-    return true; /* of a later release */
-  counts_from_array (&counts, numbers + ROW_HEAD);
+    return true; /* sent by a later release */
+  counts_from_array (&counts, numbers + ROW_N_HEADER_FIELDS);
   merge_row (merge, (MfBurnKind)numbers[0], numbers[1], numbers[2], &counts);
   return true;
 }
@@ -620,29 +622,29 @@
 mf_burn_merge (MfBurn *burn, const MfInstanceId *peer, const uint8_t *src, size_t src_bytes,
                uint64_t now_us)
 {
-  Merge merge = { .burn = burn, .owner = peer, .now_us = now_us };
+  Merge merge = { .burn = burn, .peer = peer, .now_us = now_us };
   msgpack_unpacked unpacked;
   uint64_t version = 0;
   MfBurnPeer *known;
-  size_t at = 0;
-  bool good;
+  size_t offset = 0;
+  bool is_valid;
 
   if (src_bytes == 0)
     return true;
   msgpack_unpacked_init (&unpacked);
-  good
-      = msgpack_unpack_next (&unpacked, (const char *)src, src_bytes, &at) == MSGPACK_UNPACK_SUCCESS
-        && number_read (&unpacked.data, &version) && version == PACK_VERSION;
-  known = good ? peer_need (burn, peer, now_us) : NULL;
+  is_valid = msgpack_unpack_next (&unpacked, (const char *)src, src_bytes, &offset)
+                 == MSGPACK_UNPACK_SUCCESS
+             && number_read (&unpacked.data, &version) && version == PACK_VERSION;
+  known = is_valid ? peer_find_or_add (burn, peer, now_us) : NULL;
   if (known != NULL)
     {
-      known->owner.incarnation = peer->incarnation;
-      known->last_us = now_us;
+      known->peer.incarnation = peer->incarnation;
+      known->last_seen_us = now_us;
     }
-  while (good && known != NULL && at < src_bytes)
-    good = msgpack_unpack_next (&unpacked, (const char *)src, src_bytes, &at)
-               == MSGPACK_UNPACK_SUCCESS
-           && merge_packed (&merge, &unpacked.data);
+  while (is_valid && known != NULL && offset < src_bytes)
+    is_valid = msgpack_unpack_next (&unpacked, (const char *)src, src_bytes, &offset)
+                   == MSGPACK_UNPACK_SUCCESS
+               && merge_packed (&merge, &unpacked.data);
   msgpack_unpacked_destroy (&unpacked);
-  return good;
+  return is_valid;
 }
--- a/libmangofork/exchange.c
+++ b/libmangofork/exchange.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <sys/socket.h>
 
-/* Bytes handed to the library at once for one streamed answer. */
+/* Block size of a streamed answer in libmicrohttpd. */
 #define STREAM_BLOCK_BYTES 16384
 
 MfExchange *
@@ -21,7 +21,7 @@
   exchange->connection = connection;
   exchange->fd = fd;
   exchange->id = id;
-  exchange->begun_s = ev_now (set->loop);
+  exchange->started_s = ev_now (set->loop);
   exchange->uri = strdup (uri);
   exchange->path = strndup (uri, strcspn (uri, "?"));
   if (exchange->uri != NULL && exchange->path != NULL)
@@ -37,7 +37,7 @@
     return;
   exchange->suspended = false;
   MHD_resume_connection (exchange->connection);
-  mf_httpd_wake (exchange->set->httpd);
+  mf_httpd_schedule_run (exchange->set->httpd);
 }
 
 void
@@ -47,28 +47,27 @@
   MHD_suspend_connection (exchange->connection);
 }
 
-/* Forgets what only a running request needs. */
+/* Removes the exchange from those in the core and frees what only a running request needs. */
 static void
-exchange_ungive (MfExchange *exchange)
+exchange_leave_core (MfExchange *exchange)
 {
-  if (!exchange->given)
+  if (!exchange->in_core)
     return;
-  exchange->given = false;
-  HASH_DEL (exchange->set->given, exchange);
+  exchange->in_core = false;
+  HASH_DEL (exchange->set->in_core, exchange);
   mf_buffer_clear (&exchange->body);
   mf_buffer_clear (&exchange->delivered);
 }
 
-/* Tells the core that the caller of a running request has gone. */
 void
-mf_exchange_depart (MfExchange *exchange)
+mf_exchange_handle_departure (MfExchange *exchange)
 {
   MfEvent event = { .type = MF_EVENT_DEPARTED, .departed_id = exchange->id };
 
   exchange->departed = true;
-  if (!exchange->given)
+  if (!exchange->in_core)
     return;
-  exchange_ungive (exchange);
+  exchange_leave_core (exchange);
   if (!exchange->set->closing)
     exchange->set->hooks.on_event (&event, exchange->set->data);
 }
@@ -78,7 +77,7 @@
 {
   MfExchanges *set = exchange->set;
 
-  exchange_ungive (exchange);
+  exchange_leave_core (exchange);
   if (exchange->response != NULL)
     MHD_destroy_response (exchange->response);
   mf_buffer_clear (&exchange->body);
@@ -95,38 +94,39 @@
 {
   MfExchange *exchange;
 
-  HASH_FIND (hh, set->given, &id, sizeof id, exchange);
+  HASH_FIND (hh, set->in_core, &id, sizeof id, exchange);
   return exchange;
 }
 
-/* Pauses the call that feeds a caller who takes its answer slowly, and has it go on once half of
- * what was held back is taken. */
+/* Pauses reading from the upstream when more than caller_buffer_bytes are unsent to the caller, and
+ * resumes it once at most half of that is left. */
 static void
-exchange_pace (MfExchange *exchange)
+exchange_apply_backpressure (MfExchange *exchange)
 {
   MfExchanges *set = exchange->set;
-  size_t unsent = mf_buffer_bytes (&exchange->out);
-  bool hold = exchange->held ? unsent > set->options.caller_buffer_bytes / 2
-                             : unsent > set->options.caller_buffer_bytes;
+  size_t unsent_bytes = mf_buffer_bytes (&exchange->out);
+  bool paused = exchange->reading_paused ? unsent_bytes > set->options.caller_buffer_bytes / 2
+                                         : unsent_bytes > set->options.caller_buffer_bytes;
 
-  if (hold == exchange->held || exchange->call_id == 0 || !exchange->given)
+  if (paused == exchange->reading_paused || exchange->call_id == 0 || !exchange->in_core)
     return;
-  exchange->held = hold;
-  set->hooks.on_hold (exchange->call_id, hold, set->data);
+  exchange->reading_paused = paused;
+  set->hooks.on_pause_reading (exchange->call_id, paused, set->data);
 }
 
-/* Hands the library the next bytes of a streamed answer. */
+/* Content reader of a streamed answer. Suspends the connection while there is nothing to send. */
 static ssize_t
-stream_read (void *cls, uint64_t at, char *dst, size_t dst_bytes)
+stream_read (void *cls, uint64_t offset, char *dst, size_t dst_bytes)
 {
   MfExchange *exchange = cls;
   size_t n = mf_buffer_bytes (&exchange->out);
 
-  (void)at;
+  (void)offset;
   if (exchange->departed || exchange->out.failed)
     return MHD_CONTENT_READER_END_WITH_ERROR;
   if (n == 0 && exchange->ended)
-    return exchange->cut ? MHD_CONTENT_READER_END_WITH_ERROR : MHD_CONTENT_READER_END_OF_STREAM;
+    return exchange->truncated ? MHD_CONTENT_READER_END_WITH_ERROR
+                               : MHD_CONTENT_READER_END_OF_STREAM;
   if (n == 0)
     {
       mf_exchange_suspend (exchange);
@@ -135,8 +135,8 @@
   if (n > dst_bytes)
     n = dst_bytes;
   memcpy (dst, mf_buffer_data (&exchange->out), n);
-  mf_buffer_take (&exchange->out, n);
-  exchange_pace (exchange);
+  mf_buffer_consume (&exchange->out, n);
+  exchange_apply_backpressure (exchange);
   return (ssize_t)n;
 }
 
@@ -147,9 +147,8 @@
     MHD_add_response_header (exchange->response, name, value);
 }
 
-/* Begins a streamed answer. */
 static void
-response_stream (MfExchange *exchange)
+response_create_stream (MfExchange *exchange)
 {
   exchange->streaming = true;
   exchange->status = MHD_HTTP_OK;
@@ -165,10 +164,10 @@
   header_add (exchange, "X-Request-Id", exchange->intake.name);
 }
 
-/* Makes a whole answer of bytes that are copied. */
+/* Creates a complete response. The body is copied. */
 static void
-response_whole (MfExchange *exchange, uint16_t status, const char *content_type, const void *body,
-                size_t body_bytes)
+response_create (MfExchange *exchange, uint16_t status, const char *content_type, const void *body,
+                 size_t body_bytes)
 {
   exchange->status = status;
   exchange->ended = true;
@@ -183,9 +182,9 @@
   header_add (exchange, "X-Request-Id", exchange->intake.name);
 }
 
-/* Makes the answer of a refusal. */
+/* Creates the response of a refusal: a problem document (RFC 9457) and its headers. */
 static void
-response_problem (MfExchange *exchange, const MfAnswerAction *refusal, const char *detail)
+response_create_problem (MfExchange *exchange, const MfAnswerAction *refusal, const char *detail)
 {
   const MfCodeInfo *info = mf_code_info (refusal->code);
   uint64_t retry_after_s = mf_answer_retry_after_s (refusal->retry_after_ms);
@@ -193,8 +192,8 @@
   char number[24];
 
   mf_answer_problem (&body, refusal, exchange->intake.name, detail);
-  response_whole (exchange, refusal->status != 0 ? refusal->status : info->http_status,
-                  "application/problem+json", mf_buffer_data (&body), mf_buffer_bytes (&body));
+  response_create (exchange, refusal->status != 0 ? refusal->status : info->http_status,
+                   "application/problem+json", mf_buffer_data (&body), mf_buffer_bytes (&body));
   mf_buffer_clear (&body);
   if (exchange->response == NULL)
     return;
@@ -208,22 +207,21 @@
     header_add (exchange, "WWW-Authenticate", "Bearer");
 }
 
-/* Refuses a request that never reached the core. */
 void
 mf_exchange_refuse (MfExchange *exchange, const MfError *error)
 {
   MfAnswerAction refusal = { .code = error->code, .outcome = MF_OUTCOME_NOT_RUN };
 
   if (exchange->intake.name[0] == '\0')
-    mf_name_set (exchange->intake.name, sizeof exchange->intake.name, exchange->made_name);
-  response_problem (exchange, &refusal, error->text);
+    mf_name_set (exchange->intake.name, sizeof exchange->intake.name, exchange->generated_name);
+  response_create_problem (exchange, &refusal, error->text);
   mf_buffer_clear (&exchange->body);
   exchange->set->hooks.on_refused (error->code, exchange->set->data);
 }
 
-/* Queues the answer that was made, or closes the connection when there can be none. */
+/* MHD_NO makes libmicrohttpd close the connection. */
 enum MHD_Result
-mf_exchange_queue (MfExchange *exchange)
+mf_exchange_queue_response (MfExchange *exchange)
 {
   struct MHD_Response *response = exchange->response;
   enum MHD_Result result;
@@ -236,17 +234,17 @@
   return result;
 }
 
-/* Something new is in the answer: has the library fetch it. */
+/* Resumes the connection so that libmicrohttpd fetches new bytes or the response. Inside the access
+ * handler the connection is not suspended yet. */
 static void
-exchange_push (MfExchange *exchange)
+exchange_wake_connection (MfExchange *exchange)
 {
   if (!exchange->in_handler)
     mf_exchange_resume (exchange);
 }
 
-/* Gives the core a request that is whole. */
 void
-mf_exchange_give (MfExchange *exchange)
+mf_exchange_submit (MfExchange *exchange)
 {
   MfExchanges *set = exchange->set;
   MfEvent event = { .type = MF_EVENT_REQUEST, .request = exchange->intake.request };
@@ -259,12 +257,12 @@
     .prompt_tokens = event.request.prompt_tokens,
     .max_tokens = event.request.max_tokens,
   };
-  exchange->given = true;
-  HASH_ADD (hh, set->given, id, sizeof exchange->id, exchange);
+  exchange->in_core = true;
+  HASH_ADD (hh, set->in_core, id, sizeof exchange->id, exchange);
   set->hooks.on_event (&event, set->data);
 }
 
-/* The list of models is answered from the text in force. */
+/* The list comes from the configuration in force; the core takes no part. */
 bool
 mf_exchange_answer_models (MfExchange *exchange)
 {
@@ -273,16 +271,16 @@
   if (strcmp (exchange->path, "/v1/models") != 0 || strcmp (exchange->method, "GET") != 0)
     return false;
   mf_answer_models (&body, exchange->set->hooks.on_config (exchange->set->data));
-  response_whole (exchange, MHD_HTTP_OK, "application/json", mf_buffer_data (&body),
-                  mf_buffer_bytes (&body));
+  response_create (exchange, MHD_HTTP_OK, "application/json", mf_buffer_data (&body),
+                   mf_buffer_bytes (&body));
   mf_buffer_clear (&body);
   return true;
 }
 
-/* Answers a request that will never be whole, past the library, which can queue no answer while a
- * body is arriving. The connection is of no more use. */
+/* Writes to the socket directly, because libmicrohttpd cannot queue a response while a body is
+ * arriving. The connection cannot be used after that. */
 void
-mf_exchange_reject (MfExchange *exchange, MfCode code)
+mf_exchange_refuse_on_socket (MfExchange *exchange, MfCode code)
 {
   const MfCodeInfo *info = mf_code_info (code);
   MfAnswerAction refusal = { .code = code, .outcome = MF_OUTCOME_NOT_RUN };
@@ -290,7 +288,7 @@
   char head[256];
   int head_bytes;
 
-  mf_answer_problem (&body, &refusal, exchange->made_name, NULL);
+  mf_answer_problem (&body, &refusal, exchange->generated_name, NULL);
   head_bytes = snprintf (head, sizeof head,
                          "HTTP/1.1 %u %s\r\nContent-Type: application/problem+json\r\n"
                          "Mangofork-Outcome: not-run\r\nMangofork-Code: %d\r\n"
@@ -316,8 +314,8 @@
     return;
   mf_answer_chunk (&exchange->out, &exchange->shape, first, answer->data, answer->data_bytes);
   if (!exchange->streaming)
-    response_stream (exchange);
-  exchange_pace (exchange);
+    response_create_stream (exchange);
+  exchange_apply_backpressure (exchange);
 }
 
 static void
@@ -329,23 +327,24 @@
     {
       mf_answer_chunk_end (&exchange->out, &exchange->shape, exchange->n_tokens);
       if (!exchange->streaming)
-        response_stream (exchange);
+        response_create_stream (exchange);
       exchange->ended = true;
       return;
     }
-  mf_answer_whole (&body, &exchange->shape, mf_buffer_data (&exchange->delivered),
-                   mf_buffer_bytes (&exchange->delivered), exchange->n_tokens);
-  response_whole (exchange, MHD_HTTP_OK, "application/json", mf_buffer_data (&body),
-                  mf_buffer_bytes (&body));
+  mf_answer_full (&body, &exchange->shape, mf_buffer_data (&exchange->delivered),
+                  mf_buffer_bytes (&exchange->delivered), exchange->n_tokens);
+  response_create (exchange, MHD_HTTP_OK, "application/json", mf_buffer_data (&body),
+                   mf_buffer_bytes (&body));
   if (body.failed || exchange->delivered.failed)
     exchange->departed = true;
   mf_buffer_clear (&body);
 }
 
 static void
-answer_whole (MfExchange *exchange, const MfAnswerAction *answer)
+answer_plain (MfExchange *exchange, const MfAnswerAction *answer)
 {
-  response_whole (exchange, answer->status, answer->content_type, answer->data, answer->data_bytes);
+  response_create (exchange, answer->status, answer->content_type, answer->data,
+                   answer->data_bytes);
   if (answer->replayed && exchange->response != NULL)
     header_add (exchange, "Mangofork-Replayed", "yes");
 }
@@ -355,12 +354,12 @@
 {
   if (!exchange->streaming)
     {
-      response_problem (exchange, answer, NULL);
+      response_create_problem (exchange, answer, NULL);
       return;
     }
-  mf_answer_chunk_refuse (&exchange->out, answer, exchange->intake.name);
+  mf_answer_chunk_error (&exchange->out, answer, exchange->intake.name);
   exchange->ended = true;
-  exchange->cut = true;
+  exchange->truncated = true;
 }
 
 void
@@ -373,11 +372,11 @@
   else if (action->type == MF_ACTION_ANSWER_END)
     answer_end (exchange);
   else if (action->type == MF_ACTION_ANSWER_PLAIN)
-    answer_whole (exchange, &action->answer);
+    answer_plain (exchange, &action->answer);
   else
     answer_refuse (exchange, &action->answer);
   if (exchange->ended)
-    exchange_ungive (exchange);
+    exchange_leave_core (exchange);
   if (exchange->response != NULL || exchange->streaming || exchange->departed)
-    exchange_push (exchange);
+    exchange_wake_connection (exchange);
 }
--- a/libmangofork/frame.c
+++ b/libmangofork/frame.c
@@ -5,14 +5,14 @@
 #include <msgpack.h>
 #include <string.h>
 
-/* Keys of the outermost map. */
+/* Keys of the top-level map. */
 #define KEY_VERSION 0
 #define KEY_TYPE 1
 #define KEY_BODY 2
 
 static void pack_items (msgpack_packer *packer, const MfFrameTable *table, const uint8_t *item);
 
-/* Reads an unsigned number of any width from a struct. */
+/* Reads an unsigned number of any width from the struct at base. */
 static uint64_t
 number_get (const MfFrameField *field, const uint8_t *base)
 {
@@ -23,13 +23,13 @@
 
   switch (field->kind)
     {
-    case MF_FIELD_BOOL:
+    case MF_FRAME_FIELD_BOOL:
       return *(const bool *)at;
-    case MF_FIELD_U16:
+    case MF_FRAME_FIELD_U16:
       memcpy (&u16, at, sizeof u16);
       return u16;
-    case MF_FIELD_U32:
-    case MF_FIELD_ENUM:
+    case MF_FRAME_FIELD_U32:
+    case MF_FRAME_FIELD_ENUM:
       memcpy (&u32, at, sizeof u32);
       return u32;
     default:
@@ -43,7 +43,7 @@
 {
   uint32_t count;
 
-  memcpy (&count, base + field->count, sizeof count);
+  memcpy (&count, base + field->count_offset, sizeof count);
   return count;
 }
 
@@ -64,25 +64,26 @@
   return memcmp (digest, zero, sizeof zero) == 0;
 }
 
-/* Whether a field holds what a reader assumes when it is left out. */
+/* Returns whether a field has its default value, which the decoder assumes for an absent field. The
+ * only nested struct is MfInstanceId, with two fields. */
 static bool
 field_is_default (const MfFrameField *field, const uint8_t *base)
 {
   switch (field->kind)
     {
-    case MF_FIELD_DIGEST:
+    case MF_FRAME_FIELD_DIGEST:
       return digest_is_zero (base + field->offset);
-    case MF_FIELD_NAME:
+    case MF_FRAME_FIELD_NAME:
       return base[field->offset] == '\0';
-    case MF_FIELD_STRING:
+    case MF_FRAME_FIELD_STRING:
       return pointer_get (field, base) == NULL;
-    case MF_FIELD_STRUCT:
-      return field_is_default (&field->items->fields[0], base + field->offset)
-             && field_is_default (&field->items->fields[1], base + field->offset);
-    case MF_FIELD_BYTES:
-    case MF_FIELD_LIST:
+    case MF_FRAME_FIELD_STRUCT:
+      return field_is_default (&field->item_table->fields[0], base + field->offset)
+             && field_is_default (&field->item_table->fields[1], base + field->offset);
+    case MF_FRAME_FIELD_BYTES:
+    case MF_FRAME_FIELD_LIST:
       return pointer_get (field, base) == NULL || count_get (field, base) == 0;
-    case MF_FIELD_ARRAY:
+    case MF_FRAME_FIELD_ARRAY:
       return count_get (field, base) == 0;
     default:
       return number_get (field, base) == 0;
@@ -110,7 +111,7 @@
 {
   msgpack_pack_array (packer, count);
   for (uint32_t i = 0; i < count; i++)
-    pack_items (packer, field->items, items + i * field->items->bytes);
+    pack_items (packer, field->item_table, items + i * field->item_table->struct_bytes);
 }
 
 static void
@@ -120,31 +121,31 @@
 
   switch (field->kind)
     {
-    case MF_FIELD_BOOL:
+    case MF_FRAME_FIELD_BOOL:
       if (*(const bool *)at)
         msgpack_pack_true (packer);
       else
         msgpack_pack_false (packer);
       break;
-    case MF_FIELD_DIGEST:
+    case MF_FRAME_FIELD_DIGEST:
       pack_bytes (packer, at, MF_DIGEST_BYTES);
       break;
-    case MF_FIELD_NAME:
+    case MF_FRAME_FIELD_NAME:
       pack_string (packer, (const char *)at);
       break;
-    case MF_FIELD_STRING:
+    case MF_FRAME_FIELD_STRING:
       pack_string (packer, pointer_get (field, base));
       break;
-    case MF_FIELD_BYTES:
+    case MF_FRAME_FIELD_BYTES:
       pack_bytes (packer, pointer_get (field, base), count_get (field, base));
       break;
-    case MF_FIELD_STRUCT:
-      pack_items (packer, field->items, at);
+    case MF_FRAME_FIELD_STRUCT:
+      pack_items (packer, field->item_table, at);
       break;
-    case MF_FIELD_ARRAY:
+    case MF_FRAME_FIELD_ARRAY:
       pack_array (packer, field, at, count_get (field, base));
       break;
-    case MF_FIELD_LIST:
+    case MF_FRAME_FIELD_LIST:
       pack_array (packer, field, pointer_get (field, base), count_get (field, base));
       break;
     default:
@@ -153,7 +154,7 @@
     }
 }
 
-/* A nested struct is an array of its fields in order; later versions append. */
+/* Encodes a nested struct as an array of its fields. Later versions append fields at the end. */
 static void
 pack_items (msgpack_packer *packer, const MfFrameTable *table, const uint8_t *item)
 {
@@ -162,7 +163,8 @@
     pack_field (packer, &table->fields[i], item);
 }
 
-/* The message's own fields are a map from number to value, without those at their default. */
+/* Encodes the fields of a message as a map from field number to value, without those at their
+ * default. */
 static void
 pack_body (msgpack_packer *packer, const MfFrameTable *table, const uint8_t *base)
 {
@@ -180,7 +182,7 @@
     }
 }
 
-/* Whether the message's arrays keep to their limits. */
+/* Returns whether the arrays of a message are within their limits. */
 static bool
 counts_fit (const MfFrameTable *table, const uint8_t *base)
 {
@@ -188,14 +190,14 @@
     {
       const MfFrameField *field = &table->fields[i];
 
-      if (field->kind == MF_FIELD_ARRAY && count_get (field, base) > field->max)
+      if (field->kind == MF_FRAME_FIELD_ARRAY && count_get (field, base) > field->max)
         return false;
     }
   return true;
 }
 
-/* Encodes a message as msgpack after a 4-byte big-endian length. Returns a buffer owned by the
- * caller, or NULL when memory ran out or the message is too large. */
+/* Encodes a message as msgpack after a 4-byte big-endian length. Returns a buffer of *frame_bytes
+ * owned by the caller, or NULL with error set when memory runs out or the message is too large. */
 uint8_t *
 mf_frame_encode (const MfPeerMessage *message, size_t *frame_bytes, MfError *error)
 {
@@ -208,7 +210,7 @@
 
   if (!counts_fit (table, base))
     {
-      mf_error_set (error, MF_CODE_PEER_FRAME, "a message has too many items");
+      mf_error_set (error, MF_CODE_PEER_FRAME, "message has more items than an array may hold");
       return NULL;
     }
   msgpack_sbuffer_init (&buffer);
@@ -224,7 +226,7 @@
   payload_bytes = buffer.size - MF_FRAME_LENGTH_BYTES;
   if (buffer.data == NULL || payload_bytes > MF_FRAME_BYTES_MAX)
     {
-      mf_error_set (error, MF_CODE_PEER_FRAME, "a message of %zu bytes is too large",
+      mf_error_set (error, MF_CODE_PEER_FRAME, "message of %zu bytes is too large for a frame",
                     payload_bytes);
       msgpack_sbuffer_destroy (&buffer);
       return NULL;
@@ -238,7 +240,7 @@
 static bool unpack_items (const msgpack_object *object, const MfFrameTable *table, uint8_t *item,
                           msgpack_zone *zone);
 
-/* Copies bytes into the frame's memory and closes them with NUL. */
+/* Copies bytes into the memory of the frame and terminates them with NUL. */
 static char *
 zone_copy (msgpack_zone *zone, const char *bytes, size_t n_bytes)
 {
@@ -266,13 +268,13 @@
   u16 = (uint16_t)value;
   switch (field->kind)
     {
-    case MF_FIELD_U16:
+    case MF_FRAME_FIELD_U16:
       memcpy (at, &u16, sizeof u16);
       return value <= UINT16_MAX;
-    case MF_FIELD_ENUM:
+    case MF_FRAME_FIELD_ENUM:
       memcpy (at, &u32, sizeof u32);
       return value < field->max;
-    case MF_FIELD_U32:
+    case MF_FRAME_FIELD_U32:
       memcpy (at, &u32, sizeof u32);
       return value <= UINT32_MAX;
     default:
@@ -316,7 +318,7 @@
   if (copy == NULL)
     return false;
   memcpy (base + field->offset, &copy, sizeof copy);
-  memcpy (base + field->count, &object->via.bin.size, sizeof (uint32_t));
+  memcpy (base + field->count_offset, &object->via.bin.size, sizeof (uint32_t));
   return true;
 }
 
@@ -330,11 +332,11 @@
   if (object->type != MSGPACK_OBJECT_ARRAY)
     return false;
   count = object->via.array.size;
-  if (field->kind == MF_FIELD_ARRAY && count > field->max)
+  if (field->kind == MF_FRAME_FIELD_ARRAY && count > field->max)
     return false;
-  if (field->kind == MF_FIELD_LIST)
+  if (field->kind == MF_FRAME_FIELD_LIST)
     {
-      size_t n_bytes = (size_t)count * field->items->bytes;
+      size_t n_bytes = (size_t)count * field->item_table->struct_bytes;
 
       items = msgpack_zone_malloc (zone, n_bytes + 1);
       if (items == NULL)
@@ -344,11 +346,11 @@
     }
   for (uint32_t i = 0; i < count; i++)
     {
-      if (!unpack_items (&object->via.array.ptr[i], field->items, items + i * field->items->bytes,
-                         zone))
+      if (!unpack_items (&object->via.array.ptr[i], field->item_table,
+                         items + i * field->item_table->struct_bytes, zone))
         return false;
     }
-  memcpy (base + field->count, &count, sizeof count);
+  memcpy (base + field->count_offset, &count, sizeof count);
   return true;
 }
 
@@ -360,33 +362,34 @@
 
   switch (field->kind)
     {
-    case MF_FIELD_BOOL:
+    case MF_FRAME_FIELD_BOOL:
       if (object->type != MSGPACK_OBJECT_BOOLEAN)
         return false;
       *(bool *)at = object->via.boolean;
       return true;
-    case MF_FIELD_DIGEST:
+    case MF_FRAME_FIELD_DIGEST:
       if (object->type != MSGPACK_OBJECT_BIN || object->via.bin.size != MF_DIGEST_BYTES)
         return false;
       memcpy (at, object->via.bin.ptr, MF_DIGEST_BYTES);
       return true;
-    case MF_FIELD_NAME:
+    case MF_FRAME_FIELD_NAME:
       return unpack_name (object, field, at);
-    case MF_FIELD_STRING:
+    case MF_FRAME_FIELD_STRING:
       return unpack_string (object, at, zone);
-    case MF_FIELD_BYTES:
+    case MF_FRAME_FIELD_BYTES:
       return unpack_bytes (object, field, base, zone);
-    case MF_FIELD_STRUCT:
-      return unpack_items (object, field->items, at, zone);
-    case MF_FIELD_ARRAY:
-    case MF_FIELD_LIST:
+    case MF_FRAME_FIELD_STRUCT:
+      return unpack_items (object, field->item_table, at, zone);
+    case MF_FRAME_FIELD_ARRAY:
+    case MF_FRAME_FIELD_LIST:
       return unpack_array (object, field, base, zone);
     default:
       return unpack_number (object, field, at);
     }
 }
 
-/* Items may be longer than known here, of a later version, but not shorter. */
+/* Decodes a nested struct. It may have additional fields of a later version, but none may be
+ * missing. */
 static bool
 unpack_items (const msgpack_object *object, const MfFrameTable *table, uint8_t *item,
               msgpack_zone *zone)
@@ -401,7 +404,7 @@
   return true;
 }
 
-/* Returns the value of a number key, or NULL. */
+/* Returns the value of a numeric key, or NULL. */
 static const msgpack_object *
 map_find (const msgpack_object *map, uint64_t key)
 {
@@ -443,27 +446,27 @@
   if (version == NULL || type == NULL || version->type != MSGPACK_OBJECT_POSITIVE_INTEGER
       || type->type != MSGPACK_OBJECT_POSITIVE_INTEGER || version->via.u64 == 0)
     {
-      mf_error_set (error, MF_CODE_PEER_FRAME, "a frame has no version or type");
+      mf_error_set (error, MF_CODE_PEER_FRAME, "frame has no version or type");
       return false;
     }
   if (type->via.u64 >= MF_PEER_MESSAGE_COUNT)
     {
-      mf_error_set (error, MF_CODE_PEER_VERSION, "a frame has a type not known here");
+      mf_error_set (error, MF_CODE_PEER_VERSION, "frame has an unknown message type");
       return false;
     }
   message->type = (MfPeerMessageType)type->via.u64;
   if (!unpack_body (map_find (root, KEY_BODY), mf_frame_table (message->type),
                     (uint8_t *)&message->digest, zone))
     {
-      mf_error_set (error, MF_CODE_PEER_FRAME, "a frame has a field of a wrong type");
+      mf_error_set (error, MF_CODE_PEER_FRAME, "frame has a field with an invalid value");
       return false;
     }
   return true;
 }
 
-/* Decodes the payload of one frame, without its length. Unknown fields are skipped, so that two
- * releases can talk. Returns false with error set when it is malformed. The caller frees frame with
- * mf_frame_clear. */
+/* Decodes the payload of one frame, without its length. Unknown fields are ignored, so that
+ * different releases can exchange messages. Returns false with error set when the payload is
+ * malformed. The caller frees frame with mf_frame_clear. */
 bool
 mf_frame_decode (const uint8_t *payload, size_t payload_bytes, MfFrame *frame, MfError *error)
 {
@@ -472,9 +475,10 @@
   size_t offset = 0;
 
   memset (frame, 0, sizeof *frame);
-  if (payload_bytes > MF_FRAME_BYTES_MAX || !mf_frame_is_sound (payload, payload_bytes))
+  if (payload_bytes > MF_FRAME_BYTES_MAX || !mf_frame_is_well_formed (payload, payload_bytes))
     {
-      mf_error_set (error, MF_CODE_PEER_FRAME, "a frame is not one whole value");
+      mf_error_set (error, MF_CODE_PEER_FRAME,
+                    "frame is too large or not exactly one well-formed msgpack value");
       return false;
     }
   zone = msgpack_zone_new (MSGPACK_ZONE_CHUNK_SIZE);
@@ -486,14 +490,14 @@
   frame->memory = zone;
   if (msgpack_unpack ((const char *)payload, payload_bytes, &offset, zone, &root)
       != MSGPACK_UNPACK_SUCCESS)
-    mf_error_set (error, MF_CODE_PEER_FRAME, "a frame is not msgpack");
+    mf_error_set (error, MF_CODE_PEER_FRAME, "frame is not valid msgpack");
   else if (unpack_message (&root, &frame->message, zone, error))
     return true;
   mf_frame_clear (frame);
   return false;
 }
 
-/* Frees what the frame's message points to. */
+/* Frees the memory that the message refers to. */
 void
 mf_frame_clear (MfFrame *frame)
 {
--- a/libmangofork/gossip.c
+++ b/libmangofork/gossip.c
@@ -200,7 +200,7 @@
   item->origin_us = origin_us;
   item->pending_neighbours = linked_neighbours (core) & ~sender_bit;
   if (traits[gossip->kind].priority == 0 && item->pending_neighbours != 0)
-    mf_digest_hurry (core);
+    mf_digest_schedule_urgent (core);
   return true;
 }
 
--- a/libmangofork/header.c
+++ b/libmangofork/header.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* A byte that RFC 9110 allows in the name of a header. */
+/* Returns whether RFC 9110 allows a byte in the name of a header. */
 static bool
 is_token (unsigned char byte)
 {
@@ -11,9 +11,9 @@
          || (byte != '\0' && strchr ("!#$%&'*+-.^_`|~", byte) != NULL);
 }
 
-/* Whether all bytes, of a name or a part of one, may stand in the name of a header. */
+/* Empty text is valid. */
 bool
-mf_header_name_is_sound (const char *name, size_t name_bytes)
+mf_header_name_is_valid (const char *name, size_t name_bytes)
 {
   for (size_t i = 0; i < name_bytes; i++)
     {
--- a/libmangofork/openai.c
+++ b/libmangofork/openai.c
@@ -7,12 +7,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Bytes of one line of a stream. */
+/* Limit of one line of a stream. */
 #define LINE_BYTES_MAX ((size_t)1024 * 1024)
 #define CACHE_EVENTS_MAX 4096
-#define WORK_ID_BYTES 160
+#define ATTEMPT_ID_BYTES 160
 
-/* One answer of an engine. */
+/* State for parsing one answer of an engine. */
 typedef struct
 {
   MfCallKind kind;
@@ -20,22 +20,22 @@
   MfCallEventFunc on_event;
   MfUpstreamEventFunc on_report;
   void *data;
-  MfBuffer body; /* an answer that is not streamed */
-  MfBuffer line; /* the beginning of a line whose end has not arrived */
-  MfBuffer text; /* of the tokens found in the bytes being fed */
+  MfBuffer body; /* of an answer that is not streamed */
+  MfBuffer line; /* start of a line whose end has not arrived */
+  MfBuffer text; /* of the tokens found in the bytes being parsed */
   uint32_t next_index;
   uint32_t n_tokens; /* in text */
   bool imported;
-  bool finished; /* a finish reason was seen */
-  bool done;     /* the closing line was seen */
-  bool broken;   /* the stream carried an error */
+  bool finished;  /* a finish reason has arrived */
+  bool done;      /* the line data: [DONE] has arrived */
+  bool has_error; /* the stream contained an error */
   char *kv_handle;
 } EngineAnswer;
 
 static void
-buffer_empty (MfBuffer *buffer)
+buffer_drop_all (MfBuffer *buffer)
 {
-  mf_buffer_take (buffer, mf_buffer_bytes (buffer));
+  mf_buffer_consume (buffer, mf_buffer_bytes (buffer));
 }
 
 static bool
@@ -44,11 +44,11 @@
   return kind == MF_CALL_DECODE || kind == MF_CALL_RESUME;
 }
 
-/* The name under which an engine knows one attempt at a request. */
+/* Writes the request id under which an engine knows one attempt at a request. */
 static void
-work_id (char *id, const MfInstanceId *owner, uint64_t request_id, uint32_t attempt)
+attempt_id (char *id, const MfInstanceId *owner, uint64_t request_id, uint32_t attempt)
 {
-  snprintf (id, WORK_ID_BYTES, "%s:%" PRIx64 ":%" PRIu64 ":%" PRIu32, owner->name,
+  snprintf (id, ATTEMPT_ID_BYTES, "%s:%" PRIx64 ":%" PRIu64 ":%" PRIu32, owner->name,
             owner->incarnation, request_id, attempt);
 }
 
@@ -75,15 +75,15 @@
   return object;
 }
 
-/* Undoes the escaping of the delivered text, by parsing it as the JSON string it came from. */
+/* Unescapes the delivered text, by parsing it as a JSON string. */
 static json_object *
-delivered_string (const MfCallMaterial *material)
+delivered_string (const MfCallInput *input)
 {
   MfBuffer quoted = { 0 };
   json_object *string = NULL;
 
   mf_buffer_add (&quoted, "\"", 1);
-  mf_buffer_add (&quoted, material->delivered, material->delivered_bytes);
+  mf_buffer_add (&quoted, input->delivered, input->delivered_bytes);
   mf_buffer_add (&quoted, "\"", 2);
   if (!quoted.failed)
     string = json_tokener_parse (mf_buffer_data (&quoted));
@@ -92,14 +92,14 @@
 }
 
 static void
-add_resume (json_object *body, const MfCallAction *call, const MfCallMaterial *material)
+add_resume (json_object *body, const MfCallAction *call, const MfCallInput *input)
 {
   json_object *resume;
 
   if (call->from_token == 0)
     return;
   resume = json_object_new_object ();
-  json_object_object_add (resume, "text", delivered_string (material));
+  json_object_object_add (resume, "text", delivered_string (input));
   json_object_object_add (resume, "from_token", json_object_new_int64 (call->from_token));
   json_object_object_add (body, "mangofork_resume", resume);
 }
@@ -116,7 +116,7 @@
   json_object_object_add (body, "kv_transfer_params", transfer);
 }
 
-/* A caller that names no limit leaves it to the engine. */
+/* When the caller set no limit, the engine applies its own. */
 static void
 add_max_tokens (json_object *body, const MfCallAction *call)
 {
@@ -125,9 +125,9 @@
 }
 
 static bool
-add_decode (json_object *body, const MfCallAction *call, const MfCallMaterial *material)
+add_decode (json_object *body, const MfCallAction *call, const MfCallInput *input)
 {
-  json_object *transfer = parse_object (material->kv_handle, material->kv_handle_bytes);
+  json_object *transfer = parse_object (input->kv_handle, input->kv_handle_bytes);
 
   if (transfer == NULL)
     return false;
@@ -137,11 +137,12 @@
   return true;
 }
 
-/* The caller's own body with what disaggregation needs. */
+/* Returns the caller's body with the fields for disaggregated prefill and decode added. NULL when
+ * the body or the KV handle is not a JSON object. */
 static json_object *
-completion_body (const MfCallAction *call, const MfCallMaterial *material)
+completion_body (const MfCallAction *call, const MfCallInput *input)
 {
-  json_object *body = parse_object (material->body, material->body_bytes);
+  json_object *body = parse_object (input->body, input->body_bytes);
   char salt[24];
 
   if (body == NULL)
@@ -150,10 +151,10 @@
   json_object_object_del (body, "max_completion_tokens");
   json_object_object_add (body, "priority", json_object_new_int64 (call->priority));
   json_object_object_add (body, "cache_salt", json_object_new_string (salt));
-  add_resume (body, call, material);
+  add_resume (body, call, input);
   if (call->kind == MF_CALL_PREFILL)
     add_prefill (body);
-  else if (!add_decode (body, call, material))
+  else if (!add_decode (body, call, input))
     {
       json_object_put (body);
       return NULL;
@@ -171,12 +172,12 @@
 }
 
 static json_object *
-work_body (const MfCallAction *call, const MfInstanceId *self)
+attempt_body (const MfCallAction *call, const MfInstanceId *self)
 {
-  char id[WORK_ID_BYTES];
+  char id[ATTEMPT_ID_BYTES];
   json_object *body;
 
-  work_id (id, self, call->request_id, call->target_attempt);
+  attempt_id (id, self, call->request_id, call->target_attempt);
   body = string_body ("rid", id);
   if (call->kind == MF_CALL_RESUME)
     {
@@ -189,13 +190,13 @@
 static json_object *
 owner_body (const MfCallAction *call)
 {
-  char owner[WORK_ID_BYTES];
+  char owner[ATTEMPT_ID_BYTES];
 
   snprintf (owner, sizeof owner, "%s:%" PRIx64, call->owner.name, call->owner.incarnation);
   return string_body ("owner", owner);
 }
 
-/* What an order of each kind is sent to, and the field its value goes in. */
+/* Path of each kind of order and the body field of its value. */
 static const struct
 {
   const char *path;
@@ -208,7 +209,7 @@
 };
 
 static const char *
-call_path (const MfCallAction *call, const MfCallMaterial *material)
+call_path (const MfCallAction *call, const MfCallInput *input)
 {
   switch (call->kind)
     {
@@ -220,21 +221,21 @@
     case MF_CALL_ORDER:
       return orders[call->order].path;
     default:
-      return material->path;
+      return input->path;
     }
 }
 
 static json_object *
-call_body (const MfCallAction *call, const MfCallMaterial *material, const MfInstanceId *self)
+call_body (const MfCallAction *call, const MfCallInput *input, const MfInstanceId *self)
 {
   switch (call->kind)
     {
     case MF_CALL_PREFILL:
     case MF_CALL_DECODE:
-      return completion_body (call, material);
+      return completion_body (call, input);
     case MF_CALL_RESUME:
     case MF_CALL_CANCEL:
-      return work_body (call, self);
+      return attempt_body (call, self);
     case MF_CALL_CANCEL_OWNER:
       return owner_body (call);
     case MF_CALL_ORDER:
@@ -247,10 +248,10 @@
 static bool
 set_headers (MfHttpRequest *request, const MfCallAction *call, const MfInstanceId *self)
 {
-  char id[WORK_ID_BYTES];
+  char id[ATTEMPT_ID_BYTES];
   char fence[48] = "";
 
-  work_id (id, self, call->request_id, call->attempt);
+  attempt_id (id, self, call->request_id, call->attempt);
   if (call->kind == MF_CALL_ORDER && call->fence > 0)
     snprintf (fence, sizeof fence, "X-Fence: %" PRIu64 "\n", call->fence);
   return asprintf (&request->headers, "Content-Type: application/json\nX-Request-Id: %s\n%s", id,
@@ -259,13 +260,13 @@
 }
 
 static bool
-set_url (MfHttpRequest *request, const MfCallAction *call, const MfCallMaterial *material)
+set_url (MfHttpRequest *request, const MfCallAction *call, const MfCallInput *input)
 {
   if (call->kind == MF_CALL_LOAD)
     return asprintf (&request->url, "http://%s/load?after=%" PRIu64, call->address,
                      call->cache_after)
            >= 0;
-  return asprintf (&request->url, "http://%s%s", call->address, call_path (call, material)) >= 0;
+  return asprintf (&request->url, "http://%s%s", call->address, call_path (call, input)) >= 0;
 }
 
 static bool
@@ -280,21 +281,23 @@
 }
 
 static bool
-openai_build (const MfCallAction *call, const MfCallMaterial *material, const MfInstanceId *self,
+openai_build (const MfCallAction *call, const MfCallInput *input, const MfInstanceId *self,
               MfHttpRequest *request, MfError *error)
 {
   bool has_body = call->kind != MF_CALL_LOAD;
-  json_object *body = call_body (call, material, self);
+  json_object *body = call_body (call, input, self);
   bool ok = has_body == (body != NULL);
 
   *request = (MfHttpRequest){ .method = has_body ? "POST" : "GET" };
-  ok = ok && (!has_body || set_body (request, body)) && set_url (request, call, material)
+  ok = ok && (!has_body || set_body (request, body)) && set_url (request, call, input)
        && set_headers (request, call, self);
   json_object_put (body);
   if (!ok)
     {
       mf_http_request_clear (request);
-      mf_error_set (error, MF_CODE_BAD_FIELD, "the call cannot be put to an engine");
+      mf_error_set (error, MF_CODE_BAD_FIELD,
+                    "cannot build the request to the engine: invalid body, missing KV handle, or "
+                    "out of memory");
     }
   return ok;
 }
@@ -316,10 +319,10 @@
   return answer;
 }
 
-/* Returns what follows a key and its colon, or NULL. A quote inside a JSON string is escaped, so
- * the quoted key is never found in the middle of one. */
+/* Returns the position after a quoted key and its colon, or NULL. Quotes inside a JSON string are
+ * escaped, so the key is never found in the middle of a string. */
 static const char *
-after_key (const char *data, const char *end, const char *key, size_t key_bytes)
+value_after_key (const char *data, const char *end, const char *key, size_t key_bytes)
 {
   const char *at = memmem (data, (size_t)(end - data), key, key_bytes);
 
@@ -331,9 +334,11 @@
   return at;
 }
 
-#define AFTER_KEY(data, end, key) after_key (data, end, "\"" key "\":", sizeof ("\"" key "\":") - 1)
+#define VALUE_AFTER_KEY(data, end, key)                                                            \
+  value_after_key (data, end, "\"" key "\":", sizeof ("\"" key "\":") - 1)
 
-/* Returns the quote that ends the JSON string whose first byte is at data, or NULL. */
+/* Returns the closing quote of the JSON string whose first byte is at data, or NULL. A quote after
+ * an odd number of backslashes is escaped. */
 static const char *
 string_end (const char *data, const char *end)
 {
@@ -352,15 +357,15 @@
   return NULL;
 }
 
-/* Finds the token's text: `text` of a completion, `content` of a chat's delta. */
+/* Returns the text of a token: `text` of a completion or `content` of a chat delta. */
 static const char *
 token_text (const char *data, const char *end, size_t *text_bytes)
 {
-  const char *text = AFTER_KEY (data, end, "text");
+  const char *text = VALUE_AFTER_KEY (data, end, "text");
   const char *close;
 
   if (text == NULL)
-    text = AFTER_KEY (data, end, "content");
+    text = VALUE_AFTER_KEY (data, end, "content");
   if (text == NULL || text >= end || *text != '"')
     return NULL;
   close = string_end (text + 1, end);
@@ -375,12 +380,12 @@
 {
   size_t n = 0;
   const char *text = token_text (data, end, &n);
-  const char *reason = AFTER_KEY (data, end, "finish_reason");
+  const char *reason = VALUE_AFTER_KEY (data, end, "finish_reason");
 
   if (reason != NULL && reason < end && *reason == '"')
     answer->finished = true;
-  if (text == NULL && AFTER_KEY (data, end, "error") != NULL)
-    answer->broken = true;
+  if (text == NULL && VALUE_AFTER_KEY (data, end, "error") != NULL)
+    answer->has_error = true;
   if (n == 0)
     return true;
   answer->n_tokens++;
@@ -419,7 +424,7 @@
   return feed_chunk (answer, line, end);
 }
 
-/* Hands on the tokens gathered from one piece of the stream. */
+/* Emits the tokens found in the bytes being parsed as one event. */
 static void
 emit_tokens (EngineAnswer *answer)
 {
@@ -435,12 +440,12 @@
   answer->next_index += answer->n_tokens;
   answer->n_tokens = 0;
   answer->on_event (MF_EVENT_CALL_TOKENS, &event, answer->data);
-  buffer_empty (&answer->text);
+  buffer_drop_all (&answer->text);
 }
 
-/* Feeds a line whose beginning came earlier. */
+/* Parses a line whose start arrived earlier. */
 static bool
-feed_rest (EngineAnswer *answer, const char *data, const char *newline)
+feed_line_end (EngineAnswer *answer, const char *data, const char *newline)
 {
   const char *line;
   bool ok;
@@ -448,7 +453,7 @@
   mf_buffer_add (&answer->line, data, (size_t)(newline - data));
   line = mf_buffer_data (&answer->line);
   ok = !answer->line.failed && feed_line (answer, line, line + mf_buffer_bytes (&answer->line));
-  buffer_empty (&answer->line);
+  buffer_drop_all (&answer->line);
   return ok;
 }
 
@@ -460,9 +465,9 @@
 
   while (data < end && (newline = memchr (data, '\n', (size_t)(end - data))) != NULL)
     {
-      bool whole = mf_buffer_bytes (&answer->line) == 0;
+      bool complete = mf_buffer_bytes (&answer->line) == 0;
 
-      if (!(whole ? feed_line (answer, data, newline) : feed_rest (answer, data, newline)))
+      if (!(complete ? feed_line (answer, data, newline) : feed_line_end (answer, data, newline)))
         return false;
       data = newline + 1;
     }
@@ -485,7 +490,8 @@
       ok = !answer->body.failed;
     }
   if (!ok)
-    mf_error_set (error, MF_CODE_UPSTREAM_ERROR, "an engine's answer could not be taken in");
+    mf_error_set (error, MF_CODE_UPSTREAM_ERROR,
+                  "engine answer has a line longer than 1 MiB, or out of memory");
   return ok;
 }
 
@@ -594,7 +600,7 @@
 }
 
 static void
-end_with (EngineAnswer *answer, bool done, uint16_t status)
+emit_end (EngineAnswer *answer, bool done, uint16_t status)
 {
   answer->on_event (done ? MF_EVENT_CALL_DONE : MF_EVENT_CALL_FAILED,
                     &(MfCallEvent){ .status = status, .stopped = done && answer->finished },
@@ -619,7 +625,7 @@
       answer->on_event (MF_EVENT_CALL_PREFILLED, &event, answer->data);
     }
   else
-    end_with (answer, false, status);
+    emit_end (answer, false, status);
   json_object_put (body);
 }
 
@@ -631,26 +637,26 @@
   bool ok = status == 200 && report != NULL && report_load (answer, report, now_us);
 
   json_object_put (report);
-  end_with (answer, ok, status);
+  emit_end (answer, ok, status);
 }
 
 static void
-openai_end (void *state, uint16_t status, bool whole, uint64_t now_us)
+openai_end (void *state, uint16_t status, bool complete, uint64_t now_us)
 {
   EngineAnswer *answer = state;
 
   if (kind_streams (answer->kind))
-    end_with (answer, status == 200 && answer->done && !answer->broken, status);
-  else if (!whole)
-    end_with (answer, false, status);
+    emit_end (answer, status == 200 && answer->done && !answer->has_error, status);
+  else if (!complete)
+    emit_end (answer, false, status);
   else if (answer->kind == MF_CALL_PREFILL)
     end_prefill (answer, status, now_us);
   else if (answer->kind == MF_CALL_LOAD)
     end_load (answer, status, now_us);
   else if (answer->kind == MF_CALL_ORDER)
-    end_with (answer, status < 500, status);
+    emit_end (answer, status < 500, status);
   else
-    end_with (answer, status == 200 || status == 404, status);
+    emit_end (answer, status == 200 || status == 404, status);
 }
 
 static void
--- a/libmangofork/trace.h
+++ b/libmangofork/trace.h
@@ -5,25 +5,25 @@
 
 #define MF_TRACE_NAME_BYTES 64
 
-/* What a step in the life of a request was. */
+/* Kinds of steps in the processing of a request. */
 typedef enum
 {
   MF_TRACE_ARRIVED,
-  MF_TRACE_QUEUED,      /* value: requests before it */
-  MF_TRACE_PLACED,      /* upstream, other: prefill and decode; value: predicted first token, us */
-  MF_TRACE_ALTERNATIVE, /* upstream: an upstream not taken; value: its predicted first token, us */
+  MF_TRACE_QUEUED,      /* value: requests ahead of it */
+  MF_TRACE_PLACED,      /* upstream: prefill; other_upstream: decode; value: predicted TTFT, us */
+  MF_TRACE_ALTERNATIVE, /* upstream: the second best; value: its predicted TTFT, us */
   MF_TRACE_CALLED,      /* value: MfCallKind */
   MF_TRACE_PREFILLED,
   MF_TRACE_IMPORTED,
   MF_TRACE_FIRST_TOKEN,
-  MF_TRACE_BROKEN, /* value: tokens delivered */
+  MF_TRACE_CALL_FAILED, /* value: tokens delivered */
   MF_TRACE_RETRIED,
   MF_TRACE_RESUMED,
-  MF_TRACE_HEDGED,
+  MF_TRACE_HEDGED, /* upstream: the second one; other_upstream: the slow one */
   MF_TRACE_CLAIMED,
   MF_TRACE_CANCELLED,
   MF_TRACE_SUSPECTED,
-  MF_TRACE_ENDED, /* value: tokens delivered; code says how */
+  MF_TRACE_ENDED, /* value: tokens delivered; code: the result */
   MF_TRACE_KIND_COUNT,
 } MfTraceKind;
 
@@ -42,8 +42,8 @@
   uint64_t request_id;
   uint64_t at_us;
   MfTraceKind kind;
-  uint32_t upstream; /* or MF_NONE */
-  uint32_t other;    /* or MF_NONE */
+  uint32_t upstream;       /* or MF_NONE */
+  uint32_t other_upstream; /* or MF_NONE */
   uint64_t value;
   MfCode code;
   uint8_t phase;    /* MfPhase */
@@ -54,20 +54,20 @@
 
 typedef void (*MfTraceFunc) (const MfTraceStep *step, void *data);
 
-/* A bounded ring of steps over all requests; the oldest are overwritten. */
+/* Creates a ring of n_steps steps, shared by all requests; the newest overwrites the oldest. */
 MfTrace *mf_trace_new (uint32_t n_steps);
 void mf_trace_free (MfTrace *trace);
-void mf_trace_note (MfTrace *trace, const MfTraceStep *step);
-/* Binds the caller-visible name to the request, so that it can be found by it. */
-void mf_trace_name (MfTrace *trace, uint64_t request_id, const char *name);
-/* Calls func for each remembered step of the request of that name, oldest first. A name that a
- * caller used again names several requests, the latest of which come last. Returns false when
- * nothing is remembered. */
+void mf_trace_add_step (MfTrace *trace, const MfTraceStep *step);
+/* Sets the name under which callers know the request, for mf_trace_foreach. */
+void mf_trace_set_name (MfTrace *trace, uint64_t request_id, const char *name);
+/* Calls func for each recorded step of the requests of that name, oldest first. Callers may use one
+ * name for several requests; the latest request comes last. Returns false when no request of that
+ * name is recorded. */
 bool mf_trace_foreach (const MfTrace *trace, const char *name, MfTraceFunc func, void *data);
 
-/* How many requests were ended without an answer by whom, in which MfPhase. Counts all, also those
- * forgotten. */
-uint64_t mf_trace_ended (const MfTrace *trace, MfEndedBy by, uint32_t phase);
+/* Returns how many requests were ended without an answer by that party in that MfPhase, including
+ * those whose steps have been overwritten. */
+uint64_t mf_trace_n_ended (const MfTrace *trace, MfEndedBy by, uint32_t phase);
 
 const char *mf_trace_kind_name (MfTraceKind kind);
 const char *mf_ended_by_name (MfEndedBy by);
--- a/libmangofork/voter.h
+++ b/libmangofork/voter.h
@@ -2,7 +2,7 @@
 #define MF_VOTER_H
 
 #include "cell.h"
-#include "keybook.h"
+#include "key_table.h"
 
 /* The state of this instance as a voter of its cell.
  *
@@ -12,7 +12,7 @@
  * see docs/AT-MOST-ONCE.md. */
 typedef struct
 {
-  MfKeybook *book;
+  MfKeyTable *key_table;
   MfCell cell;
   uint32_t index; /* of this instance in the cell; MF_NONE when it is no voter */
   uint64_t epoch;
@@ -35,7 +35,7 @@
 
 MfVoterState *mf_claim_voter (const MfCore *core);
 
-void mf_voter_init (MfVoterState *voter, MfKeybook *book, uint64_t now_us);
+void mf_voter_init (MfVoterState *voter, MfKeyTable *key_table, uint64_t now_us);
 void mf_voter_apply_config (MfCore *core, MfVoterState *voter);
 void mf_voter_tick (MfCore *core, MfVoterState *voter);
 void mf_voter_note_incarnation (MfVoterState *voter, const MfInstanceId *peer);
--- a/tests/fakes/plain_http.c
+++ b/tests/fakes/plain_http.c
@@ -7,34 +7,34 @@
 
 #define KEY_BYTES 128
 
-/* How often the order of one key has run. */
+/* Number of executions of the order with one key. */
 typedef struct
 {
   char key[KEY_BYTES];
   uint64_t n_runs;
   UT_hash_handle hh;
-} Run;
+} RunCount;
 
-/* One call that is being worked on. It runs to its end whether or not its caller stays. */
-typedef struct Pending Pending;
-struct Pending
+/* A call in execution. It completes even if its connection has closed. */
+typedef struct PendingCall PendingCall;
+struct PendingCall
 {
   FakePlain *plain;
-  FakeConn *conn; /* NULL once the connection is gone */
+  FakeConn *conn; /* NULL once the connection has closed */
   ev_timer timer;
   char key[KEY_BYTES]; /* "" for a read */
-  Pending *next;
+  PendingCall *next;
 };
 
-/* What happens to the next calls. */
+/* Fault injected into the next calls. */
 typedef enum
 {
   PLAIN_FAULT_NONE,
-  PLAIN_FAULT_DIE_BEFORE, /* the connection is reset and nothing runs */
-  PLAIN_FAULT_DIE_AFTER,  /* the call runs, then the connection is reset */
-  PLAIN_FAULT_CUT,        /* the call runs and half of its answer arrives */
-  PLAIN_FAULT_REFUSE,     /* no room: nothing runs */
-  PLAIN_FAULT_ERROR,      /* the call runs and fails */
+  PLAIN_FAULT_DIE_BEFORE, /* the connection is reset before the call is executed */
+  PLAIN_FAULT_DIE_AFTER,  /* the call is executed, then the connection is reset */
+  PLAIN_FAULT_CUT,        /* the call is executed, but its answer is truncated */
+  PLAIN_FAULT_REFUSE,     /* the call is refused and not executed */
+  PLAIN_FAULT_ERROR,      /* the call is executed and answered with status 500 */
   PLAIN_FAULT_COUNT,
 } PlainFault;
 
@@ -51,117 +51,117 @@
   FakeHttp *http;
   uint64_t work_us;
   PlainFault fault;
-  uint64_t n_faults; /* calls it still befalls */
+  uint64_t n_faults_left; /* number of further calls with the fault */
   bool leaving;
   bool silent;
   uint64_t n_calls;
   uint64_t n_reads;
   uint64_t n_refused;
-  Run *runs;
-  Pending *pending;
+  RunCount *run_counts;
+  PendingCall *pending_calls;
   FakePlain *next;
 };
 
 static void
-pending_drop_all (FakePlain *plain)
+pending_calls_free (FakePlain *plain)
 {
-  Pending *pending = plain->pending;
+  PendingCall *pending_call = plain->pending_calls;
 
-  plain->pending = NULL;
-  while (pending != NULL)
+  plain->pending_calls = NULL;
+  while (pending_call != NULL)
     {
-      Pending *next = pending->next;
+      PendingCall *next = pending_call->next;
 
-      ev_timer_stop (plain->loop, &pending->timer);
-      free (pending);
-      pending = next;
+      ev_timer_stop (plain->loop, &pending_call->timer);
+      free (pending_call);
+      pending_call = next;
     }
 }
 
 static void
-pending_free (Pending *pending)
+pending_call_free (PendingCall *pending_call)
 {
-  Pending **at = &pending->plain->pending;
+  PendingCall **at = &pending_call->plain->pending_calls;
 
-  while (*at != pending)
+  while (*at != pending_call)
     at = &(*at)->next;
-  *at = pending->next;
-  ev_timer_stop (pending->plain->loop, &pending->timer);
-  free (pending);
+  *at = pending_call->next;
+  ev_timer_stop (pending_call->plain->loop, &pending_call->timer);
+  free (pending_call);
 }
 
-static Run *
-run_add (FakePlain *plain, const char *key)
+static RunCount *
+run_count_add (FakePlain *plain, const char *key)
 {
-  Run *run = calloc (1, sizeof *run);
+  RunCount *run_count = calloc (1, sizeof *run_count);
 
-  if (run == NULL)
+  if (run_count == NULL)
     abort ();
-  mf_name_set (run->key, sizeof run->key, key);
-  HASH_ADD_STR (plain->runs, key, run);
-  return run;
+  mf_name_set (run_count->key, sizeof run_count->key, key);
+  HASH_ADD_STR (plain->run_counts, key, run_count);
+  return run_count;
 }
 
 static uint64_t
 count_run (FakePlain *plain, const char *key)
 {
-  Run *run = NULL;
+  RunCount *run_count = NULL;
 
   if (*key == '\0')
     {
       plain->n_reads++;
       return 0;
     }
-  HASH_FIND_STR (plain->runs, key, run);
-  if (run == NULL)
-    run = run_add (plain, key);
-  return ++run->n_runs;
+  HASH_FIND_STR (plain->run_counts, key, run_count);
+  if (run_count == NULL)
+    run_count = run_count_add (plain, key);
+  return ++run_count->n_runs;
 }
 
 static PlainFault
-take_fault (FakePlain *plain)
+consume_fault (FakePlain *plain)
 {
-  if (plain->n_faults == 0)
+  if (plain->n_faults_left == 0)
     return PLAIN_FAULT_NONE;
-  plain->n_faults--;
+  plain->n_faults_left--;
   return plain->fault;
 }
 
 static void
-cut_answer (FakeConn *conn, const char *body)
+send_truncated_answer (FakeConn *conn, const char *body)
 {
-  char half[512];
-  int n = snprintf (half, sizeof half, "HTTP/1.1 200 OK\r\nContent-Length: %zu\r\n\r\n%.8s",
+  char text[512];
+  int n = snprintf (text, sizeof text, "HTTP/1.1 200 OK\r\nContent-Length: %zu\r\n\r\n%.8s",
                     strlen (body), body);
 
-  fake_conn_raw (conn, half, (size_t)n);
+  fake_conn_send_raw (conn, text, (size_t)n);
   fake_conn_close (conn, false);
 }
 
-/* The call has run; its answer goes out, whole or not. */
+/* Executes the call and sends its answer, or what the injected fault leaves of it. */
 static void
-on_worked (struct ev_loop *loop, ev_timer *timer, int events)
+on_work_timer (struct ev_loop *loop, ev_timer *timer, int events)
 {
   static const char headers[] = "Content-Type: application/json\r\n";
-  Pending *pending = timer->data;
-  FakePlain *plain = pending->plain;
-  FakeConn *conn = pending->conn;
-  PlainFault fault = take_fault (plain);
-  uint64_t n_runs = count_run (plain, pending->key);
+  PendingCall *pending_call = timer->data;
+  FakePlain *plain = pending_call->plain;
+  FakeConn *conn = pending_call->conn;
+  PlainFault fault = consume_fault (plain);
+  uint64_t n_runs = count_run (plain, pending_call->key);
   char body[KEY_BYTES + MF_NAME_BYTES + 64];
   int n;
 
   (void)loop;
   (void)events;
   n = snprintf (body, sizeof body, "{\"by\":\"%s\",\"order\":\"%s\",\"run\":%llu}", plain->name,
-                pending->key, (unsigned long long)n_runs);
-  pending_free (pending);
+                pending_call->key, (unsigned long long)n_runs);
+  pending_call_free (pending_call);
   if (conn == NULL)
     return;
   if (fault == PLAIN_FAULT_DIE_AFTER)
     fake_conn_close (conn, true);
   else if (fault == PLAIN_FAULT_CUT)
-    cut_answer (conn, body);
+    send_truncated_answer (conn, body);
   else
     fake_conn_answer (conn, fault == PLAIN_FAULT_ERROR ? 500 : 200, headers, body, (size_t)n);
 }
@@ -182,35 +182,36 @@
   FakePlain *plain = data;
   bool is_order = strcmp (request->method, "POST") == 0;
   json_object *body = is_order ? json_tokener_parse (request->body) : NULL;
-  Pending *pending;
+  PendingCall *pending_call;
 
   plain->n_calls++;
   if (plain->silent)
     return;
-  if (plain->leaving || (plain->n_faults > 0 && plain->fault == PLAIN_FAULT_REFUSE))
+  if (plain->leaving || (plain->n_faults_left > 0 && plain->fault == PLAIN_FAULT_REFUSE))
     {
-      take_fault (plain);
+      consume_fault (plain);
       refuse (plain, conn);
       return;
     }
-  if (plain->n_faults > 0 && plain->fault == PLAIN_FAULT_DIE_BEFORE)
+  if (plain->n_faults_left > 0 && plain->fault == PLAIN_FAULT_DIE_BEFORE)
     {
-      take_fault (plain);
+      consume_fault (plain);
       fake_conn_close (conn, true);
       return;
     }
-  pending = calloc (1, sizeof *pending);
-  if (pending == NULL)
+  pending_call = calloc (1, sizeof *pending_call);
+  if (pending_call == NULL)
     abort ();
-  pending->plain = plain;
-  pending->conn = conn;
+  pending_call->plain = plain;
+  pending_call->conn = conn;
   if (is_order)
-    mf_name_set (pending->key, sizeof pending->key, fake_setting_text (body, "order", "unnamed"));
-  pending->next = plain->pending;
-  plain->pending = pending;
-  ev_timer_init (&pending->timer, on_worked, (double)plain->work_us / 1e6, 0.0);
-  pending->timer.data = pending;
-  ev_timer_start (plain->loop, &pending->timer);
+    mf_name_set (pending_call->key, sizeof pending_call->key,
+                 fake_setting_text (body, "order", "unnamed"));
+  pending_call->next = plain->pending_calls;
+  plain->pending_calls = pending_call;
+  ev_timer_init (&pending_call->timer, on_work_timer, (double)plain->work_us / 1e6, 0.0);
+  pending_call->timer.data = pending_call;
+  ev_timer_start (plain->loop, &pending_call->timer);
   json_object_put (body);
 }
 
@@ -219,10 +220,11 @@
 {
   FakePlain *plain = data;
 
-  for (Pending *pending = plain->pending; pending != NULL; pending = pending->next)
+  for (PendingCall *pending_call = plain->pending_calls; pending_call != NULL;
+       pending_call = pending_call->next)
     {
-      if (pending->conn == conn)
-        pending->conn = NULL;
+      if (pending_call->conn == conn)
+        pending_call->conn = NULL;
     }
 }
 
@@ -234,7 +236,7 @@
       if (strcmp (kind, fault_names[fault]) != 0)
         continue;
       plain->fault = fault;
-      plain->n_faults = value;
+      plain->n_faults_left = value;
       return true;
     }
   if (strcmp (kind, "slow") == 0)
@@ -245,9 +247,9 @@
     plain->silent = value != 0;
   else if (strcmp (kind, "kill") == 0)
     {
-      /* What it was working on dies with it. */
+      /* Calls in execution are lost. */
       fake_http_stop (plain->http);
-      pending_drop_all (plain);
+      pending_calls_free (plain);
     }
   else if (strcmp (kind, "restart") == 0)
     fake_http_start (plain->http);
@@ -260,22 +262,23 @@
 fake_plain_ledger (const FakePlain *plain)
 {
   json_object *row = json_object_new_object ();
-  json_object *runs = json_object_new_object ();
+  json_object *run_counts = json_object_new_object ();
 
-  for (const Run *run = plain->runs; run != NULL; run = run->hh.next)
-    fake_add_number (runs, run->key, run->n_runs);
+  for (const RunCount *run_count = plain->run_counts; run_count != NULL;
+       run_count = run_count->hh.next)
+    fake_add_number (run_counts, run_count->key, run_count->n_runs);
   fake_add_text (row, "name", plain->name);
   fake_add_number (row, "calls", plain->n_calls);
   fake_add_number (row, "reads", plain->n_reads);
   fake_add_number (row, "refused", plain->n_refused);
-  json_object_object_add (row, "runs", runs);
+  json_object_object_add (row, "runs", run_counts);
   return row;
 }
 
 FakePlain *
 fake_plain_new (struct ev_loop *loop, FakePlain **list, json_object *settings)
 {
-  static const FakeHttpHooks hooks = { .on_request = on_request, .on_closed = on_closed };
+  static const FakeHttpCallbacks callbacks = { .on_request = on_request, .on_closed = on_closed };
   FakePlain *plain = calloc (1, sizeof *plain);
 
   if (plain == NULL)
@@ -283,8 +286,8 @@
   plain->loop = loop;
   mf_name_set (plain->name, sizeof plain->name, fake_setting_text (settings, "name", "plain"));
   plain->work_us = fake_setting (settings, "work_ms", 2) * MF_US_PER_MS;
-  plain->http
-      = fake_http_new (loop, fake_setting_text (settings, "address", "127.0.0.1:0"), &hooks, plain);
+  plain->http = fake_http_new (loop, fake_setting_text (settings, "address", "127.0.0.1:0"),
+                               &callbacks, plain);
   plain->next = *list;
   *list = plain;
   return plain;
@@ -293,17 +296,17 @@
 void
 fake_plain_free (FakePlain *plain)
 {
-  Run *run = plain->runs;
+  RunCount *run_count = plain->run_counts;
 
   fake_http_free (plain->http);
-  pending_drop_all (plain);
-  HASH_CLEAR (hh, plain->runs);
-  while (run != NULL)
+  pending_calls_free (plain);
+  HASH_CLEAR (hh, plain->run_counts);
+  while (run_count != NULL)
     {
-      Run *next = run->hh.next;
+      RunCount *next = run_count->hh.next;
 
-      free (run);
-      run = next;
+      free (run_count);
+      run_count = next;
     }
   free (plain);
 }
--- a/tests/fakes/store.c
+++ b/tests/fakes/store.c
@@ -17,13 +17,13 @@
 typedef struct
 {
   char key[KEY_BYTES];
-  char *value; /* NULL: removed */
+  char *value; /* NULL if the key was removed */
   uint64_t revision;
 } Item;
 
 typedef struct
 {
-  FakeConn *conn; /* NULL: free */
+  FakeConn *conn; /* NULL if this entry is unused */
   char prefix[KEY_BYTES];
   uint64_t after;
   ev_timer timer;
@@ -40,24 +40,25 @@
   Item events[EVENTS_MAX];
   uint32_t n_events;
   uint64_t revision;
-  uint64_t forgotten; /* history up to this revision is gone */
-  FakeStoreMood mood;
+  uint64_t dropped_revision; /* events up to this revision are no longer available */
+  FakeStoreMode mode;
   Watch watches[WATCHES_MAX];
   uint32_t n_calls;
 };
 
 static void
-item_write (MfBuffer *out, const Item *item)
+write_item (MfBuffer *out, const Item *item)
 {
   size_t n_bytes = item->value == NULL ? 0 : strlen (item->value);
-  size_t room = sodium_base64_ENCODED_LEN (n_bytes, sodium_base64_VARIANT_ORIGINAL);
-  char *text = malloc (room);
+  size_t encoded_bytes = sodium_base64_ENCODED_LEN (n_bytes, sodium_base64_VARIANT_ORIGINAL);
+  char *text = malloc (encoded_bytes);
   char line[KEY_BYTES + 96];
 
   if (text == NULL)
     abort ();
-  sodium_bin2base64 (text, room, (const unsigned char *)(item->value == NULL ? "" : item->value),
-                     n_bytes, sodium_base64_VARIANT_ORIGINAL);
+  sodium_bin2base64 (text, encoded_bytes,
+                     (const unsigned char *)(item->value == NULL ? "" : item->value), n_bytes,
+                     sodium_base64_VARIANT_ORIGINAL);
   snprintf (line, sizeof line, "{\"key\":\"%s\",\"revision\":%llu", item->key,
             (unsigned long long)item->revision);
   mf_buffer_add_text (out, line);
@@ -90,7 +91,7 @@
 }
 
 static void
-as_of_write (const FakeStore *store, MfBuffer *body)
+write_as_of (const FakeStore *store, MfBuffer *body)
 {
   mf_buffer_add_text (body, "\"asOf\":");
   mf_buffer_add_number (body, store->revision);
@@ -106,22 +107,22 @@
     {
       if (strcmp (store->items[i].key, key) != 0 || store->items[i].value == NULL)
         continue;
-      item_write (&body, &store->items[i]);
-      /* The item's object goes on with the revision of the read. */
+      write_item (&body, &store->items[i]);
+      /* Replaces the closing brace of the item by the revision of the read. */
       body.end--;
       mf_buffer_add_text (&body, ",");
-      as_of_write (store, &body);
+      write_as_of (store, &body);
       answer_json (conn, 200, &body);
       mf_buffer_clear (&body);
       return;
     }
   mf_buffer_add_text (&body, "{");
-  as_of_write (store, &body);
+  write_as_of (store, &body);
   answer_json (conn, 404, &body);
   mf_buffer_clear (&body);
 }
 
-/* The first item after a key, in the order of keys; NULL when there is none. */
+/* Returns the item with the next key after a key; NULL if there is none. */
 static const Item *
 item_after (const FakeStore *store, const char *prefix, const char *after)
 {
@@ -145,20 +146,20 @@
   const Item *item = item_after (store, prefix, after);
 
   mf_buffer_add_text (&body, "{\"items\":[");
-  for (uint32_t i = 0; i < FAKE_STORE_PAGE && item != NULL; i++)
+  for (uint32_t i = 0; i < FAKE_STORE_PAGE_ITEMS && item != NULL; i++)
     {
       if (i > 0)
         mf_buffer_add_text (&body, ",");
-      item_write (&body, item);
+      write_item (&body, item);
       item = item_after (store, prefix, item->key);
     }
   mf_buffer_add_text (&body, item != NULL ? "],\"morePages\":true," : "],\"morePages\":false,");
-  as_of_write (store, &body);
+  write_as_of (store, &body);
   answer_json (conn, 200, &body);
   mf_buffer_clear (&body);
 }
 
-/* Answers a watch; returns false when it has nothing to tell and may wait on. */
+/* Answers a watch that has events, or any watch with force. Returns whether it was answered. */
 static bool
 watch_answer (Watch *watch, bool force)
 {
@@ -176,11 +177,11 @@
         continue;
       if (any)
         mf_buffer_add_text (&body, ",");
-      item_write (&body, event);
+      write_item (&body, event);
       any = true;
     }
   mf_buffer_add_text (&body, "],");
-  as_of_write (store, &body);
+  write_as_of (store, &body);
   if (any || force)
     {
       ev_timer_stop (store->loop, &watch->timer);
@@ -211,7 +212,7 @@
         watch = &store->watches[i];
     }
   fake_query_get (query, "after", number, sizeof number);
-  if (watch == NULL || strtoull (number, NULL, 10) < store->forgotten)
+  if (watch == NULL || strtoull (number, NULL, 10) < store->dropped_revision)
     {
       answer_status (conn, watch == NULL ? 429 : 410);
       return;
@@ -230,16 +231,16 @@
 on_request (FakeConn *conn, const FakeHttpRequest *request, void *data)
 {
   FakeStore *store = data;
-  char first[KEY_BYTES];
+  char key[KEY_BYTES];
   char after[KEY_BYTES];
 
   store->n_calls++;
-  switch (store->mood)
+  switch (store->mode)
     {
     case FAKE_STORE_BUSY:
       answer_status (conn, 503);
       return;
-    case FAKE_STORE_MANY:
+    case FAKE_STORE_TOO_MANY_REQUESTS:
       answer_status (conn, 429);
       return;
     case FAKE_STORE_RESETS:
@@ -254,14 +255,14 @@
     serve_watch (store, conn, request->query);
   else if (strcmp (request->path, "/kv-range") == 0)
     {
-      fake_query_get (request->query, "pathPrefix", first, sizeof first);
+      fake_query_get (request->query, "pathPrefix", key, sizeof key);
       fake_query_get (request->query, "after", after, sizeof after);
-      serve_range (store, conn, first, after);
+      serve_range (store, conn, key, after);
     }
   else
     {
-      fake_query_get (request->query, "key", first, sizeof first);
-      serve_key (store, conn, first);
+      fake_query_get (request->query, "key", key, sizeof key);
+      serve_key (store, conn, key);
     }
 }
 
@@ -279,7 +280,7 @@
     }
 }
 
-static const FakeHttpHooks hooks = { .on_request = on_request, .on_closed = on_closed };
+static const FakeHttpCallbacks callbacks = { .on_request = on_request, .on_closed = on_closed };
 
 FakeStore *
 fake_store_new (struct ev_loop *loop)
@@ -290,7 +291,7 @@
     abort ();
   store->loop = loop;
   store->revision = 100;
-  store->http = fake_http_new (loop, "127.0.0.1:0", &hooks, store);
+  store->http = fake_http_new (loop, "127.0.0.1:0", &callbacks, store);
   snprintf (store->address, sizeof store->address, "127.0.0.1:%u", fake_http_port (store->http));
   return store;
 }
@@ -342,7 +343,7 @@
   store->events[store->n_events++].value = value == NULL ? NULL : strdup (value);
   for (uint32_t i = 0; i < WATCHES_MAX; i++)
     {
-      if (store->watches[i].conn != NULL && store->mood == FAKE_STORE_SERVES)
+      if (store->watches[i].conn != NULL && store->mode == FAKE_STORE_SERVES)
         watch_answer (&store->watches[i], false);
     }
 }
@@ -360,28 +361,28 @@
 }
 
 void
-fake_store_mood (FakeStore *store, FakeStoreMood mood)
+fake_store_set_mode (FakeStore *store, FakeStoreMode mode)
 {
-  store->mood = mood;
-  for (uint32_t i = 0; i < WATCHES_MAX && mood != FAKE_STORE_SERVES; i++)
+  store->mode = mode;
+  for (uint32_t i = 0; i < WATCHES_MAX && mode != FAKE_STORE_SERVES; i++)
     {
       Watch *watch = &store->watches[i];
 
       if (watch->conn == NULL)
         continue;
       ev_timer_stop (store->loop, &watch->timer);
-      if (mood == FAKE_STORE_RESETS)
+      if (mode == FAKE_STORE_RESETS)
         fake_conn_close (watch->conn, true);
-      else if (mood != FAKE_STORE_SILENT)
-        answer_status (watch->conn, mood == FAKE_STORE_BUSY ? 503 : 429);
+      else if (mode != FAKE_STORE_SILENT)
+        answer_status (watch->conn, mode == FAKE_STORE_BUSY ? 503 : 429);
       watch->conn = NULL;
     }
 }
 
 void
-fake_store_forget (FakeStore *store)
+fake_store_drop_history (FakeStore *store)
 {
-  store->forgotten = store->revision;
+  store->dropped_revision = store->revision;
 }
 
 uint64_t
--- a/tests/fleet.c
+++ b/tests/fleet.c
@@ -21,17 +21,17 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define PORTS 40
+#define PORTS_PER_FLEET 40
 #define PORT_MIN 20000
 #define PORT_MAX 32000
-#define TURN_MS 10
-/* After this long a wait has come to nothing. */
-#define PATIENCE_US (60 * MF_US_PER_S)
-#define UPSTREAMS 3
+#define POLL_MS 10
+/* A wait that takes longer than this fails the test. */
+#define WAIT_MAX_US (60 * MF_US_PER_S)
+#define UPSTREAMS_PER_POOL 3
 #define TAG_BYTES 32
 #define TAIL_BYTES 400
 
-/* Offsets of the ports from the first one. */
+/* Port numbers, relative to the first port of the fleet. */
 enum
 {
   PORT_CONTROL = 0,
@@ -39,7 +39,7 @@
   PORT_LISTEN = 2,
   PORT_ADMIN = 6,
   PORT_PEER = 10,
-  PORT_RELAY = 14,
+  PORT_PEER_PROXY = 14,
   PORT_PREFILL = 18,
   PORT_DECODE = 22,
   PORT_PLAIN = 26,
@@ -65,7 +65,7 @@
   char dir[64];
   unsigned port;
   pid_t fakes;
-  pid_t instances[FLEET_INSTANCES + 1];
+  pid_t instances[FLEET_N_INSTANCES + 1];
   CURLM *multi;
   Caller *callers;
 };
@@ -86,29 +86,30 @@
   return ok;
 }
 
-/* Finds a block of free ports; where the search begins differs between processes. */
+/* Finds a block of free ports. The search starts at a position that depends on the process ID, so
+ * that tests running in parallel rarely choose the same block. */
 static unsigned
 find_ports (void)
 {
-  unsigned n_blocks = (PORT_MAX - PORT_MIN) / PORTS;
+  unsigned n_blocks = (PORT_MAX - PORT_MIN) / PORTS_PER_FLEET;
   unsigned block = (unsigned)getpid () % n_blocks;
 
   for (unsigned i = 0; i < n_blocks; i++, block = (block + 1) % n_blocks)
     {
-      unsigned port = PORT_MIN + block * PORTS;
+      unsigned port = PORT_MIN + block * PORTS_PER_FLEET;
       unsigned n = 0;
 
-      while (n < PORTS && port_is_free (port + n))
+      while (n < PORTS_PER_FLEET && port_is_free (port + n))
         n++;
-      if (n == PORTS)
+      if (n == PORTS_PER_FLEET)
         return port;
     }
-  fail_msg ("no block of free ports");
+  fail_msg ("no block of 40 free ports between 20000 and 32000");
   return 0;
 }
 
 static FILE *
-create (const Fleet *fleet, const char *name)
+create_file (const Fleet *fleet, const char *name)
 {
   char path[128];
   FILE *file;
@@ -120,11 +121,11 @@
 }
 
 static void
-write_pool (const Fleet *fleet, FILE *file, char letter, unsigned port, const char *more)
+write_pool (const Fleet *fleet, FILE *file, char prefix, unsigned port, const char *extra_fields)
 {
-  for (unsigned i = 1; i <= UPSTREAMS; i++)
+  for (unsigned i = 1; i <= UPSTREAMS_PER_POOL; i++)
     fprintf (file, "%s{ \"name\": \"%c%u\", \"address\": \"127.0.0.1:%u\"%s }", i > 1 ? ", " : "",
-             letter, i, fleet->port + port + i, more);
+             prefix, i, fleet->port + port + i, extra_fields);
 }
 
 static void
@@ -158,7 +159,7 @@
 static void
 write_fakes (const Fleet *fleet)
 {
-  FILE *file = create (fleet, "fakes.json");
+  FILE *file = create_file (fleet, "fakes.json");
 
   fprintf (file, "{ \"control\": \"127.0.0.1:%u\", \"engines\": [", fleet->port + PORT_CONTROL);
   write_pool (fleet, file, 'p', PORT_PREFILL, ", \"role\": \"prefill\", \"restart_ms\": 300");
@@ -168,18 +169,18 @@
   fputs ("], \"plain\": [", file);
   write_pool (fleet, file, 'o', PORT_PLAIN, "");
   fputs ("], \"relays\": [", file);
-  for (unsigned i = 1; i <= FLEET_INSTANCES; i++)
+  for (unsigned i = 1; i <= FLEET_N_INSTANCES; i++)
     fprintf (file,
              "%s{ \"name\": \"r%u\", \"address\": \"127.0.0.1:%u\", \"to\": \"127.0.0.1:%u\" }",
-             i > 1 ? ", " : "", i, fleet->port + PORT_RELAY + i, fleet->port + PORT_PEER + i);
+             i > 1 ? ", " : "", i, fleet->port + PORT_PEER_PROXY + i, fleet->port + PORT_PEER + i);
   fprintf (file,
            "], \"platform\": { \"address\": \"127.0.0.1:%u\", \"text_file\": \"%s/text.json\","
            " \"instances\": [",
            fleet->port + PORT_PLATFORM, fleet->dir);
-  for (unsigned i = 1; i <= FLEET_INSTANCES; i++)
+  for (unsigned i = 1; i <= FLEET_N_INSTANCES; i++)
     fprintf (file,
              "%s{ \"name\": \"entry-%u\", \"address\": \"127.0.0.1:%u\", \"data_centre\": \"a\" }",
-             i > 1 ? ", " : "", i, fleet->port + PORT_RELAY + i);
+             i > 1 ? ", " : "", i, fleet->port + PORT_PEER_PROXY + i);
   fputs ("] } }", file);
   fclose (file);
 }
@@ -191,7 +192,7 @@
   FILE *file;
 
   snprintf (name, sizeof name, "entry-%u.json", i);
-  file = create (fleet, name);
+  file = create_file (fleet, name);
   fprintf (file,
            "{ \"name\": \"entry-%u\", \"data_centre\": \"a\", \"listen\": \"127.0.0.1:%u\","
            " \"admin\": \"127.0.0.1:%u\", \"peer\": \"127.0.0.1:%u\","
@@ -199,29 +200,30 @@
            " \"peers\": { \"address\": \"127.0.0.1:%u\", \"key_file\": \"%s/peer.key\" },"
            " \"cold_start_ms\": 500, \"drain\": { \"grace_ms\": 300, \"limit_ms\": 60000 } }",
            i, fleet->port + PORT_LISTEN + i, fleet->port + PORT_ADMIN + i,
-           fleet->port + PORT_PEER + i, fleet->port + PORT_PLATFORM, fleet->port + PORT_RELAY + i,
-           fleet->dir);
+           fleet->port + PORT_PEER + i, fleet->port + PORT_PLATFORM,
+           fleet->port + PORT_PEER_PROXY + i, fleet->dir);
   fclose (file);
 }
 
 static void
 write_files (const Fleet *fleet)
 {
-  FILE *file = create (fleet, "peer.key");
+  FILE *file = create_file (fleet, "peer.key");
 
   for (int i = 0; i < 32; i++)
     fprintf (file, "%02x", i);
   fputs ("\n", file);
   fclose (file);
-  file = create (fleet, "text.json");
+  file = create_file (fleet, "text.json");
   write_text (fleet, file, 30);
   fclose (file);
   write_fakes (fleet);
-  for (unsigned i = 1; i <= FLEET_INSTANCES; i++)
+  for (unsigned i = 1; i <= FLEET_N_INSTANCES; i++)
     write_settings (fleet, i);
 }
 
-/* Starts a program that dies with this one and writes to a log beside its settings. */
+/* Starts a program that is killed when the test ends and whose output goes to a log file in the
+ * fleet's directory. */
 static pid_t
 spawn (const Fleet *fleet, const char *log_name, char *const argv[])
 {
@@ -264,7 +266,7 @@
 }
 
 static void
-caller_end (Caller *caller, bool failed)
+caller_close (Caller *caller, bool failed)
 {
   curl_easy_getinfo (caller->easy, CURLINFO_RESPONSE_CODE, &caller->status);
   curl_multi_remove_handle (caller->fleet->multi, caller->easy);
@@ -274,14 +276,14 @@
   caller->failed = failed;
 }
 
-/* Moves every caller on, for at most one turn. */
+/* Lets the callers make progress, for at most POLL_MS. */
 static void
-turn (Fleet *fleet)
+poll_callers (Fleet *fleet)
 {
   CURLMsg *message;
   int n;
 
-  curl_multi_poll (fleet->multi, NULL, 0, TURN_MS, NULL);
+  curl_multi_poll (fleet->multi, NULL, 0, POLL_MS, NULL);
   curl_multi_perform (fleet->multi, &n);
   while ((message = curl_multi_info_read (fleet->multi, &n)) != NULL)
     {
@@ -289,53 +291,53 @@
       CURLcode result = message->data.result;
 
       curl_easy_getinfo (message->easy_handle, CURLINFO_PRIVATE, (char **)&caller);
-      caller_end (caller, result != CURLE_OK);
+      caller_close (caller, result != CURLE_OK);
     }
 }
 
 void
-fleet_until (Fleet *fleet, FleetFunc reached, void *data)
+fleet_wait_until (Fleet *fleet, FleetCondition reached, void *data)
 {
-  uint64_t end_us = mf_clock_now_us () + PATIENCE_US;
+  uint64_t end_us = mf_clock_now_us () + WAIT_MAX_US;
 
   while (mf_clock_now_us () < end_us)
     {
       if (reached (fleet, data))
         return;
-      turn (fleet);
+      poll_callers (fleet);
     }
-  fail_msg ("waited in vain; see %s", fleet->dir);
+  fail_msg ("condition not reached within 60 s; logs are in %s", fleet->dir);
 }
 
 void
-fleet_pass (Fleet *fleet, unsigned ms)
+fleet_sleep_ms (Fleet *fleet, unsigned ms)
 {
   uint64_t end_us = mf_clock_now_us () + ms * MF_US_PER_MS;
 
   while (mf_clock_now_us () < end_us)
-    turn (fleet);
+    poll_callers (fleet);
 }
 
 static bool
 has_exited (Fleet *fleet, void *data)
 {
-  int *code_of = data;
+  int *instance_or_code = data;
   int status;
 
-  if (waitpid (fleet->instances[*code_of], &status, WNOHANG) <= 0)
+  if (waitpid (fleet->instances[*instance_or_code], &status, WNOHANG) <= 0)
     return false;
-  fleet->instances[*code_of] = 0;
-  *code_of = WIFEXITED (status) ? WEXITSTATUS (status) : 128 + WTERMSIG (status);
+  fleet->instances[*instance_or_code] = 0;
+  *instance_or_code = WIFEXITED (status) ? WEXITSTATUS (status) : 128 + WTERMSIG (status);
   return true;
 }
 
 int
-fleet_exit_code (Fleet *fleet, int instance)
+fleet_wait_exit_code (Fleet *fleet, int instance)
 {
-  int code_of = instance;
+  int instance_or_code = instance;
 
-  fleet_until (fleet, has_exited, &code_of);
-  return code_of;
+  fleet_wait_until (fleet, has_exited, &instance_or_code);
+  return instance_or_code;
 }
 
 static size_t
@@ -343,7 +345,7 @@
 {
   Caller *caller = user;
 
-  /* A NUL follows the body without being a part of it. */
+  /* The body is NUL-terminated; the NUL does not count as part of it. */
   mf_buffer_add (&caller->body, data, size * n);
   mf_buffer_add (&caller->body, "", 1);
   caller->body.end--;
@@ -366,9 +368,9 @@
   return size * n;
 }
 
-/* Starts a request; body is NULL for a GET. */
+/* Starts a request: a POST, or a GET if body is NULL. */
 static Caller *
-call (Fleet *fleet, unsigned port, const char *path, const char *header, const char *body)
+caller_new (Fleet *fleet, unsigned port, const char *path, const char *header, const char *body)
 {
   Caller *caller = calloc (1, sizeof *caller);
   char url[256];
@@ -399,16 +401,16 @@
 }
 
 static bool
-has_ended (Fleet *fleet, void *data)
+caller_ended (Fleet *fleet, void *data)
 {
   (void)fleet;
   return caller_has_ended (data);
 }
 
 void
-caller_finish (Caller *caller)
+caller_wait (Caller *caller)
 {
-  fleet_until (caller->fleet, has_ended, caller);
+  fleet_wait_until (caller->fleet, caller_ended, caller);
 }
 
 bool
@@ -418,17 +420,17 @@
 }
 
 void
-caller_leave (Caller *caller)
+caller_disconnect (Caller *caller)
 {
   if (!caller->ended)
-    caller_end (caller, true);
+    caller_close (caller, true);
 }
 
 void
-fleet_leave_all (Fleet *fleet)
+fleet_disconnect_callers (Fleet *fleet)
 {
   for (Caller *caller = fleet->callers; caller != NULL; caller = caller->next)
-    caller_leave (caller);
+    caller_disconnect (caller);
 }
 
 unsigned
@@ -444,7 +446,7 @@
 }
 
 const char *
-caller_tail (const Caller *caller)
+caller_body_tail (const Caller *caller)
 {
   size_t n = mf_buffer_bytes (&caller->body);
 
@@ -457,25 +459,25 @@
   return caller->outcome;
 }
 
-/* Returns how many tokens have come in order, or -1 when one is wrong. */
+/* Returns the number of tokens received, or -1 if one is out of order or of another answer. */
 static int
 count_tokens (const Caller *caller)
 {
   static const char key[] = "\"text\":\"";
-  const char *at = caller_body (caller);
+  const char *cursor = caller_body (caller);
   int n = 0;
 
-  while ((at = strstr (at, key)) != NULL)
+  while ((cursor = strstr (cursor, key)) != NULL)
     {
-      at += sizeof key - 1;
-      while (*at == ' ')
+      cursor += sizeof key - 1;
+      while (*cursor == ' ')
         {
           char expected[TAG_BYTES + 16];
           int expected_bytes = snprintf (expected, sizeof expected, " %s.%d", caller->tag, n);
 
-          if (strncmp (at, expected, (size_t)expected_bytes) != 0)
+          if (strncmp (cursor, expected, (size_t)expected_bytes) != 0)
             return -1;
-          at += expected_bytes;
+          cursor += expected_bytes;
           n++;
         }
     }
@@ -489,7 +491,7 @@
 }
 
 bool
-caller_is_whole (const Caller *caller)
+caller_is_complete (const Caller *caller)
 {
   return caller->ended && !caller->failed && caller->status == 200
          && count_tokens (caller) == (int)caller->n_tokens
@@ -497,53 +499,53 @@
 }
 
 Caller *
-fleet_complete (Fleet *fleet, int instance, const char *tag, unsigned n_tokens)
+fleet_send_completion (Fleet *fleet, int instance, const char *tag, unsigned n_tokens)
 {
   char prompt[128];
   Caller *caller;
 
   snprintf (prompt, sizeof prompt, "drawer jams [tag %s] [answer %u]", tag, n_tokens);
-  caller = fleet_prompt (fleet, instance, prompt);
+  caller = fleet_send_prompt (fleet, instance, prompt);
   mf_name_set (caller->tag, sizeof caller->tag, tag);
   caller->n_tokens = n_tokens;
   return caller;
 }
 
 Caller *
-fleet_prompt (Fleet *fleet, int instance, const char *prompt)
+fleet_send_prompt (Fleet *fleet, int instance, const char *prompt)
 {
   char body[256];
 
   snprintf (body, sizeof body,
             "{ \"model\": \"m\", \"stream\": true, \"max_tokens\": 5000, \"prompt\": \"%s\" }",
             prompt);
-  return call (fleet, PORT_LISTEN + (unsigned)instance, "/v1/completions", NULL, body);
+  return caller_new (fleet, PORT_LISTEN + (unsigned)instance, "/v1/completions", NULL, body);
 }
 
 Caller *
-fleet_order (Fleet *fleet, int instance, const char *order, const char *key)
+fleet_send_order (Fleet *fleet, int instance, const char *order, const char *key)
 {
   char header[128];
   char body[128];
 
   snprintf (header, sizeof header, "Idempotency-Key: %s", key == NULL ? "" : key);
   snprintf (body, sizeof body, "{ \"order\": \"%s\" }", order);
-  return call (fleet, PORT_LISTEN + (unsigned)instance, "/orders", key == NULL ? NULL : header,
-               body);
+  return caller_new (fleet, PORT_LISTEN + (unsigned)instance, "/orders",
+                     key == NULL ? NULL : header, body);
 }
 
 Caller *
-fleet_read (Fleet *fleet, int instance, const char *path)
+fleet_send_get (Fleet *fleet, int instance, const char *path)
 {
-  return call (fleet, PORT_LISTEN + (unsigned)instance, path, NULL, NULL);
+  return caller_new (fleet, PORT_LISTEN + (unsigned)instance, path, NULL, NULL);
 }
 
 static void
-control (Fleet *fleet, const char *path, const char *body)
+send_control (Fleet *fleet, const char *path, const char *body)
 {
-  Caller *caller = call (fleet, PORT_CONTROL, path, NULL, body);
+  Caller *caller = caller_new (fleet, PORT_CONTROL, path, NULL, body);
 
-  caller_finish (caller);
+  caller_wait (caller);
   assert_int_equal (caller->status, 200);
 }
 
@@ -553,16 +555,16 @@
   char path[128];
 
   snprintf (path, sizeof path, "/fault?target=%s&kind=%s&value=%u", target, kind, value);
-  control (fleet, path, "");
+  send_control (fleet, path, "");
 }
 
 void
-fleet_link (Fleet *fleet, int to, const char *kind, int from)
+fleet_link_fault (Fleet *fleet, int to, const char *kind, int from)
 {
   char path[128];
 
   snprintf (path, sizeof path, "/fault?target=r%d&kind=%s&from=entry-%d", to, kind, from);
-  control (fleet, path, "");
+  send_control (fleet, path, "");
 }
 
 void
@@ -570,23 +572,23 @@
 {
   const char *kind = cut ? "cut" : "pass";
 
-  for (int other = 1; other <= FLEET_INSTANCES; other++)
+  for (int other = 1; other <= FLEET_N_INSTANCES; other++)
     {
       if (other == instance)
         continue;
-      fleet_link (fleet, instance, kind, other);
-      fleet_link (fleet, other, kind, instance);
+      fleet_link_fault (fleet, instance, kind, other);
+      fleet_link_fault (fleet, other, kind, instance);
     }
 }
 
 void
 fleet_publish (Fleet *fleet, const char *text)
 {
-  control (fleet, "/text", text);
+  send_control (fleet, "/text", text);
 }
 
 void
-fleet_publish_target (Fleet *fleet, unsigned tbt_target_ms)
+fleet_publish_tbt_target (Fleet *fleet, unsigned tbt_target_ms)
 {
   char *text = NULL;
   size_t text_bytes = 0;
@@ -602,10 +604,10 @@
 json_object *
 fleet_ledger (Fleet *fleet)
 {
-  Caller *caller = call (fleet, PORT_CONTROL, "/ledger", NULL, NULL);
+  Caller *caller = caller_new (fleet, PORT_CONTROL, "/ledger", NULL, NULL);
   json_object *ledger;
 
-  caller_finish (caller);
+  caller_wait (caller);
   ledger = json_tokener_parse (caller_body (caller));
   assert_non_null (ledger);
   return ledger;
@@ -633,56 +635,56 @@
 }
 
 static uint64_t
-row_runs (json_object *row, const char *order)
+row_n_runs (json_object *row, const char *order)
 {
   return row_number (json_object_object_get (row, "runs"), order);
 }
 
 static uint64_t
-row_held (json_object *row, const char *name)
+row_n_kv_entries (json_object *row, const char *name)
 {
   return json_object_array_length (json_object_object_get (row, name));
 }
 
 uint64_t
-fleet_sum (Fleet *fleet, const char *list, const char *name)
+fleet_sum_ledger (Fleet *fleet, const char *list, const char *name)
 {
   return sum_rows (fleet, list, row_number, name);
 }
 
 uint64_t
-fleet_runs (Fleet *fleet, const char *order)
+fleet_n_runs (Fleet *fleet, const char *order)
 {
-  return sum_rows (fleet, "plain", row_runs, order);
+  return sum_rows (fleet, "plain", row_n_runs, order);
 }
 
 uint64_t
-fleet_held (Fleet *fleet)
+fleet_n_kv_entries (Fleet *fleet)
 {
-  return sum_rows (fleet, "engines", row_held, "held");
+  return sum_rows (fleet, "engines", row_n_kv_entries, "held");
 }
 
 static bool
-is_free (Fleet *fleet, void *data)
+has_no_kv (Fleet *fleet, void *data)
 {
   (void)data;
-  return fleet_held (fleet) == 0;
+  return fleet_n_kv_entries (fleet) == 0;
 }
 
 void
-fleet_until_free (Fleet *fleet)
+fleet_wait_kv_freed (Fleet *fleet)
 {
-  fleet_until (fleet, is_free, NULL);
+  fleet_wait_until (fleet, has_no_kv, NULL);
 }
 
 double
 fleet_counter (Fleet *fleet, int instance, const char *name)
 {
-  Caller *caller = call (fleet, PORT_ADMIN + (unsigned)instance, "/metrics", NULL, NULL);
+  Caller *caller = caller_new (fleet, PORT_ADMIN + (unsigned)instance, "/metrics", NULL, NULL);
   size_t name_bytes = strlen (name);
   const char *line;
 
-  caller_finish (caller);
+  caller_wait (caller);
   line = caller_body (caller);
   while (line != NULL && *line != '\0')
     {
@@ -698,55 +700,54 @@
 is_ready (Fleet *fleet, void *data)
 {
   const int *instance = data;
-  Caller *caller = call (fleet, PORT_ADMIN + (unsigned)*instance, "/readyz", NULL, NULL);
+  Caller *caller = caller_new (fleet, PORT_ADMIN + (unsigned)*instance, "/readyz", NULL, NULL);
 
-  caller_finish (caller);
+  caller_wait (caller);
   return caller->status == 200;
 }
 
 void
-fleet_until_ready (Fleet *fleet, int instance)
+fleet_wait_ready (Fleet *fleet, int instance)
 {
-  fleet_until (fleet, is_ready, &instance);
+  fleet_wait_until (fleet, is_ready, &instance);
 }
 
 static bool
-sees_all (Fleet *fleet, void *data)
+peers_are_alive (Fleet *fleet, void *data)
 {
   const int *instance = data;
 
   return fleet_counter (fleet, *instance, "mangofork_instances{state=\"alive\"}")
-         >= FLEET_INSTANCES - 1;
+         >= FLEET_N_INSTANCES - 1;
 }
 
 static bool
 control_answers (Fleet *fleet, void *data)
 {
-  Caller *caller = call (fleet, PORT_CONTROL, "/ledger", NULL, NULL);
+  Caller *caller = caller_new (fleet, PORT_CONTROL, "/ledger", NULL, NULL);
 
   (void)data;
-  caller_finish (caller);
+  caller_wait (caller);
   return caller->status == 200;
 }
 
 static bool
-orders_run (Fleet *fleet, void *data)
+order_succeeds (Fleet *fleet, void *data)
 {
   const int *instance = data;
   char key[32];
   Caller *caller;
 
   snprintf (key, sizeof key, "warm-%d-%u", *instance, (unsigned)rand ());
-  caller = fleet_order (fleet, *instance, "warm", key);
-  caller_finish (caller);
+  caller = fleet_send_order (fleet, *instance, "warm", key);
+  caller_wait (caller);
   return caller->status == 200;
 }
 
-/* Waits until an instance can have a key voted on. */
 void
-fleet_until_voting (Fleet *fleet, int instance)
+fleet_wait_voting (Fleet *fleet, int instance)
 {
-  fleet_until (fleet, orders_run, &instance);
+  fleet_wait_until (fleet, order_succeeds, &instance);
 }
 
 int
@@ -765,13 +766,13 @@
   snprintf (path, sizeof path, "%s/fakes.json", fleet->dir);
   fleet->fakes = spawn (fleet, "fakes", argv);
   *state = fleet;
-  fleet_until (fleet, control_answers, NULL);
-  for (int i = 1; i <= FLEET_INSTANCES; i++)
+  fleet_wait_until (fleet, control_answers, NULL);
+  for (int i = 1; i <= FLEET_N_INSTANCES; i++)
     fleet_start (fleet, i);
-  for (int i = 1; i <= FLEET_INSTANCES; i++)
-    fleet_until_ready (fleet, i);
-  for (int i = 1; i <= FLEET_INSTANCES; i++)
-    fleet_until (fleet, sees_all, &i);
+  for (int i = 1; i <= FLEET_N_INSTANCES; i++)
+    fleet_wait_ready (fleet, i);
+  for (int i = 1; i <= FLEET_N_INSTANCES; i++)
+    fleet_wait_until (fleet, peers_are_alive, &i);
   return 0;
 }
 
@@ -806,14 +807,14 @@
 {
   Fleet *fleet = *state;
 
-  for (int i = 1; i <= FLEET_INSTANCES; i++)
+  for (int i = 1; i <= FLEET_N_INSTANCES; i++)
     end_process (fleet->instances[i]);
   end_process (fleet->fakes);
   for (Caller *caller = fleet->callers; caller != NULL;)
     {
       Caller *next = caller->next;
 
-      caller_leave (caller);
+      caller_disconnect (caller);
       curl_slist_free_all (caller->headers);
       mf_buffer_clear (&caller->body);
       free (caller);
--- a/tests/test_status.c
+++ b/tests/test_status.c
@@ -19,7 +19,7 @@
   return one_core_json (&buffer);
 }
 
-/* A service is down because of what it needs, and the status names it. */
+/* A service is down because a dependency is down, and the status names that dependency. */
 static void
 test_status_names_the_cause (void **state)
 {
@@ -63,9 +63,9 @@
   one_core_free (one);
 }
 
-/* An explanation says who ended the request, in which phase, and every step before. */
+/* An explanation has who ended the request, in which phase, and every step before. */
 static void
-test_explanation_tells_the_whole_life (void **state)
+test_explanation_lists_all_steps (void **state)
 {
   OneCore *one = one_core_new ();
   MfBuffer buffer = { 0 };
@@ -74,7 +74,7 @@
 
   (void)state;
   one_core_request (one, "left", "/orders/1", ONE_CALLER_LEAVES, 10 * MF_US_PER_MS);
-  mf_trace_name (one->core->board.trace, one->next_request, "left");
+  mf_trace_set_name (one->core->board.trace, one->next_request, "left");
   assert_false (mf_explain_render (one->core, "nobody", &buffer));
   assert_int_equal (mf_buffer_bytes (&buffer), 0);
   assert_true (mf_explain_render (one->core, "left", &buffer));
@@ -95,7 +95,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_status_names_the_cause),
     cmocka_unit_test (test_status_shows_the_refused_text),
-    cmocka_unit_test (test_explanation_tells_the_whole_life),
+    cmocka_unit_test (test_explanation_lists_all_steps),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
